--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -1,6 +1,6 @@
 """What `docs/callers.md` promises, measured on loopback: `make bench-callers`, `QUICK=1` for CI.
 
-The truth is the stand-ins': a visit counts as taken when a cache host saw its id, whatever the dispatcher
+The truth is the stand-ins': a request counts as taken when a cache host saw its id, whatever the dispatcher
 says.
 """
 
@@ -96,7 +96,8 @@
 
 
 class Checker:
-    """Holds every visit against what its credentials were worth when it was sent, by the stand-ins' word."""
+    """Holds every request against what its credentials were worth when it was sent, by the stand-ins'
+    word."""
 
     def __init__(self) -> None:
         self.sent: list[Sent] = []
@@ -116,11 +117,11 @@
         return dict(out)
 
 
-async def changes(place: Place, visits: int, rate: float) -> dict[str, Any]:
+async def changes(place: Place, requests: int, rate: float) -> dict[str, Any]:
     """Old, next, new, foreign, forged, revoked and no credentials, over three key changes and three
     revocations."""
     chance, checker = Random(SEED), Checker()
-    seconds = visits / rate
+    seconds = requests / rate
     plain = await lines(place.address, 6)
     coast, serial = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
     kept, _ = place.authority.leaf("kept.pem", ["uri:hoistplank:coast"])
@@ -386,8 +387,8 @@
 
 
 async def crowded(seconds: float, rounds: int) -> dict[str, Any]:
-    """Two members' usual visits, alternating without and with a third at ten times its share of a small open
-    cap."""
+    """Two members' usual requests, alternating without and with a third at ten times its share of a small
+    open cap."""
     calm, rough, crowd = list[float](), list[float](), Counter[str]()
     with tempfile.TemporaryDirectory() as folder:
         place = Place(Path(folder), takes_s=0.12)
@@ -427,10 +428,12 @@
     }
 
 
-async def _block(place: Place, ways: list[Line], words: dict[str, str], visits: int, chance: Random) -> float:
-    """CPU of the dispatcher a visit, in microseconds, over visits kept eight at a time on kept
+async def _block(
+    place: Place, ways: list[Line], words: dict[str, str], requests: int, chance: Random
+) -> float:
+    """CPU of the dispatcher a request, in microseconds, over requests kept eight at a time on kept
     connections."""
-    before, left = place.cpu_ns(), visits
+    before, left = place.cpu_ns(), requests
 
     async def loop(way: Line) -> None:
         nonlocal left
@@ -445,11 +448,11 @@
             await asyncio.wait_for(sent.done.wait(), 5)
 
     await asyncio.gather(*(loop(way) for way in ways))
-    return (place.cpu_ns() - before) / visits / 1e3
+    return (place.cpu_ns() - before) / requests / 1e3
 
 
-async def _paid(rounds: int, visits: int, chance: Random) -> tuple[dict[str, list[float]], dict[str, Any]]:
-    """Blocks of visits in turn to a dispatcher without callers and to one with them, by token and over
+async def _paid(rounds: int, requests: int, chance: Random) -> tuple[dict[str, list[float]], dict[str, Any]]:
+    """Blocks of requests in turn to a dispatcher without callers and to one with them, by token and over
     TLS."""
     with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as two:
         bare, known = Place(Path(one), callers=False), Place(Path(two))
@@ -473,7 +476,7 @@
             for turn in range(rounds):
                 for name in order[turn % 3 :] + order[: turn % 3]:
                     place, ways, given = kinds[name]
-                    found[name].append(await _block(place, ways, given, visits, chance))
+                    found[name].append(await _block(place, ways, given, requests, chance))
             before = known.resident_kb()
             more = await lines(("127.0.0.1", known.tls), 150, known.authority.context(leaf))
             for way in more:
@@ -498,11 +501,12 @@
     return [round(drawn[50], 3), round(drawn[1_949], 3)]
 
 
-async def cost(pairs: int, rounds: int, visits: int) -> dict[str, Any]:
-    """CPU a visit, paired: two processes of one text differ by some percent, so several pairs are started."""
+async def cost(pairs: int, rounds: int, requests: int) -> dict[str, Any]:
+    """CPU a request, paired: two processes of one text differ by some percent, so several pairs are
+    started."""
     chance, found, rest = Random(SEED), dict[str, list[float]](), dict[str, Any]()
     for _ in range(pairs):
-        more, rest = await _paid(rounds, visits, chance)
+        more, rest = await _paid(rounds, requests, chance)
         found = {name: found.get(name, []) + row for name, row in more.items()}
     out: dict[str, Any] = {
         "cpu_us_a_visit": {name: round(statistics.median(row), 1) for name, row in found.items()}
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -1,8 +1,8 @@
 """Starting without discovery, measured on loopback with real processes: `make bench-discovery`, `QUICK=1` for
 CI.
 
-Each scene is a process: stand-ins, one dispatcher or several with the change log down, visits from the start
-on. In the
+Each scene is a process: stand-ins, one dispatcher or several with the change log down, requests from the
+start on. In the
 middle the log comes back and tells the truth. What was sent where is the stand-ins' word.
 """
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -121,7 +121,7 @@
 
     many = 400 if QUICK else 2_000
     before = await relays.stats()
-    # As many at once as a fleet's visits are: a chunk seldom has a turn of the loop to itself.
+    # As many at once as a fleet's requests are: a chunk seldom has a turn of the loop to itself.
     await asyncio.gather(*(ping(through, many, 0) for _ in range(24)))
     after = await relays.stats()
     chunks = after["chunks"] - before["chunks"]
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -28,7 +28,7 @@
 from hoistplank.lab.experiment import Cell, Experiment, read
 from hoistplank.lab.load.crew import LATE_MS, load
 from hoistplank.lab.load.plan import mixes, plan
-from hoistplank.lab.model.clients import BACK, SERVED, Visit
+from hoistplank.lab.model.clients import BACK, SERVED, Request
 from hoistplank.lab.model.faults import drawn, script
 from hoistplank.lab.model.servers import Ask
 from hoistplank.lab.model.shape import Shape, sized
@@ -46,7 +46,7 @@
 
 
 class Straight:
-    """No Router: each visit goes straight to a host by its number, so that the model is timed alone."""
+    """No Router: each request goes straight to a host by its number, so that the model is timed alone."""
 
     def __init__(self, world: World, number: int, zone: int) -> None:
         self.world, self.number, self.zone, self.alive = world, number, zone, True
@@ -58,7 +58,7 @@
     def purge(self, thing: str, group: int, made: int) -> None:
         return
 
-    def leave(self, visit: Visit) -> None:
+    def leave(self, request: Request) -> None:
         return
 
     def kill(self) -> None:
@@ -73,18 +73,18 @@
     def freeze(self, length_us: int) -> None:
         return
 
-    def take(self, visit: Visit) -> None:
-        world, id = self.world, visit.id
+    def take(self, request: Request) -> None:
+        world, id = self.world, request.id
 
         def end(result: int, note: int, born: int) -> None:
             world.truth.answers.answered(world.agenda.now, id)
             world.clients.answered(id, SERVED if result == Result.SUCCEEDED else BACK, 0, note)
 
-        place = (visit.thing, visit.part)
-        ask = Ask(self.number, self.zone, visit.track, place, visit.group, visit.size_us, end)
-        ask.key, ask.join, ask.back = visit.key, True, world.shape.near_us
-        key = int(visit.thing, 16) * 31 + visit.part
-        uncached = world.shape.tracks[visit.track].uncached
+        place = (request.thing, request.part)
+        ask = Ask(self.number, self.zone, request.track, place, request.group, request.size_us, end)
+        ask.key, ask.join, ask.back = request.key, True, world.shape.near_us
+        key = int(request.thing, 16) * 31 + request.part
+        uncached = world.shape.tracks[request.track].uncached
         host = world.origin if uncached else self.hosts[key % len(self.hosts)]
         ask.source = world.parents[key % len(world.parents)].uid
         world.agenda.at(world.agenda.now + world.shape.near_us, host.arrive, ask)
@@ -121,7 +121,7 @@
 
 
 def big() -> dict[str, Any]:
-    """1,000 hosts, 150 dispatchers, 1,200 visits a second; 60 s, in the quick form 3 s."""
+    """1,000 hosts, 150 dispatchers, 1,200 requests a second; 60 s, in the quick form 3 s."""
     seconds, warm = (3.0, 2.0) if QUICK else (60.0, 6.0)
     rate = 1.2 / Shape().parts()
     cell = Cell("calm", "", 1_000, 1, "module", seconds, rate, 0.75, 20, 3, "virtual", warm)
@@ -255,8 +255,8 @@
             out["ranking"] = ranking(Path(folder))
     drives = out["drives"]
     busy = out["load"]["void"] or drives["mean_apart"] is None
-    # Two short days of some hundred visits differ by chance alone: the quick form only finds a drive that is
-    # wrong.
+    # Two short days of some hundred requests differ by chance alone: the quick form only finds a drive that
+    # is wrong.
     apart = 0.2 if QUICK else 0.05
     counts = out["load"]["counts"]
     claims = {
--- a/benchmarks/starters.py
+++ b/benchmarks/starters.py
@@ -134,7 +134,7 @@
         one = many[who]
         while (decision := one.router.next_decision(now)) is not None:
             if decision.act == "attempt":
-                one.attempts[decision.visit, decision.attempt] = decision
+                one.attempts[decision.request, decision.attempt] = decision
                 if decision.host not in there:
                     out["to_absent"] += 1
                     put(now + 1_000, "refused", who, decision)
@@ -167,7 +167,9 @@
         elif what == "visit":
             out["visits"] += 1
             thing = f"{int(3_000 * chance.random() ** 3):016x}"
-            one.router.visit_came(now, f"v{out['visits']}", "page", thing, 0, 0, 0.0, now + 2_500_000, False)
+            one.router.request_arrived(
+                now, f"v{out['visits']}", "page", thing, 0, 0, 0.0, now + 2_500_000, False
+            )
             put(now + int(S / rate), "visit", who, None)
         elif what == "wake":
             one.router.timer_due(now, more)
@@ -175,7 +177,7 @@
             good = what == "answer"
             out["served"] += good
             result, note = (Result.SUCCEEDED, Note.FILLED) if good else (Result.NO_CONNECTION, 0)
-            one.router.attempt_ended(now, more.visit, more.attempt, result, good, WORK_US * 2, -1, note, [])
+            one.router.attempt_ended(now, more.request, more.attempt, result, good, WORK_US * 2, -1, note, [])
         pull(now, who)
     return {
         "dispatchers": dispatchers,
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -109,7 +109,7 @@
     held: list[dict[str, Any]] = [{} for _ in proxies]
     began, full, chance, asked = time.monotonic(), list[float](), Random(name), things(500)
     sent: list[float] = []  # choices of the host that drains
-    stale: dict[str, float] = {}  # "group.N" -> the latest visit of a proxy that had not heard of it
+    stale: dict[str, float] = {}  # "group.N" -> the latest request of a proxy that had not heard of it
     print(json.dumps("up"), flush=True)
     while time.monotonic() < began + seconds:
         now = time.monotonic()
@@ -256,7 +256,7 @@
 # The same boxes.
 
 
-async def agreement(hosts: int, visits: int) -> dict[str, Any]:
+async def agreement(hosts: int, requests: int) -> dict[str, Any]:
     """Choices of both proxies against the module's own, step by step over a deploy, at equal knowledge."""
     with tempfile.TemporaryDirectory() as folder:
         async with Place(Path(folder), hosts) as place:
@@ -264,7 +264,7 @@
             extension = Proxy(f"127.0.0.1:{place.control.port}", "extension", ZONE, True)
             tasks = [asyncio.create_task(proxy.run()) for proxy in (plain, extension)]
             router, now, number = Router(place.control.site, 1), 100 * S, 0
-            chance, known = Random(SEED), things(visits // 4)
+            chance, known = Random(SEED), things(requests // 4)
             weights = [1 / (n + 1) for n in range(len(known))]
             states: dict[str, str] = {}
             rows = list[dict[str, Any]]()
@@ -300,7 +300,7 @@
                 entries += [HostEntry(k[0], "hub", k, 0, 100.0, 0, "up") for k in ("parent", "origin")]
                 router.hosts_listed(now, "whole", entries)
                 equal = {"plain": 0, "extension": 0}
-                for thing, part in chance.choices(known, weights, k=visits):
+                for thing, part in chance.choices(known, weights, k=requests):
                     number += 1
                     at = first_choice(router, now, number, "page", thing, part)
                     equal["plain"] += plain.choose(thing, part) == at
@@ -312,7 +312,7 @@
                 rows.append(
                     {
                         "step": f"{uid} {state}".strip() or "start",
-                        **{name: round(count / visits, 4) for name, count in equal.items()},
+                        **{name: round(count / requests, 4) for name, count in equal.items()},
                     }
                 )
             for task in tasks:
@@ -321,7 +321,7 @@
     steady = rows[1:]
     return {
         "hosts": hosts,
-        "visits_a_step": visits,
+        "visits_a_step": requests,
         "steps": rows,
         "extension": min(row["extension"] for row in rows),
         "plain_steady": round(statistics.fmean(row["plain"] for row in steady), 4),
--- a/hoistplank/benchlink/codec.py
+++ b/hoistplank/benchlink/codec.py
@@ -46,19 +46,19 @@
     if d.act == "attempt":
         bits = (1 if d.join else 0) + (8 if d.renew else 0)
         if not d.source:
-            return f"SEND {whose} request_id={d.visit} host={d.host} within={seconds(d.within_us)}"
+            return f"SEND {whose} request_id={d.request} host={d.host} within={seconds(d.within_us)}"
         return (
-            f"SERVE_VIA {whose} request_id={d.visit} host={d.host} within={seconds(d.within_us)}"
+            f"SERVE_VIA {whose} request_id={d.request} host={d.host} within={seconds(d.within_us)}"
             f" miss_from={d.source} retain={d.keep} oldness={seconds(d.oldest_us)} bits={bits}"
         )
     if d.act == "wake":
         return f"ARM {whose} tag={d.token} sleep_for={seconds(d.wait_us)}"
     if d.act == "reject":
-        return f"DECLINE {whose} request_id={d.visit} not_before_for={seconds(d.wait_us)}"
+        return f"DECLINE {whose} request_id={d.request} not_before_for={seconds(d.wait_us)}"
     if d.act == "fail":
-        return f"ERROR {whose} request_id={d.visit}"
+        return f"ERROR {whose} request_id={d.request}"
     if d.act == "withdraw":
-        return f"STOP_ATTEMPT {whose} request_id={d.visit} trial={d.attempt}"
+        return f"STOP_ATTEMPT {whose} request_id={d.request} trial={d.attempt}"
     if d.act == "probe":
         return f"PING {whose} host={d.host}"
     if d.act == "follow":
--- a/hoistplank/benchlink/hosting.py
+++ b/hoistplank/benchlink/hosting.py
@@ -122,7 +122,7 @@
         return lambda: router.hosts_listed(self.now, FORMS[form], entries)
 
     def came(self, router: Router, f: Fields) -> Callable[[], None]:
-        visit, track, thing = f.text("request_id"), f.text("lane"), f.text("file", "")
+        request, track, thing = f.text("request_id"), f.text("lane"), f.text("file", "")
         part, group, size, until = (
             f.whole("piece", 0),
             f.whole("label_no", 0),
@@ -130,25 +130,27 @@
             f.micros("give_up_at"),
         )
         again = f.flag("is_retry")
-        return lambda: router.visit_came(self.now, visit, track, thing, part, group, size, until, again)
+        return lambda: router.request_arrived(
+            self.now, request, track, thing, part, group, size, until, again
+        )
 
     def ended(self, router: Router, f: Fields) -> Callable[[], None]:
-        visit, attempt, status = f.text("request_id"), f.whole("trial"), f.text("status")
+        request, attempt, status = f.text("request_id"), f.whole("trial"), f.text("status")
         if status not in RESULTS:
             raise FactError(f"field 'status' has no meaning '{status[:20]}'")
         closed, took, waited = f.flag("ended"), f.micros("time_taken", 0), f.micros("source_wait", -1)
         note, report = f.whole("info", 0), numbers(f.text("feedback", ""), "feedback")
         return lambda: router.attempt_ended(
-            self.now, visit, attempt, RESULTS[status], closed, took, waited, note, report
+            self.now, request, attempt, RESULTS[status], closed, took, waited, note, report
         )
 
     def began(self, router: Router, f: Fields) -> Callable[[], None]:
-        visit, attempt = f.text("request_id"), f.whole("trial")
-        return lambda: router.stream_began(self.now, visit, attempt)
+        request, attempt = f.text("request_id"), f.whole("trial")
+        return lambda: router.stream_began(self.now, request, attempt)
 
     def left(self, router: Router, f: Fields) -> Callable[[], None]:
-        visit = f.text("request_id")
-        return lambda: router.client_left(self.now, visit)
+        request = f.text("request_id")
+        return lambda: router.client_left(self.now, request)
 
     def due(self, router: Router, f: Fields) -> Callable[[], None]:
         token = f.whole("tag")
--- a/hoistplank/callers/control.py
+++ b/hoistplank/callers/control.py
@@ -17,7 +17,7 @@
 import structlog
 
 from hoistplank.callers.gate import Caller, Gate, Identity, Refusal
-from hoistplank.callers.http import BadRequest, Reader, Request, reply
+from hoistplank.callers.http import BadRequest, HttpRequest, Reader, reply
 from hoistplank.callers.limits import Bucket
 from hoistplank.callers.revoked import BadRevocation, Revocation
 from hoistplank.callers.rights import ALL_GROUPS, BITS, OPERATE, Tenant
@@ -68,13 +68,13 @@
     return Answer(status, {"refused": why}, wait_us)
 
 
-class Visitor:
+class AdminClient:
     """One connection of an operator's."""
 
     def __init__(self, control: Control, sock: socket.socket) -> None:
         self.control, self.reader = control, Reader(control.section["body"])
         self.identity: Identity | None = None
-        self.waiting: deque[Request] = deque()
+        self.waiting: deque[HttpRequest] = deque()
         self.worker: asyncio.Task[None] | None = None
         self.leaving, self.ending = False, False
         make = control.callers.secured(sock, self._told, lambda: None)
@@ -156,7 +156,7 @@
 class Control:
     def __init__(self, callers: Keys, section: Section, host: Program) -> None:
         self.callers, self.section, self.host = callers, section, host
-        self.visitors: dict[Visitor, None] = {}
+        self.clients: dict[AdminClient, None] = {}
         self.purges: dict[str, Bucket] = {}
         self.listener = Listener(section["listen"], host.ledger, self._greet)
         self.routes = {
@@ -171,14 +171,14 @@
         return [("control listener", self.listener.run()), ("control sweep", self._sweep())]
 
     def _greet(self, sock: socket.socket, peer: str) -> None:
-        if len(self.visitors) >= self.section["connections"]:
+        if len(self.clients) >= self.section["connections"]:
             # Danger: operators' connections count against the clients' descriptors. The one silent for
             # longest goes.
-            min(self.visitors, key=lambda one: one.connection.heard_at).connection.close()
-        self.visitors[Visitor(self, sock)] = None
+            min(self.clients, key=lambda one: one.connection.heard_at).connection.close()
+        self.clients[AdminClient(self, sock)] = None
 
-    def gone(self, visitor: Visitor) -> None:
-        self.visitors.pop(visitor, None)
+    def gone(self, client: AdminClient) -> None:
+        self.clients.pop(client, None)
         self.host.ledger.give("client")
 
     async def _sweep(self) -> None:
@@ -186,19 +186,19 @@
         while True:
             await asyncio.sleep(0.25)
             handshake_s = self.callers.section["tls"]["handshake-time"] / 1e6
-            for visitor in list(self.visitors):
-                unknown = visitor.identity is None and loop.time() - visitor.born > handshake_s
-                if unknown or loop.time() - visitor.connection.heard_at > SILENT_S:
-                    visitor.connection.close()
+            for client in list(self.clients):
+                unknown = client.identity is None and loop.time() - client.born > handshake_s
+                if unknown or loop.time() - client.connection.heard_at > SILENT_S:
+                    client.connection.close()
                 else:
-                    visitor.connection.trim()
+                    client.connection.trim()
 
     def strike(self) -> None:
-        for visitor in list(self.visitors):
-            if visitor.identity is not None and self.callers.gate.certificate(visitor.identity) is not None:
-                visitor.leave()
+        for client in list(self.clients):
+            if client.identity is not None and self.callers.gate.certificate(client.identity) is not None:
+                client.leave()
 
-    async def answer(self, identity: Identity | None, request: Request) -> Answer:
+    async def answer(self, identity: Identity | None, request: HttpRequest) -> Answer:
         """What an operator is answered; nothing that it sends ends more than its own connection."""
         if identity is None:
             return refused(401, "no client certificate")
--- a/hoistplank/callers/forms.py
+++ b/hoistplank/callers/forms.py
@@ -102,9 +102,9 @@
         Field("groups", GROUPS, many=True, doc="the groups of objects it owns; absent: all"),
         Field("rights", one_of(*RIGHTS), many=True, needed=True, doc="what it may do"),
         Field("weight", number(0.01, 1_000), 1.0, doc="its share beside the others' while the core is full"),
-        Field("rate", rate(), doc="visits a second; absent: no limit"),
-        Field("burst", whole(1, 1_000_000), doc="visits at once above the rate; absent: those of a second"),
-        Field("open-visits", whole(1, 1_000_000), doc="visits open at once; absent: no limit"),
+        Field("rate", rate(), doc="requests a second; absent: no limit"),
+        Field("burst", whole(1, 1_000_000), doc="requests at once above the rate; absent: those of a second"),
+        Field("open-visits", whole(1, 1_000_000), doc="requests open at once; absent: no limit"),
         Field(
             "operation-keys", PREFIX, many=True, doc="the first digits of its operation keys, its own alone"
         ),
--- a/hoistplank/callers/gate.py
+++ b/hoistplank/callers/gate.py
@@ -1,7 +1,7 @@
-"""The gate: who a caller is, and whether a visit of its may be taken. No I/O, no clock, nothing awaited.
+"""The gate: who a caller is, and whether a request of its may be taken. No I/O, no clock, nothing awaited.
 
-One call a visit (`admit`); `accounts.give` at its end. What it refuses never reaches the Router or a cache
-host. What it admits is the Router's to decide like any other visit. `now` is whole microseconds of the Unix
+One call a request (`admit`); `accounts.give` at its end. What it refuses never reaches the Router or a cache
+host. What it admits is the Router's to decide like any other request. `now` is whole microseconds of the Unix
 clock.
 """
 
@@ -26,7 +26,7 @@
 
 
 class Asked(Protocol):
-    """What the gate reads of a visit; whoever holds one hands it over as it is."""
+    """What the gate reads of a request; whoever holds one hands it over as it is."""
 
     @property
     def track(self) -> str: ...
@@ -39,7 +39,7 @@
 
 
 class Caller(NamedTuple):
-    """Who a visit belongs to, from its taking to its end: what is retired or revoked in between does not
+    """Who a request belongs to, from its taking to its end: what is retired or revoked in between does not
     strike it."""
 
     tenant: Tenant
@@ -54,7 +54,9 @@
     wait_us: int = 0
 
 
-NO_TENANT = Refusal(401, "no tenant")  # of a certificate: a token beside it may still say whose the visit is
+NO_TENANT = Refusal(
+    401, "no tenant"
+)  # of a certificate: a token beside it may still say whose the request is
 
 
 @dataclass(slots=True, eq=False)
@@ -104,13 +106,14 @@
         # and let go together, since these are tokens as they came, not digests.
         self._recent: dict[str, Proof] = {}
         self.keys: OrderedDict[str, tuple[str, int]] = OrderedDict()  # operation key: tenant, until when
-        self.things: OrderedDict[str, int] = OrderedDict()  # object: the group its visits named
+        self.things: OrderedDict[str, int] = OrderedDict()  # object: the group its requests named
         self.proofs, self.checks = Proofs(terms.kept), Checks(terms.checks, terms.checks_each, now)
         self.terms = terms
         self.renew(tenants, terms, now)
 
     def renew(self, tenants: Tenants, terms: Terms, now: int) -> None:
-        """Other tenants and figures, from the next visit on; visits in hand keep what they were taken for."""
+        """Other tenants and figures, from the next request on; requests in hand keep what they were taken
+        for."""
         if terms != self.terms:
             self.proofs.most = terms.kept
             self.checks = Checks(terms.checks, terms.checks_each, now)
@@ -137,7 +140,7 @@
         anew."""
         return self._epoch + self.revoked.generation
 
-    # A visit.
+    # A request.
 
     def admit(
         self,
@@ -150,7 +153,7 @@
         hold_us: int,
         most_open: int,
     ) -> Caller | Refusal:
-        """Counts a visit in and says whose it is, or why it is not taken.
+        """Counts a request in and says whose it is, or why it is not taken.
 
         `authorization` is the field of that name; `source` whom its failing checks count against; `books`
         whether its
--- a/hoistplank/callers/http.py
+++ b/hoistplank/callers/http.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class HttpRequest:
     method: str
     path: str
     fields: dict[str, str]
@@ -46,7 +46,7 @@
 
     def __init__(self, most_body: int) -> None:
         self.most_body = most_body
-        self.found: list[Request] = []
+        self.found: list[HttpRequest] = []
         self.waiting = 0  # requests that were handed out and are not answered
         self._parser = httptools.HttpRequestParser(self)
         self._new()
@@ -90,7 +90,7 @@
         except httptools.HttpParserInvalidURLError:
             raise BadRequest(400, "the target can't be read") from None
         self.found.append(
-            Request(
+            HttpRequest(
                 self._parser.get_method().decode("ascii"),
                 path.decode("latin-1"),
                 self._fields,
@@ -105,7 +105,7 @@
 
     # Told by the connection.
 
-    def feed(self, data: bytes) -> list[Request]:
+    def feed(self, data: bytes) -> list[HttpRequest]:
         """The requests that became whole; raises BadRequest."""
         try:
             self._parser.feed_data(data)
--- a/hoistplank/callers/limits.py
+++ b/hoistplank/callers/limits.py
@@ -1,4 +1,4 @@
-"""What a tenant may have at once: a rate, open visits, and a weighted share while there is not enough for
+"""What a tenant may have at once: a rate, open requests, and a weighted share while there is not enough for
 all.
 
 No I/O, no clock: `now` is whole microseconds that never run back. State is let go with tenants that are gone.
@@ -13,19 +13,19 @@
 # that
 # comes again after a second is seen as the same want, short enough that a herd that ended frees its share.
 WANT_HALF_US = 500_000
-# A loop that is so late has more than it can carry: new visits wait as long before they are looked at.
+# A loop that is so late has more than it can carry: new requests wait as long before they are looked at.
 FULL_LAG_US = 40_000
 LEAST_ROOM = 16
 # From this part of the room on, places are given by shares, and shares are of this part: what lies above it
 # is for
-# those below theirs, who would else find the room full until a herd's visits end (of 3,025 such visits 85
+# those below theirs, who would else find the room full until a herd's requests end (of 3,025 such requests 85
 # did).
 NEAR_FULL = 0.85
 LEVEL_EVERY_US = 20_000  # how often the water level is worked out anew while there is not enough
 
 
 def room(cap: int, total: int, lag_us: int) -> int:
-    """How many visits may be open in all now, 0 where there is enough for everyone.
+    """How many requests may be open in all now, 0 where there is enough for everyone.
 
     `cap` is the open cap (0: none), `total` what is open, `lag_us` how late the event loop is.
     """
@@ -114,7 +114,7 @@
         self._level, self._level_at = float("inf"), -1 << 60
 
     def renew(self, limits: Mapping[str, tuple[float, int, int, float]], now: int) -> None:
-        """Other tenants or figures: rate, burst, open visits and weight by name."""
+        """Other tenants or figures: rate, burst, open requests and weight by name."""
         self.known = set(limits)
         for name, (rate, burst, most_open, weight) in limits.items():
             row = self.rows.setdefault(name, Account())
@@ -131,13 +131,13 @@
         self._level_at = -1 << 60
 
     def take(self, name: str, now: int, room: int) -> tuple[str, int]:
-        """Counts one more visit of a tenant, or says why not and how long to stay away, in microseconds.
+        """Counts one more request of a tenant, or says why not and how long to stay away, in microseconds.
 
-        `room` is how many visits may be open in all while there is not enough, 0 while there is.
+        `room` is how many requests may be open in all while there is not enough, 0 while there is.
         """
         row = self.rows[name]
         if row.most_open and row.open >= row.most_open:
-            return "open visits", 100_000
+            return "open requests", 100_000
         if room and (self.total >= room or not self._fair(row, now, room)):
             row.want(now)
             row.refused += 1
@@ -164,7 +164,7 @@
         return row.open + 1 <= max(1.0, row.weight * self._level)
 
     def give(self, name: str) -> None:
-        """A visit has ended."""
+        """A request has ended."""
         row = self.rows.get(name)
         if row is not None and row.open:
             row.open -= 1
--- a/hoistplank/callers/rights.py
+++ b/hoistplank/callers/rights.py
@@ -1,6 +1,6 @@
 """Tenants and what they may do, compiled once from the operator's file. No I/O, no clock.
 
-`Tenants` is swapped whole at a reload; a visit in hand keeps the tenant that it was taken for.
+`Tenants` is swapped whole at a reload; a request in hand keeps the tenant that it was taken for.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant. `groups` has a bit a group; `tracks` None is all; rates are visits a second, 0 for no
+    """One tenant. `groups` has a bit a group; `tracks` None is all; rates are requests a second, 0 for no
     limit."""
 
     name: str
--- a/hoistplank/callers/service.py
+++ b/hoistplank/callers/service.py
@@ -23,7 +23,7 @@
 from hoistplank.interface import IDEMPOTENT, Site
 from hoistplank.operator.faults import Fault, Faults
 from hoistplank.operator.schema import Section
-from hoistplank.routing.attempts import Visit
+from hoistplank.routing.attempts import Request
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.front import Front, Make, Refused, Session
 from hoistplank.routing.owner import Owner
@@ -182,7 +182,7 @@
         self._asked.set()
 
     async def _watch(self) -> None:
-        """Danger: a folder that hangs or is full of faults must cost a log line, never a visit: a thread
+        """Danger: a folder that hangs or is full of faults must cost a log line, never a request: a thread
         looks."""
         while True:
             await asyncio.sleep(min(ASK_EVERY_S, self.section["look-every"] / 1e6))
@@ -268,9 +268,9 @@
 
         return take
 
-    # Visits.
+    # Requests.
 
-    def admit(self, identity: Any, fields: dict[str, str], visit: Visit, peer: str) -> Refused | None:
+    def admit(self, identity: Any, fields: dict[str, str], request: Request, peer: str) -> Refused | None:
         owner = self.owner
         # A web server's word for where a caller is counts; that of one who only speaks TLS does not.
         source = peer if peer.startswith(UNKNOWN) else fields.get("REMOTE_ADDR") or peer
@@ -279,18 +279,18 @@
             identity,
             fields.get("HTTP_AUTHORIZATION", ""),
             source,
-            visit,
-            visit.track in self.books,
-            self.windows[visit.track],
-            room(owner.cap(visit.track), self.gate.accounts.total, owner.lag_us),
+            request,
+            request.track in self.books,
+            self.windows[request.track],
+            room(owner.cap(request.track), self.gate.accounts.total, owner.lag_us),
         )
         if isinstance(found, Refusal):
             return Refused(found.status, found.cause, found.wait_us)
-        visit.caller = found
+        request.caller = found
         return None
 
-    def ended(self, visit: Visit) -> None:
-        caller = visit.caller
+    def ended(self, request: Request) -> None:
+        caller = request.caller
         if isinstance(caller, Caller):
             self.gate.accounts.give(caller.tenant.name)
 
--- a/hoistplank/choice.py
+++ b/hoistplank/choice.py
@@ -26,7 +26,7 @@
 # Outcomes that prove that an attempt never ran; and those in which the cache host itself spoke.
 NEVER_RAN = frozenset((Result.FULL, Result.NO_CONNECTION, Result.NEVER_SENT, Result.MISS))
 SPOKE = frozenset((Result.SUCCEEDED, Result.ERROR, Result.FULL, Result.MISS))
-# What a host failed by itself; all else may break by chance once, and comes last for a visit from twice on.
+# What a host failed by itself; all else may break by chance once, and comes last for a request from twice on.
 FAILED_THERE = frozenset((Result.FULL, Result.NO_CONNECTION, Result.LATE))
 # Notes by which the source failed, not the cache host that tells of it.
 SOURCE_FAILED = frozenset((Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.SOURCE_LACKS, Note.ORIGIN_LOST))
@@ -47,13 +47,19 @@
 
 
 class Attempt:
-    def __init__(self, visit: Visit, host: int, source: int, sent: int, fill: bool, sure: bool):
-        self.visit, self.number, self.host, self.source, self.sent = visit, visit.attempts, host, source, sent
+    def __init__(self, request: Request, host: int, source: int, sent: int, fill: bool, sure: bool):
+        self.request, self.number, self.host, self.source, self.sent = (
+            request,
+            request.attempts,
+            host,
+            source,
+            sent,
+        )
         # sure: the cache answers by itself, from a known copy or to a look; fixed: withdrawn, or streaming
         self.fill, self.sure, self.fixed = fill, sure, False
 
 
-class Visit:
+class Request:
     def __init__(self, id: str, track: Track, thing: str, part: int, group: int, deadline: int, again: bool):
         self.id, self.track, self.thing, self.part, self.group = id, track, thing, part, group
         self.print = (thing, part, track.tariff.name)
@@ -113,7 +119,7 @@
         self.blind, self.reduced, self.tries = False, Reduced(), dict[str | int, tuple[float, float, int]]()
         self.herds = OrderedDict[tuple[str, int, str], Herd]()
         self.floors = OrderedDict[str | int, tuple[int, int]]()  # when made, when told; in the order told
-        self.ledger, self.waiting = dict[str, Visit](), dict[str, Visit]()
+        self.ledger, self.waiting = dict[str, Request](), dict[str, Request]()
         self.attempts, self.outbox = dict[Attempt, None](), deque[Decision]()
         self.stirred, self.asking = False, False
         self.link_full, self.link_at, self.wake_at, self.token, self.fills_out = 1.5, -1_000_000, 0, 0, 0
@@ -149,7 +155,7 @@
     def _list(self, now: int, entry: HostEntry) -> None:
         i = self.index.get(entry.host, -1)
         if i < 0:
-            # An index is free once no visit can name the host that had it any more.
+            # An index is free once no request can name the host that had it any more.
             freed = self.spare and self.spare[0][0] < now - self.longest_us
             i = self.index[entry.host] = self.spare.popleft()[1] if freed else len(self.names)
             # Where no link is told, 8 to begin with, shared: 6 to 8 are alike, 12 loses 0.02.
@@ -209,10 +215,10 @@
         self.waits = waits + self.late_us // 200  # 0.2 ms an event: what lies unread is not seen
 
     def reduced_told(self, now: int, reduced: Reduced) -> None:
-        """What the level of reduced service in force asks; it counts for visits that come from now on."""
+        """What the level of reduced service in force asks; it counts for requests that come from now on."""
         self.reduced, self.stirred = reduced, True
 
-    def visit_came(
+    def request_arrived(
         self,
         now: int,
         id: str,
@@ -225,23 +231,25 @@
         again: bool,
     ) -> None:
         row = self.tracks[track]
-        visit = Visit(id, row, thing, part, group, until, again)
+        request = Request(id, row, thing, part, group, until, again)
         if kb > 0 and self.site.stream_kb_s > 0:
-            visit.known_us = kb / self.site.stream_kb_s * 1e6
-            row.saw(visit.known_us)
-        until -= self.late_us  # Danger: a loop that lags sees a visit late, and carries out its answer late.
+            request.known_us = kb / self.site.stream_kb_s * 1e6
+            row.saw(request.known_us)
+        until -= (
+            self.late_us
+        )  # Danger: a loop that lags sees a request late, and carries out its answer late.
         # The last moment for an attempt that can still meet the latency target; an unknown size counts as
         # small. Danger: a track whose mean fills its latency target would be rejected unseen, and never learn
         # better.
         likely = 0.0 if row.tariff.target_stretch >= 1 or row.tariff.uncached else row.send_us
-        send = visit.known_us or min(likely, row.tariff.target_us / 2)
-        target = now + int(visit.target_us(send)) - 2 * self.site.tick_us
-        # Danger: a full core makes all late. 250 are 50 ms of work; dear visits last. Harms lone bursts.
+        send = request.known_us or min(likely, row.tariff.target_us / 2)
+        target = now + int(request.target_us(send)) - 2 * self.site.tick_us
+        # Danger: a full core makes all late. 250 are 50 ms of work; dear requests last. Harms lone bursts.
         full = self.waits * self.least_utility > 250 * row.tariff.utility
-        reduced = self.reduced  # a level that lets this track's new visits wait: rejected at once
+        reduced = self.reduced  # a level that lets this track's new requests wait: rejected at once
         full = full or track in reduced.reject and (part == 0 or track in reduced.every_part)
-        visit.latest = now - 1 if full else min(target, until - 100_000) - int(send)
-        self.ledger[id] = self.waiting[id] = visit
+        request.latest = now - 1 if full else min(target, until - 100_000) - int(send)
+        self.ledger[id] = self.waiting[id] = request
         self.stirred = True
 
     def attempt_ended(
@@ -256,22 +264,22 @@
         note: int,
         report: list[float],
     ) -> None:
-        visit = self.ledger.get(id)
-        attempt = visit.out.pop(number, None) if visit else None
-        if visit is None or attempt is None:
+        request = self.ledger.get(id)
+        attempt = request.out.pop(number, None) if request else None
+        if request is None or attempt is None:
             return
         self.stirred = True
         for out in (self.attempts, self.out_at[attempt.host], self.out_at[attempt.source]):
             out.pop(attempt, None)
         if attempt.fill:
             self.fills_out -= 1
-            visit.track.fills_out -= 1
-            row, succeeded = visit.track, result == Result.SUCCEEDED
-            blamed = visit.over or (result == Result.WITHDRAWN and now < self.silent_until[attempt.source])
+            request.track.fills_out -= 1
+            row, succeeded = request.track, result == Result.SUCCEEDED
+            blamed = request.over or (result == Result.WITHDRAWN and now < self.silent_until[attempt.source])
             if note != Note.HIT and not blamed and (succeeded or result in (Result.LATE, Result.WITHDRAWN)):
-                in_time = succeeded and took <= visit.target_us(visit.send_us())
+                in_time = succeeded and took <= request.target_us(request.send_us())
                 # 1 in 12: about a second's fills of a busy track: a slow origin and its end both show soon.
-                row.wait_us += (max(0.0, took - visit.send_us()) - row.wait_us) * 0.08
+                row.wait_us += (max(0.0, took - request.send_us()) - row.wait_us) * 0.08
                 row.in_time += (in_time - row.in_time) * 0.08
                 # A crowded origin takes longer for each fill, the more are out: fewer come sooner.
                 crowded = self.fills_out >= self.fill_room - 2
@@ -279,26 +287,26 @@
                     self.fill_room = min(self.full_room, self.fill_room + 0.3)
                 elif crowded and not in_time:
                     self.fill_room = max(self.least_room, self.fill_room * 0.95)
-        if visit.herd is not None and visit.herd.leader is attempt:
-            visit.herd.leader = None
+        if request.herd is not None and request.herd.leader is attempt:
+            request.herd.leader = None
         if attempt.host in self.caches:
             self._reported(now, report)
-        self._learn(now, visit, attempt, result, took, note)
-        if visit.over or closed:
-            return self._close(visit)
-        if result not in NEVER_RAN and visit.ran_at < 0:
-            visit.ran_at, visit.ran_host = attempt.sent, attempt.host
+        self._learn(now, request, attempt, result, took, note)
+        if request.over or closed:
+            return self._close(request)
+        if result not in NEVER_RAN and request.ran_at < 0:
+            request.ran_at, request.ran_host = attempt.sent, attempt.host
         if result == Result.MISS:
-            visit.missed, visit.missed_at = attempt.host, now
-        elif note not in SOURCE_FAILED and (visit.attempts > 1 or result in FAILED_THERE):
-            visit.failed_at.append(attempt.host)
+            request.missed, request.missed_at = attempt.host, now
+        elif note not in SOURCE_FAILED and (request.attempts > 1 or result in FAILED_THERE):
+            request.failed_at.append(attempt.host)
         if note == Note.SOURCE_REFUSED or (result == Result.FULL and note not in SOURCE_FAILED):
             # What turned us away, host or source, is crowded: come back later each time, spread by chance.
-            visit.not_before = now + int(20_000 * 2 ** min(visit.attempts, 4) * (0.5 + self.chance()))
-        self.waiting[id], visit.due = visit, 0
+            request.not_before = now + int(20_000 * 2 ** min(request.attempts, 4) * (0.5 + self.chance()))
+        self.waiting[id], request.due = request, 0
 
-    def _learn(self, now: int, visit: Visit, attempt: Attempt, result: int, took: int, note: int) -> None:
-        host, source, track = attempt.host, attempt.source, visit.track
+    def _learn(self, now: int, request: Request, attempt: Attempt, result: int, took: int, note: int) -> None:
+        host, source, track = attempt.host, attempt.source, request.track
         unmade = 0 < self.rules.connect_us <= took + 50_000  # as long as a connection that is not up in time
         if result in SPOKE:
             self._heard(now, host, attempt.sent)
@@ -320,23 +328,23 @@
             return
         for i in (host,) if attempt.sure or source < 0 else (host, source):
             # What a host carries for this dispatcher, in transfers, over some 5 s.
-            self.carry[i] = self.carry[i] * exp((self.carried_at[i] - now) / 5e6) + visit.send_us() / 5e6
+            self.carry[i] = self.carry[i] * exp((self.carried_at[i] - now) / 5e6) + request.send_us() / 5e6
             self.carried_at[i] = now
-        herd = visit.herd
+        herd = request.herd
         if herd is not None and host not in self.parents:
             if note in (Note.FILLED, Note.FROM_ORIGIN, Note.JOINED) or herd.host != host or not herd.born:
                 herd.born = attempt.sent if note != Note.HIT else now - track.tariff.fresh_us // 2
             herd.host, herd.life, herd.seen = host, self.life[host], now
         if note == Note.HIT:
-            if not visit.known_us:
+            if not request.known_us:
                 track.saw(took)
-            elif took > 2 * visit.known_us + 10_000:
+            elif took > 2 * request.known_us + 10_000:
                 self.room[host] = max(1.0, self.room[host] * (0.97 if self.room[host] > 4 else 0.9))
-            elif took < 1.4 * visit.known_us + 5_000 and len(self.out_at[host]) >= self.room[host] - 2:
+            elif took < 1.4 * request.known_us + 5_000 and len(self.out_at[host]) >= self.room[host] - 2:
                 self.room[host] = min(self.most[host], self.room[host] + 0.3)
         elif note in (Note.FILLED, Note.FROM_ORIGIN) and source in self.parents:
             # Fill over sending time, 0.1 s for the way: shows slow links too. Settles over 50, latest over 5.
-            slowed = took / (visit.send_us() + 100_000)
+            slowed = took / (request.send_us() + 100_000)
             self.fills[source] += 1
             self.usual[source] += (slowed - self.usual[source]) / min(50, self.fills[source])
             self.lately[source] += (slowed - self.lately[source]) / min(5, self.fills[source])
@@ -441,173 +449,175 @@
         if self.waiting:
             # Most utility for the time first; late tracks and repeats yield. Many are looked at less often.
             pause = min(50_000, 10 * len(self.waiting) ** 2)
-            due = [visit for visit in self.waiting.values() if visit.due <= now]
-            for visit in sorted(due, key=self._weight):
-                visit.due, herd = now + pause, visit.herd
+            due = [request for request in self.waiting.values() if request.due <= now]
+            for request in sorted(due, key=self._weight):
+                request.due, herd = now + pause, request.herd
                 if (
-                    visit.missed < 0
-                    or now > visit.latest
+                    request.missed < 0
+                    or now > request.latest
                     or self._room_left(now)
                     or herd is None
                     or herd.leader is not None
-                    or herd.seen > visit.missed_at
+                    or herd.seen > request.missed_at
                 ):
-                    self._place(now, visit)
-        wait = 20_000 if self.waiting else 50_000  # held visits wait 20 ms too long at most
+                    self._place(now, request)
+        wait = 20_000 if self.waiting else 50_000  # held requests wait 20 ms too long at most
         if self.ledger and (not self.wake_at or self.wake_at > now + wait):
             self.wake_at, self.token = now + wait, self.token + 1
             self.outbox.append(Decision("wake", token=self.token, wait_us=wait))
 
-    def _weight(self, visit: Visit) -> float:
-        row = visit.track
-        utility = max(0.001, row.tariff.utility) * (row.in_time + 0.02) * (0.2 if visit.again else 1.0)
-        return (visit.send_us() + row.wait_us) / utility
-
-    def _close(self, visit: Visit) -> None:
-        visit.over = True
-        self.waiting.pop(visit.id, None)
-        if not visit.out:
-            self.ledger.pop(visit.id, None)
-
-    def _finish(self, visit: Visit) -> None:
-        """The final answer of a visit that is given up on, at once."""
-        tariff = visit.track.tariff
-        harmless = tariff.semantics == IDEMPOTENT or visit.ran_at < 0
+    def _weight(self, request: Request) -> float:
+        row = request.track
+        utility = max(0.001, row.tariff.utility) * (row.in_time + 0.02) * (0.2 if request.again else 1.0)
+        return (request.send_us() + row.wait_us) / utility
+
+    def _close(self, request: Request) -> None:
+        request.over = True
+        self.waiting.pop(request.id, None)
+        if not request.out:
+            self.ledger.pop(request.id, None)
+
+    def _finish(self, request: Request) -> None:
+        """The final answer of a request that is given up on, at once."""
+        tariff = request.track.tariff
+        harmless = tariff.semantics == IDEMPOTENT or request.ran_at < 0
         if harmless or (tariff.semantics != NON_IDEMPOTENT and tariff.dedup_group == "all"):
             wait = int(self.rules.max_return_us * self.rules.may_name_return * (0.5 + self.chance() / 2))
-            self.outbox.append(Decision("reject", visit.id, wait_us=wait))
+            self.outbox.append(Decision("reject", request.id, wait_us=wait))
         else:
-            self.outbox.append(Decision("fail", visit.id))
-        self._close(visit)
+            self.outbox.append(Decision("fail", request.id))
+        self._close(request)
 
-    def _may_repeat(self, now: int, visit: Visit, host: int) -> bool:
-        """Rule two: whether this visit may be attempted (again) at this host."""
-        tariff, most = visit.track.tariff, self.rules.max_attempts
+    def _may_repeat(self, now: int, request: Request, host: int) -> bool:
+        """Rule two: whether this request may be attempted (again) at this host."""
+        tariff, most = request.track.tariff, self.rules.max_attempts
         most = min(most, self.reduced.most_attempts or most) if tariff.semantics == IDEMPOTENT else most
-        if visit.over or visit.out or visit.attempts >= most:
+        if request.over or request.out or request.attempts >= most:
             return False
-        if visit.ran_at < 0 or tariff.semantics == IDEMPOTENT:
+        if request.ran_at < 0 or tariff.semantics == IDEMPOTENT:
             return True
-        if tariff.semantics == NON_IDEMPOTENT or now + 50_000 > visit.ran_at + tariff.dedup_window_us:
+        if tariff.semantics == NON_IDEMPOTENT or now + 50_000 > request.ran_at + tariff.dedup_window_us:
             return False
         places = self.zones if tariff.dedup_group == "zone" else self.cells
-        return tariff.dedup_group == "all" or places[visit.ran_host] == places[host]
+        return tariff.dedup_group == "all" or places[request.ran_host] == places[host]
 
-    def _may_retry(self, now: int, visit: Visit) -> bool:
+    def _may_retry(self, now: int, request: Request) -> bool:
         """Attempts beyond the first stay within a share of first attempts of some 10 s, by track and by the
         host that failed the last one: a failing tier is not met by a storm. Harms a tier whose faults are
         chance.
         """
-        again = visit.attempts and self.reduced.retry_share
-        for key in (visit.track.tariff.name, visit.last) if again else ():
+        again = request.attempts and self.reduced.retry_share
+        for key in (request.track.tariff.name, request.last) if again else ():
             first, more, at = self.tries.get(key, (0.0, 0.0, now))
             if more * exp((at - now) / 1e7) >= self.reduced.retry_share * first * exp((at - now) / 1e7) + 10:
                 return False
         return True
 
-    def _place(self, now: int, visit: Visit) -> None:
-        """Attempts, holds or gives up on one waiting visit."""
-        track, last = visit.track, now > visit.latest
+    def _place(self, now: int, request: Request) -> None:
+        """Attempts, holds or gives up on one waiting request."""
+        track, last = request.track, now > request.latest
         # An old copy earns its share at once: where fills come in time more seldom, or else at the very last.
         if (
             track.tariff.grace_us
-            and not visit.old
+            and not request.old
             and not self.blind
             and (
                 track.in_time < track.tariff.old_share
-                or (last and visit.missed >= 0)
+                or (last and request.missed >= 0)
                 or track.tariff.name in self.reduced.old_first
             )
         ):
-            visit.old = True
-            if visit.missed >= 0 and self._gate(now, visit, visit.missed, visit.missed):
-                return self._attempt(now, visit, visit.missed, visit.missed)
-        if last or not self._may_repeat(now, visit, visit.ran_host) or not self._may_retry(now, visit):
-            return self._finish(visit)
-        if now < visit.not_before:
+            request.old = True
+            if request.missed >= 0 and self._gate(now, request, request.missed, request.missed):
+                return self._attempt(now, request, request.missed, request.missed)
+        if last or not self._may_repeat(now, request, request.ran_host) or not self._may_retry(now, request):
+            return self._finish(request)
+        if now < request.not_before:
             return
-        if visit.track.tariff.uncached:
-            return self._place_uncached(now, visit)
-        herd = visit.herd or self._join_herd(now, visit)
-        here, leader = self._copy_at(now, visit, herd), herd.leader
-        if here < 0 and visit.marked and leader is not None and self._usable(now, leader.host):
+        if request.track.tariff.uncached:
+            return self._place_uncached(now, request)
+        herd = request.herd or self._join_herd(now, request)
+        here, leader = self._copy_at(now, request, herd), herd.leader
+        if here < 0 and request.marked and leader is not None and self._usable(now, leader.host):
             if self.site.joins:
-                if self._gate(now, visit, leader.host, leader.source):
-                    return self._attempt(now, visit, leader.host, leader.source, join=True)
-            elif now < visit.latest - 40_000:
+                if self._gate(now, request, leader.host, leader.source):
+                    return self._attempt(now, request, leader.host, leader.source, join=True)
+            elif now < request.latest - 40_000:
                 return
-        host = here if here >= 0 and self._has_room(now, here) else self._pick(now, visit)
+        host = here if here >= 0 and self._has_room(now, here) else self._pick(now, request)
         if host < 0:
-            return self._pass_by(now, visit)
-        source, known = self._source(now, visit, host), here == host
+            return self._pass_by(now, request)
+        source, known = self._source(now, request, host), here == host
         warm = self.cold_since[host] < 0 and self.cold_since[source] < 0
-        look = visit.old or self.fills_out * 2 >= self.fill_room
-        if warm and look and not known and visit.missed != host:
-            return self._attempt(now, visit, host, host) if self._gate(now, visit, host, host) else None
+        look = request.old or self.fills_out * 2 >= self.fill_room
+        if warm and look and not known and request.missed != host:
+            return self._attempt(now, request, host, host) if self._gate(now, request, host, host) else None
         # Fills that come too late get the share of the room that comes in time, and one to find out more.
         late = track.in_time < 0.5 and track.fills_out >= 1 + self.fill_room * track.in_time
-        if (known or (self._room_left(now) and not late)) and self._gate(now, visit, host, source):
+        if (known or (self._room_left(now) and not late)) and self._gate(now, request, host, source):
             self._attempt(
                 now,
-                visit,
+                request,
                 host,
                 source,
                 fill=not known,
                 sure=known,
-                join=self.site.joins and not visit.failed_at,
+                join=self.site.joins and not request.failed_at,
             )
 
-    def _pass_by(self, now: int, visit: Visit) -> None:
-        """Where all caches are gone, silent or out of a cold budget, visits go straight to a parent."""
+    def _pass_by(self, now: int, request: Request) -> None:
+        """Where all caches are gone, silent or out of a cold budget, requests go straight to a parent."""
         # Not where they are merely full. Covers lost locations, releases and mass restarts; harms the link.
         if any(
-            self.trust[i] > 8 and self._usable(now, i) and self._budget(now, i, visit.track.send_us)
+            self.trust[i] > 8 and self._usable(now, i) and self._budget(now, i, request.track.send_us)
             for i in self.caches
         ):
             return
-        parent = self._source(now, visit, -1) if self.rules.may_pass_by else -1
+        parent = self._source(now, request, -1) if self.rules.may_pass_by else -1
         origin = self.origin if self.origin >= 0 and self.states[self.origin] == "up" else parent
-        if parent >= 0 and self._room_left(now) and self._gate(now, visit, parent, origin):
-            self._attempt(now, visit, parent, origin, fill=True)
+        if parent >= 0 and self._room_left(now) and self._gate(now, request, parent, origin):
+            self._attempt(now, request, parent, origin, fill=True)
         elif parent < 0 and not any(self.states[i] == "up" for i in self.caches):
-            self._finish(visit)
+            self._finish(request)
 
-    def _place_uncached(self, now: int, visit: Visit) -> None:
+    def _place_uncached(self, now: int, request: Request) -> None:
         if self.origin < 0 or self.states[self.origin] != "up":
-            return self._finish(visit)
-        host, source = (self.origin, -1) if self.rules.may_pass_by else (self._pick(now, visit), self.origin)
-        if host >= 0 and self._gate(now, visit, host, source):
-            self._attempt(now, visit, host, source)
-
-    def _join_herd(self, now: int, visit: Visit) -> Herd:
-        """The bucket of the fingerprint: a visit that finds it empty marks a herd."""
-        herd = self.herds.get(visit.print)
+            return self._finish(request)
+        host, source = (
+            (self.origin, -1) if self.rules.may_pass_by else (self._pick(now, request), self.origin)
+        )
+        if host >= 0 and self._gate(now, request, host, source):
+            self._attempt(now, request, host, source)
+
+    def _join_herd(self, now: int, request: Request) -> Herd:
+        """The bucket of the fingerprint: a request that finds it empty marks a herd."""
+        herd = self.herds.get(request.print)
         if herd is None:
-            herd = self.herds[visit.print] = Herd(now)
-        # One visit, refilled at 8 a second as the design starts, but not while a fill of any length is out.
+            herd = self.herds[request.print] = Herd(now)
+        # One request, refilled at 8 a second as the design starts, but not while a fill of any length is out.
         if herd.leader is None:
             herd.tokens = min(1.0, herd.tokens + (now - herd.stamp) * 8e-6)
         herd.stamp = now
-        self.herds.move_to_end(visit.print)
+        self.herds.move_to_end(request.print)
         # The cooldown is over after 8 s: a fingerprint that was not asked for in 10 s teaches nothing.
         while next(iter(self.herds.values())).stamp < now - 10_000_000:
             self.herds.popitem(last=False)
-        visit.herd, visit.marked = herd, herd.tokens < 1
-        herd.tokens -= not visit.marked
+        request.herd, request.marked = herd, herd.tokens < 1
+        herd.tokens -= not request.marked
         return herd
 
-    def _copy_at(self, now: int, visit: Visit, herd: Herd) -> int:
+    def _copy_at(self, now: int, request: Request, herd: Herd) -> int:
         """The cooldown: where a copy that will do was seen so lately that it should still be there."""
         host = herd.host
-        if host < 0 or self.life[host] != herd.life or now - herd.seen > 8_000_000 or visit.missed == host:
+        if host < 0 or self.life[host] != herd.life or now - herd.seen > 8_000_000 or request.missed == host:
             return -1
-        stale = 0 < visit.track.tariff.fresh_us <= now - herd.born or herd.born <= self._floor(visit)
+        stale = 0 < request.track.tariff.fresh_us <= now - herd.born or herd.born <= self._floor(request)
         return -1 if stale or not self._usable(now, host) else host
 
-    def _floor(self, visit: Visit) -> int:
+    def _floor(self, request: Request) -> int:
         floors, none = self.floors, (0, 0)
         least = floors.get(ALL_OBJECTS, none)[0]
-        return max(floors.get(visit.thing, none)[0], floors.get(visit.group, none)[0], least)
+        return max(floors.get(request.thing, none)[0], floors.get(request.group, none)[0], least)
 
     def _usable(self, now: int, host: int) -> bool:
         return self.states[host] == "up" and (now >= self.silent_until[host])
@@ -622,30 +632,32 @@
 
         return sorted(hosts, key=place)
 
-    def _orders(self, visit: Visit) -> tuple[list[int], list[int]]:
+    def _orders(self, request: Request) -> tuple[list[int], list[int]]:
         """Caches by object and part, parents by object alone; kept with the herd until the list changes."""
-        kept = visit.herd or visit
+        kept = request.herd or request
         if kept.listing != self.listing:
             parents = [i for i in self.parents if self.states[i] != "gone"]
-            caches = self._rank(self.caches, mix(f"{visit.thing}/{visit.part}"))
-            kept.listing, kept.orders = self.listing, (caches, self._rank(parents, mix(visit.thing)))
+            caches = self._rank(self.caches, mix(f"{request.thing}/{request.part}"))
+            kept.listing, kept.orders = self.listing, (caches, self._rank(parents, mix(request.thing)))
         return kept.orders
 
-    def _pick(self, now: int, visit: Visit) -> int:
-        order = sorted(self._orders(visit)[0], key=visit.failed_at.__contains__)  # what failed it comes last
-        send = visit.track.send_us
+    def _pick(self, now: int, request: Request) -> int:
+        order = sorted(
+            self._orders(request)[0], key=request.failed_at.__contains__
+        )  # what failed it comes last
+        send = request.track.send_us
         return next((i for i in order if self._has_room(now, i) and self._budget(now, i, send)), -1)
 
-    def _source(self, now: int, visit: Visit, host: int) -> int:
+    def _source(self, now: int, request: Request, host: int) -> int:
         """The first parent by a hash over all listed, the second where the first may not or runs slow."""
         good = [
             i
-            for i in self._orders(visit)[1]
+            for i in self._orders(request)[1]
             if self._usable(now, i)
             and len(self.out_at[i]) < self.trust[i]
-            and self._budget(now, i, visit.track.send_us)
+            and self._budget(now, i, request.track.send_us)
         ]
-        good = ([i for i in good if i not in visit.failed_at] or good)[:2]
+        good = ([i for i in good if i not in request.failed_at] or good)[:2]
         if len(good) == 2:
             first, second = good
             # Well above its usual and its second: other trouble slows both. One fill a second finds out.
@@ -693,64 +705,69 @@
             tier, sharers = self.parents, self.site.dispatchers
         else:
             tier, sharers, part = self.caches, self.site.dispatchers_here, part / self.most_caches
-        # The mean, not the most: of few visits the most is mostly chance, and a multiple of what is carried.
+        # The mean, not the most: of few requests the most is mostly chance, and a multiple of what is
+        # carried.
         return max(1.0, part, sharers * sum(self.carry[i] for i in tier) / max(1, len(tier)))
 
-    def _gate(self, now: int, visit: Visit, host: int, source: int) -> bool:
+    def _gate(self, now: int, request: Request, host: int, source: int) -> bool:
         """What every attempt must pass: drains, cold budgets and the limits on attempts."""
         for i in (host,) if source in (-1, host) else (host, source):
-            if self.states[i] != "up" or not self._budget(now, i, visit.track.send_us):
+            if self.states[i] != "up" or not self._budget(now, i, request.track.send_us):
                 return False
-        return self._may_repeat(now, visit, host)
+        return self._may_repeat(now, request, host)
 
     def _attempt(
         self,
         now: int,
-        visit: Visit,
+        request: Request,
         host: int,
         source: int,
         fill: bool = False,
         join: bool = False,
         sure: bool = False,
     ) -> None:
-        attempt = Attempt(visit, host, source, now, fill, sure or source == host)
+        attempt = Attempt(request, host, source, now, fill, sure or source == host)
         budget = bool(self.reduced.retry_share)  # counted where it is asked only: this is every attempt's way
-        for key in (visit.track.tariff.name, visit.last if visit.attempts else host) if budget else ():
+        for key in (request.track.tariff.name, request.last if request.attempts else host) if budget else ():
             first, more, at = self.tries.get(key, (0.0, 0.0, now))
             fade = exp((at - now) / 1e7)
-            self.tries[key] = (first * fade + (not visit.attempts), more * fade + (visit.attempts > 0), now)
-        visit.out[visit.attempts], visit.attempts, visit.last = attempt, visit.attempts + 1, host
-        self.waiting.pop(visit.id, None)
+            self.tries[key] = (
+                first * fade + (not request.attempts),
+                more * fade + (request.attempts > 0),
+                now,
+            )
+        request.out[request.attempts], request.attempts, request.last = attempt, request.attempts + 1, host
+        self.waiting.pop(request.id, None)
         self.out_at[host][attempt] = self.attempts[attempt] = None
         if source >= 0 and not attempt.sure:
             self.out_at[source][attempt] = None
         for i in (host,) if source in (-1, host) else (host, source):
             if self.cold_since[i] >= 0:
-                self.spent[i].append((now, visit.track.send_us))
+                self.spent[i].append((now, request.track.send_us))
         if fill:
             self.fills_out += 1
-            visit.track.fills_out += 1
-            if visit.herd is not None and visit.herd.leader is None:
-                visit.herd.leader = attempt
-        floor, tariff = self._floor(visit), visit.track.tariff
-        oldest = tariff.fresh_us + tariff.grace_us if visit.old and source == host else 0
+            request.track.fills_out += 1
+            if request.herd is not None and request.herd.leader is None:
+                request.herd.leader = attempt
+        floor, tariff = self._floor(request), request.track.tariff
+        oldest = tariff.fresh_us + tariff.grace_us if request.old and source == host else 0
         if floor:
             # Rule five: an age of 0 would mean the usual one, so the youngest that can be asked is 1.
             oldest = max(1, min(now - floor, oldest or tariff.fresh_us or now - floor))
         # What may have run is repeated within the time that drops it, its connection's set-up included.
-        until = visit.ran_at + tariff.dedup_window_us - 50_000
+        until = request.ran_at + tariff.dedup_window_us - 50_000
         self.outbox.append(
             Decision(
                 "attempt",
-                visit.id,
+                request.id,
                 self.names[host],
                 self.names[source] if source >= 0 else "",
-                within_us=max(1, visit.deadline - now),
+                within_us=max(1, request.deadline - now),
                 keep=2,
                 oldest_us=oldest,
                 join=join,
                 attempt=attempt.number,
-                begin_by_us=0 if visit.ran_at < 0 or tariff.semantics == IDEMPOTENT else until,
+                begin_by_us=0 if request.ran_at < 0 or tariff.semantics == IDEMPOTENT else until,
             )
         )
 
@@ -760,20 +777,22 @@
         One is enough: a dispatcher of many seldom has two at a host. A parent is blamed only where others
         filled since and most fills are in time: a slow origin delays all. Covers hangs and vanished hosts."""
         for attempt in [one for one in self.attempts if not one.fixed and one.host != self.origin]:
-            visit, out, send = attempt.visit, now - attempt.sent, attempt.visit.send_us()
+            request, out, send = attempt.request, now - attempt.sent, attempt.request.send_us()
             host = attempt.source if attempt.fill and attempt.source in self.parents else attempt.host
             parent = host in self.parents
             quiet = self.heard[host] < attempt.sent and (
-                not parent or (visit.track.in_time > 0.5 and self.filled_at >= attempt.sent)
+                not parent or (request.track.in_time > 0.5 and self.filled_at >= attempt.sent)
             )
             # 0.7 s over twice its sending time: pauses are shorter. Far past its goal: lost. Harms huge ones.
             overdue = quiet and out > 700_000 + 2 * send + self.late_us  # what lay unread is not the host's
             # A sure answer takes one sending time; at four, while others come, it is lost. Harms large ones.
-            gone = attempt.sure and not quiet and visit.attempts < 2
-            gone = gone and now < visit.latest and out > 4 * send + 5e4
-            if visit.over or overdue or gone or out > 1.5 * visit.target_us(send):  # over: client has left
-                visit.failed_at += [host] * (not gone)
-                if quiet and not visit.over:
+            gone = attempt.sure and not quiet and request.attempts < 2
+            gone = gone and now < request.latest and out > 4 * send + 5e4
+            if (
+                request.over or overdue or gone or out > 1.5 * request.target_us(send)
+            ):  # over: client has left
+                request.failed_at += [host] * (not gone)
+                if quiet and not request.over:
                     if not parent:  # a parent that is gone fails its caches' connections: a clearer sign
                         self._lost(now, host, 2, attempt.sent)
                     # Of a parent a dispatcher of many has few fills: 1 s at least, lest each test costs one.
@@ -781,7 +800,7 @@
                 self._withdraw(attempt)
 
     def _withdraw(self, attempt: Attempt) -> None:
-        semantics = attempt.visit.track.tariff.semantics
+        semantics = attempt.request.track.tariff.semantics
         if self.rules.may_withdraw and semantics == IDEMPOTENT and not attempt.fixed:
             attempt.fixed = True
-            self.outbox.append(Decision("withdraw", attempt.visit.id, attempt=attempt.number))
+            self.outbox.append(Decision("withdraw", attempt.request.id, attempt=attempt.number))
--- a/hoistplank/cli/demo.py
+++ b/hoistplank/cli/demo.py
@@ -1,4 +1,4 @@
-"""`hoistplank demo`: a small deployment on loopback, ten seconds of visits, a drain in between."""
+"""`hoistplank demo`: a small deployment on loopback, ten seconds of requests, a drain in between."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from hoistplank.standins.deployment import Deployment
 from hoistplank.standins.wire import Client, connected
 
-RATE = 120.0  # visits a second: a small part of what a core carries
+RATE = 120.0  # requests a second: a small part of what a core carries
 THINGS = 300
 
 
@@ -77,13 +77,13 @@
 @click.command()
 @click.option("--seconds", type=click.FloatRange(1, 600), default=10, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--stay", is_flag=True, help="Leave it all up until Ctrl-C, and say how to send a visit.")
+@click.option("--stay", is_flag=True, help="Leave it all up until Ctrl-C, and say how to send a request.")
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def demo(seconds: float, seed: int, stay: bool, as_json: bool) -> None:
-    """Start a change log, three cache hosts, a parent, an origin and a dispatcher on loopback; send visits;
+    """Start a change log, three cache hosts, a parent, an origin and a dispatcher on loopback; send requests;
     drain one.
 
-    Exit code 1 if a visit was not served, or the drained host got one too late.
+    Exit code 1 if a request was not served, or the drained host got one too late.
     """
 
     async def scene() -> dict[str, object]:
@@ -98,8 +98,8 @@
                 told = await _play(place, seconds, seed)
                 if stay:
                     click.echo(
-                        f"still up, with {place.configuration}; send a visit from another shell:\n"
-                        f"  hoistplank visit 127.0.0.1:{place.address[1]} page\nCtrl-C ends it"
+                        f"still up, with {place.configuration}; send a request from another shell:\n"
+                        f"  hoistplank request 127.0.0.1:{place.address[1]} page\nCtrl-C ends it"
                     )
                     await asyncio.Event().wait()
                 return told
@@ -128,7 +128,7 @@
 @click.option(
     "--cert", type=click.Path(exists=True), help="The client's certificate and key in one file (PEM)."
 )
-def visit(
+def request(
     address: str,
     track: str,
     thing: str,
@@ -138,7 +138,7 @@
     ca: str | None,
     cert: str | None,
 ) -> None:
-    """Send one visit to a dispatcher at ADDRESS and tell the answer. Exit code 1: it was not served."""
+    """Send one request to a dispatcher at ADDRESS and tell the answer. Exit code 1: it was not served."""
     fields = {
         "HTTP_X_SUBJECT": thing,
         "HTTP_X_TAG": str(group),
--- a/hoistplank/cli/lab.py
+++ b/hoistplank/cli/lab.py
@@ -290,7 +290,9 @@
 )
 @click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True)
 @click.option("--connections", type=click.IntRange(1, 1_000), default=4, show_default=True, help="A process.")
-@click.option("--fresh", type=click.FloatRange(0, 1), default=0.0, help="Share of visits on new connections.")
+@click.option(
+    "--fresh", type=click.FloatRange(0, 1), default=0.0, help="Share of requests on new connections."
+)
 @click.option("--objects", type=click.IntRange(1, 10_000_000), default=1_000, show_default=True)
 @click.option("--zipf", type=click.FloatRange(0, 3), default=1.0, show_default=True)
 @click.option("--groups", type=click.IntRange(1, 255), default=1, show_default=True, help="Tenants' groups.")
@@ -343,7 +345,7 @@
     except BadPlan as wrong:
         return fail(str(wrong))
     sent = [0] * processes
-    whole = sum(step.visits() for step in rows)
+    whole = sum(step.requests() for step in rows)
     columns = (
         TextColumn("{task.description}"),
         BarColumn(),
@@ -390,10 +392,12 @@
 @lab.command()
 @click.option("--rate", type=click.FloatRange(1, 100_000), default=400, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1, 600), default=10, show_default=True)
-@click.option("--fresh", type=click.FloatRange(0, 1), default=0.0, help="Share of visits on new connections.")
+@click.option(
+    "--fresh", type=click.FloatRange(0, 1), default=0.0, help="Share of requests on new connections."
+)
 @click.option("--json", "as_json", is_flag=True)
 def profile(rate: float, seconds: float, fresh: float, as_json: bool) -> None:
-    """Where a visit's CPU goes by layer, of a dispatcher that is started for it with small stand-ins."""
+    """Where a request's CPU goes by layer, of a dispatcher that is started for it with small stand-ins."""
     from hoistplank.lab.load.crew import NoLoad
     from hoistplank.lab.profile import run as profiled
 
@@ -405,7 +409,7 @@
         click.echo(json.dumps(found))
         return
     click.echo(
-        f"{found['cpu_us_a_visit']} us of CPU a visit at {rate:g} a second, {fresh:.0%} on new connections"
+        f"{found['cpu_us_a_visit']} us of CPU a request at {rate:g} a second, {fresh:.0%} on new connections"
     )
     for name, share in found["shares"].items():
         click.echo(f"  {share:6.1%}  {name}")
@@ -413,7 +417,7 @@
 
 def _shown(found: dict[str, Any]) -> None:
     table = Table(
-        title=f"{found['rate']:g} visits a second over {found['seconds']:g} s; ms from when each was due"
+        title=f"{found['rate']:g} requests a second over {found['seconds']:g} s; ms from when each was due"
     )
     for word in ("track", "statuses", "p50", "p90", "p99", "p99.9", "most"):
         table.add_column(word, justify="left" if word in ("track", "statuses") else "right")
--- a/hoistplank/cli/main.py
+++ b/hoistplank/cli/main.py
@@ -80,7 +80,7 @@
 
 @click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A visit router for caches that fill from parents and an origin.
+    """A request router for caches that fill from parents and an origin.
 
     \b
     Try it:        hoistplank demo
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -69,7 +69,7 @@
         return [("distributed configuration", follower.configurations.run())]
 
     async def _prepare(self, version: Version, text: str) -> TakeUp:
-        # Danger: a megabyte takes seconds to parse, in which no visit would be answered: a thread does it.
+        # Danger: a megabyte takes seconds to parse, in which no request would be answered: a thread does it.
         try:
             check = await asyncio.to_thread(self.read, text.encode(), f"configuration {version}")
             return check()
--- a/hoistplank/interface.py
+++ b/hoistplank/interface.py
@@ -124,12 +124,12 @@
     """What a level of reduced service asks of the router, by track name as the settings give it; the router
     still decides, and the rules hold at every level.
 
-    `reject`: tracks whose new visits (first parts) are rejected at once; `every_part`: of those, the
+    `reject`: tracks whose new requests (first parts) are rejected at once; `every_part`: of those, the
     ones whose later parts are rejected too; `old_first`: tracks that take an old copy within its grace
     before they wait for a fill; `fill_share`: of the router's room for fills, above 0 and up to 1;
-    `most_attempts`: attempts a visit at most, 0 where the settings decide; `retry_share`: attempts beyond the
-    first, over the last 10 s, as a share of first attempts, by track and by cache host; 0 for no such budget.
-    Raises ValueError where a figure is out of its range.
+    `most_attempts`: attempts a request at most, 0 where the settings decide; `retry_share`: attempts
+    beyond the first, over the last 10 s, as a share of first attempts, by track and by cache host; 0 for
+    no such budget. Raises ValueError where a figure is out of its range.
     """
 
     level: str = "full"
@@ -173,7 +173,7 @@
     """One thing to do: attempt, reject, fail, withdraw, wake, follow, probe."""
 
     act: str
-    visit: str = ""
+    request: str = ""
     host: str = ""
     source: str = ""
     within_us: int = 0
--- a/hoistplank/lab/broken.py
+++ b/hoistplank/lab/broken.py
@@ -10,23 +10,23 @@
 
 
 class Forgets(ByHash):
-    """Rule one: one visit in forty is never answered."""
+    """Rule one: one request in forty is never answered."""
 
     def next_decision(self, now: int) -> Decision | None:
         decision = super().next_decision(now)
         while decision is not None and decision.act == "attempt" and self.chance.random() < 0.025:
-            self.visits.pop(decision.visit, None)
+            self.requests.pop(decision.request, None)
             decision = super().next_decision(now)
         return decision
 
 
 class SaysTwice(ByHash):
-    """Rule one: each visit that is rejected is rejected again."""
+    """Rule one: each request that is rejected is rejected again."""
 
     def next_decision(self, now: int) -> Decision | None:
         decision = super().next_decision(now)
         if decision is not None and decision.act == "reject" and decision.token == 0:
-            self.box.appendleft(Decision("reject", decision.visit, token=1))
+            self.box.appendleft(Decision("reject", decision.request, token=1))
         return decision
 
 
--- a/hoistplank/lab/drives/sockets.py
+++ b/hoistplank/lab/drives/sockets.py
@@ -23,7 +23,7 @@
 
 from hoistplank.interface import HostEntry, Note, Result
 from hoistplank.lab.drives.orphans import with_parent
-from hoistplank.lab.model.clients import BACK, GONE, OFF, SERVED, Visit
+from hoistplank.lab.model.clients import BACK, GONE, OFF, SERVED, Request
 from hoistplank.lab.model.faults import Event, Troubles
 from hoistplank.lab.model.objects import group
 from hoistplank.lab.model.servers import DOWN, Ask, Server
@@ -186,7 +186,7 @@
         self.clients: list[Client | None] = [None] * LINES
         self.waiting: dict[int, list[tuple[int, str, dict[str, str]]]] = {}  # by line, until it is up
         self.numbers = [0] * LINES
-        self.open: dict[tuple[int, int], Visit] = {}
+        self.open: dict[tuple[int, int], Request] = {}
         self.notes: dict[str, int] = {}
         self.process: asyncio.subprocess.Process | None = None
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -247,24 +247,24 @@
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
 
-    def take(self, visit: Visit) -> None:
+    def take(self, request: Request) -> None:
         self.turn += 1
         at = self.turn % LINES
         self.numbers[at] = self.numbers[at] % 60_000 + 1
-        row = self.day.world.shape.tracks[visit.track]
-        left_ms = (visit.asked_at + row.deadline_us - self.day.world.agenda.now) // 1_000
+        row = self.day.world.shape.tracks[request.track]
+        left_ms = (request.asked_at + row.deadline_us - self.day.world.agenda.now) // 1_000
         fields = {
-            "HTTP_X_CORRELATION_ID": visit.id,
-            "HTTP_X_SUBJECT": visit.thing,
-            "HTTP_X_CHUNK": str(visit.part),
-            "HTTP_X_TAG": str(visit.group),
+            "HTTP_X_CORRELATION_ID": request.id,
+            "HTTP_X_SUBJECT": request.thing,
+            "HTTP_X_CHUNK": str(request.part),
+            "HTTP_X_TAG": str(request.group),
             "HTTP_X_DEADLINE_MS": str(max(1, left_ms)),
         }
         if row.semantics == "deduplicated":
-            fields["HTTP_X_OPERATION_KEY"] = visit.key
-        if visit.tries > 1:
+            fields["HTTP_X_OPERATION_KEY"] = request.key
+        if request.tries > 1:
             fields["HTTP_X_RESENT"] = "1"
-        self.open[at, self.numbers[at]] = visit
+        self.open[at, self.numbers[at]] = request
         client = self.clients[at]
         if client is not None:
             return client.send(self.numbers[at], row.name, fields)
@@ -292,12 +292,12 @@
         if client is not None:
             client.writer.close()
         for number, _, _ in rows:
-            visit = self.open.pop((at, number), None)
-            if visit is not None:
-                self.day.world.truth.answers.refused(visit.id)
-                self.day.world.clients.refused(visit.id)
+            request = self.open.pop((at, number), None)
+            if request is not None:
+                self.day.world.truth.answers.refused(request.id)
+                self.day.world.clients.refused(request.id)
 
-    def leave(self, visit: Visit) -> None:
+    def leave(self, request: Request) -> None:
         """Its answer, if one comes, is read and thrown away, as a web server would."""
 
     def kill(self) -> None:
@@ -410,20 +410,20 @@
             while True:
                 number, status, head, _ = await client.answer()
                 self.day.moved()
-                visit = self.open.pop((at, number), None)
-                if visit is None:
+                request = self.open.pop((at, number), None)
+                if request is None:
                     continue
-                self._answered(visit, visit.id, status, head)
+                self._answered(request, request.id, status, head)
         except (OSError, asyncio.IncompleteReadError):
             pass
         if self.clients[at] is client and self.alive:
             # Another takes its place once there is something to send; what was open on it has ended.
             self.clients[at] = None
             for key in [key for key in self.open if key[0] == at]:
-                visit = self.open.pop(key)
-                self.day.world.clients.answered(visit.id, GONE)
+                request = self.open.pop(key)
+                self.day.world.clients.answered(request.id, GONE)
 
-    def _answered(self, visit: Visit, id: str, status: int, head: bytes) -> None:
+    def _answered(self, request: Request, id: str, status: int, head: bytes) -> None:
         world = self.day.world
         world.truth.answers.answered(world.agenda.now, id)
         if status == 200:
--- a/hoistplank/lab/drives/steward.py
+++ b/hoistplank/lab/drives/steward.py
@@ -19,7 +19,7 @@
 class Plan:
     """What each dispatcher of a world runs: levels (may be none), the admission's bounds (or none), how
     often the ladder is judged (us), and what holds at full service. `shed_share`: of a core's event cost,
-    what a visit costs that is shed."""
+    what a request costs that is shed."""
 
     levels: tuple[Level, ...] = ()
     calm_us: int = 120_000_000
--- a/hoistplank/lab/drives/virtual.py
+++ b/hoistplank/lab/drives/virtual.py
@@ -8,7 +8,7 @@
 
 from hoistplank.interface import Decision, HostEntry, Note, Result
 from hoistplank.lab.drives.steward import Plan, Steward
-from hoistplank.lab.model.clients import BACK, OFF, SERVED, Visit
+from hoistplank.lab.model.clients import BACK, OFF, SERVED, Request
 from hoistplank.lab.model.faults import Event, Troubles
 from hoistplank.lab.model.servers import Ask, Server
 from hoistplank.lab.model.shape import HUB, Shape
@@ -22,10 +22,10 @@
 class Attempt:
     """One attempt that is out. `over` once its end was told to the policy, or is on its way to it."""
 
-    __slots__ = ("ask", "decision", "over", "seat", "sent", "server", "visit")
+    __slots__ = ("ask", "decision", "over", "seat", "sent", "server", "request")
 
-    def __init__(self, seat: VirtualSeat, visit: Visit, decision: Decision, sent: int) -> None:
-        self.seat, self.visit, self.decision, self.sent = seat, visit, decision, sent
+    def __init__(self, seat: VirtualSeat, request: Request, decision: Decision, sent: int) -> None:
+        self.seat, self.request, self.decision, self.sent = seat, request, decision, sent
         self.over = False
         self.ask: Ask | None = None
         self.server: Server | None = None
@@ -62,13 +62,13 @@
         self.agenda, self.place = world.agenda, f"z{zone}"
         self.alive, self.runs, self.skew_us = True, 0, 0
         self.queue: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.visits: dict[str, Visit] = {}
+        self.requests: dict[str, Request] = {}
         self.over: set[str] = set()
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.planned, self.planned_at, self.next_turn = False, 0, 0
         self.frozen_until = 0
         self.clock = LogClock()
-        self.debt_us = 0  # of the core, for visits shed since the last turn
+        self.debt_us = 0  # of the core, for requests shed since the last turn
         self.steward: Steward | None = None
         self.stewards: list[Steward] = []  # of each run, for what they saw
         self.policy = self._made()
@@ -101,29 +101,29 @@
     def purge(self, thing: str, group: int, made: int) -> None:
         self.tell(self._purged, thing, group, made)
 
-    def take(self, visit: Visit) -> None:
+    def take(self, request: Request) -> None:
         steward, now = self.steward, self.agenda.now
-        track = self.world.shape.tracks[visit.track].name
-        if steward is not None and not steward.admits(now, track, len(self.visits) - len(self.over)):
+        track = self.world.shape.tracks[request.track].name
+        if steward is not None and not steward.admits(now, track, len(self.requests) - len(self.over)):
             # Shed as it begins, before the owner's turn: it costs a share of an event.
             assert self.plan is not None
             self.debt_us += int(self.world.shape.cpu_us * self.plan.shed_share)
-            self.world.truth.answers.answered(now, visit.id)
+            self.world.truth.answers.answered(now, request.id)
             steward.watch.answered(now, track, False)
             wait = self.world.shape.settings(self.zone, self.number)["limits"]["max_retry_after"]
-            self.world.clients.answered(visit.id, BACK, int(wait * 500_000))
+            self.world.clients.answered(request.id, BACK, int(wait * 500_000))
             return
-        self.tell(self._came, visit, visit.id)
+        self.tell(self._came, request, request.id)
 
-    def leave(self, visit: Visit) -> None:
-        self.tell(self._left, visit.id)
+    def leave(self, request: Request) -> None:
+        self.tell(self._left, request.id)
 
     def kill(self) -> None:
         self.alive = False
         for attempt in self.attempts.values():
             attempt.over = True
             attempt.leave()
-        self.queue, self.visits, self.over, self.attempts = [], {}, set(), {}
+        self.queue, self.requests, self.over, self.attempts = [], {}, set(), {}
 
     def step_clock(self, step_us: int) -> None:
         self.skew_us += step_us
@@ -152,7 +152,7 @@
         lag = max(0, now - self.planned_at - shape.tick_us)
         self.policy.loop_told(len(queue), lag)
         if self.steward is not None:
-            self.steward.turn(now, lag, len(self.visits) - len(self.over), len(queue))
+            self.steward.turn(now, lag, len(self.requests) - len(self.over), len(queue))
         for call, args in queue:
             call(now, *args)
         acts = 0
@@ -179,19 +179,19 @@
         elif act == "wake":
             self.agenda.at(now + decision.wait_us, self._woken, decision.token, self.runs)
         elif act in ("reject", "fail"):
-            self._answer(now, decision.visit, BACK if act == "reject" else OFF, decision.wait_us)
+            self._answer(now, decision.request, BACK if act == "reject" else OFF, decision.wait_us)
         elif act == "withdraw":
-            attempt = self.attempts.get((decision.visit, decision.attempt))
+            attempt = self.attempts.get((decision.request, decision.attempt))
             if attempt is not None and not attempt.over:
                 attempt.leave()
                 attempt.end(Result.WITHDRAWN, 0, -1)
 
     def _answer(self, now: int, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
-        visit = self.visits.get(id)
-        if self.steward is not None and visit is not None:
-            row = self.world.shape.tracks[visit.track]
-            target = min(row.target_us + row.target_stretch * visit.size_us, row.deadline_us)
-            self.steward.watch.answered(now, row.name, how == SERVED and now - visit.asked_at <= target)
+        request = self.requests.get(id)
+        if self.steward is not None and request is not None:
+            row = self.world.shape.tracks[request.track]
+            target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
+            self.steward.watch.answered(now, row.name, how == SERVED and now - request.asked_at <= target)
         self.over.add(id)
         self.world.truth.answers.answered(now, id)
         if self.world.paths is None:
@@ -203,7 +203,7 @@
 
     def _forget(self, id: str) -> None:
         if id in self.over and not any((id, n) in self.attempts for n in range(8)):
-            self.visits.pop(id, None)
+            self.requests.pop(id, None)
             self.over.discard(id)
 
     def _woken(self, token: int, runs: int) -> None:
@@ -223,16 +223,16 @@
         heard = now + self.skew_us
         self.policy.purged(now, thing, group, max(0, heard - self.clock.ours(heard, made)))
 
-    def _came(self, now: int, visit: Visit, id: str) -> None:
-        self.visits[id] = visit
-        row = self.world.shape.tracks[visit.track]
-        until = visit.asked_at + row.deadline_us
-        self.policy.visit_came(
-            now, id, row.name, visit.thing, visit.part, visit.group, 0.0, until, visit.tries > 1
+    def _came(self, now: int, request: Request, id: str) -> None:
+        self.requests[id] = request
+        row = self.world.shape.tracks[request.track]
+        until = request.asked_at + row.deadline_us
+        self.policy.request_arrived(
+            now, id, row.name, request.thing, request.part, request.group, 0.0, until, request.tries > 1
         )
 
     def _left(self, now: int, id: str) -> None:
-        if id in self.visits and id not in self.over:
+        if id in self.requests and id not in self.over:
             self.over.add(id)
             self.policy.client_left(now, id)
             self._forget(id)
@@ -240,11 +240,11 @@
     # Attempts.
 
     def _attempt(self, now: int, decision: Decision) -> None:
-        visit, world = self.visits.get(decision.visit), self.world
-        if visit is None:
+        request, world = self.requests.get(decision.request), self.world
+        if request is None:
             return
-        attempt = Attempt(self, visit, decision, now)
-        self.attempts[decision.visit, decision.attempt] = attempt
+        attempt = Attempt(self, request, decision, now)
+        self.attempts[decision.request, decision.attempt] = attempt
         drains = world.truth.drains
         drains.attempt(now, self.number, decision.host, "host")
         if decision.source and decision.source != decision.host:
@@ -257,14 +257,14 @@
         ask = attempt.ask = Ask(
             self.number,
             self.zone,
-            visit.track,
-            (visit.thing, visit.part),
-            visit.group,
-            visit.size_us,
+            request.track,
+            (request.thing, request.part),
+            request.group,
+            request.size_us,
             attempt.came,
         )
         ask.source, ask.keep, ask.oldest_us = decision.source, decision.keep, decision.oldest_us
-        ask.join, ask.renew, ask.key, ask.back = decision.join, decision.renew, visit.key, way
+        ask.join, ask.renew, ask.key, ask.back = decision.join, decision.renew, request.key, way
         if server.zone == HUB:
             ask.extra_links = [world.zone_links[self.zone]]
         if world.paths is None:
@@ -273,24 +273,24 @@
             world.paths.send(f"d{self.number}>{server.uid}", False, now + way, server.arrive, ask)
 
     def ended(self, now: int, attempt: Attempt, result: int, note: int, born: int, at: int) -> None:
-        id = attempt.decision.visit
+        id = attempt.decision.request
         self.attempts.pop((id, attempt.decision.attempt), None)
-        visit = attempt.visit
+        request = attempt.request
         if result == Result.SUCCEEDED and id not in self.over:
-            if not self.world.shape.tracks[visit.track].uncached:
+            if not self.world.shape.tracks[request.track].uncached:
                 self.world.truth.purges.served(
-                    now, self.number, id, visit.thing, visit.group, attempt.sent, born
+                    now, self.number, id, request.thing, request.group, attempt.sent, born
                 )
             self._answer(now, id, SERVED, note=note)
         took = at - attempt.sent
         decision, steward = attempt.decision, self.steward
         filled = note in (Note.FILLED, Note.FROM_ORIGIN) and decision.source != decision.host
         if steward is not None and filled:
-            row = self.world.shape.tracks[visit.track]
-            target = min(row.target_us + row.target_stretch * visit.size_us, row.deadline_us)
-            slowed = took / (visit.size_us + 100_000)
-            steward.watch.filled(now, decision.source, visit.thing, visit.group, took <= target, slowed)
-        closed = id in self.over or id not in self.visits
+            row = self.world.shape.tracks[request.track]
+            target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
+            slowed = took / (request.size_us + 100_000)
+            steward.watch.filled(now, decision.source, request.thing, request.group, took <= target, slowed)
+        closed = id in self.over or id not in self.requests
         self.policy.attempt_ended(now, id, attempt.decision.attempt, result, closed, took, -1, note, [])
         self._forget(id)
 
--- a/hoistplank/lab/fleet/broken.py
+++ b/hoistplank/lab/fleet/broken.py
@@ -8,7 +8,7 @@
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import Scene, read
 from hoistplank.lab.fleet.virtual import built
-from hoistplank.lab.model.clients import Visit
+from hoistplank.lab.model.clients import Request
 from hoistplank.lab.policies import ByHash, Make, Plain, policy
 
 EXTRA = (5, 6, 7)  # the numbers of attempts that nobody waits for
@@ -25,11 +25,11 @@
 
 
 class Eager(ByHash):
-    """Amplification: every visit of a kept track is sent to four hosts at once."""
+    """Amplification: every request of a kept track is sent to four hosts at once."""
 
     def _place(self, now: int, id: str) -> None:
         super()._place(now, id)
-        if self.box and self.box[-1].visit == id and self.box[-1].source:
+        if self.box and self.box[-1].request == id and self.box[-1].source:
             first = self.box[-1]
             others = [host for host in self.caches if host != first.host]
             self.box += [replace(first, host=host, attempt=n) for n, host in zip(EXTRA, others, strict=False)]
@@ -70,11 +70,11 @@
 class Forgetful(FleetMetrics):
     """A rig that loses the end of one displaced try in three."""
 
-    def answered(self, now: int, visit: Visit, how: str) -> None:
-        if visit.zone != self.zones[visit.seat] and visit.number % 3 == 0:
-            self.out.pop(visit.id, None)
+    def answered(self, now: int, request: Request, how: str) -> None:
+        if request.zone != self.zones[request.seat] and request.number % 3 == 0:
+            self.out.pop(request.id, None)
             return
-        super().answered(now, visit, how)
+        super().answered(now, request, how)
 
 
 TEXT = """
--- a/hoistplank/lab/fleet/metrics.py
+++ b/hoistplank/lab/fleet/metrics.py
@@ -1,5 +1,5 @@
 """Metrics of a whole fleet, from the world's own events and samples: utility by location, the outcome of
-displaced visits, use of shared things against their whole, fairness, attempts for each first try, and how
+displaced requests, use of shared things against their whole, fairness, attempts for each first try, and how
 long wrong choices lasted.
 
 No dispatcher reports any of it. No I/O, no clock; times are whole microseconds of the world.
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hoistplank.lab.model.clients import BACK, GONE, LEFT, OFF, SERVED, Visit
+from hoistplank.lab.model.clients import BACK, GONE, LEFT, OFF, SERVED, Request
 from hoistplank.lab.model.shape import S, Shape
 
 BIN = 100_000  # of utility and refusals over time
@@ -85,7 +85,7 @@
         self.lost = {zone: defaultdict[str, float](float) for zone in range(shape.zones)}
         self.given_up = defaultdict[str, float](float)  # utility rejected in the end, by track
         self.firsts = self.tries = self.attempts = 0
-        self.seen: set[int] = set()  # visits, by their numbers
+        self.seen: set[int] = set()  # requests, by their numbers
         self.by_seat = [[0, 0] for _ in zones]  # tries, of these served
         self.answers: Counter[str] = Counter()
         self.out: dict[str, tuple[int, int]] = {}  # by try: home, where it went
@@ -105,21 +105,21 @@
         if spot is not None:
             self.asked_in[zone][spot] += self.shape.tracks[track].utility
 
-    def tried(self, now: int, visit: Visit) -> None:
-        zone = self.zones[visit.seat]
-        self.out[visit.id] = visit.zone, zone
-        if visit.zone != zone:
-            self.displaced[visit.zone, zone] += 1
+    def tried(self, now: int, request: Request) -> None:
+        zone = self.zones[request.seat]
+        self.out[request.id] = request.zone, zone
+        if request.zone != zone:
+            self.displaced[request.zone, zone] += 1
         if now >= self.start:
             self.tries += 1
-            self.firsts += visit.number not in self.seen
-            self.seen.add(visit.number)
-            self.by_seat[visit.seat][0] += 1
+            self.firsts += request.number not in self.seen
+            self.seen.add(request.number)
+            self.by_seat[request.seat][0] += 1
 
-    def answered(self, now: int, visit: Visit, how: str) -> None:
-        way = self.out.pop(visit.id, None)
+    def answered(self, now: int, request: Request, how: str) -> None:
+        way = self.out.pop(request.id, None)
         if way is None:
-            self.stray.append(f"{visit.id}: {how}, though nobody has it")
+            self.stray.append(f"{request.id}: {how}, though nobody has it")
             return
         home, zone = way
         if home != zone:
@@ -127,9 +127,9 @@
         spot = self._bin(now)
         if spot is not None:
             self.answers[how] += 1
-            self.by_seat[visit.seat][1] += how == SERVED
+            self.by_seat[request.seat][1] += how == SERVED
             if how == BACK:
-                self.refused_in[visit.track][spot] += 1
+                self.refused_in[request.track][spot] += 1
 
     def ended(self, due_at: int, zone: int, track: int, share: float, cause: str) -> None:
         spot = self._bin(due_at)
--- a/hoistplank/lab/fleet/pages.py
+++ b/hoistplank/lab/fleet/pages.py
@@ -95,7 +95,7 @@
                 "run",
                 "earned",
                 "attempts a first try",
-                "tries a visit",
+                "tries a request",
                 "fair",
                 "fullest cold host",
                 "rules broken",
--- a/hoistplank/lab/fleet/runner.py
+++ b/hoistplank/lab/fleet/runner.py
@@ -157,7 +157,7 @@
         return f"{name}, {found['why']}"
     fleet = found["fleet"]
     told = (
-        f"{name}, earned {found['score']:.3f} of {found['visits']} visits, "
+        f"{name}, earned {found['score']:.3f} of {found['visits']} requests, "
         f"{fleet['amplified']:.2f} attempts a first try, fair {fleet['fair']:.2f}"
     )
     return "\n".join([told, *(f"  {what}" for what in found["failures"][:8])])
--- a/hoistplank/lab/fleet/scene.py
+++ b/hoistplank/lab/fleet/scene.py
@@ -85,7 +85,7 @@
     "lost": "utility lost to a cause, as a share of all asked for; the cause's words joined by '-'",
     "displaced": "share of the tries at another location's dispatchers that were served",
     "amplified": "attempts for each first try",
-    "asked-again": "tries for each visit that reached a dispatcher",
+    "asked-again": "tries for each request that reached a dispatcher",
     "cold": "the most that a cold host was sent, as a share of what it can bear",
     "link": "the most that was under way over a location's link, as a share of its room",
     "fair": "Jain's index of what the dispatchers of each location were let serve, the worst",
@@ -335,7 +335,7 @@
                 )
             )
         if row.kind == "halfway" and {"log", "clients"} & {*map(str, row.values)}:
-            # When a dead line of the log is told, or a client's visit was taken, nobody could say.
+            # When a dead line of the log is told, or a client's request was taken, nobody could say.
             found.append((n, f"'({row.text})'", "a path between a dispatcher and hosts"))
         if row.kind == "move" and row.values[0] == row.values[1]:
             found.append((n, f"'({row.text})'", "two different locations"))
--- a/hoistplank/lab/load/crew.py
+++ b/hoistplank/lab/load/crew.py
@@ -73,7 +73,7 @@
     late_ms: float = LATE_MS,
     **more: Any,
 ) -> dict[str, Any]:
-    """One run: counts, quantiles by track (ms from the moment a visit was due), the tool's lateness, `void`
+    """One run: counts, quantiles by track (ms from the moment a request was due), the tool's lateness, `void`
     or not.
 
     `more` are fields of `Job`. Raises NoLoad where a process of the tool could not do its part.
--- a/hoistplank/lab/load/engine.py
+++ b/hoistplank/lab/load/engine.py
@@ -1,6 +1,6 @@
 """One process of the load tool: sends on its part of the schedule, whatever the answers do, and counts.
 
-Times count from the moment at which a visit was due, not from when it was sent: a tool that falls behind
+Times count from the moment at which a request was due, not from when it was sent: a tool that falls behind
 would else hide the waiting that it causes (coordinated omission). Its own lateness is a histogram of its own.
 """
 
@@ -21,9 +21,9 @@
 from hoistplank.lab.load.plan import Mix, Step, Wants, times
 from hoistplank.lab.load.wire import Answers, Template
 
-MOST_OPEN = 30  # visits on one connection: a dispatcher takes 32
+MOST_OPEN = 30  # requests on one connection: a dispatcher takes 32
 HIGHEST_US = 60_000_000
-LAST_S = 3.0  # for answers after the last visit
+LAST_S = 3.0  # for answers after the last request
 
 
 class Job(msgspec.Struct):
@@ -41,7 +41,7 @@
     zipf: float = 1.0
     connections: int = 4
     most_connections: int = 64
-    fresh_share: float = 0.0  # of visits: each over a connection of its own
+    fresh_share: float = 0.0  # of requests: each over a connection of its own
     tokens: list[str] = []
     groups: int = 1
     ca: str = ""
@@ -72,7 +72,7 @@
             self.number += 1
         self.open[self.number] = (due, row, tenant)
         assert self.transport is not None
-        self.transport.write(template.request(self.number, id, thing))
+        self.transport.write(template.encode(self.number, id, thing))
 
     def data_received(self, data: bytes) -> None:
         now = self.engine.loop.time()
--- a/hoistplank/lab/load/plan.py
+++ b/hoistplank/lab/load/plan.py
@@ -1,4 +1,4 @@
-"""When visits are sent and what they ask for: made ahead, whatever the answers do. No I/O, no clock."""
+"""When requests are sent and what they ask for: made ahead, whatever the answers do. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class Step(NamedTuple):
-    """So many seconds at a rate that goes in a line from `first` to `last` visits a second."""
+    """So many seconds at a rate that goes in a line from `first` to `last` requests a second."""
 
     seconds: float
     first: float
     last: float
 
-    def visits(self) -> float:
+    def requests(self) -> float:
         return self.seconds * (self.first + self.last) / 2
 
 
@@ -39,7 +39,7 @@
                 f"'{word[:40]}' in the plan, expected SECONDSs:RATE or SECONDSs:RATE-RATE, as 10s:500"
             )
         step = Step(float(found[1]), float(found[2]), float(found[3] or found[2]))
-        if not step.seconds or step.visits() <= 0:
+        if not step.seconds or step.requests() <= 0:
             raise BadPlan(f"'{word[:40]}' in the plan sends nothing, expected a time and a rate above 0")
         steps.append(step)
     if not steps or sum(step.seconds for step in steps) > MOST_S:
@@ -48,10 +48,11 @@
 
 
 def times(steps: tuple[Step, ...], part: int = 0, parts: int = 1) -> Iterator[float]:
-    """The seconds at which visits are due, evenly along the rate; every `parts`-th, beginning with `part`."""
+    """The seconds at which requests are due, evenly along the rate; every `parts`-th, beginning with
+    `part`."""
     number, began, before = part, 0.0, 0.0
     for step in steps:
-        many, slope = step.visits(), (step.last - step.first) / step.seconds
+        many, slope = step.requests(), (step.last - step.first) / step.seconds
         while number < before + many:
             ahead = number - before
             # The time at which the area under the rate is `ahead`.
@@ -65,7 +66,7 @@
 
 
 class Mix(NamedTuple):
-    """A track's share of all visits; `keyed` ones carry an operation key of their own."""
+    """A track's share of all requests; `keyed` ones carry an operation key of their own."""
 
     track: str
     share: float
@@ -73,7 +74,7 @@
 
 
 def mixes(text: str) -> tuple[Mix, ...]:
-    """`page=9 booking=1!`: tracks with weights; '!' gives each visit an operation key."""
+    """`page=9 booking=1!`: tracks with weights; '!' gives each request an operation key."""
     found = []
     for word in text.split():
         track, equals, weight = word.partition("=")
@@ -91,7 +92,7 @@
 
 
 class Wants:
-    """What each visit asks for, drawn from a seed: a track, and an object by a Zipf popularity."""
+    """What each request asks for, drawn from a seed: a track, and an object by a Zipf popularity."""
 
     def __init__(self, rows: tuple[Mix, ...], objects: int, zipf: float, tenants: int, seed: int) -> None:
         self.rows, self.tenants, self.chance = rows, max(1, tenants), Random(seed)
--- a/hoistplank/lab/load/wire.py
+++ b/hoistplank/lab/load/wire.py
@@ -13,7 +13,7 @@
 
 
 class Template:
-    """A whole request of one track and one token, with the places of what changes from visit to visit."""
+    """A whole request of one track and one token, with the places of what changes from request to request."""
 
     def __init__(
         self, track: str, deadline_ms: int, keyed: bool, token: str = "", fields: dict[str, str] | None = None
@@ -41,8 +41,8 @@
         self.id, self.thing = self.data.index(ID), self.data.index(THING)
         self.key = self.data.index(KEY) if keyed else -1
 
-    def request(self, number: int, id: int, thing: int) -> bytes:
-        """One visit; its operation key, where it has one, is its id twice."""
+    def encode(self, number: int, id: int, thing: int) -> bytes:
+        """One request; its operation key, where it has one, is its id twice."""
         data = bytearray(self.data)
         for at in self.numbers:
             NUMBER.pack_into(data, at, number)
--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -23,7 +23,7 @@
 WAITS_US = 150_000  # least time that a repeat is worth
 
 
-class Visit:
+class Request:
     """What a client wants, over all its tries. `id` names the try that is out."""
 
     __slots__ = (
@@ -66,7 +66,7 @@
     def __init__(self, track: int, thing: str, zone: int, group: int, parts: int) -> None:
         self.track, self.thing, self.zone, self.group, self.parts = track, thing, zone, group, parts
         self.at, self.due, self.left = 0, list[int](), False  # at: the next part to ask for
-        self.out: Visit | None = None
+        self.out: Request | None = None
         self.lot = -1.0  # which clients go elsewhere when their location is lost; drawn once it matters
 
 
@@ -75,27 +75,27 @@
 
     def asked(self, now: int, zone: int, track: int) -> None: ...
 
-    def tried(self, now: int, visit: Visit) -> None:
-        """A dispatcher's connection took it; `visit.seat` names the dispatcher."""
+    def tried(self, now: int, request: Request) -> None:
+        """A dispatcher's connection took it; `request.seat` names the dispatcher."""
 
-    def answered(self, now: int, visit: Visit, how: str) -> None:
+    def answered(self, now: int, request: Request, how: str) -> None:
         """How that try ended; `LEFT` if its client went."""
 
     def ended(self, due_at: int, zone: int, track: int, share: float, cause: str) -> None: ...
 
 
 class Front(Protocol):
-    """Takes visits to dispatchers."""
+    """Takes requests to dispatchers."""
 
-    def deliver(self, visit: Visit) -> bool:
-        """To a dispatcher of the visit's location; False if nobody took the connection."""
+    def deliver(self, request: Request) -> bool:
+        """To a dispatcher of the request's location; False if nobody took the connection."""
 
-    def abandon(self, visit: Visit) -> None:
+    def abandon(self, request: Request) -> None:
         """The client has left."""
 
 
 class Utility:
-    """By second of the day in which a visit was first asked for; what comes before the first is not
+    """By second of the day in which a request was first asked for; what comes before the first is not
     counted.
     """
 
@@ -142,7 +142,7 @@
         self, agenda: Agenda, shape: Shape, streams: Streams, library: Library, front: Front
     ) -> None:
         self.agenda, self.shape, self.library, self.front = agenda, shape, library, front
-        self.utility, self.open = Utility(shape), dict[str, Visit]()
+        self.utility, self.open = Utility(shape), dict[str, Request]()
         self.number, self.surge = 0, [1.0] * shape.zones
         self.ear: Ear | None = None
         self._arrivals = [streams.of(f"arrivals of z{n}") for n in range(shape.zones)]
@@ -192,87 +192,87 @@
 
     def _ask(self, session: Session, size: float) -> None:
         self.number += 1
-        visit = session.out = Visit(self.number, session, session.at, self.agenda.now, size)
-        visit.due_at = session.due[session.at]
+        request = session.out = Request(self.number, session, session.at, self.agenda.now, size)
+        request.due_at = session.due[session.at]
         session.at += 1
-        row, mood = self.shape.tracks[visit.track], self._moods.uniform()
+        row, mood = self.shape.tracks[request.track], self._moods.uniform()
         # Some leave long before their time is up.
-        visit.until = self.agenda.now + int(row.deadline_us * (1.0 if mood > 0.02 else 0.2 + 20 * mood))
+        request.until = self.agenda.now + int(row.deadline_us * (1.0 if mood > 0.02 else 0.2 + 20 * mood))
         # An answer that is written as the time ends is on its way for a moment more.
-        self.agenda.at(visit.until + LAST_US, self._give_up, visit)
-        self._send(visit)
+        self.agenda.at(request.until + LAST_US, self._give_up, request)
+        self._send(request)
 
-    def _send(self, visit: Visit) -> None:
-        if visit.done:
+    def _send(self, request: Request) -> None:
+        if request.done:
             return
-        visit.tries += 1
-        visit.id = f"{visit.number:012x}{visit.tries:04x}"
-        self.open[visit.id] = visit
-        if not self.front.deliver(visit):
-            del self.open[visit.id]
-            self._nobody(visit)
-
-    def _nobody(self, visit: Visit) -> None:
+        request.tries += 1
+        request.id = f"{request.number:012x}{request.tries:04x}"
+        self.open[request.id] = request
+        if not self.front.deliver(request):
+            del self.open[request.id]
+            self._nobody(request)
+
+    def _nobody(self, request: Request) -> None:
         """Nobody took the connection: another dispatcher, a little later."""
-        if visit.tries > 8:
-            return self._end(visit, 0.0, GONE)
-        self.agenda.at(self.agenda.now + GOES_ON_US, self._send, visit)
+        if request.tries > 8:
+            return self._end(request, 0.0, GONE)
+        self.agenda.at(self.agenda.now + GOES_ON_US, self._send, request)
 
     def refused(self, id: str) -> None:
         """A try whose connection was refused after all: no dispatcher has seen it."""
-        visit = self.open.pop(id, None)
-        if visit is not None and not visit.done:
+        request = self.open.pop(id, None)
+        if request is not None and not request.done:
             if self.ear is not None:
-                self.ear.answered(self.agenda.now, visit, GONE)
-            self._nobody(visit)
+                self.ear.answered(self.agenda.now, request, GONE)
+            self._nobody(request)
 
     def answered(self, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
         """A dispatcher's answer to a try, or its connection's end."""
-        visit = self.open.pop(id, None)
-        if visit is None or visit.done:
+        request = self.open.pop(id, None)
+        if request is None or request.done:
             return
         now, shape = self.agenda.now, self.shape
-        row, took = shape.tracks[visit.track], now - visit.asked_at
+        row, took = shape.tracks[request.track], now - request.asked_at
         if self.ear is not None:
-            self.ear.answered(now, visit, how)
+            self.ear.answered(now, request, how)
         if how == SERVED:
-            target = min(row.target_us + row.target_stretch * visit.size_us, row.deadline_us)
+            target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             share = 1.0 if took <= target else row.late_share
             share *= row.old_share if note == Note.OLD else 1.0
             cause = "served old" if note == Note.OLD else "served" if took <= target else "served late"
-            return self._end(visit, share, cause, took)
+            return self._end(request, share, cause, took)
         may = row.semantics != "at_most_once" or how == BACK
         # Danger: a repeat of what may have run elsewhere is the client's own risk; failed is not
         # repeated.
-        if how != OFF and may and visit.tries <= shape.retries:
+        if how != OFF and may and request.tries <= shape.retries:
             mood = self._moods.uniform()
             wait = wait_us if wait_us and mood < shape.honours else int(shape.backoff_us * (0.5 + mood))
-            if now + wait + WAITS_US < visit.until:
-                return self.agenda.at(now + wait, self._send, visit)
-        self._end(visit, 0.0, how)
-
-    def _give_up(self, visit: Visit) -> None:
-        if not visit.done:
-            if visit.id in self.open:
-                del self.open[visit.id]
-                self.front.abandon(visit)
+            if now + wait + WAITS_US < request.until:
+                return self.agenda.at(now + wait, self._send, request)
+        self._end(request, 0.0, how)
+
+    def _give_up(self, request: Request) -> None:
+        if not request.done:
+            if request.id in self.open:
+                del self.open[request.id]
+                self.front.abandon(request)
                 if self.ear is not None:
-                    self.ear.answered(self.agenda.now, visit, LEFT)
-            self._end(visit, 0.0, "client gave up")
+                    self.ear.answered(self.agenda.now, request, LEFT)
+            self._end(request, 0.0, "client gave up")
 
-    def _end(self, visit: Visit, share: float, cause: str, took: int = 0) -> None:
-        visit.done = True
-        session = visit.session
-        self.utility.end(visit.due_at, visit.track, share, cause, took)
+    def _end(self, request: Request, share: float, cause: str, took: int = 0) -> None:
+        request.done = True
+        session = request.session
+        self.utility.end(request.due_at, request.track, share, cause, took)
         if self.ear is not None:
-            self.ear.ended(visit.due_at, visit.zone, visit.track, share, cause)
+            self.ear.ended(request.due_at, request.zone, request.track, share, cause)
         session.out = None
         if not share and session.parts > 1:
             session.left = True
             for due in session.due[session.at :]:
                 self._left(session, due)
         elif session.at < len(session.due):
-            self._ask(session, visit.size_us)
+            self._ask(session, request.size_us)
 
     def _left(self, session: Session, due_at: int) -> None:
         """A part that is not asked for any more, since one before it was lost."""
--- a/hoistplank/lab/model/core.py
+++ b/hoistplank/lab/model/core.py
@@ -1,9 +1,9 @@
-"""A dispatcher's core as one queue of work in virtual time, for the admission's controller: what a visit
+"""A dispatcher's core as one queue of work in virtual time, for the admission's controller: what a request
 costs to take in, to reject and to serve, and how long it waits at a cache host meanwhile.
 
-The loop's lag is the work that stands before a timer in the queue; a visit is served within the latency
+The loop's lag is the work that stands before a timer in the queue; a request is served within the latency
 target where its answer was written within `target_us` of its coming. Service times are drawn from the stream
-handed in, so that two controllers meet the same visits. Figures from this are emulated: the costs are told,
+handed in, so that two controllers meet the same requests. Figures from this are emulated: the costs are told,
 not measured here.
 """
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """Of one visit, in microseconds of the core: taking it in, turning it back, serving it (besides taking
+    """Of one request, in microseconds of the core: taking it in, turning it back, serving it (besides taking
     it in); its wait at a cache host; its latency target. `spread`: the spread of each cost, as a share of
     it."""
 
@@ -33,13 +33,14 @@
     spread: float = 0.5
 
     def carried(self) -> float:
-        """Visits a second that the core serves when it turns nothing back."""
+        """Requests a second that the core serves when it turns nothing back."""
         return S / (self.read_us + self.serve_us)
 
 
 @dataclass(slots=True)
 class CoreMetrics:
-    """What was counted on one core: visits by their end, the loop's lags (us) and the admission's limits."""
+    """What was counted on one core: requests by their end, the loop's lags (us) and the admission's
+    limits."""
 
     offered: int = 0
     served: int = 0
@@ -58,14 +59,14 @@
 
 
 class Core:
-    """Visits at a rate a second that changes over time by `rates` (from when in us, rate), on one core."""
+    """Requests at a rate a second that changes over time by `rates` (from when in us, rate), on one core."""
 
     def __init__(
         self, costs: Costs, admission: Admission | None, chance: Random, rates: list[tuple[int, float]]
     ) -> None:
         self.costs, self.admission, self.chance, self.rates = costs, admission, chance, sorted(rates)
         self.now, self.open, self.turn, self.backlog = 0, 0, 0, 0.0
-        self.work: deque[tuple[str, int, float]] = deque()  # what, when its visit came, what it costs
+        self.work: deque[tuple[str, int, float]] = deque()  # what, when its request came, what it costs
         self.events: list[tuple[int, int, str, int]] = []
         self.metrics = CoreMetrics()
 
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -68,7 +68,7 @@
     "loggap": ("for", SPAN),  # and comes back with a whole list
     "purge": ("group", COUNT),
     "flush": (SHARE,),  # this share of the groups
-    "herd": (WORD, SHARE, "objects", COUNT, "for", SPAN),  # of a track's visits, to new objects
+    "herd": (WORD, SHARE, "objects", COUNT, "for", SPAN),  # of a track's requests, to new objects
     "scan": (SHARE, "for", SPAN),
     "surge": (WORD, TIMES, "for", SPAN),  # in one location
     "tail": (WORD, SHARE, TIMES, "for", SPAN),  # this share of a track's objects is so many times as large
--- a/hoistplank/lab/model/objects.py
+++ b/hoistplank/lab/model/objects.py
@@ -59,7 +59,7 @@
     def draw(self, now: int, track: int, zone: int) -> int:
         """The object that a client of a location asks for now."""
         row, chance = self.shape.tracks[track], self._chance[track]
-        # As many numbers for each visit whatever they decide: what follows stays the same.
+        # As many numbers for each request whatever they decide: what follows stays the same.
         which, local, other, spot = chance.uniform(), chance.uniform(), chance.uniform(), chance.uniform()
         if not row.uncached and other < self.scan:
             self._once += 1
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -343,7 +343,7 @@
         """A fill that the ask waits for; one that renews a copy of an age has nobody waiting."""
         under = self.fills.get(ask.place)
         joins = ask.join or self.kind == PARENT
-        # Danger: a fill that began before a purge brings a copy older than the visit may get.
+        # Danger: a fill that began before a purge brings a copy older than the request may get.
         floor = self.agenda.now - ask.oldest_us if ask.oldest_us else NEVER
         if under is not None and joins and under.floor >= floor:
             self.joined += 1
@@ -445,7 +445,7 @@
             self._finish(ask, Result.FULL if why == Note.SOURCE_REFUSED else Result.ERROR, why, -1)
 
     def _pass_on(self, ask: Ask) -> None:
-        """A visit that is never kept goes on to the origin; an answer that does not come is not asked for
+        """A request that is never kept goes on to the origin; an answer that does not come is not asked for
         again.
         """
         origin, life = self.world.origin, self.life
--- a/hoistplank/lab/model/shape.py
+++ b/hoistplank/lab/model/shape.py
@@ -16,7 +16,7 @@
 
 
 class Track(msgspec.Struct, frozen=True, kw_only=True):
-    """One row of the tariff, and what its visits ask for. Times in microseconds, sizes in kB."""
+    """One row of the tariff, and what its requests ask for. Times in microseconds, sizes in kB."""
 
     name: str
     share: float  # of all first parts that are asked for
@@ -153,7 +153,7 @@
         return kb / many
 
     def parts(self) -> float:
-        """Visits for each first part."""
+        """Requests for each first part."""
         return sum(row.share * sum(row.stay**n for n in range(row.parts)) for row in self.tracks)
 
     def settings(self, zone: int, index: int) -> dict[str, Any]:
--- a/hoistplank/lab/model/truth.py
+++ b/hoistplank/lab/model/truth.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Taken:
-    """A visit that a dispatcher took."""
+    """A request that a dispatcher took."""
 
     seat: int
     until: int
@@ -39,19 +39,19 @@
 
 
 class Answers:
-    """Rule one: exactly one whole answer to each visit taken, before its time is up."""
+    """Rule one: exactly one whole answer to each request taken, before its time is up."""
 
     def __init__(self, tell: Tell) -> None:
         self.tell, self.open = tell, dict[str, Taken]()
         self.slack_us = SLACK_US  # beyond its time that an answer may come; more on a shared machine
         self.blind: dict[int, int] = {}  # dispatchers not to blame for answers now, by how many causes
 
-    def took(self, now: int, seat: int, visit: str, until: int) -> None:
-        self.open[visit] = Taken(seat, until, excused=seat in self.blind)
+    def took(self, now: int, seat: int, request: str, until: int) -> None:
+        self.open[request] = Taken(seat, until, excused=seat in self.blind)
 
-    def refused(self, visit: str) -> None:
+    def refused(self, request: str) -> None:
         """Nobody took it after all."""
-        self.open.pop(visit, None)
+        self.open.pop(request, None)
 
     def blinded(self, seat: int) -> None:
         """From now on what a dispatcher answers can't come, or it stands still: that is not its fault."""
@@ -65,46 +65,47 @@
         if not self.blind[seat]:
             del self.blind[seat]
 
-    def answered(self, now: int, visit: str) -> None:
-        row = self.open.get(visit)
+    def answered(self, now: int, request: str) -> None:
+        row = self.open.get(request)
         if row is None:
-            return self.tell(1, now, f"an answer to {visit}, which nobody has open")
+            return self.tell(1, now, f"an answer to {request}, which nobody has open")
         row.answers += 1
         if row.answers > 1:
-            self.tell(1, now, f"answer {row.answers} to {visit}")
+            self.tell(1, now, f"answer {row.answers} to {request}")
         elif now > row.until + self.slack_us and not (row.left or row.excused):
-            self.tell(1, now, f"{visit} answered {(now - row.until) // 1000} ms after its time was up")
+            self.tell(1, now, f"{request} answered {(now - row.until) // 1000} ms after its time was up")
 
-    def left(self, now: int, visit: str) -> None:
+    def left(self, now: int, request: str) -> None:
         """Its client went before the time was up; one that stays to the end is owed an answer."""
-        row = self.open.get(visit)
+        row = self.open.get(request)
         if row is not None:
             row.left = now < row.until
 
     def killed(self, seat: int) -> None:
-        """Its visits are nobody's fault but the killer's."""
+        """Its requests are nobody's fault but the killer's."""
         for row in self.open.values():
             row.excused |= row.seat == seat
 
     def sweep(self, now: int) -> None:
-        """What is long past its time; done now and then, so that a day of millions of visits stays small."""
+        """What is long past its time; done now and then, so that a day of millions of requests stays
+        small."""
         past: list[str] = []
-        for visit, row in self.open.items():
+        for request, row in self.open.items():
             # In the order of their taking: none that comes later is past its time where this one has 5 s to
             # go.
             if row.until > now + 5 * S:
                 break
             # Danger: what was held back by the rig, or stood still, may be answered long after its time.
             if row.until + S < now and (row.answers or not row.excused):
-                past.append(visit)
-        for visit in past:
-            row = self.open.pop(visit)
+                past.append(request)
+        for request in past:
+            row = self.open.pop(request)
             if not (row.answers or row.left or row.excused):
-                self.tell(1, now, f"no answer to {visit} of dispatcher {row.seat}")
+                self.tell(1, now, f"no answer to {request} of dispatcher {row.seat}")
 
 
 class Effects:
-    """Rule two: no effect twice, but for a repeat of a keyed visit at the same origin within its
+    """Rule two: no effect twice, but for a repeat of a keyed request at the same origin within its
     window.
     """
 
@@ -238,12 +239,14 @@
         for pair in [pair for pair in self.floors if pair[0] == seat]:
             del self.floors[pair]
 
-    def served(self, now: int, seat: int, visit: str, thing: str, group: int, sent: int, born: int) -> None:
+    def served(self, now: int, seat: int, request: str, thing: str, group: int, sent: int, born: int) -> None:
         for what in (thing, group):
             for told, made in self.floors.get((seat, what), ()):
                 if sent > told + PURGE_US and born < made:
                     self.tell(
-                        5, now, f"{visit} answered by a copy {(made - born) // 1000} ms older than its purge"
+                        5,
+                        now,
+                        f"{request} answered by a copy {(made - born) // 1000} ms older than its purge",
                     )
 
 
--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -11,7 +11,7 @@
 
 from hoistplank.interface import HostEntry
 from hoistplank.lab.model.agenda import Agenda
-from hoistplank.lab.model.clients import GONE, Clients, Visit
+from hoistplank.lab.model.clients import GONE, Clients, Request
 from hoistplank.lab.model.links import Link
 from hoistplank.lab.model.objects import Library
 from hoistplank.lab.model.servers import DOWN, SILENT, UP, Keeper, Origin, Server, Surroundings
@@ -36,10 +36,10 @@
     def purge(self, thing: str, group: int, made: int) -> None:
         """So does a purge that was made at a time."""
 
-    def take(self, visit: Visit) -> None:
-        """A try of a visit, over a connection that it accepts."""
+    def take(self, request: Request) -> None:
+        """A try of a request, over a connection that it accepts."""
 
-    def leave(self, visit: Visit) -> None:
+    def leave(self, request: Request) -> None:
         """Its client has left."""
 
     def kill(self) -> None: ...
@@ -292,9 +292,9 @@
             return
         self.truth.killed(seat.number)
         seat.kill()
-        lost = [visit for visit in self.clients.open.values() if visit.seat == seat.number]
-        for visit in lost:
-            self.clients.answered(visit.id, GONE)
+        lost = [request for request in self.clients.open.values() if request.seat == seat.number]
+        for request in lost:
+            self.clients.answered(request.id, GONE)
         self.front.crashed(seat)
 
         def again() -> None:
@@ -322,7 +322,7 @@
 
 
 class Front:
-    """Spreads the visits of a location over its dispatchers; learns late that one is gone.
+    """Spreads the requests of a location over its dispatchers; learns late that one is gone.
 
     `moves`: clients that go to another location's dispatchers, as addresses at clients do. `weights`: of a
     dispatcher against its siblings, where they are not all alike.
@@ -341,40 +341,40 @@
                 self._good[seat.zone].append(seat)
         return self._good[zone]
 
-    def deliver(self, visit: Visit) -> bool:
-        seats = self._seats(self._zone_of(visit) if self.moves else visit.zone)
+    def deliver(self, request: Request) -> bool:
+        seats = self._seats(self._zone_of(request) if self.moves else request.zone)
         if not seats:
             return False
         seat = self._weighed(seats) if self.weights else seats[self.chance.below(len(seats))]
         if not seat.alive:
             return False
-        visit.seat = seat.number
+        request.seat = seat.number
         # The deadline that a dispatcher is given is the track's, less what earlier tries took.
-        until = visit.asked_at + self.world.shape.tracks[visit.track].deadline_us
+        until = request.asked_at + self.world.shape.tracks[request.track].deadline_us
         now, paths = self.world.agenda.now, self.world.paths
-        self.world.truth.answers.took(now, seat.number, visit.id, until)
+        self.world.truth.answers.took(now, seat.number, request.id, until)
         if self.world.clients.ear is not None:
-            self.world.clients.ear.tried(now, visit)
+            self.world.clients.ear.tried(now, request)
         if paths is None:
-            seat.take(visit)
+            seat.take(request)
         else:
-            paths.send(f"clients>d{seat.number}", False, now, seat.take, visit)
+            paths.send(f"clients>d{seat.number}", False, now, seat.take, request)
         return True
 
-    def _zone_of(self, visit: Visit) -> int:
-        session = visit.session
+    def _zone_of(self, request: Request) -> int:
+        session = request.session
         if session.lot < 0:
             session.lot = self.chance.uniform()
         now, below = self.world.agenda.now, 0.0
         for move in self.moves:
-            if move.home != visit.zone:
+            if move.home != request.zone:
                 continue
             # Each client by its own lot: the same ones go, one after the other over the spread.
             if below <= session.lot < below + move.share:
                 late = (session.lot - below) / move.share * move.spread
-                return move.to if now >= move.since + late else visit.zone
+                return move.to if now >= move.since + late else request.zone
             below += move.share
-        return visit.zone
+        return request.zone
 
     def _weighed(self, seats: list[Seat]) -> Seat:
         weights = [self.weights.get(seat.number, 1.0) for seat in seats]
@@ -385,10 +385,10 @@
                 return seat
         return seats[-1]
 
-    def abandon(self, visit: Visit) -> None:
-        self.world.truth.answers.left(self.world.agenda.now, visit.id)
-        if visit.seat >= 0:
-            self.world.seats[visit.seat].leave(visit)
+    def abandon(self, request: Request) -> None:
+        self.world.truth.answers.left(self.world.agenda.now, request.id)
+        if request.seat >= 0:
+            self.world.seats[request.seat].leave(request)
 
     def crashed(self, seat: Seat) -> None:
         def noticed() -> None:
--- a/hoistplank/lab/policies.py
+++ b/hoistplank/lab/policies.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from hoistplank.choice import Herd, Router, Visit
+from hoistplank.choice import Herd, Request, Router
 from hoistplank.interface import IDEMPOTENT, NON_IDEMPOTENT, Decision, HostEntry, Result, Site
 from hoistplank.lab.model.servers import UP
 from hoistplank.lab.model.world import World
@@ -30,7 +30,7 @@
 
     def hosts_listed(self, now: int, form: str, entries: list[HostEntry]) -> None: ...
     def loop_told(self, waits: int, late_us: int) -> None: ...
-    def visit_came(
+    def request_arrived(
         self,
         now: int,
         id: str,
@@ -71,17 +71,17 @@
 
 
 class WithoutHerds(Router):
-    """Each visit stands alone: nobody is held, joins, or knows where a copy was seen."""
+    """Each request stands alone: nobody is held, joins, or knows where a copy was seen."""
 
-    def _join_herd(self, now: int, visit: Visit) -> Herd:
-        visit.herd, visit.marked = Herd(now), False
-        return visit.herd
+    def _join_herd(self, now: int, request: Request) -> Herd:
+        request.herd, request.marked = Herd(now), False
+        return request.herd
 
 
 class WithoutCooldown(Router):
     """Where a copy was last seen counts for nothing."""
 
-    def _copy_at(self, now: int, visit: Visit, herd: Herd) -> int:
+    def _copy_at(self, now: int, request: Request, herd: Herd) -> int:
         return -1
 
 
@@ -110,7 +110,7 @@
 
 
 class WithoutRepeats(Router):
-    """One attempt a visit."""
+    """One attempt a request."""
 
     def __init__(self, site: Site, seed: int) -> None:
         super().__init__(replace(site, rules=replace(site.rules, max_attempts=1)), seed)
@@ -155,7 +155,7 @@
         self.origin = ""
         self.out: dict[str, int] = {}
         # Of each: track, thing, part, group, until, attempts, host, whether it may have run.
-        self.visits: dict[str, list[Any]] = {}
+        self.requests: dict[str, list[Any]] = {}
         self.floors: dict[str | int, int] = {}
         self.box: deque[Decision] = deque()
 
@@ -182,7 +182,7 @@
         return
 
     def client_left(self, now: int, id: str) -> None:
-        self.visits.pop(id, None)
+        self.requests.pop(id, None)
 
     def stream_began(self, now: int, id: str, number: int) -> None:
         return
@@ -193,7 +193,7 @@
     def next_decision(self, now: int) -> Decision | None:
         return self.box.popleft() if self.box else None
 
-    def visit_came(
+    def request_arrived(
         self,
         now: int,
         id: str,
@@ -205,7 +205,7 @@
         until: int,
         again: bool,
     ) -> None:
-        self.visits[id] = [track, thing, part, group, until, 0, "", False]
+        self.requests[id] = [track, thing, part, group, until, 0, "", False]
         self._place(now, id)
 
     def choose(self, thing: str, part: int, hosts: list[str]) -> str:
@@ -215,7 +215,7 @@
         return self.parents[mix(thing) % len(self.parents)] if self.parents else self.origin
 
     def _place(self, now: int, id: str) -> None:
-        track, thing, part, group, until, attempts, last, _ = row = self.visits[id]
+        track, thing, part, group, until, attempts, last, _ = row = self.requests[id]
         tariff = self.tracks[track]
         if tariff.uncached:
             host, source = self.origin, ""
@@ -244,7 +244,7 @@
         )
 
     def _give_up(self, id: str) -> None:
-        row = self.visits.pop(id)
+        row = self.requests.pop(id)
         tariff = self.tracks[row[0]]
         harmless = tariff.semantics == IDEMPOTENT or not row[7]
         self.box.append(Decision("reject" if harmless else "fail", id, wait_us=0))
@@ -261,12 +261,12 @@
         note: int,
         report: list[float],
     ) -> None:
-        row = self.visits.get(id)
+        row = self.requests.get(id)
         if row is None:
             return
         self.out[row[6]] = max(0, self.out.get(row[6], 0) - 1)
         if closed or result == Result.SUCCEEDED:
-            del self.visits[id]
+            del self.requests[id]
             return
         row[7] |= result not in NEVER_RAN
         if self._may_repeat(row):
@@ -275,7 +275,7 @@
             self._give_up(id)
 
     def _may_repeat(self, row: list[Any]) -> bool:
-        """Rule two, for a visit whose last attempt has failed."""
+        """Rule two, for a request whose last attempt has failed."""
         return not row[7] or self.tracks[row[0]].semantics != NON_IDEMPOTENT
 
 
@@ -338,7 +338,7 @@
         """Takes back at once what went to a host, or waits for a source, that does not serve."""
         for attempt in [one for one in self.attempts if not one.fixed and one.host != self.origin]:
             host = attempt.source if attempt.fill and attempt.source in self.parents else attempt.host
-            if attempt.visit.over or not self._sound(host):
+            if attempt.request.over or not self._sound(host):
                 self._withdraw(attempt)
 
 
--- a/hoistplank/lab/profile.py
+++ b/hoistplank/lab/profile.py
@@ -1,7 +1,7 @@
-"""Where a visit's CPU goes, by layer: a dispatcher on loopback under the load tool, once plain, once
+"""Where a request's CPU goes, by layer: a dispatcher on loopback under the load tool, once plain, once
 profiled.
 
-The plain run gives the CPU of a visit, the profiled one its shares. A profiler charges each Python call, so
+The plain run gives the CPU of a request, the profiled one its shares. A profiler charges each Python call, so
 layers of many small calls look dearer than they are: the shares are a place to start from, not a measurement
 of seconds.
 """
@@ -79,7 +79,7 @@
 
 
 async def profiled(rate: float, seconds: float, fresh: float = 0.0) -> dict[str, Any]:
-    """CPU of a visit (us) and the layers' shares of it, at a rate and a share of new connections."""
+    """CPU of a request (us) and the layers' shares of it, at a rate and a share of new connections."""
     plain, cpu_s = await _run(rate, seconds, fresh, ("-m", "hoistplank"))
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "profile"
--- a/hoistplank/lab/report.py
+++ b/hoistplank/lab/report.py
@@ -182,7 +182,7 @@
     axes.set_xlabel("ms from a client's first try to its answer")
     axes.set_ylabel("share of served")
     axes.legend(fontsize=7)
-    return svg(figure, f"Distribution of the times of served visits on the day {day}, {size} cache hosts")
+    return svg(figure, f"Distribution of the times of served requests on the day {day}, {size} cache hosts")
 
 
 def _lost(rows: Rows) -> str:
--- a/hoistplank/lab/scale/role_requests.py
+++ b/hoistplank/lab/scale/role_requests.py
@@ -49,7 +49,7 @@
                 if decision.act == "attempt":
                     self.router.attempt_ended(
                         self.now,
-                        decision.visit,
+                        decision.request,
                         decision.attempt,
                         Result.SUCCEEDED,
                         True,
@@ -63,7 +63,7 @@
         self.now += BETWEEN_REQUESTS_US
         self.count += 1
         name = f"{self.count:016x}"
-        self.router.visit_came(
+        self.router.request_arrived(
             self.now, name, TRACK, name, 0, 0, 0.0, self.now + self.router.longest_us, False
         )
 
--- a/hoistplank/levels/admission.py
+++ b/hoistplank/levels/admission.py
@@ -1,7 +1,7 @@
-"""How many visits may be open at once so that the loop keeps up with them: a controller on the loop's
+"""How many requests may be open at once so that the loop keeps up with them: a controller on the loop's
 measured lag and on what waits for its turns. No I/O, no clock: `now` is told in whole microseconds.
 
-Once a period the lag of its turns and the most visits open in it are read against the target:
+Once a period the lag of its turns and the most requests open in it are read against the target:
 
 - pressure above 1 in this period and the one before (mean lag over the target, the largest over four
   targets, or more waiting than `most_waiting`): the bound falls to what was open times 1 / sqrt(pressure),
@@ -10,7 +10,7 @@
 - else it stays. So it neither winds up while nobody presses against it nor jumps at one late turn: a
   stall of the loop (a reload, the collector) is one period's, a full core every period's.
 
-A track is let in while the visits open are below the bound times its share: the dearest track by utility
+A track is let in while the requests open are below the bound times its share: the dearest track by utility
 gets the whole bound, the cheapest `least_share` of it, so that bookings are the last to be rejected.
 docs/levels.md has the reasons and the test against a scripted core.
 """
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The controller's figures: `target_us` of lag, bounds on open visits, the period (us)."""
+    """The controller's figures: `target_us` of lag, bounds on open requests, the period (us)."""
 
     target_us: int = 25_000
     least: int = 8
@@ -40,7 +40,7 @@
 
 
 class Admission:
-    """The bound on open visits, and whether a visit of a given share may come in."""
+    """The bound on open requests, and whether a request of a given share may come in."""
 
     def __init__(self, bounds: Bounds, now: int = 0) -> None:
         self.bounds, self.limit = bounds, float(bounds.most)
@@ -50,7 +50,7 @@
         self.cuts = self.rises = 0
 
     def observe(self, now: int, lag_us: int, open: int, waiting: int = 0) -> None:
-        """What a turn of the loop saw: its lag (us), visits open, events that waited for it."""
+        """What a turn of the loop saw: its lag (us), requests open, events that waited for it."""
         self.lag_total += lag_us
         self.turns += 1
         self.peak_lag = max(self.peak_lag, lag_us)
--- a/hoistplank/levels/forms.py
+++ b/hoistplank/levels/forms.py
@@ -45,11 +45,11 @@
             doc="the same; all of them, and the dwell over, leave one level down",
         ),
         Field("dwell", span("0ms", "1h"), 30_000_000, doc="least time in the level, doubled by re-entries"),
-        Field("turn-back", TRACK, many=True, doc="tracks whose new visits are rejected at once"),
+        Field("turn-back", TRACK, many=True, doc="tracks whose new requests are rejected at once"),
         Field("every-part", TRACK, many=True, doc="of those, tracks whose later parts go too"),
         Field("old-first", TRACK, many=True, doc="tracks that take an old copy within its grace first"),
         Field("fills", number(0.05, 1), 1.0, doc="share of the room for fills that is left"),
-        Field("shots", whole(1, 16), 0, doc="attempts a visit at most"),
+        Field("shots", whole(1, 16), 0, doc="attempts a request at most"),
         Field("retries", number(0, 16), None, doc="further attempts per first attempt, here"),
     ),
     title=NAME,
@@ -58,8 +58,10 @@
 
 ADMISSION = Shape(
     (
-        Field("target-lag", span("1ms", "1s"), 25_000, doc="the loop's lag above which fewer visits come in"),
-        Field("least", whole(1, 100_000), 8, doc="visits that may always be open"),
+        Field(
+            "target-lag", span("1ms", "1s"), 25_000, doc="the loop's lag above which fewer requests come in"
+        ),
+        Field("least", whole(1, 100_000), 8, doc="requests that may always be open"),
         Field("period", span("10ms", "5s"), 100_000, doc="how often the bound is judged"),
         Field("waiting", whole(1, 1_000_000), 2_000, doc="events waiting for a turn that count as full"),
         Field("least-share", number(0.05, 1), 0.6, doc="of the bound, for the track that earns least"),
@@ -68,7 +70,7 @@
 
 LEVELS = Shape(
     (
-        Field("admission", ADMISSION, default=True, doc="the bound on open visits that follows the core"),
+        Field("admission", ADMISSION, default=True, doc="the bound on open requests that follows the core"),
         Field("retries", number(0, 16), 1.0, doc="further attempts per first attempt, 10 s; 0: no bound"),
         Field("every", span("10ms", "5s"), 100_000, doc="how often the readings are judged"),
         Field("calm", span("1s", "1h"), 120_000_000, doc="half-life of a level's penalty for each entry"),
@@ -212,7 +214,7 @@
 
 
 def tracks_known(section: Section, tracks: dict[str, str], faults: list[Fault]) -> None:
-    """Every track named is one of the settings', and bookings stay whole: a track whose visits may not
+    """Every track named is one of the settings', and bookings stay whole: a track whose requests may not
     always be sent again is never rejected by a level (nor held to fewer attempts, by the router). `tracks`:
     name -> semantics."""
     for level in section["level"]:
--- a/hoistplank/levels/signals.py
+++ b/hoistplank/levels/signals.py
@@ -17,13 +17,13 @@
 # that parent.
 SIGNALS: dict[str, tuple[str, int]] = {
     "lag": ("how late the loop runs, in ms", S // 2),
-    "open": ("visits open, as a share of what the admission lets in", S // 2),
-    "refused": ("share of visits shed because the core is full", 2 * S),
+    "open": ("requests open, as a share of what the admission lets in", S // 2),
+    "refused": ("share of requests shed because the core is full", 2 * S),
     "memory": ("resident memory, as a share of the limit", 5 * S),
     "descriptors": ("descriptors in use, as a share of the limit", 2 * S),
     "link": ("the location's link as its cache hosts report it, 1 is full", 2 * S),
-    "goal": ("share of utility of answered visits that came within the latency target", 5 * S),
-    "goal:": ("share of the track's visits answered within the latency target", 5 * S),
+    "goal": ("share of utility of answered requests that came within the latency target", 5 * S),
+    "goal:": ("share of the track's requests answered within the latency target", 5 * S),
     "fills": ("share of fills that came within the latency target", 5 * S),
     "fills:": ("share of fills through the parent that came within the latency target", 5 * S),
     "archive": ("how slow fills not caused by a purge are, against their own usual", 3 * S),
@@ -128,12 +128,12 @@
         self.purges: OrderedDict[str | int, int] = OrderedDict()
 
     def loop(self, now: int, lag_us: int, open_share: float) -> None:
-        """Once a turn, or as often as the caller likes: lateness of the loop, visits open."""
+        """Once a turn, or as often as the caller likes: lateness of the loop, requests open."""
         self.gauges.note(now, "lag", lag_us / 1_000)
         self.gauges.note(now, "open", open_share)
 
     def load_shed(self, now: int, shed: bool) -> None:
-        """Whether load shedding rejected a visit."""
+        """Whether load shedding rejected a request."""
         self.gauges.note(now, "refused", 1.0 if shed else 0.0)
 
     def resources(self, now: int, memory_share: float, descriptor_share: float) -> None:
@@ -144,7 +144,7 @@
         self.gauges.note(now, "link", fullness)
 
     def answered(self, now: int, track: str, in_target: bool) -> None:
-        """A visit that got its answer, served or not; `in_target`: served within its latency target."""
+        """A request that got its answer, served or not; `in_target`: served within its latency target."""
         self.gauges.note(now, f"goal:{track}", 1.0 if in_target else 0.0)
         self.gauges.note(now, "goal", 1.0 if in_target else 0.0, self.utility.get(track, 1.0))
 
--- a/hoistplank/membership/roster.py
+++ b/hoistplank/membership/roster.py
@@ -32,8 +32,8 @@
 
 # Evidence: `good` a probe was answered as it should be; `red` it said that it takes nothing new; `mute` no
 # connection
-# or no answer; `stranger` what answered is no cache host; `served` a visit was; `failed` too many of its last
-# visits
+# or no answer; `stranger` what answered is no cache host; `served` a request was; `failed` too many of its
+# last requests
 # were refused or failed; `spent` no more probes are worth it; `listed` and `unlisted` are the log's words.
 MOVES = {
     (KEPT, "good"): TENTATIVE,
@@ -61,8 +61,8 @@
 FIRST_REST_US, LONGEST_REST_US = 400_000, 10_000_000  # between probes of a host that did not answer
 LOOKS_A_SECOND = 50
 LOOK_AGAIN_US = 2_000_000  # between probes of one that did: a drain or an end that no log tells
-# Of the last visits of a host that is not listed, so many and this share refused or failed: it is as good as
-# drained.
+# Of the last requests of a host that is not listed, so many and this share refused or failed: it is as good
+# as drained.
 FAILS_LEAST, FAILS_SHARE, FAILS_KEPT = 6, 0.7, 20
 PROVEN_AFTER = 3
 
@@ -245,7 +245,7 @@
 
         Danger: with another start the Router would take a host that it has just got to know for a new
         process, close
-        its connections with visits on them, and begin its cold time anew.
+        its connections with requests on them, and begin its cold time anew.
         """
         told = self.starts.get(uid, 0)
         return boot_us if boot_us >= told else told
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -34,7 +34,7 @@
 HEARD_EVERY_US = 10_000_000  # an age this fine says all that a list's age can say
 LOOK_S = 0.02
 MOST_ANSWER = 256  # bytes of an answer to a probe
-# What ends of visits' attempts say of a host that no log vouches for. Ends that prove nothing are left out.
+# What ends of requests' attempts say of a host that no log vouches for. Ends that prove nothing are left out.
 SAYS = {
     "served": "served",
     "still_good": "served",
@@ -296,7 +296,7 @@
         )
 
     def _seen(self, attempt: Attempt, how: str) -> None:
-        """How visits fare there: the only sign of a drain that no log tells of."""
+        """How requests fare there: the only sign of a drain that no log tells of."""
         says = SAYS.get(how)
         if says is not None:
             self.roster.note(self.clock.now(), attempt.host, says)
@@ -355,6 +355,6 @@
     if not data:
         return "mute"
     if len(words) < 2 or words[0] != b"feel" or words[1] not in (b"green", b"red"):
-        # Danger: another service has that address now; a visit sent there would be anybody's.
+        # Danger: another service has that address now; a request sent there would be anybody's.
         return "stranger"
     return "good" if words[1] == b"green" else "red"
--- a/hoistplank/program/journal.py
+++ b/hoistplank/program/journal.py
@@ -1,4 +1,4 @@
-"""The log: structlog to standard output, a line an event; nothing is written per visit in normal running.
+"""The log: structlog to standard output, a line an event; nothing is written per request in normal running.
 
 Every line goes through `conceal`, the one place that keeps secrets out: whoever logs need not know what may
 hold one.
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -169,7 +169,7 @@
         for part in done:
             wrong = part.exception()
             if wrong is not None:
-                # Danger: a broken module or part would go on taking visits that it can't answer.
+                # Danger: a broken module or part would go on taking requests that it can't answer.
                 log.error("broken", part=part.get_name(), exc_info=wrong)
                 self.code = 1
                 await self._abandon()
@@ -212,7 +212,7 @@
 
     async def _phases(self) -> None:
         await self._until(lambda: self.listing.listed or self.provisional)
-        # What was known is with the module before any visit: both go through the owner's queue, in order.
+        # What was known is with the module before any request: both go through the owner's queue, in order.
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
@@ -248,12 +248,12 @@
         return not self.owner.open and not self.owner.queue and self.front.flushed()
 
     async def _abandon(self) -> None:
-        """The open visits of a broken program are failed, as far as that still works."""
-        for visit in list(self.owner.visits.values()):
-            if not visit.over:
-                visit.over = True
-                visit.exchange.fail()
-        self.owner.visits.clear()
+        """The open requests of a broken program are failed, as far as that still works."""
+        for request in list(self.owner.requests.values()):
+            if not request.over:
+                request.over = True
+                request.exchange.fail()
+        self.owner.requests.clear()
         until = self.loop.time() + 0.5
         while not self.front.flushed() and self.loop.time() < until:
             await asyncio.sleep(0.01)
--- a/hoistplank/protocol/fastcgi.py
+++ b/hoistplank/protocol/fastcgi.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class FastCgiRequest:
     """One request as its records come in; `spoiled` says why it can't be used, as soon as that is known."""
 
     number: int
@@ -53,7 +53,7 @@
 class Whole:
     """A request has come whole."""
 
-    request: Request
+    request: FastCgiRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +171,7 @@
     """
 
     def __init__(self, most_requests: int, shed: ShedCheck | None = None) -> None:
-        self.requests: dict[int, Request] = {}
+        self.requests: dict[int, FastCgiRequest] = {}
         self.whole: set[int] = set()
         self.most_requests, self.strays, self.shed = most_requests, 0, shed
         self.refused: dict[int, bool] = {}  # refused as they began, until STDIN ends: keep the line
@@ -243,7 +243,7 @@
         if refused is not None:
             self.parting = self.parting or not keep
             return at, refused
-        request = Request(
+        request = FastCgiRequest(
             number,
             RESPONDER,
             keep,
@@ -335,13 +335,13 @@
             return Whole(request)
         return None
 
-    def _spoil(self, request: Request, why: str) -> Whole:
+    def _spoil(self, request: FastCgiRequest, why: str) -> Whole:
         """Danger: what never ends would be stored or parsed to its end; it is told as soon as it is known."""
         request.spoiled = why
         self.whole.add(request.number)
         return Whole(request)
 
-    def _begin(self, number: int, content: bytearray, request: Request | None) -> Reply | None:
+    def _begin(self, number: int, content: bytearray, request: FastCgiRequest | None) -> Reply | None:
         if len(content) < 3:
             raise BadBytes("the start of a request is too short")
         if request is not None:
@@ -356,5 +356,5 @@
             if len(self.refused) < self.most_requests:
                 self.refused[number] = bool(content[2] & KEEP_CONN)
             return refused
-        self.requests[number] = Request(number, role, bool(content[2] & KEEP_CONN))
+        self.requests[number] = FastCgiRequest(number, role, bool(content[2] & KEEP_CONN))
         return None
--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Visits and attempts as the owner holds them, and what each way to end an attempt means to the Router."""
+"""Requests and attempts as the owner holds them, and what each way to end an attempt means to the Router."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Exchange(Protocol):
-    """The client's side of a visit. The first of these calls is its answer; it comes once."""
+    """The client's side of a request. The first of these calls is its answer; it comes once."""
 
     def succeed(self, body: bytes, unchanged: bool) -> None: ...
     def reject(self, wait_us: int) -> None: ...
@@ -42,8 +42,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Visit:
-    """A visit that was taken: what the client sent, and its attempts that are out."""
+class Request:
+    """A request that was taken: what the client sent, and its attempts that are out."""
 
     exchange: Exchange
     id: str
@@ -78,8 +78,8 @@
 class Attempt:
     """An attempt on its way: an errand of the pool's. Tells its owner once how it ended."""
 
-    def __init__(self, owner: Holder, visit: Visit, decision: Decision, now: int) -> None:
-        self.owner, self.visit, self.id, self.number = owner, visit, visit.id, decision.attempt
+    def __init__(self, owner: Holder, request: Request, decision: Decision, now: int) -> None:
+        self.owner, self.request, self.id, self.number = owner, request, request.id, decision.attempt
         self.host, self.source, self.decided = decision.host, decision.source, now
         self.begin_by = decision.begin_by_us
         self.began = asyncio.get_running_loop().time()
@@ -96,7 +96,7 @@
         Danger: a drain's grace, a cold budget, a purge's grace or the time in which a repeat is dropped
         passes while a connection is not yet up, or while its writes are held up.
         """
-        if self.over or self.visit.over or not self.owner.is_up(self.host):
+        if self.over or self.request.over or not self.owner.is_up(self.host):
             return False
         if self.source and not self.owner.is_up(self.source):
             return False
@@ -123,16 +123,16 @@
     answer: Answer | None
 
 
-def request(visit: Visit, decision: Decision) -> bytes:
+def request_message(request: Request, decision: Decision) -> bytes:
     """The bytes of an attempt. A cache host that is its own source is to fill nothing: no source is named."""
     fields = {
-        "queue": visit.track,
-        "path": visit.thing,
-        "blk": str(visit.part),
+        "queue": request.track,
+        "path": request.thing,
+        "blk": str(request.part),
         "budget": str(max(1, decision.within_us // 1000)),
     }
-    if visit.key:
-        fields["uniq"] = visit.key
+    if request.key:
+        fields["uniq"] = request.key
     if decision.source:
         if decision.source != decision.host:
             fields["parent"] = decision.source
@@ -144,6 +144,6 @@
         hints = ["wait-for"] * decision.join + ["background"] * decision.renew
         if hints:
             fields["hints"] = "+".join(hints)
-    if visit.holds:
-        fields["got"] = visit.holds
-    return cachewire.get(visit.id, fields, visit.body)
+    if request.holds:
+        fields["got"] = request.holds
+    return cachewire.get(request.id, fields, request.body)
--- a/hoistplank/routing/caches.py
+++ b/hoistplank/routing/caches.py
@@ -23,7 +23,7 @@
                 # nothing of the others: it is dropped, and the connection goes on.
                 errand = line.open.get(answer.id)
                 if isinstance(errand, Attempt):
-                    cachewire.check(answer, False, errand.visit.holds, errand.visit.kept)
+                    cachewire.check(answer, False, errand.request.holds, errand.request.kept)
                 elif isinstance(errand, Probe):
                     cachewire.check(answer, True, "", False)
                 if isinstance(errand, Attempt | Probe):
--- a/hoistplank/routing/front.py
+++ b/hoistplank/routing/front.py
@@ -11,7 +11,7 @@
 from hoistplank.interface import KEYED, Site
 from hoistplank.protocol import fastcgi
 from hoistplank.protocol.errors import BadBytes
-from hoistplank.routing.attempts import Visit
+from hoistplank.routing.attempts import Request
 from hoistplank.routing.complaints import Complaints
 from hoistplank.routing.owner import Came, Left, Owner
 from hoistplank.transport.connection import Connection, Consume
@@ -37,7 +37,7 @@
 
 
 class Refused(NamedTuple):
-    """Why a visit is not taken: the status, a short cause and how long to stay away."""
+    """Why a request is not taken: the status, a short cause and how long to stay away."""
 
     status: int
     cause: str
@@ -45,14 +45,14 @@
 
 
 class Authorizer(Protocol):
-    """Decides whether a caller's visit may be taken; a dispatcher without one takes them all."""
+    """Decides whether a caller's request may be taken; a dispatcher without one takes them all."""
 
-    def admit(self, identity: Any, fields: dict[str, str], visit: Visit, peer: str) -> Refused | None:
-        """Counts the visit as open, or returns why it is refused. `identity` is what the connection's
+    def admit(self, identity: Any, fields: dict[str, str], request: Request, peer: str) -> Refused | None:
+        """Counts the request as open, or returns why it is refused. `identity` is what the connection's
         handshake has proven."""
 
-    def ended(self, visit: Visit) -> None:
-        """A visit that was let in has had its answer, or its client is gone; told once."""
+    def ended(self, request: Request) -> None:
+        """A request that was let in has had its answer, or its client is gone; told once."""
 
 
 class Exchange:
@@ -94,9 +94,11 @@
         # Danger: load shedding is blind to who calls; one tenant's herd would have it shed all.
         shed = front.shed if front.authorizer is None else None
         self.front, self.reader = front, fastcgi.Reader(MOST_REQUESTS, shed)
-        self.open: dict[int, Visit | None] = {}
+        self.open: dict[int, Request | None] = {}
         self.peer, self.identity, self.leaving = peer, None, False
-        self.held_back: dict[int, Visit] = {}  # whole, and not taken up while too much waits for this client
+        self.held_back: dict[
+            int, Request
+        ] = {}  # whole, and not taken up while too much waits for this client
         self.connection = make(sock, self.consume, MOST_IN, MOST_OWED)
         loop = asyncio.get_running_loop()
         self.born, self.spoke, self.bad, self.counted, self.count = loop.time(), False, 0, 0, 1
@@ -144,98 +146,98 @@
             return
         self.ending = True
         self.front.complaints.tell("client connection given up", wrong=why)
-        for number, visit in list(self.open.items()):
-            if visit is not None:
-                visit.exchange.fail()
-                self.front.owner.tell(Left(visit))
+        for number, request in list(self.open.items()):
+            if request is not None:
+                request.exchange.fail()
+                self.front.owner.tell(Left(request))
             self.open.pop(number, None)
         self.held_back.clear()
         self.connection.deafen()
         self.connection.finish()
 
-    def _whole(self, request: fastcgi.Request) -> None:
-        exchange = Exchange(self, request.number, request.keep)
-        self.open[request.number] = None
+    def _whole(self, received: fastcgi.FastCgiRequest) -> None:
+        exchange = Exchange(self, received.number, received.keep)
+        self.open[received.number] = None
         self.count += 1
         try:
-            if request.spoiled:
-                raise BadBytes(request.spoiled)
-            fields = request.fields()
+            if received.spoiled:
+                raise BadBytes(received.spoiled)
+            fields = received.fields()
             if fields.get("SCRIPT_NAME", "") + fields.get("PATH_INFO", "") == HEALTH:
                 self.spoke = True
                 detail = self.front.health_detail().encode()
                 exchange.answer(200 if self.front.is_ready() else 503, (), detail)
                 return
-            visit = self.front.visit(exchange, fields, bytes(request.body))
+            request = self.front.request(exchange, fields, bytes(received.body))
         except BadBytes as wrong:
             # Answered at once, and nothing goes to a cache host.
             self.front.complaints.tell("request can't be used", wrong=str(wrong))
             exchange.answer(400, (), b"")
             self.bad += 1
-            if request.spoiled or self.bad >= MOST_BAD:
+            if received.spoiled or self.bad >= MOST_BAD:
                 self.give_up(str(wrong))
             return
-        request.body, request.params = bytearray(), bytearray()
+        received.body, received.params = bytearray(), bytearray()
         self.spoke = True
         if self.front.authorizer is not None:
-            refused = self.front.authorizer.admit(self.identity, fields, visit, self.peer)
+            refused = self.front.authorizer.admit(self.identity, fields, request, self.peer)
             if refused is not None:
                 exchange.refuse(refused, self.front.most_wait_us)
                 return
-            if not self.front.owner.admits(visit.track, True):
-                self._done(visit)
+            if not self.front.owner.admits(request.track, True):
+                self._done(request)
                 exchange.reject(self.front.owner.stay_away_us)
                 return
-        self.open[request.number] = visit
+        self.open[received.number] = request
         if self.connection.out_bytes > MOST_OUT:
             # Danger: a client that does not read what it is owed would fill the memory. It is read on all the
             # same: an end that nobody reads is an end that nobody sees, and its requests would be sent on.
-            self.held_back[request.number] = visit
+            self.held_back[received.number] = request
             self.connection.emptied = self._emptied
         else:
-            self.front.owner.tell(Came(visit))
+            self.front.owner.tell(Came(request))
 
     def _emptied(self) -> None:
         """All that waited for this client has been written."""
         held, self.held_back = self.held_back, {}
-        for visit in held.values():
-            self.front.owner.tell(Came(visit))
+        for request in held.values():
+            self.front.owner.tell(Came(request))
         if self.leaving and self.idle():
             self.connection.finish()
 
     def release(self, now: int) -> None:
         """What is held back and nearly out of time is taken up after all, to be answered in time."""
-        for number, visit in list(self.held_back.items()):
-            if visit.until - now < LAST_ANSWER_US:
+        for number, request in list(self.held_back.items()):
+            if request.until - now < LAST_ANSWER_US:
                 del self.held_back[number]
-                self.front.owner.tell(Came(visit))
+                self.front.owner.tell(Came(request))
 
     def _aborted(self, event: fastcgi.Aborted) -> None:
-        visit = self.open.pop(event.number, None)
-        if visit is not None:
+        request = self.open.pop(event.number, None)
+        if request is not None:
             self.held_back.pop(event.number, None)
-            self.front.owner.tell(Left(visit))
-            self._done(visit)
+            self.front.owner.tell(Left(request))
+            self._done(request)
         self.connection.send(fastcgi.ended(event.number, 1))
 
     def answer(self, exchange: Exchange, data: bytes) -> None:
         if exchange.number not in self.open:
             return  # aborted meanwhile: no answer is owed, and the number may stand for another request
-        visit = self.open[exchange.number]
-        if visit is not None and visit.exchange is not exchange:
+        request = self.open[exchange.number]
+        if request is not None and request.exchange is not exchange:
             return
         del self.open[exchange.number]
         self.reader.done(exchange.number)
         self._account()
         self.connection.send(data)
-        if visit is not None:
-            self._done(visit)
+        if request is not None:
+            self._done(request)
         if not exchange.keep:
             self.leave()
 
-    def _done(self, visit: Visit) -> None:
+    def _done(self, request: Request) -> None:
         if self.front.authorizer is not None:
-            self.front.authorizer.ended(visit)
+            self.front.authorizer.ended(request)
 
     def leave(self, silent_too: bool = True) -> None:
         """Ends this connection once all that is open on it has been answered, and the answers are out."""
@@ -248,7 +250,7 @@
         return len(self.reader.requests) > len(self.reader.whole) or connection.start < connection.end
 
     def idle(self) -> bool:
-        """Danger: on a full core a request may lie unread for long; a close on it loses a taken visit."""
+        """Danger: on a full core a request may lie unread for long; a close on it loses a taken request."""
         if not (self.reader.requests or self.connection.out_bytes or self.unfinished()):
             self.connection.look()
         return not (self.reader.requests or self.connection.out_bytes or self.unfinished())
@@ -282,10 +284,10 @@
         wrong = None if task.cancelled() else task.exception() or task.result()
         if wrong is not None and not isinstance(wrong, OSError):
             self.front.complaints.tell("client connection closed", wrong=str(wrong) or type(wrong).__name__)
-        for visit in self.open.values():
-            if visit is not None:
-                self.front.owner.tell(Left(visit))
-                self._done(visit)
+        for request in self.open.values():
+            if request is not None:
+                self.front.owner.tell(Left(request))
+                self._done(request)
         self.open.clear()
 
 
@@ -324,8 +326,8 @@
         self.sessions[session] = None
         return session
 
-    def visit(self, exchange: Exchange, fields: dict[str, str], body: bytes) -> Visit:
-        """A request's fields as a visit; raises BadBytes naming the field that can't be used."""
+    def request(self, exchange: Exchange, fields: dict[str, str], body: bytes) -> Request:
+        """A request's fields as a request; raises BadBytes naming the field that can't be used."""
         now = self.owner.clock.now()
         script = fields.get("SCRIPT_NAME", "")
         tariff = self.tracks.get(script[len(PATH) :]) if script.startswith(PATH) else None
@@ -348,7 +350,7 @@
         again = fields.get("HTTP_X_RESENT", "")
         if again not in ("", "1"):
             raise BadBytes(f"X-Resent '{again[:60]}' is not 1")
-        return Visit(
+        return Request(
             exchange,
             id,
             tariff.name,
--- a/hoistplank/routing/owner.py
+++ b/hoistplank/routing/owner.py
@@ -16,7 +16,7 @@
 from hoistplank.levels.signals import Watch
 from hoistplank.protocol import cachewire
 from hoistplank.protocol.changelog import Target
-from hoistplank.routing.attempts import ENDINGS, Attempt, Ended, Visit, request
+from hoistplank.routing.attempts import ENDINGS, Attempt, Ended, Request, request_message
 from hoistplank.routing.clock import Clock
 from hoistplank.transport.pool import Line, Pool
 
@@ -24,11 +24,11 @@
 
 
 class Came(NamedTuple):
-    visit: Visit
+    request: Request
 
 
 class Left(NamedTuple):
-    visit: Visit
+    request: Request
 
 
 class Late(NamedTuple):
@@ -57,7 +57,7 @@
 
 
 class Closing(NamedTuple):
-    """Visits are to be over by then."""
+    """Requests are to be over by then."""
 
     by_us: int
 
@@ -122,14 +122,14 @@
         self.stale_us = site.rules.connect_us + 100_000
         self.pool: Pool | None = None
         self.posts: dict[str, Post] = {}
-        self.open = 0  # of the visits, those that are not over; the rest only has attempts out
-        self.visits: dict[str, Visit] = {}
+        self.open = 0  # of the requests, those that are not over; the rest only has attempts out
+        self.requests: dict[str, Request] = {}
         self.queue: deque[Event] = deque()
         self.closing_by, self.probes = 0, 0
         self.seen_ended: Callable[[Attempt, str], None] | None = None  # who else learns how attempts end
         # Asked before each turn where the list may have gone stale: what is to be told to the Router first.
         self.before_turn: Callable[[int], Listed | None] | None = None
-        # The bound on open visits that follows what the core carries; the settings' cap is its ceiling.
+        # The bound on open requests that follows what the core carries; the settings' cap is its ceiling.
         bounds = Bounds(target_us=_target_us(site), least=min(8, self.open_cap), most=self.open_cap)
         self.admission = Admission(bounds, clock.now())
         dearest = max(row.utility for row in site.tariffs)
@@ -169,14 +169,14 @@
         self._wake.set()
 
     def cap(self, track: str) -> int:
-        """How many visits may be open in all for one more of a track to come in, where an authorizer shares
+        """How many requests may be open in all for one more of a track to come in, where an authorizer shares
         them out: the settings' cap, or the track's share of the bound while that is below it."""
         admission = self.admission
         return int(admission.limit * self.shares.get(track, 1.0)) if admission.binding() else self.open_cap
 
     def admits(self, track: str, shared_out: bool = False) -> bool:
-        """Whether the core has room for one more visit of a track, or of the dearest where none is known yet;
-        one that is not admitted is shed at once by the caller, and counted here. `shared_out`: an
+        """Whether the core has room for one more request of a track, or of the dearest where none is known
+        yet; one that is not admitted is shed at once by the caller, and counted here. `shared_out`: an
         authorizer has let it in, by `cap`."""
         share = 1.0 if shared_out and not self.admission.binding() else self.shares.get(track, 1.0)
         if self.admission.admits(self.open, share):
@@ -215,8 +215,8 @@
         if self.watch is not None:
             self.watch.loop(now, self.lag_us, self.open / max(1.0, self.admission.limit))
         if self.lag_us > self.admission.bounds.target_us:
-            # Late: what ends attempts first, then new visits, the dearest first, so that answers are not left
-            # lying while cheap visits are taken.
+            # Late: what ends attempts first, then new requests, the dearest first, so that answers are not
+            # left lying while cheap requests are taken.
             events, self.queue = sorted(self.queue, key=self._order), deque()
         else:
             events = [self.queue.popleft() for _ in range(waiting)]
@@ -226,53 +226,61 @@
             self._act[decision.act](now, decision)
 
     def _order(self, event: Event) -> float:
-        return -self.tariffs[event.visit.track].utility if isinstance(event, Came) else -1e18
+        return -self.tariffs[event.request.track].utility if isinstance(event, Came) else -1e18
 
     # What is told to the Router.
 
     def _came(self, now: int, event: Came) -> None:
-        visit = event.visit
-        if visit.over:
+        request = event.request
+        if request.over:
             return
-        if visit.id in self.visits:
-            # Danger: an id comes again while its visit is open, or has attempts out: their ends would be
+        if request.id in self.requests:
+            # Danger: an id comes again while its request is open, or has attempts out: their ends would be
             # taken for those of the new one. The open one is untouched.
-            visit.over = True
-            visit.exchange.fail()
+            request.over = True
+            request.exchange.fail()
             return
-        self.visits[visit.id] = visit
+        self.requests[request.id] = request
         self.open += 1
-        until = min(visit.until, self.closing_by) if self.closing_by else visit.until
-        self.router.visit_came(
-            now, visit.id, visit.track, visit.thing, visit.part, visit.group, 0.0, until, visit.again
+        until = min(request.until, self.closing_by) if self.closing_by else request.until
+        self.router.request_arrived(
+            now,
+            request.id,
+            request.track,
+            request.thing,
+            request.part,
+            request.group,
+            0.0,
+            until,
+            request.again,
         )
 
     def _left(self, now: int, event: Left) -> None:
-        visit = event.visit
-        if self.visits.get(visit.id) is not visit:
-            # Danger: while late, an end is told before the visit it ends; counted out and never in, the count
-            # of open ones would fall below what is open, and an end in order would wait for it in vain.
-            visit.over = True
-        elif not visit.over:
+        request = event.request
+        if self.requests.get(request.id) is not request:
+            # Danger: while late, an end is told before the request it ends; counted out and never in, the
+            # count of open ones would fall below what is open, and an end in order would wait for it in vain.
+            request.over = True
+        elif not request.over:
             self.counts["left"] += 1
-            self._over(visit)
-            self.router.client_left(now, visit.id)
+            self._over(request)
+            self.router.client_left(now, request.id)
 
-    def _over(self, visit: Visit, served: int = -1) -> None:
-        """`served`: how long a served visit took from its taking (us); -1 where it was not served."""
+    def _over(self, request: Request, served: int = -1) -> None:
+        """`served`: how long a served request took from its taking (us); -1 where it was not served."""
         if self.watch is not None:
-            track = self.tariffs[visit.track]
-            target = min(track.deadline_us, track.target_us + track.target_stretch * visit.send_us)
-            self.watch.answered(self.clock.now(), visit.track, 0 <= served <= target)
-        visit.over = True
-        visit.body = b""
+            track = self.tariffs[request.track]
+            target = min(track.deadline_us, track.target_us + track.target_stretch * request.send_us)
+            self.watch.answered(self.clock.now(), request.track, 0 <= served <= target)
+        request.over = True
+        request.body = b""
         self.open -= 1
-        self._forget(visit)
+        self._forget(request)
 
-    def _forget(self, visit: Visit) -> None:
-        """A visit is gone once it is over and none of its attempts is out."""
-        if visit.over and not visit.attempts and self.visits.get(visit.id) is visit:
-            del self.visits[visit.id]
+    def _forget(self, request: Request) -> None:
+        """A request is gone once it is over and none of its attempts is out."""
+        if request.over and not request.attempts and self.requests.get(request.id) is request:
+            del self.requests[request.id]
 
     def _late(self, now: int, event: Late) -> None:
         self._give_up(now, event.attempt, "late", "not up")
@@ -287,47 +295,47 @@
         attempt, how, answer = event
         if attempt.over:
             return
-        attempt.over, visit = True, attempt.visit
+        attempt.over, request = True, attempt.request
         if self.seen_ended is not None:
             self.seen_ended(attempt, how)
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None  # it refers back to the attempt
-        visit.attempts.pop(attempt.number, None)
+        request.attempts.pop(attempt.number, None)
         result = ENDINGS[how]
         took = (attempt.ended_at or now) - attempt.begun_at
         # Danger: an answer that lay unread while the loop ran late would count against its host.
         took -= min(self.lag_us, took // 2)
-        if result == Result.SUCCEEDED and answer is not None and not visit.over:
+        if result == Result.SUCCEEDED and answer is not None and not request.over:
             if self.stream_kb_s > 0:
-                visit.send_us = len(answer.body) / self.stream_kb_s * 1_000
-            self._over(visit, now - visit.taken)
+                request.send_us = len(answer.body) / self.stream_kb_s * 1_000
+            self._over(request, now - request.taken)
             self.counts["succeeded"] += 1
-            visit.exchange.succeed(answer.body, how == "still_good")
+            request.exchange.succeed(answer.body, how == "still_good")
         report = answer.report(self.report_names) if answer and self.reports_in_answers else []
         if self.watch is not None and answer is not None:
             self._watched(now, attempt, answer.note(), took, report)
         self.router.attempt_ended(
             now,
-            visit.id,
+            request.id,
             attempt.number,
             result,
-            visit.over,
+            request.over,
             took,
             -1,
             answer.note() if answer else 0,
             report,
         )
-        self._forget(visit)
+        self._forget(request)
 
     def _watched(self, now: int, attempt: Attempt, note: int, took: int, report: list[float]) -> None:
         assert self.watch is not None
-        visit = attempt.visit
+        request = attempt.request
         if note in FILLED and attempt.source and attempt.source != attempt.host:
-            track = self.tariffs[visit.track]
-            in_time = took <= min(track.deadline_us, track.target_us + track.target_stretch * visit.send_us)
-            slowed = took / (visit.send_us + 100_000)  # a fill's way: 0.1 s, as the Router reckons it
-            self.watch.filled(now, attempt.source, visit.thing, visit.group, in_time, slowed)
+            track = self.tariffs[request.track]
+            in_time = took <= min(track.deadline_us, track.target_us + track.target_stretch * request.send_us)
+            slowed = took / (request.send_us + 100_000)  # a fill's way: 0.1 s, as the Router reckons it
+            self.watch.filled(now, attempt.source, request.thing, request.group, in_time, slowed)
         for name, figure in zip(self.report_names, report, strict=False):
             if name == "link_full":
                 self.watch.link(now, figure)
@@ -379,22 +387,22 @@
         self.closing_by = event.by_us
 
     def _closed(self, now: int, event: Closed) -> None:
-        for visit in [visit for visit in self.visits.values() if not visit.over]:
-            self._over(visit)
+        for request in [request for request in self.requests.values() if not request.over]:
+            self._over(request)
             self.counts["failed"] += 1
-            visit.exchange.fail()
-            self.router.client_left(now, visit.id)
+            request.exchange.fail()
+            self.router.client_left(now, request.id)
 
     # What the Router decides.
 
     def _attempt(self, now: int, decision: Decision) -> None:
-        visit = self.visits[decision.visit]
-        attempt = Attempt(self, visit, decision, now)
-        visit.attempts[attempt.number] = attempt
+        request = self.requests[decision.request]
+        attempt = Attempt(self, request, decision, now)
+        request.attempts[attempt.number] = attempt
         self.counts["attempts"] += 1
         loop = asyncio.get_running_loop()
         attempt.timer = loop.call_later(decision.within_us / 1e6, self.tell, Late(attempt))
-        attempt.line = self._send(decision.host, attempt, request(visit, decision))
+        attempt.line = self._send(decision.host, attempt, request_message(request, decision))
 
     def _send(self, host: str, errand: Attempt | Probe, data: bytes) -> Line | None:
         post = self.posts.get(host)
@@ -404,20 +412,20 @@
         return line
 
     def _reject(self, now: int, decision: Decision) -> None:
-        visit = self.visits[decision.visit]
-        self._over(visit)
+        request = self.requests[decision.request]
+        self._over(request)
         self.counts["rejected"] += 1
-        visit.exchange.reject(decision.wait_us)
+        request.exchange.reject(decision.wait_us)
 
     def _fail(self, now: int, decision: Decision) -> None:
-        visit = self.visits[decision.visit]
-        self._over(visit)
+        request = self.requests[decision.request]
+        self._over(request)
         self.counts["failed"] += 1
-        visit.exchange.fail()
+        request.exchange.fail()
 
     def _withdraw(self, now: int, decision: Decision) -> None:
-        visit = self.visits.get(decision.visit)
-        attempt = visit.attempts.get(decision.attempt) if visit else None
+        request = self.requests.get(decision.request)
+        attempt = request.attempts.get(decision.attempt) if request else None
         if attempt is not None and not attempt.over:
             line = attempt.line
             sent = line is not None and line.give_up(attempt.id, cachewire.drop(attempt.id), attempt.began)
--- a/hoistplank/standins/caches.py
+++ b/hoistplank/standins/caches.py
@@ -1,4 +1,5 @@
-"""Cache hosts, parents and an origin that keep copies and fill misses from the source that a visit names."""
+"""Cache hosts, parents and an origin that keep copies and fill misses from the source that a request
+names."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
     purged: dict[str, tuple[int, float]] = field(
         default_factory=dict
     )  # object: Unix ms, and until when old ones may go
-    stale: list[str] = field(default_factory=list)  # visits that were answered with what was purged by then
+    stale: list[str] = field(default_factory=list)  # requests that were answered with what was purged by then
 
 
 def content(thing: str, part: str, size: int) -> bytes:
@@ -31,7 +32,7 @@
 class Server:
     """One cache host, parent or origin. `takes_s` is how long it works on an answer of its own.
 
-    Bookings (visits with `uniq`) run at the origin once for each key within three seconds; `ran` counts the
+    Bookings (requests with `uniq`) run at the origin once for each key within three seconds; `ran` counts the
     runs of
     each key, which is the truth that a checker looks at.
     """
@@ -40,7 +41,7 @@
         self.uid, self.kind, self.directory, self.takes_s, self.keeps = uid, kind, directory, takes_s, keeps
         self.copies: OrderedDict[tuple[str, str], tuple[bytes, int]] = OrderedDict()
         self.filling: dict[tuple[str, str], asyncio.Future[tuple[bytes, int]]] = {}
-        self.seen: list[tuple[float, str, str]] = []  # when, the visit's id, the note of its answer
+        self.seen: list[tuple[float, str, str]] = []  # when, the request's id, the note of its answer
         self.ran: dict[str, list[float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.port, self.ping = 0, "green"
@@ -98,7 +99,7 @@
         self._write(id, note, held[0], held[1], writer)
 
     def _young(self, place: tuple[str, str], fields: dict[str, str]) -> tuple[bytes, int] | None:
-        """The copy that is kept, if it is no older than the visit takes it."""
+        """The copy that is kept, if it is no older than the request takes it."""
         held, most_ms = self.copies.get(place), int(fields.get("accept", "0"))
         return None if held is not None and most_ms and time.time() * 1e3 - held[1] > most_ms else held
 
--- a/hoistplank/standins/first.py
+++ b/hoistplank/standins/first.py
@@ -1,4 +1,4 @@
-"""What the decision module chooses for a first visit, for those that are held against it."""
+"""What the decision module chooses for a first request, for those that are held against it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 def first_choice(router: Router, now: int, number: int, track: str, thing: str, part: int) -> str:
-    """The cache host to which a first visit for an object's part goes at `now` (us); "" for none.
+    """The cache host to which a first request for an object's part goes at `now` (us); "" for none.
 
-    The visit is taken back at once: attempts that never end would fill a host's room, and the module would
+    The request is taken back at once: attempts that never end would fill a host's room, and the module would
     turn to the next.
     """
     id, found, attempt = f"first-{number}", "", -1
-    router.visit_came(now, id, track, thing, part, 0, 0.0, now + OUTER_US, False)
+    router.request_arrived(now, id, track, thing, part, 0, 0.0, now + OUTER_US, False)
     while (decision := router.next_decision(now)) is not None:
-        if decision.act == "attempt" and decision.visit == id:
+        if decision.act == "attempt" and decision.request == id:
             found, attempt = decision.host, decision.attempt
     router.client_left(now, id)
     if attempt >= 0:
--- a/hoistplank/standins/load.py
+++ b/hoistplank/standins/load.py
@@ -1,4 +1,4 @@
-"""Visits sent at a rate over kept connections, each answer with its time; and clients that misbehave."""
+"""Requests sent at a rate over kept connections, each answer with its time; and clients that misbehave."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Sent:
-    """One visit: what it was sent as, and how it was answered (status 0: it was not)."""
+    """One request: what it was sent as, and how it was answered (status 0: it was not)."""
 
     id: str
     kind: str
--- a/hoistplank/transport/pool.py
+++ b/hoistplank/transport/pool.py
@@ -235,8 +235,8 @@
         if best is None or best.open:
             share = self.ledger.most["cache host"] // (len(self.lines) + 1)
             most = max(1, min(MOST_LINES, share, self.spread))
-            # Danger: a visit that looks, fills and goes again has its id on several lines. Where none is left
-            # for it, another is opened: else it would use up its attempts with none sent.
+            # Danger: a request that looks, fills and goes again has its id on several lines. Where none is
+            # left for it, another is opened: else it would use up its attempts with none sent.
             must = best is None or len(best.open) >= self.streams
             if len(lines) < (max(most, share) if must else most) and self.ledger.take("cache host"):
                 best = Line(self, host, address)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -58,7 +58,7 @@
 def light_heap() -> None:
     """Danger: a dispatcher inside the test process shares its heap; after the laboratory's tests one pass of
     the collector stops the loop for 50 ms and more, which the dispatcher takes for a full core, and it turns
-    visits back."""
+    requests back."""
     gc.unfreeze()
     gc.collect()
     gc.freeze()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -132,10 +132,10 @@
                 since = int(started[0]) * 1000 if started else 0
                 entries.append(HostEntry(host, zone, kind, 0, 5.0, since, state))
             r.hosts_listed(now, words[0], entries)
-        elif name == "visit":  # visit ID TRACK THING [part= group= kb= until_ms= again=yes]
+        elif name == "visit":  # request ID TRACK THING [part= group= kb= until_ms= again=yes]
             p = pairs(words[3:])
             until = int(p.get("until_ms", now // 1000 + 2_500)) * 1000
-            r.visit_came(
+            r.request_arrived(
                 now,
                 words[0],
                 words[1],
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: times both ways, a launch and a visit over the wire, plain messages on what is malformed."""
+"""The adapter: times both ways, a launch and a request over the wire, plain messages on what is malformed."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     "PEERS_KNOWN dispatcher_id=d/1 form=warm_copy buffer=3",
     "SHEET buffer=3 members_list=0",
 ]
-VISIT = "DEMAND request_id=00ff file=ab lane=page give_up_at=4.5 dispatcher_id=d/1"
+REQUEST = "DEMAND request_id=00ff file=ab lane=page give_up_at=4.5 dispatcher_id=d/1"
 
 
 def play(*lines: str) -> list[str]:
@@ -31,15 +31,15 @@
     assert seconds(micros(text, "time")) == text
 
 
-def test_visit_is_answered_from_its_own_list() -> None:
-    reply = play(LAUNCH, *LIST, VISIT)[0].split("\n")
+def test_request_is_answered_from_its_own_list() -> None:
+    reply = play(LAUNCH, *LIST, REQUEST)[0].split("\n")
     attempt = "SERVE_VIA dispatcher_id=d/1 request_id=00ff host=a:1 within=2 miss_from=o:1 retain=2"
     assert reply[0].startswith(attempt)
     assert reply[-2:] == ["DONE", ""]
 
 
 def test_stopped_instance_says_nothing() -> None:
-    assert play(LAUNCH, *LIST, VISIT, "HALT dispatcher_id=d/1") == ["DONE\n"]
+    assert play(LAUNCH, *LIST, REQUEST, "HALT dispatcher_id=d/1") == ["DONE\n"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -41,7 +41,7 @@
 
 
 class Scene:
-    """A gate with two members; `ask` is one visit."""
+    """A gate with two members; `ask` is one request."""
 
     def __init__(self, *signers: Signer, **terms: Any) -> None:
         rights = BITS["read"] | BITS["book"] | BITS["purge"]
@@ -81,8 +81,8 @@
         source: str = "s",
     ) -> Caller | Refusal:
         held = f"Bearer {token}" if token else ""
-        visit = SimpleNamespace(track=track, thing="aa" * 8, group=group, key=op)
-        return self.gate.admit(self.now, identity, held, source, visit, bool(op), 6 * S, room)
+        request = SimpleNamespace(track=track, thing="aa" * 8, group=group, key=op)
+        return self.gate.admit(self.now, identity, held, source, request, bool(op), 6 * S, room)
 
     def keys(self, *signers: Signer) -> None:
         held = self.gate.issuers[ISS]
@@ -235,7 +235,7 @@
     assert isinstance(scene.ask(token), Caller)
 
 
-def test_a_visit_in_hand_keeps_its_caller_when_its_tenant_goes() -> None:
+def test_a_request_in_hand_keeps_its_caller_when_its_tenant_goes() -> None:
     scene = Scene()
     found = scene.ask(OLD.token("coast-1"))
     assert isinstance(found, Caller)
@@ -429,7 +429,7 @@
         if what == "take" and name in accounts.rows and name in accounts.known:
             tokens, at = min(3.0, tokens + (now - at) * 5e-6), now
             full = model[name] >= limits[name][2]
-            want = "open visits" if full else "rate" if name == "a" and tokens < 0.9999999 else ""
+            want = "open requests" if full else "rate" if name == "a" and tokens < 0.9999999 else ""
             if abs(tokens - 1.0) > 1e-6 or name == "b":
                 found, wait = accounts.take(name, now, 0)
                 assert found == want and (wait > 0) == bool(found)
