--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -83,7 +83,7 @@
         track: str = "page",
         **fields: str,
     ) -> tuple[int, str]:
-        """One visit: the status, and why it was refused."""
+        """One request: the status, and why it was refused."""
         for _ in range(20):
             told = await self._asked(token, client, group, track, fields)
             if told != (503, ""):  # the module's own rejecting is not the subject here
@@ -125,7 +125,7 @@
         return int(head.split()[1]), json.loads(told)
 
 
-def test_tokens_on_the_plain_listener_and_nothing_of_a_refused_visit_goes_on(tmp_path: Path) -> None:
+def test_tokens_on_the_plain_listener_and_nothing_of_a_refused_request_goes_on(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Known(tmp_path) as place:
             assert await place.ask() == (401, "no credentials")
@@ -139,7 +139,7 @@
     run(scene())
 
 
-def test_a_key_change_with_visits_in_flight_refuses_nobody(tmp_path: Path) -> None:
+def test_a_key_change_with_requests_in_flight_refuses_nobody(tmp_path: Path) -> None:
     held: list[str] = []
     released = asyncio.Event()
 
@@ -173,7 +173,7 @@
             write_keys(tmp_path / "ring.json", OLD.jwk("retired"), NEW.jwk())
             await until(lambda: "k1" not in place.callers.gate.issuers["https://id.example"].keys)
             assert await place.ask(OLD.token("coast-2")) == (401, "token key")
-            # The first visit is still out: its key's end does not strike it.
+            # The first request is still out: its key's end does not strike it.
             assert place.callers.gate.accounts.total == 1
             released.set()
             number, status, _, _ = await client.answer()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -92,7 +92,7 @@
             routers[number], lives[number] = started(number, now), lives[number] + 1
         router = routers[number]
         if what == "came":
-            router.visit_came(now, str(token), "page", f"t{token}", 0, 0, 0.0, now + 2_500_000, False)
+            router.request_arrived(now, str(token), "page", f"t{token}", 0, 0, 0.0, now + 2_500_000, False)
         elif life != lives[number]:
             continue  # of a process that is gone
         elif what == "ended":
@@ -104,7 +104,7 @@
                 later(now + decision.wait_us, "due", number, (lives[number], "", decision.token))
             elif decision.act == "attempt":
                 sent += [now] * ((decision.host if cold == "cache" else decision.source) == cold[0])
-                later(now + SEND, "ended", number, (lives[number], decision.visit, decision.attempt))
+                later(now + SEND, "ended", number, (lives[number], decision.request, decision.attempt))
     return sent
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -63,7 +63,7 @@
     return None
 
 
-def request(
+def request_bytes(
     number: int, name: str = "page", fields: dict[str, str] | None = None, body: bytes = b""
 ) -> bytes:
     """The bytes of a request, for those who send them themselves."""
@@ -280,7 +280,7 @@
         async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             with raw_of(dispatcher.client) as raw:
-                crossing(dispatcher, lambda: raw.send(request(2)))
+                crossing(dispatcher, lambda: raw.send(request_bytes(2)))
                 dispatcher.service.terminated.set()
                 number, status, _, body = await asyncio.wait_for(dispatcher.client.answer(), 5)
             assert (number, status, body) == (2, 200, BODY)
@@ -297,7 +297,7 @@
             dispatcher.service.terminated.set()
             assert await dispatcher.client.reader.read() == b""
             with raw_of(dispatcher.client) as raw:
-                raw.send(request(2))
+                raw.send(request_bytes(2))
             await asyncio.wait_for(asyncio.shield(dispatcher.task), 5)
             assert [id for id, _, _ in box.seen] == [f"{1:016x}"]
 
@@ -312,7 +312,7 @@
 
             def step() -> None:
                 late.connect(dispatcher.service.listener.sock.getsockname())
-                late.send(request(2))
+                late.send(request_bytes(2))
 
             crossing(dispatcher, step)
             dispatcher.service.terminated.set()
@@ -343,7 +343,7 @@
         async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             half = await dispatcher.connect()
-            half.writer.write(request(1)[:50])
+            half.writer.write(request_bytes(1)[:50])
             dispatcher.service.terminated.set()
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
             dispatcher.service.terminated.set()
@@ -362,7 +362,7 @@
                 *dispatcher.service.listener.sock.getsockname(), limit=4_096
             )
             for number in range(1, 9):
-                writer.write(request(number, fields={"HTTP_X_CHUNK": str(number)}))
+                writer.write(request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             await until(lambda: dispatcher.service.owner.counts["succeeded"] == 8)
             dispatcher.service.terminated.set()
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
@@ -398,14 +398,14 @@
         async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             loop, sock = asyncio.get_running_loop(), await narrow(dispatcher)
             late = {"HTTP_X_CHUNK": "9", "HTTP_X_DEADLINE_MS": "2400"}
-            await loop.sock_sendall(sock, request(32, fields=late))
+            await loop.sock_sendall(sock, request_bytes(32, fields=late))
             await until(lambda: len(box.seen) == 1)
             for number in range(1, 31):
-                await loop.sock_sendall(sock, request(number, fields={"HTTP_X_CHUNK": "1"}))
+                await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": "1"}))
             session = next(each for each in dispatcher.service.front.sessions if each.open)
             await until(lambda: session.connection.out_bytes > 2 << 20)
             # What comes once too much waits is read, and so is what comes after it.
-            await loop.sock_sendall(sock, request(31, fields={"HTTP_X_CHUNK": "1"}))
+            await loop.sock_sendall(sock, request_bytes(31, fields={"HTTP_X_CHUNK": "1"}))
             await until(lambda: 31 in session.open)
             await loop.sock_sendall(sock, fastcgi.record(fastcgi.ABORT, 32))
             began = loop.time()
@@ -422,12 +422,12 @@
         async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             loop, sock = asyncio.get_running_loop(), await narrow(dispatcher)
             for number in range(1, 31):
-                await loop.sock_sendall(sock, request(number, fields={"HTTP_X_CHUNK": str(number)}))
+                await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             session = await only(dispatcher)
             await until(lambda: session.connection.out_bytes > 2 << 20 and not session.open)
             seen = len(box.seen)
             for number in (31, 32):
-                await loop.sock_sendall(sock, request(number, fields={"HTTP_X_CHUNK": str(number)}))
+                await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             await until(lambda: len(session.held_back) == 2)
             assert len(box.seen) == seen
             session.held_back[31].until = Clock().now() + 100_000  # its time is nearly over
@@ -449,7 +449,7 @@
     return next(each for each in dispatcher.service.front.sessions if each.spoke)
 
 
-def test_an_end_that_is_told_before_its_visit_counts_nothing(tmp_path: Path) -> None:
+def test_an_end_that_is_told_before_its_request_counts_nothing(tmp_path: Path) -> None:
     """While late, the owner takes what ends before what comes."""
 
     async def scene() -> None:
@@ -457,7 +457,7 @@
             assert (await dispatcher.ask(1, "page"))[0] == 200
             session, owner = await only(dispatcher), dispatcher.service.owner
             nobody: Any = None
-            visit = dispatcher.service.front.visit(
+            request = dispatcher.service.front.request(
                 nobody,
                 {
                     "SCRIPT_NAME": "/api/v2/page",
@@ -468,10 +468,10 @@
                 b"",
             )
             owner.lag_us = 100_000
-            owner.tell(Came(visit))
-            owner.tell(Left(visit))
+            owner.tell(Came(request))
+            owner.tell(Left(request))
             owner.turn()
-            assert owner.open == 0 and not owner.visits and session.front.flushed()
+            assert owner.open == 0 and not owner.requests and session.front.flushed()
 
     run(scene())
 
@@ -531,7 +531,7 @@
                 await until(lambda: not owner.open)
             gate.open.set()
             if what.startswith("client"):
-                await until(lambda: not owner.visits)
+                await until(lambda: not owner.requests)
             else:
                 # Where another way is left it is taken: the other host, or this one with no source to fill
                 # from.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -412,11 +412,11 @@
         late = [0]
 
         def answered(
-            now: int, visit: Any, how: str, metrics: FleetMetrics = metrics, late: list[int] = late
+            now: int, request: Any, how: str, metrics: FleetMetrics = metrics, late: list[int] = late
         ) -> None:
-            if visit.seat == 0 and 3_050_000 < now < 4_900_000 and how == "served":
+            if request.seat == 0 and 3_050_000 < now < 4_900_000 and how == "served":
                 late[0] += 1
-            FleetMetrics.answered(metrics, now, visit, how)
+            FleetMetrics.answered(metrics, now, request, how)
 
         metrics.answered = answered  # type: ignore[method-assign]
         world.run()
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -11,7 +11,7 @@
 from hoistplank.lab.broken import BROKEN
 from hoistplank.lab.drives.virtual import built, digest
 from hoistplank.lab.model.agenda import Agenda
-from hoistplank.lab.model.clients import LAST_US, SERVED, Clients, Visit
+from hoistplank.lab.model.clients import LAST_US, SERVED, Clients, Request
 from hoistplank.lab.model.faults import DAYS, KINDS, checked, drawn, script
 from hoistplank.lab.model.keep import Keep
 from hoistplank.lab.model.links import Link
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("day", ["calm", *sorted(DAYS)])
-def test_each_day_keeps_the_rules_and_accounts_for_every_visit(day: str) -> None:
+def test_each_day_keeps_the_rules_and_accounts_for_every_request(day: str) -> None:
     text = drawn(day, 2, 6.0)
     world = played("module", text, 2)
     utility = world.clients.utility
@@ -220,7 +220,7 @@
     assert [row[0] for row in told.ends] == [Result.ERROR] and not host.fills and host.filling == 0
 
 
-def test_visits_join_a_fill_unless_it_began_before_what_they_may_get() -> None:
+def test_requests_join_a_fill_unless_it_began_before_what_they_may_get() -> None:
     world = World(SMALL, 1)
     host = world.caches[0]
     first, second = asked(world, host, "x"), asked(world, host, "x", join=True)
@@ -250,18 +250,18 @@
 
 
 class Nowhere:
-    """A front that takes visits and never answers."""
+    """A front that takes requests and never answers."""
 
     def __init__(self) -> None:
-        self.taken: list[Visit] = []
-        self.left: list[Visit] = []
+        self.taken: list[Request] = []
+        self.left: list[Request] = []
 
-    def deliver(self, visit: Visit) -> bool:
-        self.taken.append(visit)
+    def deliver(self, request: Request) -> bool:
+        self.taken.append(request)
         return True
 
-    def abandon(self, visit: Visit) -> None:
-        self.left.append(visit)
+    def abandon(self, request: Request) -> None:
+        self.left.append(request)
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -272,13 +272,13 @@
     clients.begin()
     while not front.taken:
         agenda.run(agenda.next_at() or 0)
-    visit = front.taken[0]
-    end = visit.until + LAST_US
-    agenda.at(end, clients.answered, visit.id, SERVED)  # behind the giving up at the same microsecond
+    request = front.taken[0]
+    end = request.until + LAST_US
+    agenda.at(end, clients.answered, request.id, SERVED)  # behind the giving up at the same microsecond
     if not late:
-        agenda.at(end - 1, clients.answered, visit.id, SERVED)
+        agenda.at(end - 1, clients.answered, request.id, SERVED)
     agenda.run(end + S)
-    assert visit.done and (visit in front.left) == late
+    assert request.done and (request in front.left) == late
     utility = clients.utility
     agenda.run(60 * S)
     assert sum(utility.earned) + sum(utility.lost.values()) == pytest.approx(sum(utility.asked))
@@ -314,7 +314,7 @@
 
 
 def test_a_dispatcher_whose_clock_is_wrong_keeps_to_purges() -> None:
-    # With the log's time taken as ours, twelve visits got copies older than their purge (clock ahead).
+    # With the log's time taken as ours, twelve requests got copies older than their purge (clock ahead).
     for step in ("2s", "-2s"):
         text = f"(at 0s (clock 1 {step})) (at 2s (flush 1)) (at 4s (flush 1))"
         assert not played("module", text, 2).truth.breaches, step
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -48,7 +48,7 @@
 ) -> None:
     steps = tuple(Step(*row) for row in rows)
     whole = list(times(steps))
-    assert abs(len(whole) - sum(step.visits() for step in steps)) <= 1
+    assert abs(len(whole) - sum(step.requests() for step in steps)) <= 1
     assert whole == sorted(whole) and (not whole or whole[-1] <= sum(step.seconds for step in steps) + 1e-6)
     assert whole == pytest.approx(sorted(at for part in range(parts) for at in times(steps, part, parts)))
 
@@ -71,7 +71,7 @@
 
 
 def test_a_request_by_template_is_one_that_the_dispatcher_reads() -> None:
-    data = Template("booking", 900, True, "t0ken", {"HTTP_X_TAG": "3"}).request(513, 0xABC, 7)
+    data = Template("booking", 900, True, "t0ken", {"HTTP_X_TAG": "3"}).encode(513, 0xABC, 7)
     reader = fastcgi.Reader(8)
     buffer = bytearray(data)
     _, found = reader.read(buffer, 0, len(buffer))
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -308,17 +308,17 @@
 
 
 def storm(retries: str) -> tuple[int, int]:
-    """60 visits whose first answers all come spoilt: how many went again, how many were rejected."""
+    """60 requests whose first answers all come spoilt: how many went again, how many were rejected."""
     stage = Stage()
     stage.play("0 hosts kept a:cache:z1:up b:cache:z1:up p:parent:hub:up o:origin:hub:up".split(), "storm")
     stage.play(f"0 reduced retries={retries}".split(), "storm")
     turned = again = 0
     for n in range(60):
         at = 10 + n * 20
-        stage.play(f"{at} visit v{n} page x{n}".split(), "storm")
+        stage.play(f"{at} request v{n} page x{n}".split(), "storm")
         assert [d.act for d in stage.pending] == ["attempt"], stage.pending
         stage.pending.clear()
-        # Each attempt may have run, and each visit is worth another try.
+        # Each attempt may have run, and each request is worth another try.
         stage.play(f"{at + 5} end v{n} 0 spoilt".split(), "storm")
         for decision in stage.pending:
             turned += decision.act == "reject"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -147,7 +147,7 @@
     assert len(first) >= 6
 
 
-def test_a_host_whose_visits_fail_is_rested_and_felt_out_again() -> None:
+def test_a_host_whose_requests_fail_is_rested_and_felt_out_again() -> None:
     roster = Roster(Random(1))
     roster.keep(S, [host("a")], 0, QUIET)
     roster.felt(S, roster.due(S)[0].uid, "good")
@@ -289,7 +289,7 @@
     run(scene())
 
 
-def test_what_can_t_be_kept_costs_no_visit(tmp_path: Path) -> None:
+def test_what_can_t_be_kept_costs_no_request(tmp_path: Path) -> None:
     async def scene() -> None:
         (tmp_path / "state").write_text("no folder")
         (tmp_path / "op.sexp").write_text('(membership (state "state"))')
--- a/tests/test_purge_floors.py
+++ b/tests/test_purge_floors.py
@@ -26,7 +26,7 @@
 def oldest_asked(made: Router, now: int, thing: str) -> int:
     """The oldest copy that the router asks for when a request for `thing` comes now; 0 for any."""
     name = f"v{now}"
-    made.visit_came(now, name, "video", thing, 0, 3, 0.0, now + 5 * S, False)
+    made.request_arrived(now, name, "video", thing, 0, 3, 0.0, now + 5 * S, False)
     found = []
     while (decision := made.next_decision(now)) is not None:
         found += [decision.oldest_us] if decision.act == "attempt" else []
--- a/tests/test_refusing_source.py
+++ b/tests/test_refusing_source.py
@@ -12,7 +12,7 @@
 def rejected_at(stage: Stage) -> int:
     """Plays one request while every source refuses; when it is rejected, in ms, -1 if it gets through."""
     stage.play(f"0 {HOSTS}".split(), "hosts")
-    stage.play("0 visit v1 video x".split(), "request")
+    stage.play("0 request v1 video x".split(), "request")
     ends_at, number = -1, -1
     for now in range(STEP_MS, LATE_MS + STEP_MS, STEP_MS):
         for decision in stage.pending:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""A running dispatcher between stand-ins on loopback: visits in, attempts out, the change log, phases."""
+"""A running dispatcher between stand-ins on loopback: requests in, attempts out, the change log, phases."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     return None
 
 
-def test_visit_is_served_whole_and_its_fields_go_on(tmp_path: Path) -> None:
+def test_request_is_served_whole_and_its_fields_go_on(tmp_path: Path) -> None:
     async def scene() -> None:
         box, origin = CacheHost(served), CacheHost(served)
         async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
@@ -294,7 +294,7 @@
     run(scene())
 
 
-def test_id_that_comes_again_is_refused_while_its_visit_or_its_attempts_are_out(tmp_path: Path) -> None:
+def test_id_that_comes_again_is_refused_while_its_request_or_its_attempts_are_out(tmp_path: Path) -> None:
     async def scene() -> None:
         box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
         async with Running(
@@ -311,7 +311,7 @@
             other.send(2, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)  # its attempt is still out
             assert (await other.answer())[1] == 502 and len(box.seen) == 1
             owner = dispatcher.service.owner
-            await until(lambda: not owner.visits)  # the attempt's time is over
+            await until(lambda: not owner.requests)  # the attempt's time is over
             assert not owner.router.attempts and not owner.router.ledger
             other.send(3, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
             assert (await other.answer())[1] == 200
@@ -328,7 +328,7 @@
             dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
             owner = dispatcher.service.owner
             began = asyncio.get_running_loop().time()
-            await until(lambda: not owner.visits and not owner.router.attempts)
+            await until(lambda: not owner.requests and not owner.router.attempts)
             assert asyncio.get_running_loop().time() - began < 0.5  # well before its time is over
 
     run(scene())
@@ -383,7 +383,7 @@
 def test_every_ending_is_told_as_its_result(
     tmp_path: Path, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What an attempt's end is told as; afterwards the visit gets its one final answer."""
+    """What an attempt's end is told as; afterwards the request gets its one final answer."""
 
     async def scene() -> None:
         told: list[Any] = []
@@ -585,7 +585,7 @@
     run(scene())
 
 
-def test_aborted_visit_gets_no_answer_and_frees_its_number(tmp_path: Path) -> None:
+def test_aborted_request_gets_no_answer_and_frees_its_number(tmp_path: Path) -> None:
     async def scene() -> None:
         box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
         async with Running(tmp_path, {"a": box, "o": CacheHost(served)}) as dispatcher:
@@ -690,7 +690,7 @@
 
 
 def test_program_survives_a_reload_at_any_moment_and_ends_by_its_deadlines(tmp_path: Path) -> None:
-    """As a process: SIGHUP from its first moments on, and during the drain; SIGTERM with a visit open."""
+    """As a process: SIGHUP from its first moments on, and during the drain; SIGTERM with a request open."""
 
     async def scene() -> None:
         with socket.socket() as free:
@@ -736,11 +736,11 @@
     async def scene() -> None:
         async with Running(tmp_path, {"a": CacheHost(silent), "o": CacheHost(silent)}) as dispatcher:
             dispatcher.client.send(1, "page")
-            await until(lambda: bool(dispatcher.service.owner.visits))
+            await until(lambda: bool(dispatcher.service.owner.requests))
             dispatcher.service.owner.router.client_left = None  # type: ignore[assignment, method-assign]
             other = await dispatcher.connect()
             other.send(2, "page")
-            await until(lambda: len(dispatcher.service.owner.visits) == 2)
+            await until(lambda: len(dispatcher.service.owner.requests) == 2)
             other.writer.close()
             assert (await dispatcher.client.answer())[:2] == (1, 502)
             assert await asyncio.wait_for(dispatcher.task, 3) == 1
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -54,7 +54,7 @@
         now += 2_000
         names = [row.name for row in site.tariffs]
         thing, part, again = f"t{chance.randrange(40)}", chance.randrange(3), chance.random() < 0.2
-        router.visit_came(
+        router.request_arrived(
             now,
             f"v{turn}",
             chance.choice(names),
@@ -79,7 +79,7 @@
         while (decision := router.next_decision(now)) is not None:
             told.append(str(decision))
             if decision.act == "attempt":
-                open_ones.append((decision.visit, decision.attempt, 0))
+                open_ones.append((decision.request, decision.attempt, 0))
     return told
 
 
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -166,7 +166,7 @@
 @given(st.text(max_size=40))
 def test_names_on_demand_are_parsed_or_refused(text: str) -> None:
     assert ResourceCache().follow(text) is (parsed(text) is not None)
-    found = parsed(f"visits/{text}")
+    found = parsed(f"requests/{text}")
     assert found is None or parsed(name_of(*found)) == found
 
 
