--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -23,11 +23,11 @@
 import uvloop
 
 from benchmarks.verdict import verdict
-from hoistplank.callers.keyfiles import Ring, append_revocation, private_key
-from hoistplank.callers.revoked import Revocation
-from hoistplank.standins.authority import Authority, Signer, operator_text
-from hoistplank.standins.deployment import Deployment, free_port
-from hoistplank.standins.load import Line, Sent, answered, flood, lines, paced
+from hoistplank.authorization.keyfiles import Ring, append_revocation, private_key
+from hoistplank.authorization.revocations import Revocation
+from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text
+from hoistplank.fakes.deployment import Deployment, free_port
+from hoistplank.fakes.load import Line, Sent, answered, flood, lines, paced
 
 QUICK = os.environ.get("QUICK") == "1"
 SEED = 7
@@ -523,8 +523,8 @@
     from joserfc import jwt
     from joserfc.jwk import OKPKey
 
-    from hoistplank.callers import jws
-    from hoistplank.callers.keyfiles import parse_keys
+    from hoistplank.authorization import jws
+    from hoistplank.authorization.keyfiles import parse_keys
 
     signer = Signer("k0")
     token = signer.token("coast-1")
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -25,10 +25,10 @@
 
 from benchmarks import starters
 from benchmarks.verdict import verdict
-from hoistplank.standins.caches import Server
-from hoistplank.standins.deployment import Deployment, free_port
-from hoistplank.standins.load import Line, Sent, answered, lines, paced
-from hoistplank.standins.wire import serve
+from hoistplank.fakes.cache_host import Server
+from hoistplank.fakes.deployment import Deployment, free_port
+from hoistplank.fakes.load import Line, Sent, answered, lines, paced
+from hoistplank.fakes.wire import serve
 from hoistplank.store.folder import Folder
 from hoistplank.store.schemas import History, KeptHost, KeptList
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from benchmarks.verdict import verdict
-from hoistplank.lab.fleet import broken, runner
+from hoistplank.lab.fleet import faulty_dispatchers, runner
 from hoistplank.lab.fleet.relays import Relays
 from hoistplank.lab.fleet.scene import Scene, read
 from hoistplank.lab.statistics import interval
@@ -283,7 +283,7 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as loop:
         relay = loop.run(carried())
     chunks = fmean(row["rig"]["chunks"] / row["visits"] for row in done) if done else 0.0
-    checkers = broken.fires()
+    checkers = faulty_dispatchers.fires()
     late = [row["rig"]["late_us"] for row in flat if "rig" in row] or [0]
     out: dict[str, Any] = {
         "quick": QUICK,
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -20,24 +20,24 @@
 import msgspec
 
 from benchmarks.verdict import verdict
+from hoistplank.fakes.deployment import free_port
 from hoistplank.interface import HostEntry, Result
 from hoistplank.lab import runner
-from hoistplank.lab.broken import BROKEN
-from hoistplank.lab.drives.sockets import TooLate
-from hoistplank.lab.drives.virtual import built, digest
+from hoistplank.lab.backends.sockets import TooLate
+from hoistplank.lab.backends.virtual import built, digest
 from hoistplank.lab.experiment import Cell, Experiment, read
+from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.load.crew import LATE_MS, load
 from hoistplank.lab.load.plan import mixes, plan
 from hoistplank.lab.model.clients import BACK, SERVED, Request
 from hoistplank.lab.model.faults import drawn, script
 from hoistplank.lab.model.servers import Ask
-from hoistplank.lab.model.shape import Shape, sized
 from hoistplank.lab.model.world import World
+from hoistplank.lab.model.world_settings import Shape, sized
 from hoistplank.lab.policies import Make, policy
 from hoistplank.lab.results import load as load_results
 from hoistplank.lab.statistics import interval, spearman
-from hoistplank.lab.work import Job, play
-from hoistplank.standins.deployment import free_port
+from hoistplank.lab.worker import Job, play
 
 QUICK = os.environ.get("QUICK") == "1"
 ROOT = Path(__file__).resolve().parents[1]
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -23,18 +23,18 @@
 from typing import Any
 
 from benchmarks.verdict import verdict
-from hoistplank.lab.drives.steward import Plan, plan
-from hoistplank.lab.drives.virtual import built
+from hoistplank.degradation.admission import Admission, Bounds
+from hoistplank.fakes.deployment import Deployment
+from hoistplank.lab.backends.degradation_controller import Plan, plan
+from hoistplank.lab.backends.virtual import built
 from hoistplank.lab.load.crew import load
 from hoistplank.lab.load.plan import Step, mixes
 from hoistplank.lab.model.core import Core, Costs
 from hoistplank.lab.model.faults import drawn, script
-from hoistplank.lab.model.shape import Shape, sized
+from hoistplank.lab.model.world_settings import Shape, sized
 from hoistplank.lab.policies import policy
 from hoistplank.lab.profile import cpu_s
 from hoistplank.lab.statistics import difference
-from hoistplank.levels.admission import Admission, Bounds
-from hoistplank.standins.deployment import Deployment
 
 QUICK = os.environ.get("QUICK") == "1"
 ROOT = Path(__file__).resolve().parents[1]
--- a/benchmarks/starters.py
+++ b/benchmarks/starters.py
@@ -17,7 +17,7 @@
 
 from hoistplank.choice import Router
 from hoistplank.interface import Decision, HostEntry, HouseRules, Note, Result, Site, TrafficClass
-from hoistplank.membership.roster import Roster
+from hoistplank.membership.host_registry import Roster
 from hoistplank.store.schemas import History, KeptHost
 
 S = 1_000_000
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from benchmarks.verdict import verdict
+from hoistplank.store.background_writer import Keeper
 from hoistplank.store.folder import Folder
-from hoistplank.store.keeper import Keeper
 from hoistplank.store.schemas import History, KeptChange, KeptHost, KeptList
 
 QUICK = os.environ.get("QUICK") == "1"
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -22,13 +22,13 @@
 
 from benchmarks.verdict import verdict
 from hoistplank.choice import Router
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.first_choice import first_choice
+from hoistplank.fakes.proxy import Proxy
+from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
 from hoistplank.program.configuration import Configuration, read
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.first import first_choice
-from hoistplank.standins.proxy import Proxy
-from hoistplank.standins.settings import SETTINGS, listing, target
-from hoistplank.standins.wire import serve
 from hoistplank.xds.control import Control
 from hoistplank.xds.resources import ENDPOINT, VHOST, ResourceCache
 
--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -22,7 +22,7 @@
     import uvloop
 
     from hoistplank.program.configuration import BadConfiguration, read, read_again
-    from hoistplank.program.journal import open_log
+    from hoistplank.program.logging_setup import open_log
     from hoistplank.program.service import Additions, Service
 
     additions: Additions | None = None
@@ -32,7 +32,7 @@
         if form not in ("lines", "json"):
             raise BadConfiguration(f"HOISTPLANK_LOG: '{form[:20]}' is neither 'lines' nor 'json'")
         if file := os.environ.get("HOISTPLANK_OPERATOR", ""):
-            from hoistplank.program.additions import added
+            from hoistplank.program.extensions import added
 
             additions = added(file, configuration)
             form = os.environ.get("HOISTPLANK_LOG", additions.form)
--- a/hoistplank/callers/control.py
+++ b/hoistplank/authorization/admin_server.py
@@ -16,16 +16,16 @@
 import msgspec
 import structlog
 
-from hoistplank.callers.gate import Caller, Gate, Identity, Refusal
-from hoistplank.callers.http import BadRequest, HttpRequest, Reader, reply
-from hoistplank.callers.limits import Bucket
-from hoistplank.callers.revoked import BadRevocation, Revocation
-from hoistplank.callers.rights import ALL_GROUPS, BITS, OPERATE, Tenant
-from hoistplank.operator.schema import Section
+from hoistplank.authorization.authorizer import Caller, Gate, Identity, Refusal
+from hoistplank.authorization.http import BadRequest, HttpRequest, Reader, reply
+from hoistplank.authorization.limits import Bucket
+from hoistplank.authorization.permissions import ALL_GROUPS, BITS, OPERATE, Tenant
+from hoistplank.authorization.revocations import BadRevocation, Revocation
+from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.front import Make
-from hoistplank.routing.owner import Owner, Purged
-from hoistplank.transport.ledger import Ledger
+from hoistplank.routing.frontend import Make
+from hoistplank.routing.router_task import Owner, Purged
+from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
 
 log = structlog.get_logger()
--- a/hoistplank/callers/gate.py
+++ b/hoistplank/authorization/authorizer.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol
 
-from hoistplank.callers import jws
-from hoistplank.callers.limits import Accounts, Checks
-from hoistplank.callers.proofs import Issuer, Proof, Proofs, Unknown, proof_of
-from hoistplank.callers.revoked import Revoked
-from hoistplank.callers.rights import ALL_GROUPS, BOOK, OPERATE, PURGE, READ, Tenant, Tenants
+from hoistplank.authorization import jws
+from hoistplank.authorization.limits import Accounts, Checks
+from hoistplank.authorization.permissions import ALL_GROUPS, BOOK, OPERATE, PURGE, READ, Tenant, Tenants
+from hoistplank.authorization.revocations import Revoked
+from hoistplank.authorization.token_cache import Issuer, Proof, Proofs, Unknown, proof_of
 
 ANYONE = "anyone"
 ASK_AGAIN_US = 300_000  # for a token whose key may be on its way: the key set is read within this time
--- a/hoistplank/callers/certificates.py
+++ b/hoistplank/authorization/certificates.py
@@ -14,9 +14,9 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519, rsa
 
-from hoistplank.callers.gate import Identity
-from hoistplank.callers.keyfiles import BadFile, private_key, read_bytes
-from hoistplank.callers.revoked import SERIAL, Revocation
+from hoistplank.authorization.authorizer import Identity
+from hoistplank.authorization.keyfiles import BadFile, private_key, read_bytes
+from hoistplank.authorization.revocations import SERIAL, Revocation
 
 VERSIONS = {"tls1.2": ssl.TLSVersion.TLSv1_2, "tls1.3": ssl.TLSVersion.TLSv1_3}
 
--- a/hoistplank/callers/keyfiles.py
+++ b/hoistplank/authorization/keyfiles.py
@@ -27,11 +27,11 @@
 from joserfc.errors import JoseError
 from joserfc.jwk import ECKey, OKPKey
 
-from hoistplank.callers import ring as rings
-from hoistplank.callers.jws import KID
-from hoistplank.callers.proofs import Key, KeySet
-from hoistplank.callers.revoked import BadRevocation, Revocation
-from hoistplank.callers.ring import ACCEPTED, STATES, BadMove, Entry
+from hoistplank.authorization import key_lifecycle as rings
+from hoistplank.authorization.jws import KID
+from hoistplank.authorization.key_lifecycle import ACCEPTED, STATES, BadMove, Entry
+from hoistplank.authorization.revocations import BadRevocation, Revocation
+from hoistplank.authorization.token_cache import Key, KeySet
 
 MOST_BYTES = 1_048_576
 MOST_KEYS = 200
--- a/hoistplank/callers/compiled.py
+++ b/hoistplank/authorization/policy_compiler.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from hoistplank.callers.gate import ANYONE, Terms
-from hoistplank.callers.rights import ALL_GROUPS, BITS, Claim, Tenant, Tenants
-from hoistplank.operator.schema import Section
+from hoistplank.authorization.authorizer import ANYONE, Terms
+from hoistplank.authorization.permissions import ALL_GROUPS, BITS, Claim, Tenant, Tenants
+from hoistplank.operator_configuration.schema import Section
 
 
 def tenants(section: Section, generation: int) -> Tenants:
--- a/hoistplank/callers/forms.py
+++ b/hoistplank/authorization/sections.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from hoistplank.callers.gate import ANYONE
-from hoistplank.operator.faults import Fault
-from hoistplank.operator.schema import (
+from hoistplank.authorization.authorizer import ANYONE
+from hoistplank.operator_configuration.faults import Fault
+from hoistplank.operator_configuration.schema import (
     ADDRESS,
     NAME,
     TEXT,
@@ -20,7 +20,7 @@
     span,
     whole,
 )
-from hoistplank.operator.text import Atom
+from hoistplank.operator_configuration.text import Atom
 
 RIGHTS = ("read", "book", "purge", "operate")
 
--- a/hoistplank/callers/service.py
+++ b/hoistplank/authorization/service.py
@@ -14,20 +14,20 @@
 
 import structlog
 
-from hoistplank.callers import certificates, compiled, keyfiles
-from hoistplank.callers.gate import Caller, Gate, Identity, Refusal
-from hoistplank.callers.keyfiles import BadFile
-from hoistplank.callers.limits import room
-from hoistplank.callers.proofs import Issuer, KeySet
-from hoistplank.callers.revoked import BadRevocation, Revocation
+from hoistplank.authorization import certificates, keyfiles, policy_compiler
+from hoistplank.authorization.authorizer import Caller, Gate, Identity, Refusal
+from hoistplank.authorization.keyfiles import BadFile
+from hoistplank.authorization.limits import room
+from hoistplank.authorization.revocations import BadRevocation, Revocation
+from hoistplank.authorization.token_cache import Issuer, KeySet
 from hoistplank.interface import IDEMPOTENT, Site
-from hoistplank.operator.faults import Fault, Faults
-from hoistplank.operator.schema import Section
+from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.front import Front, Make, Refused, Session
-from hoistplank.routing.owner import Owner
-from hoistplank.transport.ledger import Ledger
+from hoistplank.routing.frontend import Front, Make, Refused, Session
+from hoistplank.routing.router_task import Owner
+from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.tls import TlsConnection
 
@@ -83,7 +83,11 @@
         self.host: Host | None = None
         now = self.clock.now()
         self.gate = Gate(
-            compiled.tenants(section, 1), self._issuers(section), compiled.terms(section), now, self._ask
+            policy_compiler.tenants(section, 1),
+            self._issuers(section),
+            policy_compiler.terms(section),
+            now,
+            self._ask,
         )
         self.tls: certificates.Tls | None = None
         self.shaking: dict[Session, float] = {}
@@ -252,7 +256,9 @@
             self.section, self.sources = section, self._sources(section)
             for source, read in zip(self.sources, fresh.sources, strict=True):
                 source.seen = read.seen
-            self.gate.renew(compiled.tenants(section, self.generation), compiled.terms(section), now)
+            self.gate.renew(
+                policy_compiler.tenants(section, self.generation), policy_compiler.terms(section), now
+            )
             self.gate.renew_issuers(issuers)
             self.gate.revoked.replace(FILE, fresh.gate.revoked)
             self.gate.revoked.replace(CRL, fresh.gate.revoked)
@@ -304,7 +310,7 @@
             self.listener = Listener(self.section["tls"]["listen"], host.ledger, self._greet)
             parts += [("tls listener", self.listener.run()), ("handshakes", self._handshakes())]
         if self.section["control"] is not None:
-            from hoistplank.callers.control import Control
+            from hoistplank.authorization.admin_server import Control
 
             self.gate.keeps_things = True
             self.control = Control(self, self.section["control"], host)
--- a/hoistplank/callers/proofs.py
+++ b/hoistplank/authorization/token_cache.py
@@ -16,7 +16,7 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from hoistplank.callers.jws import Claims
+from hoistplank.authorization.jws import Claims
 
 MOST_UNKNOWN = 1_024  # keys asked for in vain that are remembered
 
--- a/hoistplank/benchlink/__main__.py
+++ b/hoistplank/benchlink/__main__.py
@@ -6,7 +6,7 @@
 import sys
 
 from hoistplank.benchlink.hosting import Hosting
-from hoistplank.facts import FactError
+from hoistplank.settings_reader import FactError
 
 
 def main() -> int:
--- a/hoistplank/benchlink/codec.py
+++ b/hoistplank/benchlink/codec.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hoistplank.facts import FactError, Fields
 from hoistplank.interface import Decision, HostEntry, Result
+from hoistplank.settings_reader import FactError, Fields
 
 RESULTS = {
     "GOOD": Result.SUCCEEDED,
--- a/hoistplank/benchlink/hosting.py
+++ b/hoistplank/benchlink/hosting.py
@@ -6,8 +6,8 @@
 
 from hoistplank.benchlink.codec import RESULTS, entry, line
 from hoistplank.choice import Router
-from hoistplank.facts import FactError, Fields, numbers, site
 from hoistplank.interface import HostEntry, Site
+from hoistplank.settings_reader import FactError, Fields, numbers, site
 
 FORMS = {"incr": "changes", "total": "whole", "warm_copy": "kept", "lost": "failed"}
 
--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -59,7 +59,7 @@
     Without --certificate only loopback addresses are served. Exit code 2: what was given can't be used.
     """
     from hoistplank.program.configuration import BadConfiguration, read
-    from hoistplank.program.journal import open_log
+    from hoistplank.program.logging_setup import open_log
     from hoistplank.xds.control import Control
 
     try:
--- a/hoistplank/cli/demo.py
+++ b/hoistplank/cli/demo.py
@@ -16,8 +16,8 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from hoistplank.standins.deployment import Deployment
-from hoistplank.standins.wire import Client, connected
+from hoistplank.fakes.deployment import Deployment
+from hoistplank.fakes.wire import Client, connected
 
 RATE = 120.0  # requests a second: a small part of what a core carries
 THINGS = 300
@@ -117,7 +117,7 @@
     raise SystemExit(0 if good else 1)
 
 
-@click.command()
+@click.command("visit")
 @click.argument("address")
 @click.argument("class_name", metavar="CLASS")
 @click.option("--object", "object_key", default=f"{7:016x}", show_default=True, help="16 hex digits.")
--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -14,9 +14,9 @@
 
 from hoistplank.cli.main import fail
 from hoistplank.distribution.assignment import Replica as ReplicaAddress
-from hoistplank.distribution.forms import MOST_REPLICAS
 from hoistplank.distribution.messages import VersionFields
 from hoistplank.distribution.replica import Replica, ReplicaSettings
+from hoistplank.distribution.sections import MOST_REPLICAS
 from hoistplank.distribution.status import ChangeRow, MissingRow, StatusAnswer
 from hoistplank.distribution.status_client import ask
 from hoistplank.distribution.versions import Version
@@ -70,7 +70,7 @@
     used.
     """
     from hoistplank.program.configuration import BadConfiguration, read
-    from hoistplank.program.journal import open_log
+    from hoistplank.program.logging_setup import open_log
 
     if not listen.startswith(LOOPBACK):
         _refuse(f"--listen {listen}: without certificates only a loopback address is served")
--- a/hoistplank/cli/keys.py
+++ b/hoistplank/cli/keys.py
@@ -10,13 +10,13 @@
 
 import click
 
-from hoistplank.callers import jws, keyfiles
-from hoistplank.callers.keyfiles import BadFile, Ring
-from hoistplank.callers.revoked import KINDS, BadRevocation, Revocation
-from hoistplank.callers.ring import BadMove
-from hoistplank.operator.faults import Place
-from hoistplank.operator.schema import span
-from hoistplank.operator.text import Atom
+from hoistplank.authorization import jws, keyfiles
+from hoistplank.authorization.key_lifecycle import BadMove
+from hoistplank.authorization.keyfiles import BadFile, Ring
+from hoistplank.authorization.revocations import KINDS, BadRevocation, Revocation
+from hoistplank.operator_configuration.faults import Place
+from hoistplank.operator_configuration.schema import span
+from hoistplank.operator_configuration.text import Atom
 
 FOLDER = click.option(
     "--ring",
--- a/hoistplank/cli/lab.py
+++ b/hoistplank/cli/lab.py
@@ -16,7 +16,7 @@
 
 from hoistplank.cli.main import fail
 from hoistplank.cli.scale import scale
-from hoistplank.operator.faults import Faults
+from hoistplank.operator_configuration.faults import Faults
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -70,11 +70,11 @@
     name: str, policy: str, size: int, seed: int, seconds: float, share: float, sockets: bool, as_json: bool
 ) -> None:
     """Play one day by NAME, or the script of a file. Exit code 1: a rule was broken, or the day was void."""
-    from hoistplank.lab.drives.sockets import TooLate
+    from hoistplank.lab.backends.sockets import TooLate
     from hoistplank.lab.experiment import Cell
     from hoistplank.lab.model.faults import drawn, script
     from hoistplank.lab.policies import UnknownPolicy
-    from hoistplank.lab.work import Job, play
+    from hoistplank.lab.worker import Job, play
 
     try:
         text = Path(name).read_text() if Path(name).is_file() else drawn(name, seed, seconds)
--- a/hoistplank/cli/main.py
+++ b/hoistplank/cli/main.py
@@ -26,7 +26,7 @@
     "lab": ("hoistplank.cli.lab", "lab"),
     "control": ("hoistplank.cli.control", "control"),
     "demo": ("hoistplank.cli.demo", "demo"),
-    "visit": ("hoistplank.cli.demo", "visit"),
+    "visit": ("hoistplank.cli.demo", "request"),
 }
 EXTRA = "pip install -r requirements-service.txt"
 NEEDS = {"lab": ("rich", "numpy", "pyarrow", "matplotlib"), "control": ("grpc", "envoy", "google")}
@@ -118,8 +118,8 @@
 
     Exit code 0: it can be used. 2: it can't. The files that it names are not opened.
     """
-    from hoistplank.operator.faults import Faults
-    from hoistplank.program.forms import load
+    from hoistplank.operator_configuration.faults import Faults
+    from hoistplank.program.sections import load
 
     try:
         load(file)
@@ -144,9 +144,9 @@
 @click.option("--stdout", "out", is_flag=True, help="Write to standard output and leave the file as it is.")
 def fmt(file: str, only: bool, out: bool) -> None:
     """Write an operator's FILE in its one layout; comments stay where they are."""
-    from hoistplank.operator.faults import Fault
-    from hoistplank.operator.layout import written
-    from hoistplank.operator.text import parse
+    from hoistplank.operator_configuration.faults import Fault
+    from hoistplank.operator_configuration.layout import written
+    from hoistplank.operator_configuration.text import parse
 
     path = Path(file)
     try:
--- a/hoistplank/cli/state.py
+++ b/hoistplank/cli/state.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from hoistplank.membership import ages
+from hoistplank.membership import list_staleness
 from hoistplank.store.folder import Folder, Loaded, StoreError
 
 FOLDER = click.argument("folder", type=click.Path(path_type=Path))
@@ -49,8 +49,8 @@
             "age_s": round(age_s),
             "hosts": len(held.hosts),
             "purges": len(held.purges),
-            "gone_a_day": round(ages.rate(held.history) * 86_400, 4),
-            "alive": round(ages.alive(held.history, age_s), 4),
+            "gone_a_day": round(list_staleness.rate(held.history) * 86_400, 4),
+            "alive": round(list_staleness.alive(held.history, age_s), 4),
         }
     click.echo(
         msgspec.json.encode(row).decode() if as_json else "\n".join(f"{k}: {v}" for k, v in row.items())
--- a/hoistplank/levels/forms.py
+++ b/hoistplank/degradation/sections.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
+from hoistplank.degradation.admission import Bounds
+from hoistplank.degradation.signals import SIGNALS, half_life
+from hoistplank.degradation.state_machine import FULL, Condition, Level
 from hoistplank.interface import Reduced
-from hoistplank.levels.admission import Bounds
-from hoistplank.levels.ladder import FULL, Condition, Level
-from hoistplank.levels.signals import SIGNALS, half_life
-from hoistplank.operator.faults import Fault
-from hoistplank.operator.schema import (
+from hoistplank.operator_configuration.faults import Fault
+from hoistplank.operator_configuration.schema import (
     NAME,
     Field,
     Kind,
@@ -21,7 +21,7 @@
     span,
     whole,
 )
-from hoistplank.operator.text import Atom
+from hoistplank.operator_configuration.text import Atom
 
 CLASS_NAME = matching(r"[A-Za-z0-9_.-]{1,40}", "a traffic class's name as the settings give it")
 ATOM = Kind("a word, a number or a time", lambda atom: atom)
--- a/hoistplank/levels/service.py
+++ b/hoistplank/degradation/service.py
@@ -11,15 +11,15 @@
 
 import structlog
 
+from hoistplank.degradation import sections
+from hoistplank.degradation.signals import Gauges, Watch
+from hoistplank.degradation.state_machine import FULL, Change, Ladder
 from hoistplank.interface import Reduced
-from hoistplank.levels import forms
-from hoistplank.levels.ladder import FULL, Change, Ladder
-from hoistplank.levels.signals import Gauges, Watch
-from hoistplank.operator.faults import Fault, Faults
-from hoistplank.operator.schema import Section
+from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
-from hoistplank.routing.owner import Owner, Told
-from hoistplank.transport.ledger import Ledger
+from hoistplank.routing.router_task import Owner, Told
+from hoistplank.transport.descriptor_budget import Ledger
 
 log = structlog.get_logger()
 KEPT_CHANGES = 64  # the last changes, for the control front
@@ -35,9 +35,9 @@
     """The ladder, the gauges and what holds at full service; raises Faults."""
     faults: list[Fault] = []
     classes = {row.name: row.semantics for row in configuration.site.traffic_classes}
-    forms.classes_known(section, classes, faults)
-    made = forms.levels(section, faults)
-    ages = forms.ages(section, faults)
+    sections.classes_known(section, classes, faults)
+    made = sections.levels(section, faults)
+    ages = sections.ages(section, faults)
     if faults:
         raise Faults(faults)
     return Ladder(made, section["calm"]), Gauges(ages), Reduced(retry_share=section["retries"])
@@ -68,7 +68,7 @@
         self.owner, self.ledger = host.owner, host.ledger
         utility = {row.name: row.utility for row in self.configuration.site.traffic_classes}
         self.owner.watch = Watch(self.gauges, utility)
-        self.owner.admission.bounds = forms.bounds(self.section, self.owner.admission.bounds.most)
+        self.owner.admission.bounds = sections.bounds(self.section, self.owner.admission.bounds.most)
         self.owner.tell(Told(self.base))
         setattr(host, "levels", self)  # noqa: B010 - the control front finds it there
         return [("levels", self._run())]
@@ -185,7 +185,7 @@
             now = self.owner.clock.now()
             change = ladder.taken_over(now, self.ladder)
             self.section, self.ladder, self.base = section, ladder, base
-            self.owner.admission.bounds = forms.bounds(section, self.owner.admission.bounds.most)
+            self.owner.admission.bounds = sections.bounds(section, self.owner.admission.bounds.most)
             if change is not None:
                 self._changed(change)
             else:
--- a/hoistplank/levels/ladder.py
+++ b/hoistplank/degradation/state_machine.py
@@ -28,8 +28,8 @@
 from dataclasses import dataclass, field
 from math import log2
 
+from hoistplank.degradation.signals import Reading
 from hoistplank.interface import Reduced
-from hoistplank.levels.signals import Reading
 
 FULL = "full"
 SUPPRESS, REUSE = 2.5, 0.5
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -36,8 +36,8 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import Event, Known
 from hoistplank.protocol.errors import BadBytes
-from hoistplank.routing.listing import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
-from hoistplank.routing.owner import Applied, Listed
+from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
+from hoistplank.routing.router_task import Applied, Listed
 from hoistplank.transport.connecting import connected
 from hoistplank.transport.connection import Consume
 
--- a/hoistplank/distribution/host_record.py
+++ b/hoistplank/distribution/host_record.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from hoistplank.protocol.changelog import Target
-from hoistplank.routing.listing import Hearer
-from hoistplank.routing.owner import Event, Listed
+from hoistplank.routing.endpoint_watcher import Hearer
+from hoistplank.routing.router_task import Event, Listed
 
 
 class HostRecord:
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -14,8 +14,8 @@
 from hoistplank.protocol.changelog import Event, Known
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Event as Telling
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Event as Telling
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -38,9 +38,9 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.complaints import Complaints
-from hoistplank.routing.listing import SILENT_S
-from hoistplank.transport.ledger import Ledger
+from hoistplank.routing.endpoint_watcher import SILENT_S
+from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
 
 log = structlog.get_logger()
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -24,7 +24,7 @@
 from hoistplank.distribution.peer_link import PeerSession, Reporting
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.protocol.errors import BadBytes
-from hoistplank.routing.complaints import Complaints
+from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.transport.connection import Connection
 
 log = structlog.get_logger()
--- a/hoistplank/distribution/forms.py
+++ b/hoistplank/distribution/sections.py
@@ -4,8 +4,8 @@
 
 from hoistplank.distribution.follower_state import SILENCE_US
 from hoistplank.distribution.messages import NAME_PATTERN
-from hoistplank.operator.faults import Fault
-from hoistplank.operator.schema import ADDRESS, Field, Section, Shape, matching, span
+from hoistplank.operator_configuration.faults import Fault
+from hoistplank.operator_configuration.schema import ADDRESS, Field, Section, Shape, matching, span
 
 MOST_REPLICAS = 5
 
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -15,11 +15,11 @@
 from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import Version
-from hoistplank.operator.schema import Section
+from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
-from hoistplank.routing.front import Front
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Owner
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.frontend import Front
+from hoistplank.routing.router_task import Owner
 
 log = structlog.get_logger()
 
--- a/hoistplank/standins/caches.py
+++ b/hoistplank/fakes/cache_host.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from hoistplank.standins.wire import serve
+from hoistplank.fakes.wire import serve
 
 
 @dataclass(slots=True)
--- a/hoistplank/standins/deployment.py
+++ b/hoistplank/fakes/deployment.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import Any, Self
 
-from hoistplank.standins.caches import Directory, Server
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import SETTINGS, listing, target
-from hoistplank.standins.wire import Client, connected, serve
+from hoistplank.fakes.cache_host import Directory, Server
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.wire import Client, connected, serve
 
 READY_S = 15.0
 
--- a/hoistplank/standins/load.py
+++ b/hoistplank/fakes/load.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any
 
-from hoistplank.standins.authority import b64
-from hoistplank.standins.wire import Client, connected
+from hoistplank.fakes.certificate_authority import b64
+from hoistplank.fakes.wire import Client, connected
 
 MOST_NUMBER = 60_000
 
--- a/hoistplank/standins/proxy.py
+++ b/hoistplank/fakes/proxy.py
@@ -22,9 +22,9 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 from envoy.service.runtime.v3 import rtds_pb2
 
+from hoistplank.xds.ranking_cache import key_of, order
 from hoistplank.xds.resources import CLUSTER, ENDPOINT, PURGES, ROUTES, RUNTIME, VHOST
 from hoistplank.xds.service import refusal
-from hoistplank.xds.table import key_of, order
 
 RING = 64  # points of a host of weight 100
 
--- a/hoistplank/lab/drives/steward.py
+++ b/hoistplank/lab/backends/degradation_controller.py
@@ -1,18 +1,18 @@
 """Levels of reduced service and the admission by the core at a laboratory dispatcher: the same decision
-logic as a dispatcher on sockets runs (`hoistplank.levels`), fed by the virtual seat's events."""
+logic as a dispatcher on sockets runs (`hoistplank.degradation`), fed by the virtual seat's events."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
+from hoistplank.degradation import sections
+from hoistplank.degradation.admission import Admission, Bounds
+from hoistplank.degradation.signals import Gauges, Watch
+from hoistplank.degradation.state_machine import Change, Ladder, Level
 from hoistplank.interface import Reduced
-from hoistplank.levels import forms
-from hoistplank.levels.admission import Admission, Bounds
-from hoistplank.levels.ladder import Change, Ladder, Level
-from hoistplank.levels.signals import Gauges, Watch
-from hoistplank.operator.faults import Fault, Faults
-from hoistplank.program.forms import understood
+from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.program.sections import understood
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,11 +37,11 @@
     if section is None:
         raise Faults([Fault(understood(b"", "levels").place, "no '(levels …)'", "the form of the levels")])
     faults: list[Fault] = []
-    forms.classes_known(section, classes, faults)
-    made, ages = forms.levels(section, faults), forms.ages(section, faults)
+    sections.classes_known(section, classes, faults)
+    made, ages = sections.levels(section, faults), sections.ages(section, faults)
     if faults:
         raise Faults(faults)
-    bounds = forms.bounds(section, 4_000) if admission else None
+    bounds = sections.bounds(section, 4_000) if admission else None
     base = Reduced(retry_share=section["retries"])
     return Plan(made, section["calm"], ages, bounds, section["every"], base)
 
--- a/hoistplank/lab/drives/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -21,16 +21,16 @@
 from pathlib import Path
 from typing import Any
 
+from hoistplank.fakes.deployment import free_port, held_port
+from hoistplank.fakes.wire import Client, connected
 from hoistplank.interface import HostEntry, Note, Result
-from hoistplank.lab.drives.orphans import with_parent
+from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.model.clients import BACK, GONE, OFF, SERVED, Request
 from hoistplank.lab.model.faults import Event, Troubles
 from hoistplank.lab.model.objects import group
 from hoistplank.lab.model.servers import DOWN, Ask, Server
-from hoistplank.lab.model.shape import S, Shape
 from hoistplank.lab.model.world import World
-from hoistplank.standins.deployment import free_port, held_port
-from hoistplank.standins.wire import Client, connected
+from hoistplank.lab.model.world_settings import S, Shape
 
 LINES = 8  # connections of the front to each dispatcher
 LATE_US = 20_000  # the world's own lateness at its 99th percentile, beyond which a day is void
--- a/hoistplank/lab/drives/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 from hoistplank.interface import Decision, HostEntry, Note, Result
-from hoistplank.lab.drives.steward import Plan, Steward
+from hoistplank.lab.backends.degradation_controller import Plan, Steward
 from hoistplank.lab.model.clients import BACK, OFF, SERVED, Request
 from hoistplank.lab.model.faults import Event, Troubles
 from hoistplank.lab.model.servers import Ask, Server
-from hoistplank.lab.model.shape import HUB, Shape
 from hoistplank.lab.model.world import World
+from hoistplank.lab.model.world_settings import HUB, Shape
 from hoistplank.lab.policies import Make, Policy
-from hoistplank.routing.logclock import LogClock
+from hoistplank.routing.clock_offset import LogClock
 
 CONNECT_US = 400_000
 
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -9,12 +9,12 @@
 import msgspec
 
 from hoistplank.lab.model.faults import DAYS, checked, drawn, events, script
-from hoistplank.lab.model.shape import Shape, sized
+from hoistplank.lab.model.world_settings import Shape, sized
 from hoistplank.lab.policies import names
-from hoistplank.operator import schema
-from hoistplank.operator.faults import Fault, Faults, Place
-from hoistplank.operator.schema import Field, matching, nearest, number, one_of, whole
-from hoistplank.operator.text import Form, parse
+from hoistplank.operator_configuration import schema
+from hoistplank.operator_configuration.faults import Fault, Faults, Place
+from hoistplank.operator_configuration.schema import Field, matching, nearest, number, one_of, whole
+from hoistplank.operator_configuration.text import Form, parse
 
 LAYOUT = 2  # of a cell's result; another one is not mixed with it
 POLICY = matching(r"[a-z][a-z-]{0,30}|text-[0-9a-fA-F]{4,40}", "a policy, or text-REVISION")
--- a/hoistplank/lab/fleet/troubles.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -7,9 +7,9 @@
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import DATAGRAMS, KINDS, PARTY, WHO
 from hoistplank.lab.model.faults import Event, Troubles
-from hoistplank.lab.model.shape import HUB
 from hoistplank.lab.model.world import Move, Seat, World
-from hoistplank.operator.schema import Kind
+from hoistplank.lab.model.world_settings import HUB
+from hoistplank.operator_configuration.schema import Kind
 
 Direction = tuple[str, bool]  # a path's name, and whether it is the direction back to the near party
 
--- a/hoistplank/lab/fleet/metrics.py
+++ b/hoistplank/lab/fleet/metrics.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hoistplank.lab.model.clients import BACK, GONE, LEFT, OFF, SERVED, Request
-from hoistplank.lab.model.shape import S, Shape
+from hoistplank.lab.model.world_settings import S, Shape
 
 BIN = 100_000  # of utility and refusals over time
 OUTCOMES = (SERVED, BACK, OFF, GONE, LEFT)
--- a/hoistplank/lab/fleet/pages.py
+++ b/hoistplank/lab/fleet/pages.py
@@ -12,7 +12,7 @@
 
 from hoistplank.lab.fleet.metrics import BIN
 from hoistplank.lab.fleet.virtual import SAMPLE_US
-from hoistplank.lab.model.shape import S
+from hoistplank.lab.model.world_settings import S
 from hoistplank.lab.report import STYLE, Rows, cells_of, svg
 
 SMOOTH = 5  # bins of utility that a point of the plot stands for
--- a/hoistplank/lab/fleet/processes.py
+++ b/hoistplank/lab/fleet/processes.py
@@ -9,16 +9,16 @@
 from pathlib import Path as File
 from typing import Any
 
-from hoistplank.lab.drives.sockets import Day, SocketSeat
+from hoistplank.fakes.deployment import free_port
+from hoistplank.lab.backends.sockets import Day, SocketSeat
+from hoistplank.lab.fleet.fault_injector import Direction, FleetTroubles, sibling_paths
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.relays import RelayLost, Relays
 from hoistplank.lab.fleet.scene import Scene
-from hoistplank.lab.fleet.troubles import Direction, FleetTroubles, sibling_paths
 from hoistplank.lab.fleet.virtual import VirtualPaths, watched
 from hoistplank.lab.model.servers import Server
-from hoistplank.lab.model.shape import S
 from hoistplank.lab.model.world import Seat
-from hoistplank.standins.deployment import free_port
+from hoistplank.lab.model.world_settings import S
 
 STARVE_S = 0.02  # a core is taken away in slices of this
 OFFICE_FOR = 5  # dispatchers whose paths one relay process carries
--- a/hoistplank/lab/fleet/relay.py
+++ b/hoistplank/lab/fleet/relay.py
@@ -22,6 +22,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
+from hoistplank.fakes.deployment import held_port
 from hoistplank.lab.fleet.path_conditions import (
     UNIMPAIRED,
     DatagramDirection,
@@ -29,7 +30,6 @@
     StreamDirection,
     chance,
 )
-from hoistplank.standins.deployment import held_port
 
 MOST_HELD = 512 * 1024  # bytes of one direction that wait; beyond it the sender is read no more, as by TCP
 TICK_S = 0.02
--- a/hoistplank/lab/fleet/relays.py
+++ b/hoistplank/lab/fleet/relays.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hoistplank.lab.drives.orphans import with_parent
+from hoistplank.lab.backends.orphans import with_parent
 
 ANSWER_S = 10.0
 
--- a/hoistplank/lab/fleet/runner.py
+++ b/hoistplank/lab/fleet/runner.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from hoistplank.lab.fleet.scene import Scene, read
-from hoistplank.lab.fleet.work import BROKE, DONE, VOID, Job
-from hoistplank.operator.faults import Fault, Faults, Place
+from hoistplank.lab.fleet.worker import BROKE, DONE, VOID, Job
+from hoistplank.operator_configuration.faults import Fault, Faults, Place
 
 TRIES = 3  # of a run that was void
 PREFIX = "hoistplank-fleet-"
@@ -112,7 +112,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "hoistplank.lab.fleet.work",
+            "hoistplank.lab.fleet.worker",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
--- a/hoistplank/lab/fleet/scene.py
+++ b/hoistplank/lab/fleet/scene.py
@@ -17,10 +17,10 @@
 from hoistplank.lab.model import faults as days
 from hoistplank.lab.model.clients import BACK, GONE, LEFT, OFF
 from hoistplank.lab.model.faults import SHARE, SPAN, STEP, TARGET, TIMES, Event, checked, events
-from hoistplank.lab.model.shape import S, Shape, sized
-from hoistplank.operator import schema
-from hoistplank.operator.faults import Fault, Faults, Place
-from hoistplank.operator.schema import (
+from hoistplank.lab.model.world_settings import S, Shape, sized
+from hoistplank.operator_configuration import schema
+from hoistplank.operator_configuration.faults import Fault, Faults, Place
+from hoistplank.operator_configuration.schema import (
     NAME,
     TEXT,
     Field,
@@ -33,7 +33,7 @@
     span,
     whole,
 )
-from hoistplank.operator.text import Atom, Form, parse
+from hoistplank.operator_configuration.text import Atom, Form, parse
 
 WHO = matching(
     r"(dispatchers(:[01](\.\d{1,4})?)?|z\d{1,4}|d\d{1,4})",
--- a/hoistplank/lab/fleet/virtual.py
+++ b/hoistplank/lab/fleet/virtual.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from hoistplank.lab.drives.virtual import VirtualSeat
+from hoistplank.lab.backends.virtual import VirtualSeat
+from hoistplank.lab.fleet.fault_injector import Direction, FleetTroubles
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.path_conditions import UNIMPAIRED, StreamDirection, chance
 from hoistplank.lab.fleet.scene import Scene
-from hoistplank.lab.fleet.troubles import Direction, FleetTroubles
 from hoistplank.lab.model.world import Seat, World
 from hoistplank.lab.policies import Make
 
--- a/hoistplank/lab/fleet/work.py
+++ b/hoistplank/lab/fleet/worker.py
@@ -17,15 +17,15 @@
 import msgspec
 import uvloop
 
-from hoistplank.lab.drives.sockets import TooLate
+from hoistplank.lab.backends.sockets import TooLate
 from hoistplank.lab.experiment import Cell
 from hoistplank.lab.fleet import processes, virtual
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import Bound, Scene, lasts
-from hoistplank.lab.model.shape import S
 from hoistplank.lab.model.world import World
+from hoistplank.lab.model.world_settings import S
 from hoistplank.lab.policies import UnknownPolicy, policy
-from hoistplank.lab.work import result
+from hoistplank.lab.worker import result
 
 LAST_S = 10.0  # for a worker whose runner is gone to end in order
 ORPHANED = threading.Event()  # the runner is gone
--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -11,10 +11,10 @@
 from typing import Protocol
 
 from hoistplank.interface import Note
-from hoistplank.lab.model.agenda import Agenda
+from hoistplank.lab.model.event_queue import Agenda
 from hoistplank.lab.model.objects import Library, group, name
-from hoistplank.lab.model.shape import S, Shape
 from hoistplank.lab.model.streams import Streams
+from hoistplank.lab.model.world_settings import S, Shape
 
 SERVED, BACK, OFF, GONE = "served", "rejected", "failed", "nobody there"
 LEFT = "left after a lost part"
--- a/hoistplank/lab/model/core.py
+++ b/hoistplank/lab/model/core.py
@@ -14,7 +14,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from hoistplank.levels.admission import Admission
+from hoistplank.degradation.admission import Admission
 
 S = 1_000_000
 
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -16,12 +16,12 @@
 
 from hoistplank.lab.model.objects import Hot
 from hoistplank.lab.model.servers import HUNG, SILENT, UP, Keeper, Server
-from hoistplank.lab.model.shape import HUB, Shape
 from hoistplank.lab.model.streams import Stream, Streams
 from hoistplank.lab.model.world import Seat, World
-from hoistplank.operator.faults import Fault, Faults, Place
-from hoistplank.operator.schema import Kind, matching, nearest, number, span, whole
-from hoistplank.operator.text import Atom, Form, parse, quote
+from hoistplank.lab.model.world_settings import HUB, Shape
+from hoistplank.operator_configuration.faults import Fault, Faults, Place
+from hoistplank.operator_configuration.schema import Kind, matching, nearest, number, span, whole
+from hoistplank.operator_configuration.text import Atom, Form, parse, quote
 
 TARGET = matching(
     r"(origin|caches|parents|z\d{1,4}|cell-\d{1,6}|[cp]\d[\w-]{0,12})(:[01](\.\d{1,4})?)?",
--- a/hoistplank/lab/model/links.py
+++ b/hoistplank/lab/model/links.py
@@ -11,7 +11,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from hoistplank.lab.model.agenda import Agenda
+from hoistplank.lab.model.event_queue import Agenda
 
 Flow = list[Any]  # [sum at its end, turn, what to call or None, its arguments]
 FAR = 1 << 60
--- a/hoistplank/lab/model/objects.py
+++ b/hoistplank/lab/model/objects.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from hoistplank.lab.model.shape import S, Shape
 from hoistplank.lab.model.streams import Stream, Streams
+from hoistplank.lab.model.world_settings import S, Shape
 
 ONCE = 1 << 40  # ids from here on are asked for once only
 HOT = 1 << 44
--- a/hoistplank/lab/model/truth.py
+++ b/hoistplank/lab/model/rule_checker.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from hoistplank.lab.model.shape import S, Shape
+from hoistplank.lab.model.world_settings import S, Shape
 
 DRAIN_US, PURGE_US, SLACK_US = 250_000, 1_000_000, 50_000
 MOST_LINES = 50
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -11,13 +11,13 @@
 from heapq import heapreplace
 
 from hoistplank.interface import Note, Result
-from hoistplank.lab.model.agenda import Agenda
-from hoistplank.lab.model.keep import Copy, Keep, Place
+from hoistplank.lab.model.cache_storage import Copy, Keep, Place
+from hoistplank.lab.model.event_queue import Agenda
 from hoistplank.lab.model.links import Flow, Link
 from hoistplank.lab.model.objects import Library
-from hoistplank.lab.model.shape import BOX, ORIGIN, PARENT, Shape
+from hoistplank.lab.model.rule_checker import Truth
 from hoistplank.lab.model.streams import Stream
-from hoistplank.lab.model.truth import Truth
+from hoistplank.lab.model.world_settings import BOX, ORIGIN, PARENT, Shape
 
 UP, SILENT, HUNG, DOWN = "up", "silent", "hung", "down"
 End = Callable[[int, int, int], None]  # result, note, born
--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -10,14 +10,14 @@
 from typing import Any, Protocol
 
 from hoistplank.interface import HostEntry
-from hoistplank.lab.model.agenda import Agenda
 from hoistplank.lab.model.clients import GONE, Clients, Request
+from hoistplank.lab.model.event_queue import Agenda
 from hoistplank.lab.model.links import Link
 from hoistplank.lab.model.objects import Library
+from hoistplank.lab.model.rule_checker import Truth
 from hoistplank.lab.model.servers import DOWN, SILENT, UP, Keeper, Origin, Server, Surroundings
-from hoistplank.lab.model.shape import BOX, HUB, PARENT, S, Shape
 from hoistplank.lab.model.streams import Stream, Streams
-from hoistplank.lab.model.truth import Truth
+from hoistplank.lab.model.world_settings import BOX, HUB, PARENT, S, Shape
 
 WATCHED = 48  # cache hosts whose load is kept by second
 LOST_US = 2_200_000  # a change log that says nothing for so long counts as lost
--- a/hoistplank/lab/model/shape.py
+++ b/hoistplank/lab/model/world_settings.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from hoistplank.facts import Fields, flat, site
 from hoistplank.interface import Site
+from hoistplank.settings_reader import Fields, flat, site
 
 S = 1_000_000
 BOX, PARENT, ORIGIN = "box", "parent", "origin"
--- a/hoistplank/lab/profile.py
+++ b/hoistplank/lab/profile.py
@@ -14,16 +14,16 @@
 from pathlib import Path
 from typing import Any
 
+from hoistplank.fakes.deployment import Deployment
 from hoistplank.lab.load.crew import load
 from hoistplank.lab.load.plan import Step, mixes
-from hoistplank.standins.deployment import Deployment
 
 # The first that a file's path holds; what none does is Python's own and the libraries'.
 LAYERS = (
     ("hoistplank/choice", "the module"),
-    ("hoistplank/routing/owner", "owner's turn"),
+    ("hoistplank/routing/router_task", "owner's turn"),
     ("hoistplank/routing/attempts", "attempts"),
-    ("hoistplank/routing/front", "front"),
+    ("hoistplank/routing/frontend", "front"),
     ("hoistplank/routing", "routing, other"),
     ("hoistplank/protocol/fastcgi", "FastCGI"),
     ("hoistplank/protocol", "cache wire and log"),
--- a/hoistplank/lab/report.py
+++ b/hoistplank/lab/report.py
@@ -19,7 +19,7 @@
 from matplotlib.figure import Figure  # noqa: E402
 
 from hoistplank.lab.statistics import difference, interval, of_way  # noqa: E402
-from hoistplank.lab.work import BINS  # noqa: E402
+from hoistplank.lab.worker import BINS  # noqa: E402
 
 FLOOR, TOP = "random", "seer"
 MOST_DAYS = 12  # with plots of their own; all days stand in the tables
--- a/hoistplank/lab/runner.py
+++ b/hoistplank/lab/runner.py
@@ -13,7 +13,7 @@
 
 from hoistplank.lab import results
 from hoistplank.lab.experiment import Cell, Experiment
-from hoistplank.lab.work import Job
+from hoistplank.lab.worker import Job
 
 TRIES = 2  # of a cell whose worker died, or whose day was void
 TIME_S = 1_800.0
@@ -79,7 +79,7 @@
         folder: Path,
         workers: int,
         told: Callable[[int, int, Cell, str], None] = lambda done, many, cell, how: None,
-        command: tuple[str, ...] = (sys.executable, "-m", "hoistplank.lab.work"),
+        command: tuple[str, ...] = (sys.executable, "-m", "hoistplank.lab.worker"),
     ) -> None:
         self.experiment, self.folder, self.workers, self.told = experiment, folder, workers, told
         self.command, self.journal = command, results.Journal(folder)
--- a/hoistplank/lab/scale/accept_process.py
+++ b/hoistplank/lab/scale/accept_process.py
@@ -12,8 +12,8 @@
 import msgspec
 import uvloop
 
+from hoistplank.fakes.wire import serve
 from hoistplank.lab.scale.log_process import read_commands, usage
-from hoistplank.standins.wire import serve
 
 
 async def keep(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/hoistplank/lab/scale/broken.py
+++ b/hoistplank/lab/scale/broken.py
@@ -6,10 +6,10 @@
 import time
 from typing import Any
 
+from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.lab.scale.hollow import BeforeTurn, HollowDispatcher, HollowOwner, ReportingOwner
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.owner import Event, Listed, Purged
-from hoistplank.standins.changelog import ChangeLog
+from hoistplank.routing.router_task import Event, Listed, Purged
 
 DROPS_EVERY = 50  # purges
 DROPPED_FIRST = 3  # of each of which this one is dropped: a short run has one as well
--- a/hoistplank/lab/scale/fleet.py
+++ b/hoistplank/lab/scale/fleet.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hoistplank.standins.settings import SETTINGS
+from hoistplank.fakes.settings import SETTINGS
 
 HUB = "hub"
 ORIGIN = "origin-0"
--- a/hoistplank/lab/scale/hollow.py
+++ b/hoistplank/lab/scale/hollow.py
@@ -19,8 +19,8 @@
 from hoistplank.protocol.changelog import Event as LogEvent
 from hoistplank.protocol.changelog import Known
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Event, Listed, Owner
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Event, Listed, Owner
 
 OPEN_CAP = 100
 BeforeTurn = Callable[[int], Listed | None]
--- a/hoistplank/lab/scale/hollow_pairing.py
+++ b/hoistplank/lab/scale/hollow_pairing.py
@@ -23,7 +23,10 @@
 import msgspec
 import numpy as np
 
-from hoistplank.lab.drives.orphans import with_parent
+from hoistplank.fakes.deployment import free_port
+from hoistplank.fakes.settings import listing
+from hoistplank.fakes.wire import connected
+from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.fleet.relays import Relays
 from hoistplank.lab.scale.fleet import Fleet, Seat
 from hoistplank.lab.scale.hollow_messages import (
@@ -39,9 +42,6 @@
 from hoistplank.lab.scale.run_children import HollowChild, LogChild
 from hoistplank.lab.scale.run_paths import LOG, REPLICAS, ReplicaPaths
 from hoistplank.lab.scale.run_replicas import Replicas, processor_s
-from hoistplank.standins.deployment import free_port
-from hoistplank.standins.settings import listing
-from hoistplank.standins.wire import connected
 
 READY_S = 30.0
 SETTLE_S = 0.5
--- a/hoistplank/lab/scale/hollow_process.py
+++ b/hoistplank/lab/scale/hollow_process.py
@@ -17,7 +17,6 @@
 import structlog
 import uvloop
 
-from hoistplank.facts import Fields, flat, site
 from hoistplank.interface import Site
 from hoistplank.lab.scale.broken import HOLLOW
 from hoistplank.lab.scale.hollow import FollowerFactory, HollowDispatcher, LogFollower, Position, Source
@@ -38,6 +37,7 @@
 )
 from hoistplank.lab.scale.run_lateness import Lateness
 from hoistplank.protocol.changelog import Known
+from hoistplank.settings_reader import Fields, flat, site
 
 FLUSH_S = 0.1  # how often acknowledgements are handed on
 MOST_LINE = 1 << 26
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -14,8 +14,8 @@
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.lab.scale.hollow import HollowOwner, Position, Source
-from hoistplank.operator.faults import Faults
-from hoistplank.program.forms import understood
+from hoistplank.operator_configuration.faults import Faults
+from hoistplank.program.sections import understood
 
 _checks: dict[Version, asyncio.Task[None]] = {}  # of this process
 
--- a/hoistplank/lab/scale/log_process.py
+++ b/hoistplank/lab/scale/log_process.py
@@ -18,9 +18,9 @@
 import msgspec
 import uvloop
 
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import serve
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import serve
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 COMMENT_LINE = "; a line of an operator's file\n"
--- a/hoistplank/lab/scale/mechanisms.py
+++ b/hoistplank/lab/scale/mechanisms.py
@@ -4,23 +4,23 @@
 
 from hoistplank.lab.scale.requirements import Mechanism
 
-LOG_FOLLOWING = Mechanism("replicated log, resumed by sequence number", "routing/listing.py")
-LOG_FAN_OUT = Mechanism("fan-out of the log, a cursor per follower", "standins/changelog.py")
+LOG_FOLLOWING = Mechanism("replicated log, resumed by sequence number", "routing/endpoint_watcher.py")
+LOG_FAN_OUT = Mechanism("fan-out of the log, a cursor per follower", "fakes/change_log.py")
 HOST_TABLE = Mechanism("full copy of the membership list", "choice.py")
 TOMBSTONES = Mechanism("tombstones with a horizon", "choice.py (`floors`)")
 OBJECT_TABLE = Mechanism("recency cache, 10 s idle expiry", "choice.py (`herds`)")
-REQUEST_TABLE = Mechanism("table of open requests, load shedding above it", "routing/owner.py")
+REQUEST_TABLE = Mechanism("table of open requests, load shedding above it", "routing/router_task.py")
 CONNECTION_POOL = Mechanism("connection pool", "transport/pool.py")
 CONFIGURATION = Mechanism(
     "versioned configuration, checked whole before it is taken", "distribution/configuration_taker.py"
 )
 XDS_RESOURCES = Mechanism("xDS: state of the world per resource", "xds/resources.py")
 XDS_STREAMS = Mechanism("xDS: subscription and acknowledgement per stream", "xds/follower.py")
-PROXYING = Mechanism("store and forward in one process", "routing/front.py")
+PROXYING = Mechanism("store and forward in one process", "routing/frontend.py")
 LOG_REPLAY = Mechanism(
-    "replay of every event, back-pressure per follower: **no compaction**", "standins/changelog.py"
+    "replay of every event, back-pressure per follower: **no compaction**", "fakes/change_log.py"
 )
-LOG_STORAGE = Mechanism("log without retention", "standins/changelog.py")
+LOG_STORAGE = Mechanism("log without retention", "fakes/change_log.py")
 REPLICA_FAN_OUT = Mechanism("log replication with acknowledgements", "distribution/replica.py")
 REPLICA_STATE = Mechanism("log compaction, a catch-up by version", "distribution/state.py")
 REPLICA_TABLE = Mechanism("acknowledgement table", "distribution/acknowledgements.py")
--- a/hoistplank/lab/scale/replay.py
+++ b/hoistplank/lab/scale/replay.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import Any
 
+from hoistplank.fakes.settings import listing
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.lab.scale.hollow_messages import Expect, HostState
 from hoistplank.lab.scale.scene_schedule import Change, HostStep, Planned, Purge
-from hoistplank.standins.settings import listing
 
 PURGE, CHANGE, HOST, RENEWAL = "purge", "change", "host", "renewal"
 KINDS = (PURGE, CHANGE, HOST, RENEWAL)
--- a/hoistplank/lab/scale/role_cache_host.py
+++ b/hoistplank/lab/scale/role_cache_host.py
@@ -12,7 +12,7 @@
 from hoistplank.lab.scale.log_process import Usage
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, awaited, kept_bytes_of
-from hoistplank.transport.ledger import Ledger
+from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.pool import FEW_LINES, Line, Pool
 
 ROLE = "cache host"
--- a/hoistplank/lab/scale/role_data_path.py
+++ b/hoistplank/lab/scale/role_data_path.py
@@ -5,13 +5,13 @@
 import tempfile
 from pathlib import Path
 
+from hoistplank.fakes.deployment import Deployment
 from hoistplank.lab.load.crew import load
 from hoistplank.lab.load.plan import Step as LoadStep
 from hoistplank.lab.load.plan import mixes
 from hoistplank.lab.profile import cpu_s
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import MICROSECONDS, Effort, Quantity, Step, awaited, series
-from hoistplank.standins.deployment import Deployment
 
 ROLE = "data path"
 ANSWER_BYTES = (20_000, 80_000, 160_000, 240_000)
--- a/hoistplank/lab/scale/role_dispatcher.py
+++ b/hoistplank/lab/scale/role_dispatcher.py
@@ -9,15 +9,15 @@
 from random import Random
 from typing import Any
 
-from hoistplank.facts import Fields, flat, site
+from hoistplank.fakes.settings import SETTINGS, listing, target
 from hoistplank.interface import Site
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, in_loop, kept_bytes, processor_us, series
 from hoistplank.protocol.changelog import Known, Reader
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Owner
-from hoistplank.standins.settings import SETTINGS, listing, target
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Owner
+from hoistplank.settings_reader import Fields, flat, site
 
 ROLE = "dispatcher"
 SEED = 7
--- a/hoistplank/lab/scale/role_operator.py
+++ b/hoistplank/lab/scale/role_operator.py
@@ -4,7 +4,7 @@
 
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, kept_bytes, processor_us, series
-from hoistplank.program.forms import understood
+from hoistplank.program.sections import understood
 
 ROLE = "operator"
 TENANTS = (25, 50, 100, 200)
@@ -15,7 +15,7 @@
     """An operator's file that lets so many tenants call."""
     tenants = [
         f'  (tenant t{number} (subjects "https://id.example" (names t{number}-*))\n'
-        f"    (names uri:example:t{number}) (rights read book purge) (rate 400/s) (open-requests 400))"
+        f"    (names uri:example:t{number}) (rights read book purge) (rate 400/s) (open-visits 400))"
         for number in range(count)
     ]
     head = '(callers\n  (tokens (issuer "https://id.example" (keys "ring.json") (audience "example")))\n'
--- a/hoistplank/lab/scale/run_children.py
+++ b/hoistplank/lab/scale/run_children.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hoistplank.lab.drives.orphans import with_parent
+from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.scale.hollow_messages import (
     AskLogUsage,
     AskUsage,
--- a/hoistplank/lab/scale/run_log.py
+++ b/hoistplank/lab/scale/run_log.py
@@ -14,6 +14,7 @@
 import msgspec
 import uvloop
 
+from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.lab.scale.broken import LOGS
 from hoistplank.lab.scale.hollow_messages import (
     AskLogUsage,
@@ -28,7 +29,6 @@
 )
 from hoistplank.lab.scale.hollow_process import MOST_LINE, resident_kb
 from hoistplank.lab.scale.run_lateness import Lateness
-from hoistplank.standins.changelog import ChangeLog
 
 BACKLOG = 2_048  # connections that may wait: a whole fleet comes back at once
 
--- a/hoistplank/lab/scale/run_replicas.py
+++ b/hoistplank/lab/scale/run_replicas.py
@@ -12,12 +12,12 @@
 
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.distribution.status_client import ask
-from hoistplank.lab.drives.orphans import with_parent
+from hoistplank.fakes.deployment import free_port
+from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.lab.scale.run_paths import ReplicaPaths
 from hoistplank.lab.scale.run_usage import ReplicaSample
 from hoistplank.protocol.errors import BadBytes
-from hoistplank.standins.deployment import free_port
 
 READY_S, END_S = 30.0, 8.0
 CPU_CLOCK = 2  # of the clock ids that Linux builds from a process's id (clock_getcpuclockid(3))
--- a/hoistplank/lab/scale/scene.py
+++ b/hoistplank/lab/scale/scene.py
@@ -6,10 +6,20 @@
 
 from hoistplank.lab.model.faults import COUNT, SHARE, SPAN, TIMES, Event, Kinds, events
 from hoistplank.lab.scale.fleet import Fleet
-from hoistplank.operator import schema
-from hoistplank.operator.faults import Fault, Faults, Place
-from hoistplank.operator.schema import NAME, TEXT, Field, matching, number, rate, size, span, whole
-from hoistplank.operator.text import Form, parse
+from hoistplank.operator_configuration import schema
+from hoistplank.operator_configuration.faults import Fault, Faults, Place
+from hoistplank.operator_configuration.schema import (
+    NAME,
+    TEXT,
+    Field,
+    matching,
+    number,
+    rate,
+    size,
+    span,
+    whole,
+)
+from hoistplank.operator_configuration.text import Form, parse
 
 S = 1_000_000
 LEAST_SLACK_US = 2 * S  # a scene goes on for so long after its last fault has ended
--- a/hoistplank/lab/work.py
+++ b/hoistplank/lab/worker.py
@@ -16,12 +16,12 @@
 import numpy as np
 import uvloop
 
-from hoistplank.lab.drives import sockets
-from hoistplank.lab.drives.virtual import built, digest
+from hoistplank.lab.backends import sockets
+from hoistplank.lab.backends.virtual import built, digest
 from hoistplank.lab.experiment import Cell
 from hoistplank.lab.model.faults import script
-from hoistplank.lab.model.shape import S
 from hoistplank.lab.model.world import World
+from hoistplank.lab.model.world_settings import S
 from hoistplank.lab.policies import UnknownPolicy, policy
 
 # ms, upper ends
--- a/hoistplank/membership/roster.py
+++ b/hoistplank/membership/host_registry.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import NamedTuple
 
-from hoistplank.membership import ages
+from hoistplank.membership import list_staleness
 from hoistplank.store.schemas import History, KeptHost
 
 KEPT, TENTATIVE, PROVEN, DOUBTFUL, LISTED, WITHDRAWN = (
@@ -127,8 +127,8 @@
         age_s = max(
             0.0, (now - heard_us) / 1e6
         )  # danger: set back, the clock is before the list: it counts as new
-        self.alive = ages.alive(history, age_s)
-        self.tries = ages.tries(self.alive)
+        self.alive = list_staleness.alive(history, age_s)
+        self.tries = list_staleness.tries(self.alive)
         for host in hosts:
             if host.uid not in self.rows and host.state == "ready":
                 self.rows[host.uid] = Entry(host, KEPT, Evidence("kept", heard_us), now)
@@ -218,7 +218,7 @@
         """Whom to feel out now; each counts as under way until `felt`. Never one with a probe out."""
         if self.live:
             return []
-        most = ages.wave(self.alive, self.dispatchers)
+        most = list_staleness.wave(self.alive, self.dispatchers)
         found = []
         while self.out < most and self._agenda and self._agenda[0][0] <= now:
             at, _, uid = heappop(self._agenda)
--- a/hoistplank/membership/forms.py
+++ b/hoistplank/membership/sections.py
@@ -2,8 +2,18 @@
 
 from __future__ import annotations
 
-from hoistplank.operator.faults import Fault
-from hoistplank.operator.schema import ADDRESS, TEXT, Field, Section, Shape, matching, number, span, whole
+from hoistplank.operator_configuration.faults import Fault
+from hoistplank.operator_configuration.schema import (
+    ADDRESS,
+    TEXT,
+    Field,
+    Section,
+    Shape,
+    matching,
+    number,
+    span,
+    whole,
+)
 
 WORD = matching(r"[A-Za-z0-9_.:-]{1,60}", "a name of letters, digits and '_.:-'")
 
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -13,21 +13,21 @@
 
 import structlog
 
-from hoistplank.membership import ages
-from hoistplank.membership.roster import TOLD, Roster
-from hoistplank.operator.faults import Fault, Faults
-from hoistplank.operator.schema import Section
+from hoistplank.membership import list_staleness
+from hoistplank.membership.host_registry import TOLD, Roster
+from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Event, Fleet, Target, address
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Listed, Owner, Purged
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Listed, Owner, Purged
+from hoistplank.store.background_writer import Keeper
 from hoistplank.store.folder import Folder, StoreError
-from hoistplank.store.keeper import Keeper
 from hoistplank.store.schemas import History, KeptChange, KeptHost, KeptList, KeptPurge
-from hoistplank.transport.ledger import Ledger
+from hoistplank.transport.descriptor_budget import Ledger
 
 log = structlog.get_logger()
 
@@ -182,7 +182,7 @@
                 if whole
                 else [host.uid for host in hosts if host.state == "gone" and host.uid in before]
             )
-            self.history = ages.watched(self.history, now, len(before), 0 if first else len(gone))
+            self.history = list_staleness.watched(self.history, now, len(before), 0 if first else len(gone))
             changed = list(live.values())
             self.current = live if whole else {u: h for u, h in before.items() if u not in gone} | live
             self.rev = fleet.rev
@@ -243,7 +243,7 @@
         self.heard_us = now
         if self.keeper is not None and self.state is not None and now - self.wrote_heard_us > HEARD_EVERY_US:
             self.wrote_heard_us = now
-            self.history = ages.watched(self.history, now, len(self.current), 0)
+            self.history = list_staleness.watched(self.history, now, len(self.current), 0)
             self.keeper.add(KeptChange(now, self.rev, history=self.history))
 
     # Without it.
--- a/hoistplank/operator/layout.py
+++ b/hoistplank/operator_configuration/layout.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hoistplank.operator.text import Atom, Comment, Form, Text, quote
+from hoistplank.operator_configuration.text import Atom, Comment, Form, Text, quote
 
 WIDTH, STEP = 100, 2
 
--- a/hoistplank/operator/schema.py
+++ b/hoistplank/operator_configuration/schema.py
@@ -1,6 +1,6 @@
 """What a form may hold: kinds of values with their units, fields with defaults, forms inside forms.
 
-A `Shape` is declared once beside the subsystem that reads it and registered in `hoistplank.program.forms`.
+A `Shape` is declared once beside the subsystem that reads it and registered in `hoistplank.program.sections`.
 `read` checks forms against a shape and collects every fault, so that one look shows all that is to be mended.
 """
 
@@ -12,8 +12,8 @@
 from difflib import get_close_matches
 from typing import Any
 
-from hoistplank.operator.faults import Fault, Place
-from hoistplank.operator.text import Atom, Form
+from hoistplank.operator_configuration.faults import Fault, Place
+from hoistplank.operator_configuration.text import Atom, Form
 
 NUMBER = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([A-Za-z/]*)").fullmatch
 SPANS = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000, "d": 86_400_000_000}
--- a/hoistplank/operator/text.py
+++ b/hoistplank/operator_configuration/text.py
@@ -14,7 +14,7 @@
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput, UnexpectedToken, VisitError
 
-from hoistplank.operator.faults import Fault, Place
+from hoistplank.operator_configuration.faults import Fault, Place
 
 MOST_BYTES = 1_048_576
 # Danger: each level of nesting is a level of recursion in all that walks the forms.
--- a/hoistplank/program/configuration.py
+++ b/hoistplank/program/configuration.py
@@ -14,10 +14,10 @@
 import msgspec
 from msgspec import Meta
 
-from hoistplank.facts import FactError, Fields, flat, site
 from hoistplank.interface import Site
 from hoistplank.protocol.changelog import Known, address, check
 from hoistplank.protocol.errors import BadBytes
+from hoistplank.settings_reader import FactError, Fields, flat, site
 
 Count = Annotated[int, Meta(ge=1)]
 
--- a/hoistplank/program/additions.py
+++ b/hoistplank/program/extensions.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from hoistplank.operator.faults import Fault, Faults
-from hoistplank.operator.schema import Section
+from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
 from hoistplank.program.service import Addition
 
 if TYPE_CHECKING:
-    from hoistplank.callers.service import CallersService
-    from hoistplank.levels.service import LevelsService
+    from hoistplank.authorization.service import CallersService
+    from hoistplank.degradation.service import LevelsService
 
 MAIN = ("callers", "membership", "levels", "distribution")
 LOCAL = "distribution"  # the form that stands in a dispatcher's own file alone
@@ -36,7 +36,7 @@
             # First of all: it takes the place of the change log's watch, which others look at.
             self.each.append(DistributionService(section["distribution"], configuration, self.read_text))
         if section["callers"] is not None:
-            from hoistplank.callers.service import CallersService
+            from hoistplank.authorization.service import CallersService
 
             _classes_known(section["callers"], configuration)
             self.authorizer = CallersService(section["callers"], file, configuration.site)
@@ -46,7 +46,7 @@
 
             self.each.append(MembershipService(section["membership"], file, configuration))
         if section["levels"] is not None:
-            from hoistplank.levels.service import LevelsService
+            from hoistplank.degradation.service import LevelsService
 
             self.levels = LevelsService(section["levels"], file, configuration)
             self.each.append(self.levels)
@@ -117,13 +117,13 @@
 
 
 def _loaded(file: str) -> Section:
-    from hoistplank.program.forms import load
+    from hoistplank.program.sections import load
 
     return load(file)
 
 
 def _understood(data: bytes, name: str) -> Section:
-    from hoistplank.program.forms import understood
+    from hoistplank.program.sections import understood
 
     return understood(data, name)
 
--- a/hoistplank/program/forms.py
+++ b/hoistplank/program/sections.py
@@ -4,13 +4,13 @@
 
 from pathlib import Path
 
-from hoistplank.callers import forms as callers
-from hoistplank.distribution import forms as distribution
-from hoistplank.levels import forms as levels
-from hoistplank.membership import forms as membership
-from hoistplank.operator.faults import Fault, Faults, Place
-from hoistplank.operator.schema import Field, Section, Shape, one_of, read
-from hoistplank.operator.text import parse
+from hoistplank.authorization import sections as callers
+from hoistplank.degradation import sections as levels
+from hoistplank.distribution import sections as distribution
+from hoistplank.membership import sections as membership
+from hoistplank.operator_configuration.faults import Fault, Faults, Place
+from hoistplank.operator_configuration.schema import Field, Section, Shape, one_of, read
+from hoistplank.operator_configuration.text import parse
 
 LOG = Shape((Field("format", one_of("lines", "json"), "lines", doc="lines for people or JSON for programs"),))
 
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -15,12 +15,12 @@
 import structlog
 
 from hoistplank.program.configuration import BadConfiguration, Configuration, fixed
-from hoistplank.routing.caches import answers_of
+from hoistplank.routing.cache_host_reader import answers_of
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.front import Authorizer, Front
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Closed, Closing, Owner
-from hoistplank.transport.ledger import Ledger
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.frontend import Authorizer, Front
+from hoistplank.routing.router_task import Closed, Closing, Owner
+from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.pool import Pool
 
--- a/hoistplank/routing/caches.py
+++ b/hoistplank/routing/cache_host_reader.py
@@ -6,7 +6,7 @@
 
 from hoistplank.protocol import cachewire
 from hoistplank.routing.attempts import Attempt
-from hoistplank.routing.owner import Probe
+from hoistplank.routing.router_task import Probe
 from hoistplank.transport.pool import Line
 
 
--- a/hoistplank/routing/listing.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -15,10 +15,10 @@
 from hoistplank.protocol.changelog import Event, Known, Target
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.complaints import Complaints
-from hoistplank.routing.logclock import LogClock
-from hoistplank.routing.owner import Event as Telling
-from hoistplank.routing.owner import Listed, Purged
+from hoistplank.routing.clock_offset import LogClock
+from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.router_task import Event as Telling
+from hoistplank.routing.router_task import Listed, Purged
 from hoistplank.transport.connection import Connection, Consume
 
 SILENT_S = 2.2  # a number comes each second: two missed and some
--- a/hoistplank/routing/front.py
+++ b/hoistplank/routing/frontend.py
@@ -12,10 +12,10 @@
 from hoistplank.protocol import fastcgi
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.attempts import Request
-from hoistplank.routing.complaints import Complaints
-from hoistplank.routing.owner import Came, Left, Owner
+from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.router_task import Came, Left, Owner
 from hoistplank.transport.connection import Connection, Consume
-from hoistplank.transport.ledger import Ledger
+from hoistplank.transport.descriptor_budget import Ledger
 
 PATH, HEALTH, HEALTH_SCRIPT = "/api/v2/", "/-/healthy", b"/-/healthy"
 MOST_REQUESTS = 32  # open ones a connection
--- a/hoistplank/routing/owner.py
+++ b/hoistplank/routing/router_task.py
@@ -11,9 +11,9 @@
 import structlog
 
 from hoistplank.choice import Router
+from hoistplank.degradation.admission import Admission, Bounds
+from hoistplank.degradation.signals import Watch
 from hoistplank.interface import Decision, HostEntry, Note, Reduced, Result, Site
-from hoistplank.levels.admission import Admission, Bounds
-from hoistplank.levels.signals import Watch
 from hoistplank.protocol import cachewire
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.attempts import ENDINGS, Attempt, Ended, Request, request_message
--- a/hoistplank/transport/listener.py
+++ b/hoistplank/transport/listener.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable
 
-from hoistplank.transport.ledger import Ledger
+from hoistplank.transport.descriptor_budget import Ledger
 
 BACKLOG = 1_024  # clients that wait while the ledger is full stand here, connected and not yet taken in
 PAUSE_S = 0.05  # after the system itself was out of descriptors or memory
--- a/hoistplank/transport/pool.py
+++ b/hoistplank/transport/pool.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from hoistplank.transport.connection import Connection
-from hoistplank.transport.ledger import Ledger
+from hoistplank.transport.descriptor_budget import Ledger
 
 MOST_IN = 524_288  # an answer of 240,000 bytes with its line, and the start of the next
 MOST_OUT = 4_194_304
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -13,8 +13,8 @@
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Event, Listed, Purged
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Event, Listed, Purged
 from hoistplank.xds.resources import ORIGIN, PARENTS, Host, ResourceCache
 from hoistplank.xds.service import Hub, Limits, server
 
--- a/hoistplank/xds/resources.py
+++ b/hoistplank/xds/resources.py
@@ -30,7 +30,7 @@
 from envoy.config.route.v3 import route_components_pb2, route_pb2
 from envoy.service.runtime.v3 import rtds_pb2
 
-from hoistplank.xds.table import Firsts, key_of
+from hoistplank.xds.ranking_cache import Firsts, key_of
 
 BASE = "type.googleapis.com/"
 CLUSTER = BASE + "envoy.config.cluster.v3.Cluster"
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -15,12 +15,12 @@
 from hoistplank.distribution.replica import Replica, ReplicaSettings
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.distribution.versions import Version
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Known
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.owner import Applied, Listed, Purged
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import serve
+from hoistplank.routing.router_task import Applied, Listed, Purged
 
 HORIZON_US = 60_000_000
 EPOCH = 7
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,14 +12,14 @@
 from typing import Any
 
 from hoistplank.choice import Router
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.wire import CacheHost, Client, serve
 from hoistplank.interface import Decision, HostEntry, HouseRules, Reduced, Result, Site, TrafficClass
 from hoistplank.program import service
-from hoistplank.program.additions import added
 from hoistplank.program.configuration import Configuration, read, read_again
+from hoistplank.program.extensions import added
 from hoistplank.program.service import Service
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import SETTINGS, listing, target
-from hoistplank.standins.wire import CacheHost, Client, serve
 
 RULES = HouseRules(
     250_000,
@@ -132,7 +132,7 @@
                 since = int(started[0]) * 1000 if started else 0
                 entries.append(HostEntry(host, zone, kind, 0, 5.0, since, state))
             r.hosts_listed(now, words[0], entries)
-        elif name == "visit":  # request ID TRACK THING [part= group= kb= until_ms= again=yes]
+        elif name == "request":  # request ID CLASS OBJECT [part= group= kb= until_ms= again=yes]
             p = pairs(words[3:])
             until = int(p.get("until_ms", now // 1000 + 2_500)) * 1000
             r.request_arrived(
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -4,7 +4,7 @@
 
 from hoistplank.benchlink.codec import seconds
 from hoistplank.benchlink.hosting import Hosting
-from hoistplank.facts import FactError, micros
+from hoistplank.settings_reader import FactError, micros
 
 LAUNCH = (
     "LAUNCH dispatcher_id=d/1 salt=7 areas=hub,z1 models=box,parent,origin zone=z1 group_size=1 later.key=x"
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -16,15 +16,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.callers import jws, ring
-from hoistplank.callers.gate import Caller, Gate, Identity, Refusal, Terms
-from hoistplank.callers.jws import BadToken
-from hoistplank.callers.keyfiles import _eddsa, _es256
-from hoistplank.callers.limits import Accounts, Bucket, Checks, level, room
-from hoistplank.callers.proofs import Issuer, Key, KeySet
-from hoistplank.callers.revoked import BadRevocation, Revocation, Revoked
-from hoistplank.callers.rights import BITS, Claim, Names, Tenant, Tenants
-from hoistplank.standins.authority import Signer, b64
+from hoistplank.authorization import jws, key_lifecycle
+from hoistplank.authorization.authorizer import Caller, Gate, Identity, Refusal, Terms
+from hoistplank.authorization.jws import BadToken
+from hoistplank.authorization.keyfiles import _eddsa, _es256
+from hoistplank.authorization.limits import Accounts, Bucket, Checks, level, room
+from hoistplank.authorization.permissions import BITS, Claim, Names, Tenant, Tenants
+from hoistplank.authorization.revocations import BadRevocation, Revocation, Revoked
+from hoistplank.authorization.token_cache import Issuer, Key, KeySet
+from hoistplank.fakes.certificate_authority import Signer, b64
 
 ISS, S = "https://id.example", 1_000_000
 OLD, NEW, ES = Signer("k1"), Signer("k2"), Signer("k3", "ES256")
@@ -323,13 +323,17 @@
     )
 )
 def test_a_ring_holds_one_signer_and_nothing_comes_back(steps: list[tuple[str, str]]) -> None:
-    held: tuple[ring.Entry, ...] = ()
+    held: tuple[key_lifecycle.Entry, ...] = ()
     model: dict[str, str] = {}
     for at, (kid, event) in enumerate(steps):
         try:
-            held = ring.added(held, kid, at) if event == "make" else ring.moved(held, kid, event, at)
+            held = (
+                key_lifecycle.added(held, kid, at)
+                if event == "make"
+                else key_lifecycle.moved(held, kid, event, at)
+            )
             done = True
-        except ring.BadMove:
+        except key_lifecycle.BadMove:
             done = False
         was = model.get(kid)
         able = {
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -19,16 +19,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.callers.http import BadRequest, Reader
-from hoistplank.callers.service import CallersService
-from hoistplank.operator.faults import Faults
-from hoistplank.program.forms import load
+from hoistplank.authorization.http import BadRequest, Reader
+from hoistplank.authorization.service import CallersService
+from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
+from hoistplank.fakes.deployment import free_port
+from hoistplank.fakes.wire import CacheHost, Client, connected
+from hoistplank.operator_configuration.faults import Faults
+from hoistplank.program.sections import load
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
-from hoistplank.routing.owner import Purged
-from hoistplank.standins.authority import Authority, Signer, operator_text, write_keys
-from hoistplank.standins.deployment import free_port
-from hoistplank.standins.wire import CacheHost, Client, connected
+from hoistplank.routing.router_task import Purged
 from tests.helpers import Running, configuration, until
 
 OLD, NEW = Signer("k1"), Signer("k2", "ES256")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,11 +13,11 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from hoistplank.callers.jws import parse
+from hoistplank.authorization.jws import parse
 from hoistplank.cli.main import main
-from hoistplank.program.journal import WITHHELD, conceal
-from hoistplank.standins.authority import Authority, Signer, operator_text, pem, write_keys
-from hoistplank.standins.deployment import free_port, settings
+from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, pem, write_keys
+from hoistplank.fakes.deployment import free_port, settings
+from hoistplank.program.logging_setup import WITHHELD, conceal
 
 
 def call(*words: str, text: str = "") -> Result:
@@ -109,13 +109,13 @@
     set."""
     ring, chance = tmp_path / "ring", Random(3)
     code = (
-        "import sys; from pathlib import Path; from hoistplank.callers.keyfiles import Ring\n"
+        "import sys; from pathlib import Path; from hoistplank.authorization.keyfiles import Ring\n"
         "ring = Ring(Path(sys.argv[1])); n = int(sys.argv[2])\n"
         "while True:\n"
         "    n += 1; kid = f'k{n}'; ring.make(kid, 'EdDSA', n); ring.move(kid, 'publish', n)\n"
         "    ring.move(kid, 'sign', n)\n"
     )
-    from hoistplank.callers.keyfiles import Ring
+    from hoistplank.authorization.keyfiles import Ring
 
     for turn in range(6):
         child = subprocess.Popen([sys.executable, "-c", code, str(ring), str(turn * 1_000)])
@@ -155,7 +155,7 @@
         ("(tenant", "a form that is never closed"),
         ('(callers (revoked "none"))', "can't be read"),
         (
-            "(callers (tenant a (rights read) (traffic classes vidio)))",
+            "(callers (tenant a (rights read) (tracks vidio)))",
             "the traffic class 'vidio', expected one of the settings",
         ),
     ],
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -19,12 +19,12 @@
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import Follow, InForce, RequestLine, VersionFields, encode
 from hoistplank.distribution.versions import NOTHING, Version
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Event, Fleet, Known, Target
 from hoistplank.protocol.errors import BadBytes
-from hoistplank.routing.owner import Applied, Listed
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import serve
+from hoistplank.routing.router_task import Applied, Listed
 from tests.distribution_rig import EPOCH, Relay, Rig, asked
 from tests.helpers import until
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -18,9 +18,9 @@
 
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.distribution.versions import Version
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import CacheHost, Client, serve
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import CacheHost, Client, serve
 from tests.distribution_rig import EPOCH, asked
 from tests.helpers import configuration
 
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -15,13 +15,13 @@
 import pytest
 import uvloop
 
+from hoistplank.degradation.service import LevelsService
 from hoistplank.distribution.follower import ReplicaFollower
 from hoistplank.distribution.messages import VersionFields
 from hoistplank.distribution.versions import Version
-from hoistplank.levels.service import LevelsService
+from hoistplank.fakes.settings import listing
+from hoistplank.fakes.wire import CacheHost
 from hoistplank.program.service import Phase
-from hoistplank.standins.settings import listing
-from hoistplank.standins.wire import CacheHost
 from tests.distribution_rig import EPOCH, Rig, asked
 from tests.helpers import Running, until
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,16 +18,16 @@
 import pytest
 import uvloop
 
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import CacheHost, Client, serve
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
 from hoistplank.protocol.changelog import Event, Fleet, Known
-from hoistplank.routing import listing as watching
+from hoistplank.routing import endpoint_watcher as watching
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.listing import Listing
-from hoistplank.routing.owner import Came, Left, Listed, Purged
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import CacheHost, Client, serve
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Came, Left, Listed, Purged
 from hoistplank.transport import connection as connections
 from hoistplank.transport import pool as pools
 from hoistplank.transport.connection import Connection
@@ -783,7 +783,7 @@
                 raise OSError(24, "Too many open files")
             return plain(*words)
 
-        monkeypatch.setattr("hoistplank.routing.listing.socket.socket", none)
+        monkeypatch.setattr("hoistplank.routing.endpoint_watcher.socket.socket", none)
         task = asyncio.create_task(log.run())
         await until(lambda: log.fresh)
         assert asked == [0] and len(failed) == 2
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,8 @@
 from hypothesis import strategies as st
 
 from hoistplank.cli.main import main
-from hoistplank.lab.fleet import broken, processes, runner, virtual, work
+from hoistplank.fakes.deployment import free_port
+from hoistplank.lab.fleet import faulty_dispatchers, processes, runner, virtual, worker
 from hoistplank.lab.fleet.metrics import FleetMetrics, Shared, jain
 from hoistplank.lab.fleet.path_conditions import (
     UNIMPAIRED,
@@ -31,11 +32,10 @@
 )
 from hoistplank.lab.fleet.relays import Relays
 from hoistplank.lab.fleet.scene import Scene, lasts, read
-from hoistplank.lab.fleet.work import Job, told
-from hoistplank.lab.model.shape import S
+from hoistplank.lab.fleet.worker import Job, told
+from hoistplank.lab.model.world_settings import S
 from hoistplank.lab.policies import policy
-from hoistplank.operator.faults import Faults
-from hoistplank.standins.deployment import free_port
+from hoistplank.operator_configuration.faults import Faults
 
 ROOT = Path(__file__).resolve().parents[1]
 SCENES = ROOT / "deploy" / "fleet"
@@ -431,7 +431,7 @@
 
 
 def test_each_checker_fires_on_what_was_made_for_it_and_lets_the_module_pass() -> None:
-    assert broken.fires() == dict.fromkeys([*broken.FLEET, "forgetful"], (True, True))
+    assert faulty_dispatchers.fires() == dict.fromkeys([*faulty_dispatchers.FLEET, "forgetful"], (True, True))
 
 
 def test_sums_and_fairness_are_counted_by_the_truth() -> None:
@@ -513,7 +513,7 @@
     assert found["verdict"] == "broke" and "nonsense" in found["why"]
     monkeypatch.setattr(processes.FleetDay, "late_us", lambda self: 40_000)
     scene, folder = read(SMALL.format("").encode(), "s"), str(tmp_path / "run")
-    late = work.play(Job(scene=scene, drive="processes", seed=1, folder=folder, beside=str(tmp_path)))
+    late = worker.play(Job(scene=scene, drive="processes", seed=1, folder=folder, beside=str(tmp_path)))
     assert late["how"] == "void" and "40 ms late" in late["why"]
 
 
@@ -527,7 +527,7 @@
             asked.append(taken if not asked else free_port())
             return asked[-1]
 
-        monkeypatch.setattr("hoistplank.lab.drives.sockets.free_port", port)
+        monkeypatch.setattr("hoistplank.lab.backends.sockets.free_port", port)
         scene = read(SMALL.format("").encode(), "s")
         day, rig = processes.play(scene, 1, tmp_path, tmp_path)
     assert len(asked) == 3 and rig["chunks"] > 0 and day.metrics.firsts > 0
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -8,21 +8,21 @@
 from msgspec.structs import replace
 
 from hoistplank.interface import Note, Result
-from hoistplank.lab.broken import BROKEN
-from hoistplank.lab.drives.virtual import built, digest
-from hoistplank.lab.model.agenda import Agenda
+from hoistplank.lab.backends.virtual import built, digest
+from hoistplank.lab.faulty_dispatchers import BROKEN
+from hoistplank.lab.model.cache_storage import Keep
 from hoistplank.lab.model.clients import LAST_US, SERVED, Clients, Request
+from hoistplank.lab.model.event_queue import Agenda
 from hoistplank.lab.model.faults import DAYS, KINDS, checked, drawn, script
-from hoistplank.lab.model.keep import Keep
 from hoistplank.lab.model.links import Link
 from hoistplank.lab.model.objects import Library
 from hoistplank.lab.model.servers import Ask, Server
-from hoistplank.lab.model.shape import S, Shape, sized
 from hoistplank.lab.model.streams import Streams
 from hoistplank.lab.model.world import World
+from hoistplank.lab.model.world_settings import S, Shape, sized
 from hoistplank.lab.policies import Make, UnknownPolicy, policy
-from hoistplank.operator.faults import Faults
-from hoistplank.routing.logclock import LogClock
+from hoistplank.operator_configuration.faults import Faults
+from hoistplank.routing.clock_offset import LogClock
 
 SMALL = sized(6, 2, 1, 60.0, seconds=6.0)
 
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -17,18 +17,18 @@
 from hypothesis import strategies as st
 
 from hoistplank.cli.lab import lab
+from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
+from hoistplank.fakes.deployment import Deployment, free_port
 from hoistplank.lab import report, results, runner
-from hoistplank.lab.drives import sockets
+from hoistplank.lab.backends import sockets
 from hoistplank.lab.experiment import Cell, Experiment, read
 from hoistplank.lab.load import crew
 from hoistplank.lab.load.plan import BadPlan, Step, mixes, plan, times
 from hoistplank.lab.load.wire import Answers, Template
 from hoistplank.lab.statistics import difference, of_way, ranks, spearman
-from hoistplank.lab.work import Job, play
-from hoistplank.operator.faults import Faults
+from hoistplank.lab.worker import Job, play
+from hoistplank.operator_configuration.faults import Faults
 from hoistplank.protocol import fastcgi
-from hoistplank.standins.authority import Authority, Signer, operator_text, write_keys
-from hoistplank.standins.deployment import Deployment, free_port
 
 TEXT = b"""(experiment small
   (days calm) (script late (at 1s (slow origin 3x for 1s)))
@@ -226,9 +226,9 @@
 
 
 def test_a_worker_that_dies_costs_its_cell_alone(tmp_path: Path) -> None:
-    code = "import sys, os; from hoistplank.lab import work; data = sys.stdin.buffer.read(); "
+    code = "import sys, os; from hoistplank.lab import worker; data = sys.stdin.buffer.read(); "
     code += "os.abort() if b'\"hash\"' in data else None; import io; "
-    code += "sys.stdin = io.TextIOWrapper(io.BytesIO(data)); work.main()"
+    code += "sys.stdin = io.TextIOWrapper(io.BytesIO(data)); worker.main()"
     run = runner.Run(small(), tmp_path, 2, command=(sys.executable, "-c", code))
     path = asyncio.run(run.go(ROOT))
     assert len(results.load(path)) == 3
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from hoistplank.degradation.admission import Admission, Bounds
+from hoistplank.degradation.signals import UNHEARD, Gauges, Mean, Reading, Watch
+from hoistplank.degradation.state_machine import FULL, Condition, Ladder, Level, State
 from hoistplank.interface import Reduced
 from hoistplank.lab.model.core import Core, Costs
-from hoistplank.levels.admission import Admission, Bounds
-from hoistplank.levels.ladder import FULL, Condition, Ladder, Level, State
-from hoistplank.levels.signals import UNHEARD, Gauges, Mean, Reading, Watch
 from tests.helpers import Stage
 
 S = 1_000_000
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,12 +16,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hoistplank.membership import ages
-from hoistplank.membership.roster import MOVES, TOLD, Roster
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import CacheHost, serve
+from hoistplank.membership import list_staleness
+from hoistplank.membership.host_registry import MOVES, TOLD, Roster
 from hoistplank.membership.service import MembershipService
 from hoistplank.program.service import Phase
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import CacheHost, serve
 from hoistplank.store.folder import Folder
 from hoistplank.store.schemas import History, KeptHost, KeptList
 from tests.helpers import Running, until
@@ -39,21 +39,32 @@
     went: float, spent: float, one: float, two: float
 ) -> None:
     history, young, old = History(went, spent, 1), min(one, two), max(one, two)
-    assert 0 <= ages.alive(history, old) <= ages.alive(history, young) <= 1 == ages.alive(history, -5)
-    assert 2 <= ages.tries(ages.alive(history, old)) <= ages.tries(ages.alive(history, young)) <= 8
+    assert (
+        0
+        <= list_staleness.alive(history, old)
+        <= list_staleness.alive(history, young)
+        <= 1
+        == list_staleness.alive(history, -5)
+    )
+    assert (
+        2
+        <= list_staleness.tries(list_staleness.alive(history, old))
+        <= list_staleness.tries(list_staleness.alive(history, young))
+        <= 8
+    )
 
 
 def test_the_worth_of_a_list_is_learned_from_its_own_history() -> None:
     week = 7 * 86_400.0
     assert (
-        ages.alive(QUIET, week) > 0.9
-        and ages.alive(ROLLING, 3_600) < 0.75
-        and ages.alive(ROLLING, week) < 1e-9
+        list_staleness.alive(QUIET, week) > 0.9
+        and list_staleness.alive(ROLLING, 3_600) < 0.75
+        and list_staleness.alive(ROLLING, week) < 1e-9
     )
     history = History()
     for hour in range(200):
-        history = ages.watched(history, (hour + 1) * 3_600 * S, 100, 1)
-    assert 0.5 < ages.rate(history) * 100 * 3_600 < 1.5  # one of a hundred an hour
+        history = list_staleness.watched(history, (hour + 1) * 3_600 * S, 100, 1)
+    assert 0.5 < list_staleness.rate(history) * 100 * 3_600 < 1.5  # one of a hundred an hour
 
 
 class Against(RuleBasedStateMachine):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.operator.faults import Fault, Faults
-from hoistplank.operator.layout import written
-from hoistplank.operator.text import Atom, Form, parse
-from hoistplank.program.forms import understood
+from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.layout import written
+from hoistplank.operator_configuration.text import Atom, Form, parse
+from hoistplank.program.sections import understood
 
 BROKEN = sorted((Path(__file__).parent / "broken").glob("*.sexp"))
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -13,9 +13,9 @@
 import pytest
 import uvloop
 
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import Client, serve
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import Client, serve
 from tests.helpers import configuration
 
 # Nine in ten are to be ready within 10 s, and a tenth of a core is the least part of one that we reckon with.
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -19,6 +19,8 @@
 from hypothesis import strategies as st
 
 from hoistplank.choice import ALL_OBJECTS, Router
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
 from hoistplank.lab.scale import measurements, run_broken
 from hoistplank.lab.scale.faults import Strike
@@ -37,10 +39,8 @@
 from hoistplank.lab.scale.run_verdict import OF_TIME, judged
 from hoistplank.lab.scale.scene import KINDS, S, Scene, read
 from hoistplank.lab.scale.scene_schedule import BATCH_US, Change, HostStep, Purge, schedule
-from hoistplank.operator.faults import Faults
+from hoistplank.operator_configuration.faults import Faults
 from hoistplank.protocol import changelog
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.wire import serve
 
 ROOT = Path(__file__).resolve().parents[1]
 SCENES = sorted((ROOT / "deploy" / "scale").glob("*.sexp"))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,15 +18,15 @@
 import pytest
 import uvloop
 
+from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.wire import CacheHost, Client, serve
 from hoistplank.interface import Result
 from hoistplank.program.configuration import BadConfiguration, read
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.attempts import ENDINGS
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.owner import Listed, Purged
-from hoistplank.standins.settings import SETTINGS, listing, target
-from hoistplank.standins.wire import CacheHost, Client, serve
+from hoistplank.routing.router_task import Listed, Purged
 from tests.helpers import Running, configuration, until
 
 BLOB = bytes(range(256)) * 900
@@ -202,7 +202,7 @@
     tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.routing.front.UNFINISHED_S", 0.2)
+        monkeypatch.setattr("hoistplank.routing.frontend.UNFINISHED_S", 0.2)
         box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
         async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(3, "page"))[0] == 200
@@ -860,7 +860,7 @@
     """A log that says nothing is taken up again; a line on which all was silent gets no new attempts."""
 
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.routing.listing.SILENT_S", 0.05)
+        monkeypatch.setattr("hoistplank.routing.endpoint_watcher.SILENT_S", 0.05)
         asked: list[int] = []
 
         async def quiet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -13,9 +13,9 @@
 import uvloop
 
 from hoistplank.choice import Router
+from hoistplank.fakes.settings import SETTINGS
+from hoistplank.fakes.wire import CacheHost
 from hoistplank.interface import HostEntry, Note, Result, Site
-from hoistplank.standins.settings import SETTINGS
-from hoistplank.standins.wire import CacheHost
 from tests.helpers import RULES, SITE, VIDEO, Running, until
 
 ONE = SITE
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,8 +18,8 @@
 
 from hoistplank.cli.main import main
 from hoistplank.store import frames
+from hoistplank.store.background_writer import Keeper
 from hoistplank.store.folder import Folder, Taken
-from hoistplank.store.keeper import Keeper
 from hoistplank.store.schemas import History, KeptChange, KeptHost, KeptList, KeptPurge, applied, merged
 
 
@@ -212,7 +212,7 @@
         if broken.is_set():
             raise OSError(number, os.strerror(number))
 
-    monkeypatch.setattr("hoistplank.store.keeper.AFTER_FAULT_S", 0.01)
+    monkeypatch.setattr("hoistplank.store.background_writer.AFTER_FAULT_S", 0.01)
     keeper = Keeper(Folder(tmp_path, sync), told.append, 0.0)
     keeper.start(None)
     keeper.put(kept("a"))
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -18,17 +18,18 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from hoistplank.choice import Router
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.deployment import free_port
+from hoistplank.fakes.first_choice import first_choice
+from hoistplank.fakes.proxy import Proxy, name_of
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
 from hoistplank.protocol.changelog import Target
-from hoistplank.routing.owner import Listed, Purged
-from hoistplank.standins.changelog import ChangeLog
-from hoistplank.standins.deployment import free_port
-from hoistplank.standins.first import first_choice
-from hoistplank.standins.proxy import Proxy, name_of
-from hoistplank.standins.settings import listing, target
-from hoistplank.standins.wire import serve
+from hoistplank.routing.router_task import Listed, Purged
 from hoistplank.xds.control import Control
 from hoistplank.xds.follower import BadRequest, Follower
+from hoistplank.xds.ranking_cache import Firsts, key_of, order
 from hoistplank.xds.resources import (
     CLUSTER,
     ENDPOINT,
@@ -41,7 +42,6 @@
     parsed,
 )
 from hoistplank.xds.service import Limits
-from hoistplank.xds.table import Firsts, key_of, order
 from tests.helpers import configuration
 
 S = 1_000_000
