--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -13,10 +13,10 @@
 import uvloop
 
 from hoistplank.cli.main import fail
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.messages import VersionFields
-from hoistplank.distribution.replica import Replica, ReplicaSettings
-from hoistplank.distribution.sections import MOST_REPLICAS
+from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
+from hoistplank.distribution.sections import MAX_REPLICAS
 from hoistplank.distribution.status import ChangeRow, MissingRow, StatusAnswer
 from hoistplank.distribution.status_client import ask
 from hoistplank.distribution.versions import Version
@@ -26,7 +26,7 @@
 LOOPBACK = ("127.", "localhost:", "[::1]:")
 # What a copy from before a purge may outlive it by, beside the floors: clocks and paths between replicas.
 HORIZON_MARGIN_US = 60_000_000
-MOST_NAMED = 20  # missing dispatchers that a person is told by name
+MAX_NAMED = 20  # missing dispatchers that a person is told by name
 
 
 def _refuse(message: str) -> NoReturn:
@@ -74,8 +74,8 @@
 
     if not listen.startswith(LOOPBACK):
         _refuse(f"--listen {listen}: without certificates only a loopback address is served")
-    if len(peers) >= MOST_REPLICAS:
-        _refuse(f"--peer: {len(peers)} peers, {MOST_REPLICAS - 1} at most")
+    if len(peers) >= MAX_REPLICAS:
+        _refuse(f"--peer: {len(peers)} peers, {MAX_REPLICAS - 1} at most")
     try:
         configuration = read({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
     except BadConfiguration as wrong:
@@ -101,7 +101,7 @@
 async def _serve(settings: ReplicaSettings) -> None:
     import structlog
 
-    made, ended = Replica(settings), asyncio.Event()
+    made, ended = ControlReplica(settings), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
     host, port = made.address
@@ -137,7 +137,7 @@
 
 
 def _text(version: VersionFields) -> str:
-    return str(version.version())
+    return str(version.to_version())
 
 
 def _seconds(microseconds: int) -> str:
@@ -162,8 +162,8 @@
         return f"{words}; the change log's line can't be used: {row.unreadable}"
     if not row.missing:
         return words
-    named = ", ".join(map(_missing_words, row.missing[:MOST_NAMED]))
-    rest = len(row.missing) - MOST_NAMED
+    named = ", ".join(map(_missing_words, row.missing[:MAX_NAMED]))
+    rest = len(row.missing) - MAX_NAMED
     return f"{words}; missing: {named}" + (f", and {rest} more" if rest > 0 else "")
 
 
@@ -192,7 +192,7 @@
     click.echo(f"configuration {_text(best.configurations.version)}: {in_force_words(best.configurations)}")
     unheard = [f"{row.dispatcher} for {_seconds(row.heard_ago_us)}" for row in best.unheard]
     if unheard:
-        click.echo(f"connected but not heard: {', '.join(unheard[:MOST_NAMED])}")
+        click.echo(f"connected but not heard: {', '.join(unheard[:MAX_NAMED])}")
 
 
 @click.command()
@@ -211,7 +211,7 @@
             click.echo(f"hoistplank: {one.endpoint}: no answer ({one.wrong})", err=True)
         sys.exit(1)
     # The replica that is furthest and knows most dispatchers says most.
-    best = max(answers, key=lambda answer: (answer.version.version(), answer.events.total))
+    best = max(answers, key=lambda answer: (answer.version.to_version(), answer.events.total))
     if as_json:
         for answer in answers:
             click.echo(msgspec.json.encode(answer).decode())
--- a/hoistplank/distribution/acknowledgements.py
+++ b/hoistplank/distribution/acknowledgements.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from hoistplank.distribution.messages import AcknowledgementRow, Follow, InForce
+from hoistplank.distribution.messages import Acknowledgement, AcknowledgementRow, FollowRequest
 from hoistplank.distribution.versions import NOTHING, Version
 
-MOST_DISPATCHERS = 8_192
+MAX_DISPATCHERS = 8_192
 
 
 class Life(enum.Enum):
@@ -82,10 +82,10 @@
     decided: Version  # the newest configuration that was taken up or refused
 
     @classmethod
-    def of(cls, in_force: InForce) -> _Progress:
-        configuration = in_force.configuration.version()
-        refused = in_force.refused.version.version() if in_force.refused is not None else NOTHING
-        return cls(in_force.version.version(), configuration, max(configuration, refused))
+    def of(cls, in_force: Acknowledgement) -> _Progress:
+        configuration = in_force.configuration.to_version()
+        refused = in_force.refusal.version.to_version() if in_force.refusal is not None else NOTHING
+        return cls(in_force.version.to_version(), configuration, max(configuration, refused))
 
     def is_behind(self, other: _Progress) -> bool:
         return any(mine < theirs for mine, theirs in zip(self, other, strict=True))
@@ -99,7 +99,7 @@
     region: str
     heard_us: int
     replica: str
-    in_force: InForce
+    in_force: Acknowledgement
     progress: _Progress  # of `in_force`
     connections: int = 0  # to this replica: one that has ended may be noticed after the next has begun
     peer: str = ""  # the replica that told of it as connected there
@@ -109,7 +109,7 @@
     def is_connected(self) -> bool:
         return self.connections > 0 or bool(self.peer)
 
-    def advance(self, in_force: InForce) -> bool:
+    def advance(self, in_force: Acknowledgement) -> bool:
         """Takes an acknowledgement of this incarnation; False, and nothing changes, if any part went back."""
         progress = _Progress.of(in_force)
         if progress.is_behind(self.progress):
@@ -121,7 +121,7 @@
 class AcknowledgementTable:
     """All dispatchers heard by this replica or by its peers; `retention_us`: how long one is kept unheard."""
 
-    def __init__(self, retention_us: int, most: int = MOST_DISPATCHERS) -> None:
+    def __init__(self, retention_us: int, most: int = MAX_DISPATCHERS) -> None:
         self.retention_us, self.most = retention_us, most
         self.revision = 0  # rises with each change of a dispatcher that this replica itself heard
         self._rows: dict[str, _Row] = {}
@@ -132,7 +132,7 @@
 
     # What is heard.
 
-    def followed(self, now_us: int, replica: str, follow: Follow) -> Life:
+    def followed(self, now_us: int, replica: str, follow: FollowRequest) -> Life:
         """A dispatcher has connected to `replica`, which is this one."""
         row = self._rows.get(follow.dispatcher)
         if row is not None and follow.incarnation < row.incarnation:
@@ -140,10 +140,12 @@
         if row is None and not self._has_room():
             return Life.NO_ROOM
         if row is None or follow.incarnation > row.incarnation:
-            row = _new_row(follow.incarnation, follow.region, now_us, replica, InForce(follow.at))
+            row = _new_row(
+                follow.incarnation, follow.region, now_us, replica, Acknowledgement(follow.resume_at)
+            )
             self._rows[follow.dispatcher] = row
         else:
-            row.advance(msgspec.structs.replace(row.in_force, version=follow.at))
+            row.advance(msgspec.structs.replace(row.in_force, version=follow.resume_at))
         row.connections, row.replica, row.region = row.connections + 1, replica, follow.region
         row.peer = ""
         row.heard_us = max(row.heard_us, now_us)
@@ -155,7 +157,7 @@
         row = self._rows.get(dispatcher)
         return row.incarnation if row is not None else None
 
-    def acknowledged(self, now_us: int, dispatcher: str, incarnation: int, in_force: InForce) -> bool:
+    def acknowledged(self, now_us: int, dispatcher: str, incarnation: int, in_force: Acknowledgement) -> bool:
         """What a dispatcher says to this replica; False, and nothing changes, if it is unknown, of another
         incarnation, or older than what stands."""
         row = self._rows.get(dispatcher)
@@ -184,11 +186,11 @@
             return False
         heard_us = now_us - told.heard_ago_us
         if row is None or told.incarnation > row.incarnation:
-            row = _new_row(told.incarnation, told.region, heard_us, replica, told.in_force)
+            row = _new_row(told.incarnation, told.region, heard_us, replica, told.acknowledgement)
             self._rows[told.dispatcher] = row
             self._own.pop(told.dispatcher, None)
         else:
-            row.advance(told.in_force)
+            row.advance(told.acknowledgement)
         row.heard_us = max(row.heard_us, heard_us)
         if told.connected:
             row.peer, row.region = replica, told.region
@@ -275,15 +277,15 @@
         return dropped
 
 
-def _new_row(incarnation: int, region: str, heard_us: int, replica: str, in_force: InForce) -> _Row:
+def _new_row(incarnation: int, region: str, heard_us: int, replica: str, in_force: Acknowledgement) -> _Row:
     return _Row(incarnation, region, heard_us, replica, in_force, _Progress.of(in_force))
 
 
 def _missing(dispatcher: str, row: _Row, version: Version, kind: ChangeKind) -> Missing | None:
     """What a dispatcher holds in place of a change, or None where it has it in force."""
-    progress, refused, reason = row.progress, row.in_force.refused, ""
+    progress, refused, reason = row.progress, row.in_force.refusal, ""
     held = progress.configuration if kind is ChangeKind.CONFIGURATION else progress.version
-    if refused is not None and refused.version.version() == version:
+    if refused is not None and refused.version.to_version() == version:
         reason = refused.reason
     elif held >= version:
         return None
--- a/hoistplank/distribution/assignment.py
+++ b/hoistplank/distribution/assignment.py
@@ -20,7 +20,7 @@
 RETURN_US = 60_000_000  # over which dispatchers go back to a replica that returned
 
 
-class Replica(NamedTuple):
+class ReplicaAddress(NamedTuple):
     """A control replica, as dispatchers are told of it."""
 
     name: str
@@ -28,11 +28,13 @@
     address: tuple[str, int] = ("", 0)
 
 
-def preference(dispatcher: str, region: str, replicas: Iterable[Replica]) -> tuple[Replica, ...]:
+def preference(
+    dispatcher: str, region: str, replicas: Iterable[ReplicaAddress]
+) -> tuple[ReplicaAddress, ...]:
     """All replicas in the order in which `dispatcher` tries them: those of its region first."""
     key = mix(dispatcher)
 
-    def place(replica: Replica) -> tuple[bool, float, str]:
+    def place(replica: ReplicaAddress) -> tuple[bool, float, str]:
         return replica.region != region, standing(key, mix(replica.name), 1.0), replica.name
 
     return tuple(sorted(replicas, key=place))
--- a/hoistplank/distribution/catch_up.py
+++ b/hoistplank/distribution/catch_up.py
@@ -10,7 +10,7 @@
 Key = TypeVar("Key", bound=Hashable)
 
 SECOND_US = 1_000_000
-MOST_WAITING = 8_192
+MAX_WAITING = 8_192
 TURN_LIMIT_US = 10_000_000  # a follower that takes its catch-up no faster loses its turn
 
 
@@ -22,7 +22,7 @@
         most_at_once: int = 16,
         bytes_per_second: int = 4_000_000,
         turn_limit_us: int = TURN_LIMIT_US,
-        most_waiting: int = MOST_WAITING,
+        most_waiting: int = MAX_WAITING,
     ) -> None:
         if most_at_once < 1 or bytes_per_second < 1:
             raise ValueError("a catch-up queue needs at least one turn at once and one byte a second")
--- a/hoistplank/distribution/dispatcher_session.py
+++ b/hoistplank/distribution/dispatcher_session.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from hoistplank.distribution.catch_up import CatchUpQueue
-from hoistplank.distribution.messages import CatchUp, Follow, Refusal, encode
+from hoistplank.distribution.messages import CatchUp, FollowRequest, Refusal, encode
 from hoistplank.distribution.state import ReplicatedState
 from hoistplank.distribution.versions import Version
 from hoistplank.transport.connection import Connection
@@ -19,7 +19,7 @@
 SMALL_CATCH_UP = 32_768  # bytes that are sent without waiting for a turn
 CHUNK = 65_536  # bytes of a catch-up that are handed to the connection at once
 # Danger: what waits for a dispatcher that reads nothing takes this replica's memory from all others.
-MOST_WAITING = 1_048_576
+MAX_PENDING_BYTES = 1_048_576
 
 
 class Phase(enum.Enum):
@@ -43,9 +43,9 @@
 class DispatcherSession:
     """Sends one dispatcher what it lacks, in order."""
 
-    def __init__(self, replica: Serving, connection: Connection, follow: Follow) -> None:
+    def __init__(self, replica: Serving, connection: Connection, follow: FollowRequest) -> None:
         self.replica, self.connection, self.follow = replica, connection, follow
-        self.at: Version = follow.at.version()  # all up to it has been sent
+        self.at: Version = follow.resume_at.to_version()  # all up to it has been sent
         self.phase = Phase.LIVE
         self._until = self.at
         self._pending = deque[bytes]()
@@ -128,7 +128,7 @@
 
     def _send(self, data: bytes) -> None:
         self.connection.send(data)
-        if self.connection.out_bytes > MOST_WAITING + len(data):
+        if self.connection.out_bytes > MAX_PENDING_BYTES + len(data):
             self.replica.cut_off += 1
             waiting = self.connection.out_bytes
             log.warning("dispatcher reads too slowly, connection ended", peer=self.name, waiting=waiting)
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from hoistplank.distribution.assignment import Replica, preference, return_delay_us
+from hoistplank.distribution.assignment import ReplicaAddress, preference, return_delay_us
 from hoistplank.distribution.configuration_taker import (
     ConfigurationTaker,
     Preparing,
@@ -24,8 +24,8 @@
 from hoistplank.distribution.host_record import HostRecord
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import (
-    MOST_LINE,
-    Follow,
+    MAX_LINE_BYTES,
+    FollowRequest,
     Redirect,
     ReplicatedEvent,
     RequestLine,
@@ -57,7 +57,7 @@
     name: str
     region: str
     incarnation: int
-    replicas: Sequence[Replica]
+    replicas: Sequence[ReplicaAddress]
     silence_us: int = SILENCE_US
 
 
@@ -98,7 +98,7 @@
     # What it says of itself.
 
     @property
-    def replica(self) -> Replica:
+    def replica(self) -> ReplicaAddress:
         """The replica that is followed or tried."""
         return self.order[self.place]
 
@@ -123,11 +123,11 @@
         self.state.connection_began(self.owner.clock.now())
         settings = self.settings
         at = VersionFields(*self.state.resume_at)
-        follow = Follow(settings.name, settings.incarnation, settings.region, at)
+        follow = FollowRequest(settings.name, settings.incarnation, settings.region, at)
         return encode(RequestLine(follow=follow))
 
     def _consumer(self) -> Consume:
-        reader = LineReader(MOST_LINE)
+        reader = LineReader(MAX_LINE_BYTES)
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             start, lines = reader.read(buffer, start, end)
@@ -211,7 +211,7 @@
             self._acknowledging = None
         if self.connection is not None:
             self._acknowledged_at = self.loop.time()
-            self.connection.send(encode(RequestLine(in_force=self.state.in_force())))
+            self.connection.send(encode(RequestLine(acknowledgement=self.state.in_force())))
 
     # Time.
 
--- a/hoistplank/distribution/follower_state.py
+++ b/hoistplank/distribution/follower_state.py
@@ -10,9 +10,9 @@
 import enum
 
 from hoistplank.distribution.messages import (
-    MOST_REASON,
+    MAX_REASON_CHARACTERS,
+    Acknowledgement,
     CatchUp,
-    InForce,
     Refusal,
     ReplicatedEvent,
     VersionFields,
@@ -55,7 +55,7 @@
 
     @property
     def resume_at(self) -> Version:
-        """What to tell a replica in `Follow.at`: all up to it is in force."""
+        """What to tell a replica in `FollowRequest.resume_at`: all up to it is in force."""
         return self._complete
 
     def connection_began(self, now_us: int) -> None:
@@ -128,7 +128,7 @@
 
     @property
     def _decided(self) -> Version:
-        refused = self._refused.version.version() if self._refused is not None else NOTHING
+        refused = self._refused.version.to_version() if self._refused is not None else NOTHING
         return max(self._configuration, refused)
 
     def configuration_applied(self, version: Version) -> None:
@@ -140,7 +140,7 @@
     def configuration_refused(self, version: Version, reason: str) -> None:
         """This configuration can't be used; the one in force stays."""
         if version > self._decided:
-            self._refused = Refusal(VersionFields(*version), reason[:MOST_REASON])
+            self._refused = Refusal(VersionFields(*version), reason[:MAX_REASON_CHARACTERS])
             self._settle()
 
     def applied(self, version: Version) -> None:
@@ -158,9 +158,11 @@
         if self._undecided <= self._decided:
             self._complete = max(self._complete, self._claimed)
 
-    def in_force(self) -> InForce:
+    def in_force(self) -> Acknowledgement:
         """The acknowledgement to be sent; no part of it ever goes back."""
-        return InForce(VersionFields(*self._complete), VersionFields(*self._configuration), self._refused)
+        return Acknowledgement(
+            VersionFields(*self._complete), VersionFields(*self._configuration), self._refused
+        )
 
     # Silence.
 
--- a/hoistplank/distribution/host_table.py
+++ b/hoistplank/distribution/host_table.py
@@ -17,8 +17,8 @@
 from hoistplank.protocol.changelog import Fleet, Target
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
-MOST_TOMBSTONES = 4_096
-MOST_DEPARTURES = 4_096  # hosts of which it is remembered that they were told to drain or to be gone
+MAX_TOMBSTONES = 4_096
+MAX_DEPARTURES = 4_096  # hosts of which it is remembered that they were told to drain or to be gone
 
 
 class Departure(NamedTuple):
@@ -33,7 +33,7 @@
     enough.
     """
 
-    def __init__(self, index: ChangeIndex, most_tombstones: int = MOST_TOMBSTONES) -> None:
+    def __init__(self, index: ChangeIndex, most_tombstones: int = MAX_TOMBSTONES) -> None:
         self.is_listed = False  # whether any list has been told
         self.changed_at = NOTHING  # the version of the last change of any host
         self.whole_before = NOTHING  # a follower that holds less needs the whole list
@@ -105,7 +105,7 @@
         if target.state != READY:
             self._departures[target.uid] = Departure(target.boot_ms, epoch)
             self._departures.move_to_end(target.uid)
-            if len(self._departures) > MOST_DEPARTURES:
+            if len(self._departures) > MAX_DEPARTURES:
                 self._departures.popitem(last=False)
         elif departure is not None and departure.epoch < epoch and departure.boot_ms == target.boot_ms:
             return msgspec.structs.replace(target, state=DRAINING)
--- a/hoistplank/distribution/messages.py
+++ b/hoistplank/distribution/messages.py
@@ -1,17 +1,18 @@
 """The lines between control replicas, dispatchers and operators: JSON objects, one a line.
 
-A replica hands the change log's events on in the log's own form, with two more fields: `epoch`, and
-`after`, the number of the event before it on this connection. Numbers that were compacted away are missing,
-so a follower checks `after` against what it holds in place of counting by one. A line with `seq` and
-`epoch` alone is a heartbeat: there is nothing newer than that number. More than one missing event is told
-as a catch-up: a line that begins it, its parts, and a line that ends it. Everything a line names is checked
-here; what can't be used raises BadBytes with what is wrong.
+A replica forwards the change log's events in the log's own format with two more fields: `epoch`, and
+`after`, the number of the preceding event on this connection. Compaction leaves out numbers, so a follower
+checks `after` against the version it holds instead of counting by one. A line with only `seq` and `epoch` is
+a heartbeat: no event is newer than that number. More than one missing event is sent as a catch-up: a begin
+line, its parts, and an end line. All fields are validated here; invalid input raises BadBytes.
+
+Attribute names follow the code's terms; the names on the wire are given by `msgspec.field(name=…)`.
 """
 
 from __future__ import annotations
 
 import enum
-from typing import Annotated
+from typing import Annotated, TypeAlias
 
 import msgspec
 from msgspec import Meta
@@ -22,12 +23,12 @@
 from hoistplank.protocol.changelog import Fleet, Purge
 from hoistplank.protocol.errors import BadBytes
 
-MOST_CONFIGURATION = 1_048_576  # bytes of one configuration's text
-# JSON may write each byte of a text as six characters.
-MOST_LINE = 6 * MOST_CONFIGURATION + 65_536
-MOST_REQUEST_LINE = 65_536  # of what a dispatcher, a peer or an operator sends
-MOST_REASON = 2_000  # characters of a refusal's reason
-ALL_OBJECTS_BUCKET = ALL_OBJECTS  # of a purge of all objects: a request's bucket lies between 0 and 255
+MAX_CONFIGURATION_BYTES = 1_048_576  # of one configuration's text
+# JSON may escape each byte of a text as six characters.
+MAX_LINE_BYTES = 6 * MAX_CONFIGURATION_BYTES + 65_536
+MAX_REQUEST_LINE_BYTES = 65_536  # of a line from a dispatcher, a peer or an operator
+MAX_REASON_CHARACTERS = 2_000  # of a refusal
+ALL_OBJECTS_BUCKET = ALL_OBJECTS  # bucket of a purge of all objects; requests have buckets 0 to 255
 
 NAME_PATTERN = r"[A-Za-z0-9_.:/-]{1,120}"  # of dispatchers and replicas
 
@@ -36,35 +37,36 @@
 
 
 class VersionFields(msgspec.Struct, frozen=True):
-    """A version as it stands in a line."""
+    """A version as encoded in a line."""
 
     epoch: Count = 0
     number: Count = 0
 
-    def version(self) -> Version:
+    def to_version(self) -> Version:
+        """The version as an ordered value."""
         return Version(self.epoch, self.number)
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """A whole configuration: the text of an operator's file."""
+    """A complete configuration: the text of an operator's file."""
 
-    text: Annotated[str, Meta(max_length=MOST_CONFIGURATION)]
+    text: Annotated[str, Meta(max_length=MAX_CONFIGURATION_BYTES)]
 
 
 class CatchUp(enum.Enum):
-    """The place of a line in a catch-up.
+    """The position of a line within a catch-up.
 
-    Danger: an early part may stand for less than its number says, as what was superseded is told with the
-    later part alone. So a follower's version moves only with the line that ends the catch-up.
+    Danger: superseded content is sent only with the later part, so having received a part does not mean
+    having all events up to its number. A follower's version advances only with the end line.
     """
 
     BEGIN = "begin"  # no content; `seq` is the number at which the catch-up will end
-    PART = "part"  # content, with the version at which it last changed, which may be of an earlier epoch
-    END = "end"  # no content; all up to `seq` has been told
+    PART = "part"  # content, with the version at which it last changed (possibly of an earlier epoch)
+    END = "end"  # no content; everything up to `seq` has been sent
 
 
 class ReplicatedEvent(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One event as a replica hands it on; without `fleet`, `invalidate` and `configuration`, a heartbeat."""
+    """An event as a replica forwards it; without `fleet`, `invalidate` and `configuration`, a heartbeat."""
 
     seq: Count
     epoch: Count = 0
@@ -76,61 +78,63 @@
 
     @property
     def version(self) -> Version:
+        """The epoch and number of this event."""
         return Version(self.epoch, self.seq)
 
     @property
     def is_heartbeat(self) -> bool:
+        """Whether the line has no content."""
         return self.fleet is None and self.invalidate is None and self.configuration is None
 
 
 class Redirect(msgspec.Struct, frozen=True):
-    """The replica does not take this dispatcher now; `reason` is for the log."""
+    """The replica does not accept this dispatcher now; `reason` is for the log."""
 
     reason: str
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A configuration that a dispatcher could not take, and why."""
+    """A configuration that a dispatcher could not apply, and why."""
 
     version: VersionFields
-    reason: Annotated[str, Meta(max_length=MOST_REASON)]
+    reason: Annotated[str, Meta(max_length=MAX_REASON_CHARACTERS)]
 
 
-class Follow(msgspec.Struct, frozen=True):
-    """A dispatcher's first line: who it is, which life of it, and what it holds."""
+class FollowRequest(msgspec.Struct, frozen=True):
+    """A dispatcher's first line: its name, its incarnation, and the version that it has in force."""
 
     dispatcher: Name
-    incarnation: Count  # rises with each start of this dispatcher
+    incarnation: Count  # increases with each start of this dispatcher
     region: str = ""
-    at: VersionFields = VersionFields()
+    resume_at: VersionFields = msgspec.field(default=VersionFields(), name="at")
 
 
-class InForce(msgspec.Struct, frozen=True):
-    """A dispatcher's acknowledgement: all up to `version` is applied, or was refused as `refused` says."""
+class Acknowledgement(msgspec.Struct, frozen=True):
+    """What a dispatcher has in force: everything up to `version` is applied, or refused as in `refusal`."""
 
     version: VersionFields
     configuration: VersionFields = VersionFields()
-    refused: Refusal | None = None
+    refusal: Refusal | None = msgspec.field(default=None, name="refused")
 
 
-class Report(msgspec.Struct, frozen=True):
-    """A peer replica's first line: it wants the acknowledgements of this replica's own dispatchers."""
+class PeerSubscription(msgspec.Struct, frozen=True):
+    """A peer replica's first line: it subscribes to the acknowledgements of this replica's dispatchers."""
 
     replica: Name
 
 
 class StatusRequest(msgspec.Struct, frozen=True):
-    """An operator asks for a status; the answer is one line. `version`: of this change alone."""
+    """An operator's request; the response is one line. With `version`, it includes that change's status."""
 
     version: VersionFields | None = None
 
 
 class AcknowledgementRow(msgspec.Struct, frozen=True):
-    """What one dispatcher has in force, as one replica tells another."""
+    """What one dispatcher has in force, as one replica reports it to another."""
 
     dispatcher: Name
     incarnation: Count
-    in_force: InForce
+    acknowledgement: Acknowledgement = msgspec.field(name="in_force")
     region: str = ""
     connected: bool = True
     heard_ago_us: Count = 0
@@ -139,9 +143,9 @@
 class RequestLine(msgspec.Struct, frozen=True, omit_defaults=True):
     """A line to a replica: exactly one field is set."""
 
-    follow: Follow | None = None
-    in_force: InForce | None = None
-    report: Report | None = None
+    follow: FollowRequest | None = None
+    acknowledgement: Acknowledgement | None = msgspec.field(default=None, name="in_force")
+    peer_subscription: PeerSubscription | None = msgspec.field(default=None, name="report")
     status: StatusRequest | None = None
 
 
@@ -158,47 +162,51 @@
     redirect: Redirect | None = None
 
 
-_requests = msgspec.json.Decoder(RequestLine)
-_replica_lines = msgspec.json.Decoder(ReplicaLine)
+# What a dispatcher, a peer or an operator may send.
+ReplicaRequest: TypeAlias = FollowRequest | Acknowledgement | PeerSubscription | StatusRequest
+
+_request_decoder = msgspec.json.Decoder(RequestLine)
+_replica_line_decoder = msgspec.json.Decoder(ReplicaLine)
 _encoder = msgspec.json.Encoder()
 
 
-def encode(message: RequestLine | ReplicatedEvent | AcknowledgementRow | msgspec.Struct) -> bytes:
-    """One line, with its end."""
+def encode(message: msgspec.Struct) -> bytes:
+    """The message as one line, including its newline."""
     return _encoder.encode(message) + b"\n"
 
 
-def read_request(line: bytes) -> Follow | InForce | Report | StatusRequest:
-    """What a dispatcher, a peer or an operator asks; raises BadBytes."""
+def read_request(line: bytes) -> ReplicaRequest:
+    """The request in a line from a dispatcher, a peer or an operator; raises BadBytes."""
     try:
-        told = _requests.decode(line)
-    except msgspec.MsgspecError as wrong:
-        raise BadBytes(f"a request can't be read: {wrong}") from None
-    found = [part for part in (told.follow, told.in_force, told.report, told.status) if part is not None]
-    if len(found) != 1:
+        request = _request_decoder.decode(line)
+    except msgspec.MsgspecError as error:
+        raise BadBytes(f"a request can't be read: {error}") from error
+    fields = (request.follow, request.acknowledgement, request.peer_subscription, request.status)
+    present = [field for field in fields if field is not None]
+    if len(present) != 1:
         raise BadBytes(
-            f"a request holds {len(found)} of 'follow', 'in_force', 'report' and 'status', not one"
+            f"a request holds {len(present)} of 'follow', 'in_force', 'report' and 'status', not one"
         )
-    return found[0]
+    return present[0]
 
 
 def read_replica_line(line: bytes) -> ReplicatedEvent | Redirect:
-    """What a replica tells a dispatcher; raises BadBytes."""
+    """The event, heartbeat or redirect in a line from a replica; raises BadBytes."""
     try:
-        told = _replica_lines.decode(line)
-    except msgspec.MsgspecError as wrong:
-        raise BadBytes(f"a replica's line can't be read: {wrong}") from None
-    if told.redirect is not None:
-        return told.redirect
-    if told.seq is None:
+        message = _replica_line_decoder.decode(line)
+    except msgspec.MsgspecError as error:
+        raise BadBytes(f"a replica's line can't be read: {error}") from error
+    if message.redirect is not None:
+        return message.redirect
+    if message.seq is None:
         raise BadBytes("a replica's line has neither 'seq' nor 'redirect'")
-    changelog.check(changelog.Event(told.seq, told.fleet, told.invalidate))
+    changelog.check(changelog.Event(message.seq, message.fleet, message.invalidate))
     return ReplicatedEvent(
-        told.seq,
-        told.epoch,
-        told.after,
-        told.fleet,
-        told.invalidate,
-        told.configuration,
-        told.catch_up,
+        message.seq,
+        message.epoch,
+        message.after,
+        message.fleet,
+        message.invalidate,
+        message.configuration,
+        message.catch_up,
     )
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -10,12 +10,12 @@
 import structlog
 
 from hoistplank.distribution.acknowledgements import AcknowledgementTable
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import (
-    MOST_REQUEST_LINE,
+    MAX_REQUEST_LINE_BYTES,
     AcknowledgementRow,
-    Report,
+    PeerSubscription,
     RequestLine,
     encode,
 )
@@ -28,7 +28,7 @@
 SILENT_S = 3.2  # a peer says something each second
 LOOK_S = 0.2
 SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.1, 1.0  # between tries to connect
-MOST_OUT = 65_536
+MAX_PENDING_BYTES = 65_536
 ALIVE = b"\n"  # an empty line: a peer that has no row to tell is there
 
 _rows = msgspec.json.Decoder(AcknowledgementRow)
@@ -46,13 +46,13 @@
 class PeerSession:
     """A peer that asked for this replica's rows: all once, then those that change."""
 
-    def __init__(self, replica: Reporting, connection: Connection, report: Report) -> None:
+    def __init__(self, replica: Reporting, connection: Connection, report: PeerSubscription) -> None:
         self.replica, self.connection, self.peer = replica, connection, report.replica
         self._told = 0  # the revision of the table up to which rows were sent
 
     def send_changes(self) -> None:
         """The rows that changed; a peer that reads slowly gets the newest of them later."""
-        if self.connection.out_bytes > MOST_OUT:
+        if self.connection.out_bytes > MAX_PENDING_BYTES:
             return
         table = self.replica.table
         rows = table.rows_since(self.replica.now(), self._told)
@@ -61,7 +61,7 @@
             self.connection.send(b"".join(map(encode, rows)))
 
     def send_alive(self) -> None:
-        if self.connection.out_bytes <= MOST_OUT:
+        if self.connection.out_bytes <= MAX_PENDING_BYTES:
             self.connection.send(ALIVE)
 
 
@@ -96,8 +96,8 @@
             sock = await connected(self.peer.address, CONNECT_S)
         except (OSError, ValueError) as wrong:
             return wrong
-        connection = Connection(sock, self._consumer(), MOST_REQUEST_LINE * 2, MOST_OUT)
-        connection.send(encode(RequestLine(report=Report(self.replica.name))))
+        connection = Connection(sock, self._consumer(), MAX_REQUEST_LINE_BYTES * 2, MAX_PENDING_BYTES)
+        connection.send(encode(RequestLine(peer_subscription=PeerSubscription(self.replica.name))))
         self.connection = connection
         task = asyncio.create_task(connection.run(), name=f"peer {self.peer.name}")
         try:
@@ -119,7 +119,7 @@
         return task.result() or "closed by the other side"
 
     def _consumer(self) -> Consume:
-        reader = LineReader(MOST_REQUEST_LINE)
+        reader = LineReader(MAX_REQUEST_LINE_BYTES)
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             start, lines = reader.read(buffer, start, end)
--- a/hoistplank/distribution/purge_table.py
+++ b/hoistplank/distribution/purge_table.py
@@ -16,7 +16,7 @@
 from hoistplank.distribution.messages import ALL_OBJECTS_BUCKET
 from hoistplank.protocol.changelog import Purge
 
-MOST_PURGES = 65_536  # an hour's purges of the largest fleet are 14,000
+MAX_PURGES = 65_536  # an hour's purges of the largest fleet are 14,000
 
 
 class HeldPurge(NamedTuple):
@@ -34,7 +34,7 @@
 class PurgeTable:
     """The newest purge of each object and bucket, within the horizon."""
 
-    def __init__(self, index: ChangeIndex, horizon_us: int, most: int = MOST_PURGES) -> None:
+    def __init__(self, index: ChangeIndex, horizon_us: int, most: int = MAX_PURGES) -> None:
         self.horizon_us, self.most = horizon_us, most
         self._index = index
         self._held = OrderedDict[str | int, HeldPurge]()  # in the order in which they were last told
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -19,14 +19,13 @@
 from msgspec.structs import replace
 
 from hoistplank.distribution.acknowledgements import AcknowledgementTable, ChangeKind, Life
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
-from hoistplank.distribution.assignment import may_accept
+from hoistplank.distribution.assignment import ReplicaAddress, may_accept
 from hoistplank.distribution.catch_up import CatchUpQueue
 from hoistplank.distribution.dispatcher_session import DispatcherSession, Phase
 from hoistplank.distribution.log_follower import LogFollower
 from hoistplank.distribution.messages import (
-    Follow,
-    InForce,
+    Acknowledgement,
+    FollowRequest,
     ReplicatedEvent,
     StatusRequest,
     VersionFields,
@@ -51,8 +50,8 @@
 LOG_SILENT_US = int(SILENT_S * 1e6)
 UNHEARD_US = 7_000_000  # a dispatcher that is connected says something each second
 RETENTION_US = 86_400_000_000  # for so long a dispatcher that has gone is missed by name
-MOST_DESCRIPTORS = 8_192
-MOST_UNREADABLE = 64  # configurations of which it is kept why they can't be read
+MAX_DESCRIPTORS = 8_192
+MAX_UNREADABLE_CHANGES = 64  # configurations of which it is kept why they can't be read
 
 
 @dataclass(frozen=True)
@@ -70,7 +69,7 @@
     queue: Callable[[], CatchUpQueue[DispatcherSession]] = field(default=CatchUpQueue)
 
 
-class Replica:
+class ControlReplica:
     """One control replica; `run` serves until it is cancelled."""
 
     def __init__(self, settings: ReplicaSettings, clock: Clock | None = None) -> None:
@@ -89,7 +88,7 @@
         self.sessions: dict[str, DispatcherSession] = {}
         self.peer_sessions: dict[PeerSession, None] = {}
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.ledger = Ledger(min(soft, MOST_DESCRIPTORS))
+        self.ledger = Ledger(min(soft, MAX_DESCRIPTORS))
         self.listener = Listener(settings.listen, self.ledger, self._greet)
 
     @property
@@ -150,7 +149,7 @@
         """A configuration of the change log can't be read: kept for who asks for its status."""
         log.error("configuration of the change log can't be read", version=str(version), wrong=reason)
         self.unreadable_changes[version] = reason
-        while len(self.unreadable_changes) > MOST_UNREADABLE:
+        while len(self.unreadable_changes) > MAX_UNREADABLE_CHANGES:
             self.unreadable_changes.popitem(last=False)
 
     def is_log_heard(self) -> bool:
@@ -181,7 +180,7 @@
         if self.sessions.get(session.name) is session:
             del self.sessions[session.name]
 
-    def refuses(self, follow: Follow) -> str:
+    def refuses(self, follow: FollowRequest) -> str:
         """Why this replica does not take a dispatcher now; empty: it does."""
         if not (self.state.is_listed and self.log_follower.is_read()):
             return "the change log has not been read yet"
@@ -208,12 +207,12 @@
         if session.phase is Phase.LIVE and self.is_log_heard():
             session.heartbeat()
 
-    def acknowledged(self, session: DispatcherSession, in_force: InForce) -> None:
+    def acknowledged(self, session: DispatcherSession, in_force: Acknowledgement) -> None:
         """A dispatcher says what it has in force."""
         accepted = self.table.acknowledged(self.now(), session.name, session.follow.incarnation, in_force)
-        refused = in_force.refused
+        refused = in_force.refusal
         if accepted and refused is not None and refused != session.refused:
-            version = str(refused.version.version())
+            version = str(refused.version.to_version())
             log.warning("configuration refused", version=version, by=session.name, reason=refused.reason)
             session.refused = refused
 
@@ -267,7 +266,7 @@
         size = state.size()
         change = None
         if request.version is not None:
-            version = request.version.version()
+            version = request.version.to_version()
             change = change_row(now, self.table.in_force(now, version, self._kind(version)))
             if version in self.unreadable_changes:
                 # Danger: its number is passed by all, but nobody was ever handed it.
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -11,12 +11,12 @@
 from hoistplank.distribution.dispatcher_session import DispatcherSession, Serving
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import (
-    MOST_REQUEST_LINE,
-    Follow,
-    InForce,
+    MAX_REQUEST_LINE_BYTES,
+    Acknowledgement,
+    FollowRequest,
+    PeerSubscription,
     Redirect,
     ReplicaLine,
-    Report,
     StatusRequest,
     encode,
     read_request,
@@ -30,7 +30,7 @@
 log = structlog.get_logger()
 # A connection on which nothing comes for so long ends; peers, who ask once, are given up once stuck.
 SILENT_CONNECTION_S = 30.0
-MOST_OUT = 65_536  # bytes waiting for the other side before nothing more is read from it
+MAX_PENDING_BYTES = 65_536  # bytes waiting for the other side before nothing more is read from it
 
 
 class Answering(Serving, Reporting, Protocol):
@@ -39,11 +39,11 @@
     complaints: Complaints
     peer_sessions: dict[PeerSession, None]
 
-    def refuses(self, follow: Follow) -> str: ...
+    def refuses(self, follow: FollowRequest) -> str: ...
 
     def accept(self, session: DispatcherSession) -> None: ...
 
-    def acknowledged(self, session: DispatcherSession, in_force: InForce) -> None: ...
+    def acknowledged(self, session: DispatcherSession, in_force: Acknowledgement) -> None: ...
 
     def status(self, request: StatusRequest) -> StatusAnswer: ...
 
@@ -55,10 +55,10 @@
 
     def __init__(self, replica: Answering, sock: socket.socket) -> None:
         self.replica = replica
-        self.reader = LineReader(MOST_REQUEST_LINE)
+        self.reader = LineReader(MAX_REQUEST_LINE_BYTES)
         self.dispatcher: DispatcherSession | None = None
         self.peer: PeerSession | None = None
-        self.connection = Connection(sock, self._consume, 2 * MOST_REQUEST_LINE, MOST_OUT)
+        self.connection = Connection(sock, self._consume, 2 * MAX_REQUEST_LINE_BYTES, MAX_PENDING_BYTES)
         self.task = asyncio.get_running_loop().create_task(self.connection.run(), name="replica connection")
         self.task.add_done_callback(self._ended)
 
@@ -68,14 +68,14 @@
             self._asked(read_request(line))
         return start
 
-    def _asked(self, request: Follow | InForce | Report | StatusRequest) -> None:
+    def _asked(self, request: FollowRequest | Acknowledgement | PeerSubscription | StatusRequest) -> None:
         if isinstance(request, StatusRequest):
             self.connection.send(encode(self.replica.status(request)))
-        elif isinstance(request, InForce):
+        elif isinstance(request, Acknowledgement):
             self._acknowledged(request)
         elif self.dispatcher is not None or self.peer is not None:
             raise BadBytes("a connection says a second time whose it is")
-        elif isinstance(request, Follow):
+        elif isinstance(request, FollowRequest):
             self._followed(request)
         else:
             self.peer = PeerSession(self.replica, self.connection, request)
@@ -83,7 +83,7 @@
             self.peer.send_changes()
             self.peer.send_alive()
 
-    def _followed(self, follow: Follow) -> None:
+    def _followed(self, follow: FollowRequest) -> None:
         refused = self.replica.refuses(follow)
         if refused:
             log.info("dispatcher sent on", peer=follow.dispatcher, why=refused)
@@ -93,7 +93,7 @@
         self.dispatcher = DispatcherSession(self.replica, self.connection, follow)
         self.replica.accept(self.dispatcher)
 
-    def _acknowledged(self, in_force: InForce) -> None:
+    def _acknowledged(self, in_force: Acknowledgement) -> None:
         if self.dispatcher is None:
             raise BadBytes("an acknowledgement comes before 'follow'")
         self.replica.acknowledged(self.dispatcher, in_force)
--- a/hoistplank/distribution/sections.py
+++ b/hoistplank/distribution/sections.py
@@ -7,7 +7,7 @@
 from hoistplank.operator_configuration.faults import Fault
 from hoistplank.operator_configuration.schema import ADDRESS, Field, Section, Shape, matching, span
 
-MOST_REPLICAS = 5
+MAX_REPLICAS = 5
 
 NAME = matching(NAME_PATTERN, "a name of letters, digits and '._:/-', at most 120")
 REGION = matching(r"[A-Za-z0-9._:/-]{1,120}", "a region's name of letters, digits and '._:/-'")
@@ -45,7 +45,7 @@
             )
         names.add(replica.title)
     if not names:
-        faults.append(Fault(section.place, "no 'replica'", f"from 1 to {MOST_REPLICAS} of them"))
-    elif len(section["replica"]) > MOST_REPLICAS:
-        place = section["replica"][MOST_REPLICAS].place
-        faults.append(Fault(place, f"{len(section['replica'])} replicas", f"{MOST_REPLICAS} at most"))
+        faults.append(Fault(section.place, "no 'replica'", f"from 1 to {MAX_REPLICAS} of them"))
+    elif len(section["replica"]) > MAX_REPLICAS:
+        place = section["replica"][MAX_REPLICAS].place
+        faults.append(Fault(place, f"{len(section['replica'])} replicas", f"{MAX_REPLICAS} at most"))
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from hoistplank.distribution.assignment import Replica
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import Version
@@ -45,7 +45,9 @@
 
     def settings(self) -> FollowerSettings:
         """Who this dispatcher is, as replicas are told. Each start is a later incarnation than the last."""
-        replicas = [Replica(row.title, row["region"], row["endpoint"]) for row in self.section["replica"]]
+        replicas = [
+            ReplicaAddress(row.title, row["region"], row["endpoint"]) for row in self.section["replica"]
+        ]
         name = self.section["name"] or self.configuration.name
         incarnation = time.time_ns() // 1_000_000
         return FollowerSettings(
--- a/hoistplank/distribution/state.py
+++ b/hoistplank/distribution/state.py
@@ -12,13 +12,13 @@
 from typing import NamedTuple
 
 from hoistplank.distribution.change_index import Change, ChangeIndex
-from hoistplank.distribution.host_table import MOST_TOMBSTONES, HostTable
+from hoistplank.distribution.host_table import MAX_TOMBSTONES, HostTable
 from hoistplank.distribution.messages import CatchUp, Configuration, ReplicatedEvent, encode
-from hoistplank.distribution.purge_table import MOST_PURGES, PurgeTable
+from hoistplank.distribution.purge_table import MAX_PURGES, PurgeTable
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.protocol.changelog import Purge, Target
 
-MOST_CONFIGURATION_VERSIONS = 4_096  # two and a half days of them at 1,500 a day
+MAX_CONFIGURATION_VERSIONS = 4_096  # two and a half days of them at 1,500 a day
 
 
 class StateSize(NamedTuple):
@@ -35,7 +35,7 @@
     """The state of a replica; `purge_horizon_us`: how long a purge is handed on after it was told here."""
 
     def __init__(
-        self, purge_horizon_us: int, tombstones: int = MOST_TOMBSTONES, most_purges: int = MOST_PURGES
+        self, purge_horizon_us: int, tombstones: int = MAX_TOMBSTONES, most_purges: int = MAX_PURGES
     ) -> None:
         self.version = NOTHING
         self.configuration_version = NOTHING
@@ -89,7 +89,7 @@
         self._configuration_change = change
         self.configuration, self.configuration_version = configuration, change.version
         self._configuration_versions[change.version] = None
-        if len(self._configuration_versions) > MOST_CONFIGURATION_VERSIONS:
+        if len(self._configuration_versions) > MAX_CONFIGURATION_VERSIONS:
             self._configuration_versions.popitem(last=False)
 
     def is_configuration(self, version: Version) -> bool:
--- a/hoistplank/distribution/status_client.py
+++ b/hoistplank/distribution/status_client.py
@@ -12,14 +12,14 @@
 from hoistplank.protocol.errors import BadBytes
 
 ANSWER_S = 5.0
-MOST_ANSWER = 16_777_216  # bytes: a row for each of 8,192 dispatchers, with its refusal
+MAX_RESPONSE_BYTES = 16_777_216  # bytes: a row for each of 8,192 dispatchers, with its refusal
 
 
 async def ask(address: tuple[str, int], version: Version | None = None) -> StatusAnswer:
     """The status of the replica at `address`, and of the change `version`; raises OSError or BadBytes."""
     wanted = VersionFields(*version) if version is not None else None
     async with asyncio.timeout(ANSWER_S):
-        reader, writer = await asyncio.open_connection(*address, limit=MOST_ANSWER)
+        reader, writer = await asyncio.open_connection(*address, limit=MAX_RESPONSE_BYTES)
         try:
             writer.write(encode(RequestLine(status=StatusRequest(wanted))))
             line = await reader.readline()
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from hoistplank.distribution.assignment import Replica
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import NOTHING, Version
@@ -30,7 +30,8 @@
     def __init__(self, hearer: HollowOwner, source: Source) -> None:
         self.taken = NOTHING  # the configuration in force
         replicas = [
-            Replica(f"c{number}", f"r{number}", address) for number, address in enumerate(source.addresses)
+            ReplicaAddress(f"c{number}", f"r{number}", address)
+            for number, address in enumerate(source.addresses)
         ]
         settings = FollowerSettings(source.name, source.region, source.life, replicas)
         self.following = ReplicaFollower(
--- a/hoistplank/lab/scale/replica_process.py
+++ b/hoistplank/lab/scale/replica_process.py
@@ -15,7 +15,7 @@
 import structlog
 import uvloop
 
-from hoistplank.distribution.replica import Replica, ReplicaSettings
+from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
 from hoistplank.lab.scale.log_process import read_commands, usage
 
 HORIZON_US = 3_600_000_000
@@ -27,7 +27,7 @@
     # part of what a change costs, but nowhere.
     structlog.configure(logger_factory=structlog.PrintLoggerFactory(nowhere))
     settings = ReplicaSettings("c1", ("127.0.0.1", 0), ("127.0.0.1", log_port), HORIZON_US)
-    replica = Replica(settings)
+    replica = ControlReplica(settings)
     running = asyncio.create_task(replica.run(), name="control replica")
     commands = await read_commands()
     port = replica.address[1]
--- a/hoistplank/lab/scale/role_control_replica.py
+++ b/hoistplank/lab/scale/role_control_replica.py
@@ -11,10 +11,10 @@
 from hoistplank.distribution.follower_state import FollowerState
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import (
-    MOST_LINE,
+    MAX_LINE_BYTES,
+    Acknowledgement,
     CatchUp,
-    Follow,
-    InForce,
+    FollowRequest,
     ReplicatedEvent,
     RequestLine,
     VersionFields,
@@ -48,7 +48,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.reader = LineReader(MOST_LINE)
+        self.reader = LineReader(MAX_LINE_BYTES)
         self.buffer = bytearray()
         self.held = 0
         self.received = 0
@@ -57,7 +57,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.WriteTransport)
         self.transport = transport
-        transport.write(encode(RequestLine(follow=Follow(self.name, 1))))
+        transport.write(encode(RequestLine(follow=FollowRequest(self.name, 1))))
 
     def data_received(self, data: bytes) -> None:
         self.received += len(data)
@@ -74,8 +74,8 @@
             return
         self.held = event.seq
         assert self.transport is not None
-        acknowledgement = InForce(VersionFields(event.epoch, event.seq))
-        self.transport.write(encode(RequestLine(in_force=acknowledgement)))
+        acknowledgement = Acknowledgement(VersionFields(event.epoch, event.seq))
+        self.transport.write(encode(RequestLine(acknowledgement=acknowledgement)))
 
 
 class Crowd:
@@ -253,7 +253,7 @@
 def _table_with(dispatchers: int) -> AcknowledgementTable:
     table = AcknowledgementTable(RETENTION_US)
     for number in range(dispatchers):
-        table.followed(0, "c1", Follow(f"d{number}", 1, "north"))
+        table.followed(0, "c1", FollowRequest(f"d{number}", 1, "north"))
     return table
 
 
@@ -267,7 +267,7 @@
 
         def acknowledge(table: AcknowledgementTable = table, count: int = count) -> None:
             for number in range(count):
-                table.acknowledged(1, f"d{number}", 1, InForce(VersionFields(EPOCH, 1)))
+                table.acknowledged(1, f"d{number}", 1, Acknowledgement(VersionFields(EPOCH, 1)))
 
         def ask(table: AcknowledgementTable = table) -> None:
             table.fleet(1, Version(EPOCH, 2), NOTHING, 7_000_000)
@@ -297,7 +297,7 @@
                 assert isinstance(event, ReplicatedEvent)
                 follower.judge(event.seq, event)
                 follower.applied(follower.told)
-                encode(RequestLine(in_force=follower.in_force()))
+                encode(RequestLine(acknowledgement=follower.in_force()))
 
         spent = processor_us(judge)
         assert follower.told.number == count + 1  # else what was timed was refusing them
--- a/hoistplank/lab/scale/role_replica_follower.py
+++ b/hoistplank/lab/scale/role_replica_follower.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.messages import Configuration, ReplicatedEvent, encode
 from hoistplank.distribution.state import ReplicatedState
--- a/hoistplank/lab/scale/role_replica_service.py
+++ b/hoistplank/lab/scale/role_replica_service.py
@@ -16,9 +16,9 @@
 
 from hoistplank.distribution.acknowledgements import AcknowledgementTable
 from hoistplank.distribution.messages import (
+    Acknowledgement,
     AcknowledgementRow,
-    Follow,
-    InForce,
+    FollowRequest,
     RequestLine,
     VersionFields,
     encode,
@@ -64,7 +64,7 @@
         assert isinstance(transport, asyncio.WriteTransport)
         self.transport = transport
         at = VersionFields(0, self.held)
-        transport.write(encode(RequestLine(follow=Follow(self.name, 1, at=at))))
+        transport.write(encode(RequestLine(follow=FollowRequest(self.name, 1, resume_at=at))))
 
     def data_received(self, data: bytes) -> None:
         self.is_heard = True
@@ -76,7 +76,9 @@
     def acknowledge(self) -> None:
         """A dispatcher's heartbeat."""
         if self.transport is not None and not self.is_lost:
-            self.transport.write(encode(RequestLine(in_force=InForce(VersionFields(0, self.held)))))
+            self.transport.write(
+                encode(RequestLine(acknowledgement=Acknowledgement(VersionFields(0, self.held))))
+            )
 
 
 async def _connected(port: int, name: str, at: int) -> ReturningFollower:
@@ -288,7 +290,7 @@
 def _table_of(count: int) -> AcknowledgementTable:
     table = AcknowledgementTable(RETENTION_US)
     for number in range(count):
-        table.followed(0, "c1", Follow(f"d{number}", 1, "north"))
+        table.followed(0, "c1", FollowRequest(f"d{number}", 1, "north"))
     return table
 
 
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.messages import RequestLine, StatusRequest, VersionFields, encode
-from hoistplank.distribution.replica import Replica, ReplicaSettings
+from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.distribution.versions import Version
 from hoistplank.fakes.change_log import ChangeLog
@@ -91,7 +91,7 @@
 
     @property
     def in_force(self) -> Version:
-        return self.follower.state.in_force().version.version()
+        return self.follower.state.in_force().version.to_version()
 
     async def stop(self) -> None:
         for task in self.tasks:
@@ -150,7 +150,7 @@
         self.log = ChangeLog(epoch)
         self.log_port = 0
         self.wanted = replicas
-        self.replicas: list[Replica] = []
+        self.replicas: list[ControlReplica] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.dispatchers: list[Dispatcher] = []
         self.addresses: list[ReplicaAddress] = []
@@ -162,7 +162,9 @@
         self.connect_peers()
         return self
 
-    def start_replica(self, name: str, port: int = 0, changelog: int | None = None, **more: Any) -> Replica:
+    def start_replica(
+        self, name: str, port: int = 0, changelog: int | None = None, **more: Any
+    ) -> ControlReplica:
         settings = ReplicaSettings(
             name=name,
             listen=("127.0.0.1", port),
@@ -171,7 +173,7 @@
             region="east",
             **more,
         )
-        replica = Replica(settings)
+        replica = ControlReplica(settings)
         self.replicas.append(replica)
         self.addresses = [known for known in self.addresses if known.name != name]
         self.addresses.append(ReplicaAddress(name, "east", replica.address))
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -13,11 +13,16 @@
 import uvloop
 
 from hoistplank.cli.distribution import in_force_words
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
-from hoistplank.distribution.assignment import load_bound
-from hoistplank.distribution.dispatcher_session import MOST_WAITING
+from hoistplank.distribution.assignment import ReplicaAddress, load_bound
+from hoistplank.distribution.dispatcher_session import MAX_PENDING_BYTES
 from hoistplank.distribution.lines import LineReader
-from hoistplank.distribution.messages import Follow, InForce, RequestLine, VersionFields, encode
+from hoistplank.distribution.messages import (
+    Acknowledgement,
+    FollowRequest,
+    RequestLine,
+    VersionFields,
+    encode,
+)
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
@@ -57,7 +62,7 @@
                 status = await asked(replica.address, at(4))
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total, status.change.missing) == (3, 3, [])
-                assert status.configuration.version() == at(4) == status.version.version()
+                assert status.configuration.to_version() == at(4) == status.version.to_version()
 
     run(scene())
 
@@ -82,7 +87,7 @@
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total) == (3, 4)
                 (row,) = status.change.missing
-                assert row.dispatcher == "d2" and row.version.version() == at(2)
+                assert row.dispatcher == "d2" and row.version.to_version() == at(2)
                 assert row.refused.startswith("configuration 7/3:1:1: the form 'bad'")
 
     run(scene())
@@ -169,11 +174,13 @@
 
             async def life(incarnation: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
                 reader, writer = await asyncio.open_connection(*address)
-                writer.write(encode(RequestLine(follow=Follow("d1", incarnation))))
+                writer.write(encode(RequestLine(follow=FollowRequest("d1", incarnation))))
                 return reader, writer
 
             def says(writer: asyncio.StreamWriter, number: int) -> None:
-                writer.write(encode(RequestLine(in_force=InForce(VersionFields(EPOCH, number)))))
+                writer.write(
+                    encode(RequestLine(acknowledgement=Acknowledgement(VersionFields(EPOCH, number))))
+                )
 
             def known() -> Version:
                 status = replica.table.in_force(0, at(99))
@@ -251,7 +258,9 @@
             deaf = socket.socket()
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             deaf.connect(rig.addresses[0].address)
-            deaf.sendall(encode(RequestLine(follow=Follow("deaf", 1, at=VersionFields(EPOCH, 1)))))
+            deaf.sendall(
+                encode(RequestLine(follow=FollowRequest("deaf", 1, resume_at=VersionFields(EPOCH, 1))))
+            )
             replica = rig.replicas[0]
             await until(lambda: "deaf" in replica.sessions)
             number, most = 1, 0
@@ -261,7 +270,7 @@
                 await until(lambda: replica.table.in_force(0, at(number)).in_force >= 1)  # noqa: B023
                 most = max(most, *(session.connection.out_bytes for session in replica.sessions.values()))
                 assert number < 200
-            assert replica.cut_off == 1 and most <= MOST_WAITING + 210_000
+            assert replica.cut_off == 1 and most <= MAX_PENDING_BYTES + 210_000
             status = await asked(replica.address)
             assert [row.dispatcher for row in status.events.missing] == ["deaf"]
             assert not status.events.missing[0].connected
@@ -358,7 +367,7 @@
                 taken = [version for version, _ in one.configurations]
                 assert taken[-1] == at(61) and taken == sorted(set(taken))
                 assert one.owner.purges == ["ab"]
-                assert one.follower.state.in_force().refused is None
+                assert one.follower.state.in_force().refusal is None
             for replica in rig.replicas:
                 await until(lambda replica=replica: replica.table.in_force(0, at(62)).in_force == 5)  # type: ignore[misc]
                 status = await asked(replica.address)
--- a/tests/test_distribution_acknowledgements.py
+++ b/tests/test_distribution_acknowledgements.py
@@ -8,24 +8,32 @@
 from hypothesis import strategies as st
 
 from hoistplank.distribution.acknowledgements import AcknowledgementTable, ChangeKind, Life, Missing
-from hoistplank.distribution.messages import AcknowledgementRow, Follow, InForce, Refusal, VersionFields
+from hoistplank.distribution.messages import (
+    Acknowledgement,
+    AcknowledgementRow,
+    FollowRequest,
+    Refusal,
+    VersionFields,
+)
 from hoistplank.distribution.versions import NOTHING, Version
 
 S = 1_000_000
 HOUR = 3_600 * S
 
 
-def in_force(number: int, configuration: int = 0, refused: int = 0) -> InForce:
+def in_force(number: int, configuration: int = 0, refused: int = 0) -> Acknowledgement:
     refusal = Refusal(VersionFields(1, refused), f"no {refused}") if refused else None
-    return InForce(
+    return Acknowledgement(
         VersionFields(1, number),
         VersionFields(1, configuration) if configuration else VersionFields(),
         refusal,
     )
 
 
-def follow(dispatcher: str, incarnation: int = 1, number: int = 0) -> Follow:
-    return Follow(dispatcher, incarnation, "north", VersionFields(1, number) if number else VersionFields())
+def follow(dispatcher: str, incarnation: int = 1, number: int = 0) -> FollowRequest:
+    return FollowRequest(
+        dispatcher, incarnation, "north", VersionFields(1, number) if number else VersionFields()
+    )
 
 
 def test_the_missing_are_named_with_what_they_hold_and_why() -> None:
@@ -159,19 +167,19 @@
     said: list[AcknowledgementRow] = []
     best = dict[tuple[str, int], tuple[Version, Version]]()
     for truth in fleet:
-        table.followed(0, "c1", Follow(truth.name, truth.incarnation))
+        table.followed(0, "c1", FollowRequest(truth.name, truth.incarnation))
     for now, step in enumerate(walk):
         truth = fleet[step.dispatcher]
         truth.does(step.act)
         said.append(truth.row())
         if step.act == "restarts":
-            table.followed(now, "c1", Follow(truth.name, truth.incarnation))
+            table.followed(now, "c1", FollowRequest(truth.name, truth.incarnation))
         if step.arrives is not None:
             row = said[step.arrives % len(said)]
             if step.by_peer:
                 table.merged(now, "c2", row)
             else:
-                table.acknowledged(now, row.dispatcher, row.incarnation, row.in_force)
+                table.acknowledged(now, row.dispatcher, row.incarnation, row.acknowledgement)
         check_counts(table, fleet, best)
 
 
--- a/tests/test_distribution_assignment.py
+++ b/tests/test_distribution_assignment.py
@@ -7,18 +7,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hoistplank.distribution.assignment import Replica, load_bound, may_accept, preference, return_delay_us
+from hoistplank.distribution.assignment import (
+    ReplicaAddress,
+    load_bound,
+    may_accept,
+    preference,
+    return_delay_us,
+)
 from hoistplank.distribution.catch_up import CatchUpQueue
 
 S = 1_000_000
 
 REGIONS = ("north", "south", "east", "west", "mid")
-REPLICAS = [Replica(f"c{number}", region) for number, region in enumerate(REGIONS)]
+REPLICAS = [ReplicaAddress(f"c{number}", region) for number, region in enumerate(REGIONS)]
 # 31 sites of 21 to 23 dispatchers
 FLEET = [(f"{site}-{i}", REGIONS[site % 5]) for site in range(31) for i in range(22 - (site % 31 == 0) * 2)]
 
 
-def loads(living: list[Replica]) -> list[int]:
+def loads(living: list[ReplicaAddress]) -> list[int]:
     """How many dispatchers each living replica has after all came, one by one, in an order by chance."""
     had = dict.fromkeys((replica.name for replica in living), 0)
     for dispatcher, region in Random(1).sample(FLEET, len(FLEET)):
@@ -40,7 +46,7 @@
 
 
 def test_a_dispatchers_order_begins_in_its_region_and_stands_when_another_goes() -> None:
-    pair = [*REPLICAS, Replica("c5", "north")]
+    pair = [*REPLICAS, ReplicaAddress("c5", "north")]
     firsts = set()
     for dispatcher, region in FLEET:
         order = preference(dispatcher, region, pair)
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -133,7 +133,7 @@
     state, mirror = ReplicatedState(HORIZON), Mirror()
     state.apply(0, ReplicatedEvent(1, 7, fleet=listed("a")))
     mirror.follow(0, state)
-    assert mirror.follower.in_force().version.version() == Version(7, 1)
+    assert mirror.follower.in_force().version.to_version() == Version(7, 1)
     state.apply(0, ReplicatedEvent(2, 7, fleet=Fleet(targets=[target("a", "draining")])))
     state.apply(0, ReplicatedEvent(3, 7, invalidate=Purge(1.0, "o")))
     behind = ReplicatedState(HORIZON)
@@ -142,10 +142,10 @@
     state.apply(0, ReplicatedEvent(4, 7, fleet=Fleet(targets=[target("a", hint=2.0)])))
     assert mirror.follow(0, state, lines=2) == [Verdict.HEARTBEAT, Verdict.APPLY]
     mirror.follower.applied(Version(7, 3))
-    assert mirror.follower.in_force().version.version() == Version(7, 1)
+    assert mirror.follower.in_force().version.to_version() == Version(7, 1)
     assert set(mirror.follow(0, behind)) <= {Verdict.BEHIND}, "a replica at 2, and 3 was heard"
     mirror.follow(0, state)
-    assert mirror.follower.in_force().version.version() == Version(7, 4)
+    assert mirror.follower.in_force().version.to_version() == Version(7, 4)
     assert mirror.hosts["a"].capacity_hint == 2.0
 
 
@@ -247,7 +247,7 @@
     for event in state.events_since(NOTHING):
         follower.judge(0, event)
     follower.applied(follower.told)
-    assert follower.in_force().version.version() == NOTHING, "not before the configuration is decided"
+    assert follower.in_force().version.to_version() == NOTHING, "not before the configuration is decided"
     follower.configuration_applied(Version(7, 1))
     state.apply(0, ReplicatedEvent(2, 7, configuration=Configuration("(b")))
     [event] = state.events_since(Version(7, 1))
@@ -256,8 +256,8 @@
     assert not follower.takes_configuration(event), "told again, it is not tried again"
     follower.applied(follower.told)
     said = follower.in_force()
-    assert said.version.version() == Version(7, 2) and said.configuration.version() == Version(7, 1)
-    assert said.refused is not None and said.refused.reason == "line 1: ( is not closed"
+    assert said.version.to_version() == Version(7, 2) and said.configuration.to_version() == Version(7, 1)
+    assert said.refusal is not None and said.refusal.reason == "line 1: ( is not closed"
     follower.configuration_applied(Version(7, 1))
     assert follower.in_force() == said, "an older one replaces nothing"
 
@@ -340,7 +340,7 @@
 
 def check_in_force(mirror: Mirror, known: list[Truth]) -> None:
     """All that is acknowledged is applied: nothing held is of before the version in force."""
-    version = mirror.follower.in_force().version.version()
+    version = mirror.follower.in_force().version.to_version()
     since = [truth for truth in known if truth.version >= version]
     for uid in UIDS:
         as_of = mirror.as_of.get(uid, NOTHING)
@@ -399,14 +399,14 @@
         sent = replica.version
         check_in_force(mirror, known)
         said = mirror.follower.in_force()
-        assert said.version.version() >= before.version.version(), "in force went back"
-        assert said.configuration.version() >= before.configuration.version()
+        assert said.version.to_version() >= before.version.to_version(), "in force went back"
+        assert said.configuration.to_version() >= before.configuration.to_version()
         before = said
     for event in events[heard[0] :]:
         replicas[0].apply(now, event)
     assert Verdict.GAP not in mirror.follow(now, replicas[0])
     assert mirror.follower.told == known[-1].version
-    assert mirror.follower.in_force().version.version() == known[-1].version
+    assert mirror.follower.in_force().version.to_version() == known[-1].version
     assert mirror.hosts == known[-1].hosts
     assert mirror.configuration == known[-1].configuration
     assert all(mirror.floor(key) >= time for key, time in known[-1].purges.items())
@@ -525,6 +525,6 @@
         else:
             follower.configuration_applied(Version(1, now // S))
         said = follower.in_force()
-        assert before.version.version() <= said.version.version() <= follower.told
-        assert before.configuration.version() <= said.configuration.version()
+        assert before.version.to_version() <= said.version.to_version() <= follower.told
+        assert before.configuration.to_version() <= said.configuration.to_version()
         assert follower.told >= told, "what is held went back"
--- a/tests/test_scale_replica_slopes.py
+++ b/tests/test_scale_replica_slopes.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from hoistplank.cli.lab import lab
-from hoistplank.distribution.messages import Follow, InForce, RequestLine, encode, read_request
+from hoistplank.distribution.messages import Acknowledgement, FollowRequest, RequestLine, encode, read_request
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.lab.scale import log_process, role_replica_follower, role_replica_service
 from hoistplank.lab.scale.measure import titled
@@ -65,10 +65,10 @@
 # A dispatcher's side.
 
 
-async def events_acknowledged(count: int) -> list[InForce]:
+async def events_acknowledged(count: int) -> list[Acknowledgement]:
     """The acknowledgements of so many purges, each followed alone."""
     path = role_replica_follower.ReplicaPath()
-    found: list[InForce] = []
+    found: list[Acknowledgement] = []
     try:
         await path.caught_up(role_replica_follower.listed_state())
         for line in role_replica_follower.live_lines(count):
@@ -76,7 +76,7 @@
             path.follower._acknowledge()
             await asyncio.sleep(0)
             told = read_request(path.far.recv(role_replica_follower.READ_BYTES).strip())
-            assert isinstance(told, InForce)
+            assert isinstance(told, Acknowledgement)
             found.append(told)
     finally:
         path.close()
@@ -85,14 +85,14 @@
 
 def test_each_purge_is_in_force_when_it_is_acknowledged() -> None:
     found = asyncio.run(events_acknowledged(3))
-    assert [row.version.version() for row in found] == [Version(EPOCH, number) for number in (2, 3, 4)]
+    assert [row.version.to_version() for row in found] == [Version(EPOCH, number) for number in (2, 3, 4)]
 
 
 def test_bytes_of_following_are_those_of_the_lines_and_their_acknowledgements() -> None:
     found = asyncio.run(role_replica_follower.follow_events(10))
     assert found.received == sum(map(len, role_replica_follower.live_lines(10)))
     acknowledged = asyncio.run(events_acknowledged(10))
-    lines = [encode(RequestLine(in_force=row)) for row in acknowledged]
+    lines = [encode(RequestLine(acknowledgement=row)) for row in acknowledged]
     assert found.acknowledged == sum(map(len, lines))
 
 
@@ -131,10 +131,10 @@
     sent, follower = Sent(), role_replica_service.ReturningFollower("d1", 7)
     follower.connection_made(sent)
     asked = read_request(sent.lines[0].strip())
-    assert isinstance(asked, Follow) and asked.at.version() == Version(0, 7)
+    assert isinstance(asked, FollowRequest) and asked.resume_at.to_version() == Version(0, 7)
     follower.acknowledge()
     told = read_request(sent.lines[1].strip())
-    assert isinstance(told, InForce) and told.version.version() == Version(0, 7)
+    assert isinstance(told, Acknowledgement) and told.version.to_version() == Version(0, 7)
     assert not follower.is_heard
     follower.data_received(b'{"seq":7}\n')
     assert follower.is_heard and len(sent.lines) == 2  # it holds that one
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -17,7 +17,7 @@
 
 from hoistplank.cli.lab import lab
 from hoistplank.cli.scale import PAGE, RESULTS
-from hoistplank.distribution.messages import InForce, encode, read_request
+from hoistplank.distribution.messages import Acknowledgement, encode, read_request
 from hoistplank.distribution.versions import NOTHING
 from hoistplank.lab.scale import (
     role_change_log,
@@ -351,7 +351,7 @@
     follower.data_received(end[-1:] + encode(state.heartbeat()))
     assert follower.held == 3 and len(sent.lines) == 2
     acknowledged = read_request(sent.lines[-1])
-    assert isinstance(acknowledged, InForce) and acknowledged.version.version() == state.version
+    assert isinstance(acknowledged, Acknowledgement) and acknowledged.version.to_version() == state.version
 
 
 # The page.
