--- a/hoistplank/distribution/acknowledgements.py
+++ b/hoistplank/distribution/acknowledgements.py
@@ -1,9 +1,9 @@
-"""Which dispatcher has which version in force, and since when each was heard.
+"""Which dispatcher has which version in force, and when each was last heard from.
 
 Decision logic: no I/O, no clock; times are whole microseconds. An acknowledgement counts for the incarnation
-(the start of a dispatcher) that sent it. Within one, what is in force never goes back, so that
-acknowledgements that are lost, doubled or come out of order never count for what was not applied; a new
-incarnation begins with what it says.
+(the start of a dispatcher) that sent it. Within an incarnation, what is in force never goes back, so
+acknowledgements that are lost, duplicated or reordered never count for what was not applied; a new
+incarnation begins with what it reports.
 """
 
 from __future__ import annotations
@@ -11,84 +11,29 @@
 import enum
 from collections import OrderedDict
 from dataclasses import dataclass
-from typing import NamedTuple
 
 import msgspec
 
+from hoistplank.distribution.change_status import (
+    ChangeKind,
+    ChangeStatus,
+    FleetStatus,
+    MissingDispatcher,
+    SilentDispatcher,
+)
+from hoistplank.distribution.dispatcher_progress import DispatcherProgress
 from hoistplank.distribution.messages import Acknowledgement, AcknowledgementRow, FollowRequest
-from hoistplank.distribution.versions import NOTHING, Version
+from hoistplank.distribution.versions import Version
 
 MAX_DISPATCHERS = 8_192
 
 
-class Life(enum.Enum):
-    """The answer to a dispatcher that wants to follow."""
+class Registration(enum.Enum):
+    """The outcome of registering a dispatcher that wants to follow."""
 
     ACCEPTED = "accepted"
-    EARLIER = "earlier"  # a newer start of this dispatcher is known
-    NO_ROOM = "no room"  # more dispatchers than the table holds
-
-
-class ChangeKind(enum.Enum):
-    """What a version is asked for."""
-
-    EVENT = "event"  # a purge or a change of hosts: in force once all up to its version is applied
-    CONFIGURATION = "configuration"  # in force once this configuration, or a newer one, was taken up
-
-
-class Missing(NamedTuple):
-    """A dispatcher that does not have a change in force."""
-
-    dispatcher: str
-    version: Version  # what it has in force, of the kind that is asked for
-    heard_us: int  # when it was last heard
-    is_connected: bool
-    refused: str  # why it refused the configuration that is asked for; empty if it did not
-
-
-class Unheard(NamedTuple):
-    """A dispatcher that counts as connected, but has not been heard lately: it may be frozen."""
-
-    dispatcher: str
-    heard_us: int
-
-
-class ChangeStatus(NamedTuple):
-    """In force at `total` less those missing, who are named."""
-
-    version: Version
-    total: int
-    missing: list[Missing]
-
-    @property
-    def in_force(self) -> int:
-        return self.total - len(self.missing)
-
-
-class FleetStatus(NamedTuple):
-    """How far the fleet has come with the newest event and the newest configuration."""
-
-    events: ChangeStatus
-    configuration: ChangeStatus
-    connected: int
-    unheard: list[Unheard]
-
-
-class _Progress(NamedTuple):
-    """The parts of an acknowledgement none of which ever goes back."""
-
-    version: Version
-    configuration: Version
-    decided: Version  # the newest configuration that was taken up or refused
-
-    @classmethod
-    def of(cls, in_force: Acknowledgement) -> _Progress:
-        configuration = in_force.configuration.to_version()
-        refused = in_force.refusal.version.to_version() if in_force.refusal is not None else NOTHING
-        return cls(in_force.version.to_version(), configuration, max(configuration, refused))
-
-    def is_behind(self, other: _Progress) -> bool:
-        return any(mine < theirs for mine, theirs in zip(self, other, strict=True))
+    STALE_INCARNATION = "earlier"  # a newer start of this dispatcher is known
+    TABLE_FULL = "no room"  # more dispatchers than the table holds
 
 
 @dataclass(slots=True)
@@ -97,196 +42,199 @@
 
     incarnation: int
     region: str
-    heard_us: int
+    last_heard_us: int
     replica: str
-    in_force: Acknowledgement
-    progress: _Progress  # of `in_force`
-    connections: int = 0  # to this replica: one that has ended may be noticed after the next has begun
-    peer: str = ""  # the replica that told of it as connected there
+    progress: DispatcherProgress
+    connections: int = 0  # to this replica; an ended one may be noticed only after the next has begun
+    peer: str = ""  # the replica that reported the dispatcher as connected there
     revision: int = 0
 
     @property
     def is_connected(self) -> bool:
         return self.connections > 0 or bool(self.peer)
 
-    def advance(self, in_force: Acknowledgement) -> bool:
-        """Takes an acknowledgement of this incarnation; False, and nothing changes, if any part went back."""
-        progress = _Progress.of(in_force)
-        if progress.is_behind(self.progress):
-            return False
-        self.in_force, self.progress = in_force, progress
-        return True
-
 
 class AcknowledgementTable:
-    """All dispatchers heard by this replica or by its peers; `retention_us`: how long one is kept unheard."""
+    """The progress of all dispatchers known to this replica, directly or through its peers."""
 
-    def __init__(self, retention_us: int, most: int = MAX_DISPATCHERS) -> None:
-        self.retention_us, self.most = retention_us, most
-        self.revision = 0  # rises with each change of a dispatcher that this replica itself heard
+    def __init__(self, retention_us: int, max_dispatchers: int = MAX_DISPATCHERS) -> None:
+        """`retention_us`: how long a dispatcher that is not connected here is kept unheard."""
+        self.retention_us = retention_us
+        self.max_dispatchers = max_dispatchers
+        self.revision = 0  # increases with each change of a row that this replica itself received
         self._rows: dict[str, _Row] = {}
-        self._own = OrderedDict[str, None]()  # heard by this replica itself, in order of their row's revision
+        self._own = OrderedDict[str, None]()  # dispatchers heard directly, in order of their rows' revisions
 
     def __len__(self) -> int:
         return len(self._rows)
 
-    # What is heard.
-
-    def followed(self, now_us: int, replica: str, follow: FollowRequest) -> Life:
-        """A dispatcher has connected to `replica`, which is this one."""
-        row = self._rows.get(follow.dispatcher)
-        if row is not None and follow.incarnation < row.incarnation:
-            return Life.EARLIER
-        if row is None and not self._has_room():
-            return Life.NO_ROOM
-        if row is None or follow.incarnation > row.incarnation:
-            row = _new_row(
-                follow.incarnation, follow.region, now_us, replica, Acknowledgement(follow.resume_at)
-            )
-            self._rows[follow.dispatcher] = row
+    def register(self, now_us: int, replica: str, request: FollowRequest) -> Registration:
+        """Counts a new connection of a dispatcher to this replica, whose name is `replica`.
+
+        `disconnect` is to be called once for each accepted connection.
+        """
+        row = self._rows.get(request.dispatcher)
+        if row is not None and request.incarnation < row.incarnation:
+            return Registration.STALE_INCARNATION
+        if row is None and self._is_full():
+            return Registration.TABLE_FULL
+        if row is None or request.incarnation > row.incarnation:
+            progress = DispatcherProgress(Acknowledgement(request.resume_at))
+            row = _Row(request.incarnation, request.region, now_us, replica, progress)
+            self._rows[request.dispatcher] = row
         else:
-            row.advance(msgspec.structs.replace(row.in_force, version=follow.resume_at))
-        row.connections, row.replica, row.region = row.connections + 1, replica, follow.region
+            resumed = msgspec.structs.replace(row.progress.acknowledgement, version=request.resume_at)
+            row.progress.advance(resumed)
+        row.connections += 1
+        row.replica = replica
+        row.region = request.region
         row.peer = ""
-        row.heard_us = max(row.heard_us, now_us)
-        self._changed(follow.dispatcher, row)
-        return Life.ACCEPTED
+        row.last_heard_us = max(row.last_heard_us, now_us)
+        self._mark_changed(request.dispatcher, row)
+        return Registration.ACCEPTED
 
-    def incarnation(self, dispatcher: str) -> int | None:
-        """The newest start of a dispatcher that is known."""
+    def latest_incarnation(self, dispatcher: str) -> int | None:
+        """The newest known incarnation of a dispatcher."""
         row = self._rows.get(dispatcher)
         return row.incarnation if row is not None else None
 
-    def acknowledged(self, now_us: int, dispatcher: str, incarnation: int, in_force: Acknowledgement) -> bool:
-        """What a dispatcher says to this replica; False, and nothing changes, if it is unknown, of another
-        incarnation, or older than what stands."""
+    def acknowledge(
+        self, now_us: int, dispatcher: str, incarnation: int, acknowledgement: Acknowledgement
+    ) -> bool:
+        """Records an acknowledgement that a dispatcher sent to this replica.
+
+        Returns False, changing nothing, if the dispatcher is unknown, the incarnation is another, or the
+        acknowledgement is older than the recorded one.
+        """
         row = self._rows.get(dispatcher)
-        if row is None or row.incarnation != incarnation or not row.advance(in_force):
+        if row is None or row.incarnation != incarnation or not row.progress.advance(acknowledgement):
             return False
-        row.heard_us = max(row.heard_us, now_us)
-        self._changed(dispatcher, row)
+        row.last_heard_us = max(row.last_heard_us, now_us)
+        self._mark_changed(dispatcher, row)
         return True
 
-    def left(self, now_us: int, dispatcher: str, incarnation: int) -> None:
-        """A connection of this dispatcher to this replica has ended."""
+    def disconnect(self, dispatcher: str, incarnation: int) -> None:
+        """Removes one connection of this dispatcher to this replica."""
         row = self._rows.get(dispatcher)
         if row is not None and row.incarnation == incarnation and row.connections > 0:
             row.connections -= 1
-            self._changed(dispatcher, row)
+            self._mark_changed(dispatcher, row)
 
-    def merged(self, now_us: int, replica: str, told: AcknowledgementRow) -> bool:
-        """What a peer says of a dispatcher; the higher incarnation wins, then what is further in force.
+    def merge_peer_row(self, now_us: int, replica: str, reported: AcknowledgementRow) -> bool:
+        """Merges a row reported by the peer `replica`: the higher incarnation wins, then what is newer.
 
-        False if it is of an earlier incarnation or there is no room.
+        Returns False if the row is of an earlier incarnation or the table is full.
         """
-        row = self._rows.get(told.dispatcher)
-        if row is None and not self._has_room():
+        row = self._rows.get(reported.dispatcher)
+        if row is None and self._is_full():
             return False
-        if row is not None and told.incarnation < row.incarnation:
+        if row is not None and reported.incarnation < row.incarnation:
             return False
-        heard_us = now_us - told.heard_ago_us
-        if row is None or told.incarnation > row.incarnation:
-            row = _new_row(told.incarnation, told.region, heard_us, replica, told.acknowledgement)
-            self._rows[told.dispatcher] = row
-            self._own.pop(told.dispatcher, None)
+        heard_us = now_us - reported.heard_ago_us
+        if row is None or reported.incarnation > row.incarnation:
+            progress = DispatcherProgress(reported.acknowledgement)
+            row = _Row(reported.incarnation, reported.region, heard_us, replica, progress)
+            self._rows[reported.dispatcher] = row
+            self._own.pop(reported.dispatcher, None)
         else:
-            row.advance(told.acknowledgement)
-        row.heard_us = max(row.heard_us, heard_us)
-        if told.connected:
-            row.peer, row.region = replica, told.region
+            row.progress.advance(reported.acknowledgement)
+        row.last_heard_us = max(row.last_heard_us, heard_us)
+        if reported.connected:
+            row.peer = replica
+            row.region = reported.region
             row.replica = row.replica if row.connections else replica
         elif row.peer == replica:
             row.peer = ""
         return True
 
-    def peer_lost(self, replica: str) -> None:
-        """A peer is not heard any more: who was connected there is not known to be."""
+    def mark_peer_lost(self, replica: str) -> None:
+        """A peer is not heard any more: its dispatchers are not known to be connected."""
         for row in self._rows.values():
             if row.peer == replica:
                 row.peer = ""
 
-    def _changed(self, dispatcher: str, row: _Row) -> None:
+    def _mark_changed(self, dispatcher: str, row: _Row) -> None:
         self.revision += 1
         row.revision = self.revision
         self._own[dispatcher] = None
         self._own.move_to_end(dispatcher)
 
-    def _has_room(self) -> bool:
-        return len(self._rows) < self.most
-
-    # What is told.
+    def _is_full(self) -> bool:
+        return len(self._rows) >= self.max_dispatchers
 
     def rows_since(self, now_us: int, revision: int) -> list[AcknowledgementRow]:
-        """For a peer: the rows of this replica's own dispatchers that changed after `revision`, oldest
-        first.
-        """
-        found = []
+        """The rows of this replica's own dispatchers that changed after `revision`, oldest change first."""
+        changed = []
         for dispatcher in reversed(self._own):
             row = self._rows[dispatcher]
             if row.revision <= revision:
                 break
-            found.append(self._told(now_us, dispatcher, row))
-        found.reverse()
-        return found
-
-    def _told(self, now_us: int, dispatcher: str, row: _Row) -> AcknowledgementRow:
-        heard_ago_us = max(0, now_us - row.heard_us)
-        connected = row.connections > 0
-        return AcknowledgementRow(
-            dispatcher, row.incarnation, row.in_force, row.region, connected, heard_ago_us
-        )
-
-    def in_force(self, now_us: int, version: Version, kind: ChangeKind = ChangeKind.EVENT) -> ChangeStatus:
-        """Who has a change in force. A configuration that was refused is not, nor its event."""
-        found = (_missing(dispatcher, row, version, kind) for dispatcher, row in self._rows.items())
-        return ChangeStatus(version, len(self._rows), [missing for missing in found if missing is not None])
-
-    def fleet(self, now_us: int, newest: Version, configuration: Version, silence_us: int) -> FleetStatus:
-        """The same for the newest event and the newest configuration; unheard: for longer than
-        `silence_us`.
+            changed.append(_report(now_us, dispatcher, row))
+        changed.reverse()
+        return changed
+
+    def change_status(self, version: Version, kind: ChangeKind = ChangeKind.EVENT) -> ChangeStatus:
+        """Who has a change in force. A refused configuration is not in force, nor is its event."""
+        statuses = (_missing(dispatcher, row, version, kind) for dispatcher, row in self._rows.items())
+        missing = [status for status in statuses if status is not None]
+        return ChangeStatus(version, len(self._rows), missing)
+
+    def fleet_status(
+        self, now_us: int, newest: Version, configuration: Version, silence_us: int
+    ) -> FleetStatus:
+        """Who has the newest event and the newest configuration in force.
+
+        Connected dispatchers that were not heard for longer than `silence_us` are listed as silent.
         """
         return FleetStatus(
-            self.in_force(now_us, newest),
-            self.in_force(now_us, configuration, ChangeKind.CONFIGURATION),
-            sum(row.is_connected for row in self._rows.values()),
+            self.change_status(newest),
+            self.change_status(configuration, ChangeKind.CONFIGURATION),
+            self.connected_count(),
             [
-                Unheard(dispatcher, row.heard_us)
+                SilentDispatcher(dispatcher, row.last_heard_us)
                 for dispatcher, row in self._rows.items()
-                if row.is_connected and now_us - row.heard_us > silence_us
+                if row.is_connected and now_us - row.last_heard_us > silence_us
             ],
         )
 
-    def connected_to(self, replica: str) -> int:
+    def connected_count_at(self, replica: str) -> int:
         """How many dispatchers follow `replica`."""
         return sum(row.is_connected and row.replica == replica for row in self._rows.values())
 
-    def connected(self) -> int:
+    def connected_count(self) -> int:
         """How many dispatchers follow any replica."""
         return sum(row.is_connected for row in self._rows.values())
 
-    def forgotten(self, now_us: int) -> list[str]:
-        """Drops dispatchers that are not connected here and were unheard for the retention; returns them."""
-        dropped = [
+    def remove_expired(self, now_us: int) -> list[str]:
+        """Removes dispatchers not connected here and unheard for the retention; returns their names."""
+        expired = [
             dispatcher
             for dispatcher, row in self._rows.items()
-            if not row.connections and now_us - row.heard_us > self.retention_us
+            if not row.connections and now_us - row.last_heard_us > self.retention_us
         ]
-        for dispatcher in dropped:
+        for dispatcher in expired:
             del self._rows[dispatcher]
             self._own.pop(dispatcher, None)
-        return dropped
-
-
-def _new_row(incarnation: int, region: str, heard_us: int, replica: str, in_force: Acknowledgement) -> _Row:
-    return _Row(incarnation, region, heard_us, replica, in_force, _Progress.of(in_force))
-
-
-def _missing(dispatcher: str, row: _Row, version: Version, kind: ChangeKind) -> Missing | None:
-    """What a dispatcher holds in place of a change, or None where it has it in force."""
-    progress, refused, reason = row.progress, row.in_force.refusal, ""
-    held = progress.configuration if kind is ChangeKind.CONFIGURATION else progress.version
-    if refused is not None and refused.version.to_version() == version:
-        reason = refused.reason
-    elif held >= version:
+        return expired
+
+
+def _report(now_us: int, dispatcher: str, row: _Row) -> AcknowledgementRow:
+    """A row as it is reported to peers."""
+    return AcknowledgementRow(
+        dispatcher,
+        row.incarnation,
+        row.progress.acknowledgement,
+        row.region,
+        connected=row.connections > 0,
+        heard_ago_us=max(0, now_us - row.last_heard_us),
+    )
+
+
+def _missing(dispatcher: str, row: _Row, version: Version, kind: ChangeKind) -> MissingDispatcher | None:
+    """What a dispatcher has in force instead of a change; None if it has the change in force."""
+    held = row.progress.held(kind)
+    refusal = row.progress.refusal_of(version)
+    if refusal is None and held >= version:
         return None
-    return Missing(dispatcher, held, row.heard_us, row.is_connected, reason)
+    reason = refusal.reason if refusal is not None else ""
+    return MissingDispatcher(dispatcher, held, row.last_heard_us, row.is_connected, reason)
--- a/hoistplank/distribution/assignment.py
+++ b/hoistplank/distribution/assignment.py
@@ -1,8 +1,8 @@
-"""Which control replica a dispatcher follows. Decision logic: pure functions, chance is handed in.
+"""Which control replica a dispatcher follows. Decision logic: pure functions; randomness is passed in.
 
 Rendezvous hashing over the replicas of the dispatcher's own region, then over the others: each dispatcher
-knows its order without asking anyone, and one that is lost leaves its dispatchers evenly to the rest. A
-bound on a replica's load evens out what regions of different size and chance leave.
+computes its order without asking anyone, and the dispatchers of a lost replica spread evenly over the rest.
+A bound on a replica's load evens out regions of different size and the spread of the hash.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from hoistplank.choice import mix, standing
 
-# A replica takes no more than its even share and a tenth of that.
-LOAD_PERCENT = 110
-# Below that many dispatchers a replica takes all: at a start few are known, and a share of few refuses most.
-FREE_LOAD = 16
-RETURN_US = 60_000_000  # over which dispatchers go back to a replica that returned
+# A replica accepts its even share and a tenth more.
+MAX_LOAD_PERCENT = 110
+# Up to this many dispatchers are always accepted: at a start few are known, and a share of few rejects most.
+UNBOUNDED_LOAD = 16
+RETURN_PERIOD_US = 60_000_000  # over which dispatchers return to a preferred replica that is back
 
 
 class ReplicaAddress(NamedTuple):
-    """A control replica, as dispatchers are told of it."""
+    """Where a control replica listens, as configured in dispatchers and peers."""
 
     name: str
     region: str
@@ -31,29 +31,29 @@
 def preference(
     dispatcher: str, region: str, replicas: Iterable[ReplicaAddress]
 ) -> tuple[ReplicaAddress, ...]:
-    """All replicas in the order in which `dispatcher` tries them: those of its region first."""
+    """All replicas in the order in which `dispatcher` tries them, those of its region first."""
     key = mix(dispatcher)
 
-    def place(replica: ReplicaAddress) -> tuple[bool, float, str]:
+    def rank(replica: ReplicaAddress) -> tuple[bool, float, str]:
         return replica.region != region, standing(key, mix(replica.name), 1.0), replica.name
 
-    return tuple(sorted(replicas, key=place))
+    return tuple(sorted(replicas, key=rank))
 
 
 def load_bound(total: int, living: int) -> int:
-    """How many of `total` dispatchers a replica follows at most, of `living` replicas."""
-    return max(FREE_LOAD, -(-LOAD_PERCENT * total // (100 * max(1, living))))
+    """How many of `total` dispatchers may follow one of `living` replicas."""
+    return max(UNBOUNDED_LOAD, -(-MAX_LOAD_PERCENT * total // (100 * max(1, living))))
 
 
 def may_accept(own: int, total: int, living: int) -> bool:
-    """Whether a replica that has `own` dispatchers takes one more.
+    """Whether a replica that has `own` dispatchers accepts one more.
 
-    `total`: the dispatchers known in the fleet, with the one that asks; `living`: replicas heard, with this
-    one.
+    `total`: the known dispatchers of the fleet, including the new one; `living`: the replicas heard,
+    including this one.
     """
     return own < load_bound(total, living)
 
 
-def return_delay_us(chance: Random) -> int:
-    """How long a dispatcher waits before it goes back to a replica that returned."""
-    return int(chance.random() * RETURN_US)
+def return_delay_us(random: Random) -> int:
+    """How long a dispatcher waits before it checks for a preferred replica, uniform over the period."""
+    return int(random.random() * RETURN_PERIOD_US)
--- a/hoistplank/distribution/dispatcher_session.py
+++ b/hoistplank/distribution/dispatcher_session.py
@@ -71,7 +71,7 @@
 
     def _ask(self, size: int) -> None:
         self.phase = Phase.WAITING
-        if not self.replica.queue.asked(self.replica.now(), self, size):
+        if not self.replica.queue.enqueue(self, size):
             self.connection.close()
             return
         self.heartbeat()
@@ -104,7 +104,7 @@
             self.connection.send(self._pending.popleft())
             return
         self.connection.emptied = None
-        self.replica.queue.done(self.replica.now(), self)
+        self.replica.queue.finish(self)
         self.at = self._until
         self.start()  # what came meanwhile
         if self.phase is Phase.LIVE:
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -115,7 +115,7 @@
         """
         if self.hosts.is_stale or not self.state.unheard(now_us):
             return None
-        return self.hosts.grown_stale()
+        return self.hosts.mark_stale()
 
     # Lines.
 
@@ -173,7 +173,7 @@
             self._heard_again()
 
     def _heard_again(self) -> None:
-        self.hosts.grown_fresh()
+        self.hosts.mark_current()
         if self._is_warned:
             self._is_warned = False
             log.info("control replica heard again", replica=self.replica.name, told=str(self.state.told))
--- a/hoistplank/distribution/host_record.py
+++ b/hoistplank/distribution/host_record.py
@@ -1,4 +1,4 @@
-"""The hosts that a dispatcher was told of, so that the whole list can be told anew as a stale one."""
+"""The hosts that a dispatcher was sent, so that the full list can be sent again as a stale one."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 
 class HostRecord:
-    """Stands between a follower and its owner: keeps the list, and tells it as `own` while it is stale.
+    """Forwards a follower's events to its owner, recording the list and marking it as stale where it is.
 
-    While a list is `own` the Router asks for no copy past its fresh time: what was purged meanwhile nobody
-    can tell (docs/design.md, "An own list").
+    A stale list has the form `own`, for which the Router asks for no copy past its fresh time: purges may
+    have been missed (docs/design.md, "An own list").
     """
 
     def __init__(self, owner: Hearer) -> None:
-        self.owner, self.clock = owner, owner.clock
-        self.is_stale = True  # until a replica has told all that there is
+        self.owner = owner
+        self.clock = owner.clock
+        self.is_stale = True  # until a replica has sent everything
         self._targets: dict[str, Target] = {}
         self._is_listed = False
 
@@ -24,15 +25,15 @@
         return len(self._targets)
 
     def tell(self, event: Event) -> None:
-        """What the follower tells: lists are kept, all goes on to the owner."""
+        """Records the event if it is a list, and forwards it to the owner."""
         if isinstance(event, Listed) and event.form != "failed":
-            self._keep(event)
+            self._record(event)
             if self.is_stale:
-                # Danger: any other form says that purges are heard, while those missed are still to come.
+                # Danger: any other form claims that purges are received, while missed ones are still to come.
                 event = self._stale_list()
         self.owner.tell(event)
 
-    def _keep(self, event: Listed) -> None:
+    def _record(self, event: Listed) -> None:
         self._is_listed = True
         if event.form != "changes":
             self._targets.clear()
@@ -45,13 +46,13 @@
     def _stale_list(self) -> Listed:
         return Listed("own", list(self._targets.values()))
 
-    def grown_stale(self) -> Listed | None:
-        """Nobody is heard any more: what the owner is to be told; None where no list is known."""
+    def mark_stale(self) -> Listed | None:
+        """No replica is heard any more: returns the event for the owner, None if no list is known."""
         self.is_stale = True
         return self._stale_list() if self._is_listed else None
 
-    def grown_fresh(self) -> None:
-        """All that there is has been told to the owner."""
+    def mark_current(self) -> None:
+        """Everything has been forwarded to the owner, which is told so."""
         self.is_stale = False
         if self._is_listed:
             self.owner.tell(Listed("changes", []))
--- a/hoistplank/distribution/lines.py
+++ b/hoistplank/distribution/lines.py
@@ -1,4 +1,4 @@
-"""Lines of one connection, cut from its bytes. No sockets."""
+"""Splits the bytes of a connection into lines. No sockets."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 
 
 class LineReader:
-    """Cuts what one connection brings into lines, without their ends; empty lines are left out."""
+    """The lines of one connection, without their newlines; blank lines are skipped."""
 
-    def __init__(self, longest: int) -> None:
-        self.longest = longest
-        self._searched = 0  # bytes of an unfinished line that hold no end
+    def __init__(self, max_line_bytes: int) -> None:
+        self.max_line_bytes = max_line_bytes
+        self._searched = 0  # bytes of an incomplete line known to hold no newline
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[bytes]]:
-        """The whole lines between `start` and `end`, and where the rest begins; raises BadBytes."""
+        """The complete lines between `start` and `end`, and where the remainder begins; raises BadBytes."""
         lines = list[bytes]()
         while (stop := buffer.find(b"\n", start + self._searched, end)) >= 0:
             line = bytes(buffer[start:stop]).strip()
-            start, self._searched = stop + 1, 0
+            start = stop + 1
+            self._searched = 0
             if line:
                 lines.append(line)
         self._searched = end - start
-        if self._searched > self.longest:
-            raise BadBytes(f"a line is longer than {self.longest} bytes")
+        if self._searched > self.max_line_bytes:
+            raise BadBytes(f"a line is longer than {self.max_line_bytes} bytes")
         return start, lines
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -86,7 +86,7 @@
             if self.heard_us:
                 pause = SHORTEST_PAUSE_S
                 log.warning("peer replica lost", peer=self.peer.name, wrong=str(wrong))
-                self.replica.table.peer_lost(self.peer.name)
+                self.replica.table.mark_peer_lost(self.peer.name)
                 self.heard_us = 0
             await asyncio.sleep(pause * (0.5 + self.chance.random() / 2))
             pause = min(LONGEST_PAUSE_S, pause * 2)
@@ -129,7 +129,7 @@
                     row = _rows.decode(line)
                 except msgspec.MsgspecError as wrong:
                     raise BadBytes(f"a peer's row can't be read: {wrong}") from None
-                self.replica.table.merged(now, self.peer.name, row)
+                self.replica.table.merge_peer_row(now, self.peer.name, row)
             return start
 
         return consume
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -18,9 +18,10 @@
 import structlog
 from msgspec.structs import replace
 
-from hoistplank.distribution.acknowledgements import AcknowledgementTable, ChangeKind, Life
+from hoistplank.distribution.acknowledgements import AcknowledgementTable, Registration
 from hoistplank.distribution.assignment import ReplicaAddress, may_accept
 from hoistplank.distribution.catch_up import CatchUpQueue
+from hoistplank.distribution.change_status import ChangeKind
 from hoistplank.distribution.dispatcher_session import DispatcherSession, Phase
 from hoistplank.distribution.log_follower import LogFollower
 from hoistplank.distribution.messages import (
@@ -175,8 +176,8 @@
         session = connection.dispatcher
         if session is None:
             return
-        self.queue.left(session)
-        self.table.left(self.now(), session.name, session.follow.incarnation)
+        self.queue.remove(session)
+        self.table.disconnect(session.name, session.follow.incarnation)
         if self.sessions.get(session.name) is session:
             del self.sessions[session.name]
 
@@ -184,20 +185,20 @@
         """Why this replica does not take a dispatcher now; empty: it does."""
         if not (self.state.is_listed and self.log_follower.is_read()):
             return "the change log has not been read yet"
-        known = self.table.incarnation(follow.dispatcher)
+        known = self.table.latest_incarnation(follow.dispatcher)
         if known is not None and known > follow.incarnation:
             return f"incarnation {known} of {follow.dispatcher} is known, this is {follow.incarnation}"
         if follow.dispatcher in self.sessions:
             return ""  # it comes back: its place is its own
         living = 1 + sum(link.is_heard for link in self.links)
-        if not may_accept(len(self.sessions), self.table.connected() + 1, living):
+        if not may_accept(len(self.sessions), self.table.connected_count() + 1, living):
             return f"{len(self.sessions)} dispatchers follow here, and {living} replicas are there"
         return ""
 
     def accept(self, session: DispatcherSession) -> None:
         """A dispatcher follows from now on."""
-        life = self.table.followed(self.now(), self.name, session.follow)
-        if life is not Life.ACCEPTED:
+        life = self.table.register(self.now(), self.name, session.follow)
+        if life is not Registration.ACCEPTED:
             raise BadBytes(f"{session.name} can't follow: {life.value}")
         earlier = self.sessions.get(session.name)
         self.sessions[session.name] = session
@@ -209,7 +210,7 @@
 
     def acknowledged(self, session: DispatcherSession, in_force: Acknowledgement) -> None:
         """A dispatcher says what it has in force."""
-        accepted = self.table.acknowledged(self.now(), session.name, session.follow.incarnation, in_force)
+        accepted = self.table.acknowledge(self.now(), session.name, session.follow.incarnation, in_force)
         refused = in_force.refusal
         if accepted and refused is not None and refused != session.refused:
             version = str(refused.version.to_version())
@@ -235,17 +236,17 @@
 
     def _give_turns(self) -> None:
         now = self.now()
-        for session in self.queue.overdue(now):
+        for session in self.queue.remove_overdue(now):
             self.cut_off += 1
             log.warning("dispatcher takes its catch-up too slowly, connection ended", peer=session.name)
             session.connection.close()
-        for session in self.queue.ready(now):
+        for session in self.queue.start_ready(now):
             session.begin_turn()
 
     def _heartbeat(self) -> None:
         now = self.now()
-        self.state.forget(now)
-        for name in self.table.forgotten(now):
+        self.state.remove_expired(now)
+        for name in self.table.remove_expired(now):
             log.info("dispatcher forgotten: not heard for the time of retention", peer=name)
         for connection in list(self.connections):
             if connection.is_lost():
@@ -262,12 +263,12 @@
     def status(self, request: StatusRequest) -> StatusAnswer:
         """How far this replica is, and what is in force where; of one change where a version is asked for."""
         now, state = self.now(), self.state
-        fleet = self.table.fleet(now, state.version, state.configuration_version, UNHEARD_US)
+        fleet = self.table.fleet_status(now, state.version, state.configuration_version, UNHEARD_US)
         size = state.size()
         change = None
         if request.version is not None:
             version = request.version.to_version()
-            change = change_row(now, self.table.in_force(now, version, self._kind(version)))
+            change = change_row(now, self.table.change_status(version, self._kind(version)))
             if version in self.unreadable_changes:
                 # Danger: its number is passed by all, but nobody was ever handed it.
                 change = replace(change, in_force=0, unreadable=self.unreadable_changes[version])
@@ -280,8 +281,8 @@
             connected=fleet.connected,
             load=Load(
                 dispatchers=len(self.sessions),
-                catching_up=self.queue.active,
-                waiting=self.queue.waiting,
+                catching_up=self.queue.active_count,
+                waiting=self.queue.waiting_count,
                 hosts=size.hosts,
                 purges=size.purges,
                 bytes=size.bytes,
@@ -289,7 +290,7 @@
             ),
             events=change_row(now, fleet.events),
             configurations=change_row(now, fleet.configuration),
-            unheard=[UnheardRow(row.dispatcher, max(0, now - row.heard_us)) for row in fleet.unheard],
+            unheard=[UnheardRow(row.dispatcher, max(0, now - row.last_heard_us)) for row in fleet.silent],
             peers=[
                 PeerRow(link.peer.name, now - link.heard_us if link.is_heard else None) for link in self.links
             ],
--- a/hoistplank/distribution/status.py
+++ b/hoistplank/distribution/status.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from hoistplank.distribution.acknowledgements import ChangeStatus
+from hoistplank.distribution.change_status import ChangeStatus
 from hoistplank.distribution.messages import VersionFields
 
 
@@ -77,7 +77,7 @@
         MissingRow(
             row.dispatcher,
             VersionFields(*row.version),
-            max(0, now_us - row.heard_us),
+            max(0, now_us - row.last_heard_us),
             row.is_connected,
             row.refused,
         )
--- a/hoistplank/distribution/versions.py
+++ b/hoistplank/distribution/versions.py
@@ -6,7 +6,7 @@
 
 
 class Version(NamedTuple):
-    """Ordered by epoch, then by number: a change log that began anew has a higher epoch and counts from 1."""
+    """Ordered by epoch, then by number: a restarted change log has a higher epoch and counts from 1."""
 
     epoch: int = 0
     number: int = 0
@@ -15,4 +15,4 @@
         return f"{self.epoch}/{self.number}"
 
 
-NOTHING = Version()  # the version of a follower that holds no state yet
+NOTHING = Version()  # of a follower that holds no state yet
--- a/hoistplank/lab/scale/role_control_replica.py
+++ b/hoistplank/lab/scale/role_control_replica.py
@@ -253,7 +253,7 @@
 def _table_with(dispatchers: int) -> AcknowledgementTable:
     table = AcknowledgementTable(RETENTION_US)
     for number in range(dispatchers):
-        table.followed(0, "c1", FollowRequest(f"d{number}", 1, "north"))
+        table.register(0, "c1", FollowRequest(f"d{number}", 1, "north"))
     return table
 
 
@@ -267,10 +267,10 @@
 
         def acknowledge(table: AcknowledgementTable = table, count: int = count) -> None:
             for number in range(count):
-                table.acknowledged(1, f"d{number}", 1, Acknowledgement(VersionFields(EPOCH, 1)))
+                table.acknowledge(1, f"d{number}", 1, Acknowledgement(VersionFields(EPOCH, 1)))
 
         def ask(table: AcknowledgementTable = table) -> None:
-            table.fleet(1, Version(EPOCH, 2), NOTHING, 7_000_000)
+            table.fleet_status(1, Version(EPOCH, 2), NOTHING, 7_000_000)
 
         found += [cost.measured(count, processor_us(acknowledge)), status.measured(count, processor_us(ask))]
     return found + series(
--- a/hoistplank/lab/scale/role_replica_service.py
+++ b/hoistplank/lab/scale/role_replica_service.py
@@ -290,7 +290,7 @@
 def _table_of(count: int) -> AcknowledgementTable:
     table = AcknowledgementTable(RETENTION_US)
     for number in range(count):
-        table.followed(0, "c1", FollowRequest(f"d{number}", 1, "north"))
+        table.register(0, "c1", FollowRequest(f"d{number}", 1, "north"))
     return table
 
 
@@ -309,7 +309,7 @@
 
         def take(peer: AcknowledgementTable = peer, lines: list[bytes] = lines) -> None:
             for line in lines:
-                peer.merged(1, "c1", _rows.decode(line))
+                peer.merge_peer_row(1, "c1", _rows.decode(line))
 
         take(lines=[encode(row) for row in table.rows_since(1, 0)])  # the rows are known already
         told_us = processor_us(tell)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -58,7 +58,7 @@
                 assert one.configurations == [(at(4), "(log)")] and not one.owner.is_blind
             for replica in rig.replicas:
                 # A peer hears within a tenth of a second what the dispatchers of the other have in force.
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 3)  # type: ignore[misc]
                 status = await asked(replica.address, at(4))
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total, status.change.missing) == (3, 3, [])
@@ -82,7 +82,7 @@
                 "wide" if one is each[2] else "narrow" for one in each
             ]
             for replica in rig.replicas:
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 4)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 4)  # type: ignore[misc]
                 status = await asked(replica.address, at(3))
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total) == (3, 4)
@@ -183,7 +183,7 @@
                 )
 
             def known() -> Version:
-                status = replica.table.in_force(0, at(99))
+                status = replica.table.change_status(at(99))
                 return status.missing[0].version if status.missing else NOTHING
 
             await until(replica.log_follower.is_read)
@@ -215,16 +215,16 @@
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             one = rig.dispatcher("d1")
-            await until(lambda: rig.replicas[0].table.in_force(0, at(1)).in_force == 1)
+            await until(lambda: rig.replicas[0].table.change_status(at(1)).in_force == 1)
             connection = one.follower.connection
             assert connection is not None
             send, lost = connection.send, list[bytes]()
             connection.send = lambda data, *more: lost.append(data)  # type: ignore[method-assign]
             rig.purge(2, "ab")
             await until(lambda: bool(lost))
-            assert rig.replicas[0].table.in_force(0, at(2)).in_force == 0
+            assert rig.replicas[0].table.change_status(at(2)).in_force == 0
             connection.send = send  # type: ignore[method-assign]
-            await until(lambda: rig.replicas[0].table.in_force(0, at(2)).in_force == 1)
+            await until(lambda: rig.replicas[0].table.change_status(at(2)).in_force == 1)
 
     run(scene())
 
@@ -235,16 +235,16 @@
             rig.hosts(1, whole=True, a="ready")
             one = rig.dispatcher("d1")
             table = rig.replicas[0].table
-            await until(lambda: table.in_force(0, at(1)).in_force == 1)
+            await until(lambda: table.change_status(at(1)).in_force == 1)
             one.owner.is_halted = True
             rig.purge(2, "ab")
             rig.log.configure(3, "new")
             await until(lambda: one.owner.purges == ["ab"] and one.configurations != [])
             rows = table.revision
             await until(lambda: table.revision > rows + 1)  # two more heartbeats of the dispatcher
-            assert one.in_force == at(1) and table.in_force(0, at(2)).in_force == 0
+            assert one.in_force == at(1) and table.change_status(at(2)).in_force == 0
             one.owner.turn()
-            await until(lambda: table.in_force(0, at(3)).in_force == 1)
+            await until(lambda: table.change_status(at(3)).in_force == 1)
 
     run(scene())
 
@@ -267,7 +267,7 @@
             while "deaf" in replica.sessions:
                 number += 1
                 rig.log.configure(number, "x" * 200_000)
-                await until(lambda: replica.table.in_force(0, at(number)).in_force >= 1)  # noqa: B023
+                await until(lambda: replica.table.change_status(at(number)).in_force >= 1)  # noqa: B023
                 most = max(most, *(session.connection.out_bytes for session in replica.sessions.values()))
                 assert number < 200
             assert replica.cut_off == 1 and most <= MAX_PENDING_BYTES + 210_000
@@ -369,7 +369,7 @@
                 assert one.owner.purges == ["ab"]
                 assert one.follower.state.in_force().refusal is None
             for replica in rig.replicas:
-                await until(lambda replica=replica: replica.table.in_force(0, at(62)).in_force == 5)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(62)).in_force == 5)  # type: ignore[misc]
                 status = await asked(replica.address)
                 assert (status.configurations.in_force, status.configurations.missing) == (5, [])
 
@@ -433,7 +433,7 @@
                 assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "two")]
                 await until(lambda one=one: not one.owner.is_blind)  # type: ignore[misc]
             for replica in rig.replicas[2:]:
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 3)  # type: ignore[misc]
 
     run(scene())
 
@@ -493,7 +493,7 @@
             rig.log.tell({"seq": 3, "configuration": {"text": 5}})
             rig.log.tell({"seq": 4, "configuration": "x" * 1_100_000})
             rig.purge(5, "ab")
-            await until(lambda: rig.replicas[0].table.in_force(0, at(5)).in_force == 1)
+            await until(lambda: rig.replicas[0].table.change_status(at(5)).in_force == 1)
             assert one.configurations == [(at(2), "good")] and one.owner.purges == ["ab"]
             for number, wrong in (
                 (3, "Expected `str`, got `int` - at `$.text`"),
--- a/tests/test_distribution_assignment.py
+++ b/tests/test_distribution_assignment.py
@@ -71,18 +71,18 @@
 def test_a_fleet_that_comes_back_at_once_is_served_in_order(sizes: list[int], most: int) -> None:
     queue = CatchUpQueue[int](most, 4_000_000)
     for key, size in enumerate(sizes):
-        assert queue.asked(0, key, size)
+        assert queue.enqueue(key, size)
     now, served = 0, list[int]()
-    while (then := queue.next_us(now)) is not None:
+    while (then := queue.next_wakeup_us(now)) is not None:
         assert then >= now
         now = then
-        lost = queue.overdue(now)
-        begun = queue.ready(now)
+        lost = queue.remove_overdue(now)
+        begun = queue.start_ready(now)
         assert lost or begun, "asked for nothing"
-        assert queue.active <= most
+        assert queue.active_count <= most
         served += begun
         for key in begun:
             assert now >= sum(sizes[:key]) * S // 4_000_000 - key, "no more bytes a second than said"
             if key % 3:  # each third takes nothing, and holds its turn until the limit
-                queue.done(now, key)
+                queue.finish(key)
     assert served == list(range(len(sizes)))
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -152,7 +152,7 @@
             made.rig.log.configure(3, text)
             await until(lambda: made.in_force == at(3))
             assert made.retries == 0.25 and made.configured == at(2)
-            await until(lambda: made.rig.replicas[0].table.in_force(0, at(3)).missing[0].refused != "")
+            await until(lambda: made.rig.replicas[0].table.change_status(at(3)).missing[0].refused != "")
             status = await asked(made.rig.replicas[0].address, at(3))
             assert status.change is not None and (status.change.in_force, status.change.total) == (0, 1)
             (row,) = status.change.missing
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -369,11 +369,11 @@
 @given(histories, moves, st.integers(0, 3), st.integers(1, 5))
 @settings(max_examples=400, deadline=None)
 def test_catch_up_from_any_version_ends_as_hearing_every_event(
-    history: list[Told], walk: list[Move], tombstones: int, most_purges: int
+    history: list[Told], walk: list[Move], tombstones: int, max_purges: int
 ) -> None:
     events = numbered(history)
     known = truths(events)
-    replicas = [ReplicatedState(HORIZON, tombstones, most_purges) for _ in range(3)]
+    replicas = [ReplicatedState(HORIZON, tombstones, max_purges) for _ in range(3)]
     heard = [0, 0, 0]
     mirror, followed, sent, is_current = Mirror(), -1, NOTHING, False
     now, before = 0, mirror.follower.in_force()
@@ -411,7 +411,7 @@
     assert mirror.configuration == known[-1].configuration
     assert all(mirror.floor(key) >= time for key, time in known[-1].purges.items())
     made = known[-1].purges
-    if len(made) <= most_purges:
+    if len(made) <= max_purges:
         assert mirror.purges == made
     assert all(time <= max(made.values()) for time in mirror.purges.values()), "made up"
 
@@ -427,7 +427,7 @@
 def test_purges_last_for_the_horizon_and_are_bounded_at_any_order(
     told: list[tuple[int, str, int]], most: int
 ) -> None:
-    state, now, fits = ReplicatedState(HORIZON, most_purges=most), 0, True
+    state, now, fits = ReplicatedState(HORIZON, max_purges=most), 0, True
     state.apply(0, ReplicatedEvent(1, 1, fleet=listed("a")))
     heard = list[tuple[int, str, float]]()
     model = OrderedDict[str, tuple[float, int]]()  # the newest of each, until the horizon after its last
@@ -451,7 +451,7 @@
 
 
 def test_the_state_is_bounded_by_what_there_is_and_not_by_its_history() -> None:
-    state = ReplicatedState(HORIZON, tombstones=50, most_purges=100)
+    state = ReplicatedState(HORIZON, max_tombstones=50, max_purges=100)
     state.apply(0, ReplicatedEvent(1, 1, fleet=listed("a")))
     for number in range(2, 5_000):
         fleet = Fleet(targets=[target(f"h{number}"), target(f"h{number - 1}", "gone")])
