--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -20,7 +20,7 @@
     Preparing,
     without_configuration,
 )
-from hoistplank.distribution.follower_state import SILENCE_US, FollowerState, Verdict
+from hoistplank.distribution.follower_state import FollowerState, Verdict
 from hoistplank.distribution.host_record import HostRecord
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import (
@@ -33,6 +33,7 @@
     encode,
     read_replica_line,
 )
+from hoistplank.distribution.silence import SILENCE_US
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import Event, Known
 from hoistplank.protocol.errors import BadBytes
@@ -104,7 +105,7 @@
 
     def detail(self) -> str:
         """For the health answer: empty while all is heard. It is asked between turns, too."""
-        if not (self.hosts.is_stale or self.state.unheard(self.owner.clock.now())):
+        if not (self.hosts.is_stale or self.state.is_silent(self.owner.clock.now())):
             return ""
         return f"no control replica heard; in force: {self.state.resume_at}"
 
@@ -113,14 +114,14 @@
 
         Danger: after a standstill of the whole process, requests are read before any timer runs.
         """
-        if self.hosts.is_stale or not self.state.unheard(now_us):
+        if self.hosts.is_stale or not self.state.is_silent(now_us):
             return None
         return self.hosts.mark_stale()
 
     # Lines.
 
     def _request(self) -> bytes:
-        self.state.connection_began(self.owner.clock.now())
+        self.state.connection_opened(self.owner.clock.now())
         settings = self.settings
         at = VersionFields(*self.state.resume_at)
         follow = FollowRequest(settings.name, settings.incarnation, settings.region, at)
@@ -144,9 +145,9 @@
     def _heard(self, told: ReplicatedEvent | Redirect) -> None:
         if isinstance(told, Redirect):
             raise Redirected(told.reason)
-        verdict = self.state.judge(self.owner.clock.now(), told)
+        verdict = self.state.receive(self.owner.clock.now(), told)
         if verdict is Verdict.GAP:
-            raise BadBytes(f"event {told.version} after {told.after} does not follow {self.state.told}")
+            raise BadBytes(f"event {told.version} after {told.after} does not follow {self.state.received}")
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
@@ -161,30 +162,30 @@
             # A log that counts anew has a list from before the drains that we heard.
             self.anew = self.anew or self.epoch > 0
             self.epoch = event.epoch
-        if event.configuration is not None and self.state.takes_configuration(event):
+        if event.configuration is not None and self.state.is_new_configuration(event):
             self.configurations.tell(event.version, event.configuration.text)
         if event.fleet is not None or event.invalidate is not None:
             self._apply(Event(event.seq, event.fleet, event.invalidate, epoch=event.epoch))
 
     def _lines_ended(self) -> None:
         """All lines that were read together have been told to the owner."""
-        self.owner.tell(Applied(partial(self._applied, self.state.told)))
-        if self.hosts.is_stale and not self.state.unheard(self.owner.clock.now()):
+        self.owner.tell(Applied(partial(self._applied, self.state.received)))
+        if self.hosts.is_stale and not self.state.is_silent(self.owner.clock.now()):
             self._heard_again()
 
     def _heard_again(self) -> None:
         self.hosts.mark_current()
         if self._is_warned:
             self._is_warned = False
-            log.info("control replica heard again", replica=self.replica.name, told=str(self.state.told))
+            log.info("control replica heard again", replica=self.replica.name, told=str(self.state.received))
 
     # What is in force.
 
     def _applied(self, told: Version) -> None:
         """The owner's turn is over in which all up to `told` was taken in."""
-        before = self.state.in_force()
-        self.state.applied(told)
-        if self.state.in_force() != before:
+        before = self.state.acknowledgement()
+        self.state.mark_applied(told)
+        if self.state.acknowledgement() != before:
             self._acknowledge_soon()
 
     def configuration_taken(self, version: Version) -> None:
@@ -192,12 +193,12 @@
         self.owner.tell(Applied(partial(self._configuration_in_force, version)))
 
     def _configuration_in_force(self, version: Version) -> None:
-        self.state.configuration_applied(version)
+        self.state.mark_configuration_applied(version)
         self._acknowledge_soon()
 
     def configuration_refused(self, version: Version, reason: str) -> None:
         """A configuration can't be used: the replicas are told why."""
-        self.state.configuration_refused(version, reason)
+        self.state.mark_configuration_refused(version, reason)
         self._acknowledge_soon()
 
     def _acknowledge_soon(self) -> None:
@@ -211,7 +212,7 @@
             self._acknowledging = None
         if self.connection is not None:
             self._acknowledged_at = self.loop.time()
-            self.connection.send(encode(RequestLine(acknowledgement=self.state.in_force())))
+            self.connection.send(encode(RequestLine(acknowledgement=self.state.acknowledgement())))
 
     # Time.
 
@@ -286,7 +287,7 @@
         if isinstance(wrong, Redirected):
             self._redirected_at[self.replica.name] = self.loop.time()
         self.complaints.tell(
-            "control replica lost", replica=self.replica.name, wrong=str(wrong), told=str(self.state.told)
+            "control replica lost", replica=self.replica.name, wrong=str(wrong), told=str(self.state.received)
         )
         return False
 
--- a/hoistplank/distribution/follower_state.py
+++ b/hoistplank/distribution/follower_state.py
@@ -1,192 +1,234 @@
-"""A dispatcher's side of the distribution: what of a replica's lines is applied, and what is then in force.
+"""A dispatcher's side of the distribution: what to do with a replica's lines, and what is then in force.
 
 Decision logic: no I/O, no clock; times are whole microseconds. Nothing older ever replaces what is newer,
-whoever tells it. What is in force moves only when all up to a version has been applied; within a catch-up
-that is its end.
+whoever sends it. The version in force advances only when everything up to it has been applied; within a
+catch-up that is at its end.
 """
 
 from __future__ import annotations
 
 import enum
+from collections.abc import Callable
+from typing import ClassVar, TypeAlias
 
 from hoistplank.distribution.messages import (
     MAX_REASON_CHARACTERS,
     Acknowledgement,
-    CatchUp,
     Refusal,
     ReplicatedEvent,
     VersionFields,
 )
+from hoistplank.distribution.silence import SILENCE_US, SilenceDetector
 from hoistplank.distribution.versions import NOTHING, Version
 
-SILENCE_US = 7_000_000
-BURST_US = 500_000  # lines read within this time may have arrived together
-
 
 class Verdict(enum.Enum):
-    """What is done with a line."""
+    """What is to be done with a line."""
 
     APPLY = "apply"
     HEARTBEAT = "heartbeat"  # nothing to apply
-    BEHIND = "behind"  # from a replica that is not as far as what is held: never applied
-    GAP = "gap"  # events are missing before it: the connection is to be made anew, from `resume_at`
+    BEHIND = "behind"  # from a replica that is behind this dispatcher: never applied
+    GAP = "gap"  # events are missing before it: reconnect and resume from `resume_at`
+
+
+class Phase(enum.Enum):
+    """What a connection to a replica carries."""
+
+    LIVE = "live"  # single events and heartbeats
+    CATCHING_UP = "catching up"
+    SKIPPING = "skipping"  # a catch-up from a replica that is behind this dispatcher
+
+
+class LineKind(enum.Enum):
+    """The kinds of lines that a replica sends."""
+
+    HEARTBEAT = "heartbeat"
+    EVENT = "event"
+    BEGIN = "begin"  # of a catch-up
+    PART = "part"
+    END = "end"
+
+    @classmethod
+    def of(cls, event: ReplicatedEvent) -> LineKind:
+        """The kind of a line."""
+        if event.catch_up is not None:
+            return cls(event.catch_up.value)
+        return cls.HEARTBEAT if event.is_heartbeat else cls.EVENT
+
+
+# Takes a line in one phase and returns its verdict.
+_Transition: TypeAlias = "Callable[[FollowerState, ReplicatedEvent], Verdict]"
 
 
 class FollowerState:
-    """What a dispatcher holds, over all its connections to replicas in this start of it."""
+    """What a dispatcher holds, over all its connections to replicas in this incarnation."""
 
     def __init__(self, silence_us: int = SILENCE_US, configuration_version: Version = NOTHING) -> None:
-        self.silence_us = silence_us
-        self.told = NOTHING  # all up to it was handed on to be applied
-        self._complete = NOTHING  # all up to it is applied
-        self._newest_part = NOTHING  # of anything handed on, also of a catch-up that broke off
-        self._inside_after = self._inside_until = NOTHING  # of a catch-up that is not applied yet
-        self._in_catch_up = False
-        self._is_ignoring = False  # a catch-up of a replica that is behind
+        self.silence = SilenceDetector(silence_us)
+        self.received = NOTHING  # everything up to it was returned to the caller to be applied
+        self._phase = Phase.LIVE
+        self._in_force = NOTHING  # everything up to it is applied and its configurations are decided
+        self._newest_part = NOTHING  # of anything returned to be applied, also in an interrupted catch-up
+        # The versions strictly between these belong to a catch-up that is not applied yet.
+        self._catch_up_after = NOTHING
+        self._catch_up_end = NOTHING
         self._configuration = configuration_version
-        self._refused: Refusal | None = None
-        self._undecided = NOTHING  # the newest configuration handed on
-        self._claimed = NOTHING  # applied, but for a configuration that is undecided
-        self._burst_us: int | None = None  # when the last burst of lines began
-        self._proved_us: int | None = None  # what is read now has arrived after this
-        self._informed_us: int | None = None  # all that was told by then is known
-
-    # Lines.
+        self._refusal: Refusal | None = None
+        self._undecided = NOTHING  # the newest configuration that was returned to be applied
+        self._applied = NOTHING  # applied, except for a configuration that is undecided
 
     @property
     def resume_at(self) -> Version:
-        """What to tell a replica in `FollowRequest.resume_at`: all up to it is in force."""
-        return self._complete
+        """Everything up to it is in force: what `FollowRequest.resume_at` is to say."""
+        return self._in_force
 
-    def connection_began(self, now_us: int) -> None:
-        """A new connection to a replica: lines on it were sent later than now."""
-        self._in_catch_up = self._is_ignoring = False
-        self._burst_us = self._proved_us = now_us
+    def connection_opened(self, now_us: int) -> None:
+        """A new connection to a replica: lines on it are sent later than now."""
+        self._phase = Phase.LIVE
+        self.silence.connection_opened(now_us)
 
-    def judge(self, now_us: int, event: ReplicatedEvent) -> Verdict:
-        """What is done with a line that was read at `now_us`. An event to be applied counts as handed on."""
-        self._read(now_us)
-        if event.catch_up is not None:
-            return self._judge_catch_up(event, event.catch_up)
-        if self._in_catch_up:
-            return Verdict.HEARTBEAT if event.is_heartbeat else Verdict.GAP
-        version = event.version
-        if version < self._newest:
+    def receive(self, now_us: int, event: ReplicatedEvent) -> Verdict:
+        """What is to be done with a line that was read at `now_us`.
+
+        An event with the verdict APPLY counts as received.
+        """
+        self.silence.line_read(now_us)
+        return self._TRANSITIONS[self._phase, LineKind.of(event)](self, event)
+
+    # Transitions, by the state table at the end of this class.
+
+    def _gap(self, event: ReplicatedEvent) -> Verdict:  # noqa: ARG002 one signature for all transitions
+        return Verdict.GAP
+
+    def _ignore(self, event: ReplicatedEvent) -> Verdict:  # noqa: ARG002 one signature for all transitions
+        return Verdict.HEARTBEAT
+
+    def _skip(self, event: ReplicatedEvent) -> Verdict:  # noqa: ARG002 one signature for all transitions
+        return Verdict.BEHIND
+
+    def _live_heartbeat(self, event: ReplicatedEvent) -> Verdict:
+        if event.version < self._newest:
             return Verdict.BEHIND
-        if version == self.told:
-            return self._informed() if event.is_heartbeat else Verdict.BEHIND
-        if event.after == 0 or not self._follows(event):
+        if event.version == self.received:
+            self.silence.heartbeat_confirmed()
+            return Verdict.HEARTBEAT
+        if not self._continues(event):
             return Verdict.GAP
-        self.told = version
-        return Verdict.HEARTBEAT if event.is_heartbeat else self._hand_on(event)
+        self.received = event.version
+        return Verdict.HEARTBEAT
 
-    @property
-    def _newest(self) -> Version:
-        return max(self.told, self._newest_part)
-
-    def _follows(self, event: ReplicatedEvent) -> bool:
-        """Whether nothing is missing between what was told and this."""
-        return event.epoch == self.told.epoch and event.after <= self.told.number
-
-    def _judge_catch_up(self, event: ReplicatedEvent, place: CatchUp) -> Verdict:
-        if place is CatchUp.BEGIN:
-            if event.after > 0 and not self._follows(event):
-                return Verdict.GAP
-            self._in_catch_up = True
-            # Danger: a catch-up that broke off has told of newer changes than this replica may know.
-            self._is_ignoring = event.version < self._newest
-            return Verdict.BEHIND if self._is_ignoring else Verdict.HEARTBEAT
-        if not self._in_catch_up:
+    def _live_event(self, event: ReplicatedEvent) -> Verdict:
+        if event.version < self._newest or event.version == self.received:
+            return Verdict.BEHIND
+        if not self._continues(event):
             return Verdict.GAP
-        if self._is_ignoring:
-            self._in_catch_up = place is not CatchUp.END
+        self.received = event.version
+        return self._apply(event)
+
+    def _begin_catch_up(self, event: ReplicatedEvent) -> Verdict:
+        if event.after > 0 and not self._continues(event):
+            return Verdict.GAP
+        # Danger: an interrupted catch-up has brought newer changes than this replica may know.
+        if event.version < self._newest:
+            self._phase = Phase.SKIPPING
             return Verdict.BEHIND
-        if place is CatchUp.PART:
-            return self._hand_on(event)
-        self._in_catch_up = False
+        self._phase = Phase.CATCHING_UP
+        return Verdict.HEARTBEAT
+
+    def _end_skipped(self, event: ReplicatedEvent) -> Verdict:  # noqa: ARG002 one signature for all transitions
+        self._phase = Phase.LIVE
+        return Verdict.BEHIND
+
+    def _end_catch_up(self, event: ReplicatedEvent) -> Verdict:
+        self._phase = Phase.LIVE
         if event.version < self._newest:
             return Verdict.GAP
-        self._catch_up_ended(event.version)
+        if self._in_force >= self._catch_up_end:
+            self._catch_up_after = self.received
+        # Otherwise an earlier catch-up is not applied yet: both count as one.
+        self._catch_up_end = event.version
+        self.received = event.version
         return Verdict.HEARTBEAT
 
-    def _catch_up_ended(self, version: Version) -> None:
-        if self._complete >= self._inside_until:  # else an earlier catch-up is not applied yet: both are one
-            self._inside_after = self.told
-        self._inside_until = self.told = version
-
-    def _hand_on(self, event: ReplicatedEvent) -> Verdict:
+    def _apply(self, event: ReplicatedEvent) -> Verdict:
         self._newest_part = max(self._newest_part, event.version)
-        if self.takes_configuration(event):
+        if self.is_new_configuration(event):
             self._undecided = event.version
         return Verdict.APPLY
 
+    @property
+    def _newest(self) -> Version:
+        return max(self.received, self._newest_part)
+
+    def _continues(self, event: ReplicatedEvent) -> bool:
+        """Whether nothing is missing between what was received and this line."""
+        is_same_epoch = event.epoch == self.received.epoch
+        return is_same_epoch and 0 < event.after <= self.received.number
+
     # What is in force.
 
-    def takes_configuration(self, event: ReplicatedEvent) -> bool:
-        """Whether the configuration of an event is newer than all that were taken up or refused."""
+    def is_new_configuration(self, event: ReplicatedEvent) -> bool:
+        """Whether an event's configuration is newer than all that were applied or refused."""
         return event.configuration is not None and event.version > self._decided
 
     @property
     def _decided(self) -> Version:
-        refused = self._refused.version.to_version() if self._refused is not None else NOTHING
+        refused = self._refusal.version.to_version() if self._refusal is not None else NOTHING
         return max(self._configuration, refused)
 
-    def configuration_applied(self, version: Version) -> None:
+    def mark_configuration_applied(self, version: Version) -> None:
         """This configuration is in force."""
         if version > self._decided:
-            self._configuration, self._refused = version, None
-            self._settle()
+            self._configuration = version
+            self._refusal = None
+            self._advance()
 
-    def configuration_refused(self, version: Version, reason: str) -> None:
+    def mark_configuration_refused(self, version: Version, reason: str) -> None:
         """This configuration can't be used; the one in force stays."""
         if version > self._decided:
-            self._refused = Refusal(VersionFields(*version), reason[:MAX_REASON_CHARACTERS])
-            self._settle()
+            self._refusal = Refusal(VersionFields(*version), reason[:MAX_REASON_CHARACTERS])
+            self._advance()
 
-    def applied(self, version: Version) -> None:
-        """All that was handed on is applied that had been when `told` was `version`.
+    def mark_applied(self, version: Version) -> None:
+        """Everything is applied that had been received when `received` was `version`.
 
-        Versions inside a catch-up change nothing: an early part may stand for less than its number says.
+        Versions inside a catch-up change nothing: an early part does not hold all events up to its number.
         """
-        is_inside = self._inside_after < version < self._inside_until
-        if version <= self.told and not is_inside:
-            self._claimed = max(self._claimed, version)
-            self._settle()
+        is_inside = self._catch_up_after < version < self._catch_up_end
+        if version <= self.received and not is_inside:
+            self._applied = max(self._applied, version)
+            self._advance()
 
-    def _settle(self) -> None:
-        """What is applied is in force once the newest configuration handed on is decided, too."""
+    def _advance(self) -> None:
+        """What is applied is in force once the newest received configuration is decided, too."""
         if self._undecided <= self._decided:
-            self._complete = max(self._complete, self._claimed)
+            self._in_force = max(self._in_force, self._applied)
 
-    def in_force(self) -> Acknowledgement:
-        """The acknowledgement to be sent; no part of it ever goes back."""
+    def acknowledgement(self) -> Acknowledgement:
+        """What to acknowledge; no part of it ever goes back."""
         return Acknowledgement(
-            VersionFields(*self._complete), VersionFields(*self._configuration), self._refused
+            VersionFields(*self._in_force), VersionFields(*self._configuration), self._refusal
         )
 
-    # Silence.
-
-    def _read(self, now_us: int) -> None:
-        """A line was read.
-
-        Danger: after a standstill of our own, lines wait that were sent long before, and none of them says
-        that nothing was missed since. A line proves no more than that it arrived after the burst of lines
-        before it.
-        """
-        if self._burst_us is None:
-            self._burst_us = now_us
-        elif now_us - self._burst_us >= BURST_US:
-            self._proved_us, self._burst_us = self._burst_us, now_us
-
-    def _informed(self) -> Verdict:
-        """A heartbeat that says that nothing is newer than what was told.
-
-        Danger: events and the end of a catch-up come from a replica that does not hear the change log, too.
-        """
-        if self._proved_us is not None:
-            self._informed_us = max(self._proved_us, self._informed_us or 0)
-        return Verdict.HEARTBEAT
-
-    def unheard(self, now_us: int) -> bool:
-        """Whether nobody who is not behind was heard for longer than the silence allowed, or ever."""
-        return self._informed_us is None or now_us - self._informed_us > self.silence_us
+    def is_silent(self, now_us: int) -> bool:
+        """Whether no replica that is up to date was heard for longer than the limit, or ever."""
+        return self.silence.is_silent(now_us)
+
+    # The state table; it stands behind the methods that it names.
+    _TRANSITIONS: ClassVar[dict[tuple[Phase, LineKind], _Transition]] = {
+        (Phase.LIVE, LineKind.HEARTBEAT): _live_heartbeat,
+        (Phase.LIVE, LineKind.EVENT): _live_event,
+        (Phase.LIVE, LineKind.BEGIN): _begin_catch_up,
+        (Phase.LIVE, LineKind.PART): _gap,
+        (Phase.LIVE, LineKind.END): _gap,
+        (Phase.CATCHING_UP, LineKind.HEARTBEAT): _ignore,
+        (Phase.CATCHING_UP, LineKind.EVENT): _gap,
+        (Phase.CATCHING_UP, LineKind.BEGIN): _begin_catch_up,
+        (Phase.CATCHING_UP, LineKind.PART): _apply,
+        (Phase.CATCHING_UP, LineKind.END): _end_catch_up,
+        (Phase.SKIPPING, LineKind.HEARTBEAT): _ignore,
+        (Phase.SKIPPING, LineKind.EVENT): _gap,
+        (Phase.SKIPPING, LineKind.BEGIN): _begin_catch_up,
+        (Phase.SKIPPING, LineKind.PART): _skip,
+        (Phase.SKIPPING, LineKind.END): _end_skipped,
+    }
--- a/hoistplank/distribution/sections.py
+++ b/hoistplank/distribution/sections.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hoistplank.distribution.follower_state import SILENCE_US
 from hoistplank.distribution.messages import NAME_PATTERN
+from hoistplank.distribution.silence import SILENCE_US
 from hoistplank.operator_configuration.faults import Fault
 from hoistplank.operator_configuration.schema import ADDRESS, Field, Section, Shape, matching, span
 
--- a/hoistplank/lab/scale/role_control_replica.py
+++ b/hoistplank/lab/scale/role_control_replica.py
@@ -288,19 +288,19 @@
         begin = ReplicatedEvent(1, EPOCH, catch_up=CatchUp.BEGIN)
         end = ReplicatedEvent(1, EPOCH, catch_up=CatchUp.END)
         for event in (begin, end):
-            follower.judge(0, event)
-        follower.applied(follower.told)
+            follower.receive(0, event)
+        follower.mark_applied(follower.received)
 
         def judge() -> None:
             for line in lines[1:]:
                 event = read_replica_line(line)
                 assert isinstance(event, ReplicatedEvent)
-                follower.judge(event.seq, event)
-                follower.applied(follower.told)
-                encode(RequestLine(acknowledgement=follower.in_force()))
+                follower.receive(event.seq, event)
+                follower.mark_applied(follower.received)
+                encode(RequestLine(acknowledgement=follower.acknowledgement()))
 
         spent = processor_us(judge)
-        assert follower.told.number == count + 1  # else what was timed was refusing them
+        assert follower.received.number == count + 1  # else what was timed was refusing them
         return spent
 
     return series(quantity, effort.sizes(PURGES), effort.repeats, value)
--- a/hoistplank/lab/scale/role_replica_follower.py
+++ b/hoistplank/lab/scale/role_replica_follower.py
@@ -114,7 +114,7 @@
         self.far.setblocking(False)
         self.follower.connection = Connection(self.near, self.consume, LARGEST_READ, LARGEST_READ)
         self.buffer = bytearray()
-        self.follower.state.connection_began(self.control.owner.clock.now())
+        self.follower.state.connection_opened(self.control.owner.clock.now())
 
     def read(self, data: bytes) -> None:
         """What one read of the socket brings, and the owner's turn with it."""
@@ -189,7 +189,7 @@
     try:
         await path.caught_up(listed_state())
         found = await path.together(b"".join(state.lines_since(LISTED)))
-        assert path.follower.state.told == state.version
+        assert path.follower.state.received == state.version
         return found
     finally:
         path.close()
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -91,7 +91,7 @@
 
     @property
     def in_force(self) -> Version:
-        return self.follower.state.in_force().version.to_version()
+        return self.follower.state.acknowledgement().version.to_version()
 
     async def stop(self) -> None:
         for task in self.tasks:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -154,7 +154,7 @@
             later = [event for event in one.owner.events[told:] if not isinstance(event, Applied)]
             assert all(event == Listed("failed", []) for event in later)
             # A replica that lags says nothing of the present: in the end the list counts as stale.
-            assert one.follower.state.unheard(one.owner.clock.now() + 7_000_000)
+            assert one.follower.state.is_silent(one.owner.clock.now() + 7_000_000)
             # The old one hears the rest, and goes on from what the dispatcher holds.
             old_log.tell(listing(3, [target("b", "box", 9, "draining")]))
             old_log.configure(4, "new")
@@ -367,7 +367,7 @@
                 taken = [version for version, _ in one.configurations]
                 assert taken[-1] == at(61) and taken == sorted(set(taken))
                 assert one.owner.purges == ["ab"]
-                assert one.follower.state.in_force().refusal is None
+                assert one.follower.state.acknowledgement().refusal is None
             for replica in rig.replicas:
                 await until(lambda replica=replica: replica.table.change_status(at(62)).in_force == 5)  # type: ignore[misc]
                 status = await asked(replica.address)
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -65,11 +65,11 @@
 
     @property
     def in_force(self) -> Version:
-        return self.follower.state.in_force().version.to_version()
+        return self.follower.state.acknowledgement().version.to_version()
 
     @property
     def configured(self) -> Version:
-        return self.follower.state.in_force().configuration.to_version()
+        return self.follower.state.acknowledgement().configuration.to_version()
 
     @property
     def retries(self) -> float:
@@ -213,7 +213,7 @@
             assert made.retries == 0.25 and "ab" in made.dispatcher.service.owner.router.floors
             made.rig.log.configure(4, good + LEVELS.format("often"))
             await until(lambda: made.in_force == at(4))
-            refused = made.follower.state.in_force().refusal
+            refused = made.follower.state.acknowledgement().refusal
             line = 1 + good.count("\n")
             assert refused is not None and f"{line}:1: 'levels' a second time" in refused.reason
             assert made.retries == 0.25 and len(json.dumps(good)) > 1_040_000
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -5,10 +5,11 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hoistplank.distribution.follower_state import FollowerState, Verdict
+from hoistplank.distribution.follower_state import FollowerState, LineKind, Phase, Verdict
 from hoistplank.distribution.messages import (
     ALL_OBJECTS_BUCKET,
     CatchUp,
@@ -37,7 +38,7 @@
         self.configuration: str | None = None
 
     def take(self, now: int, event: ReplicatedEvent) -> Verdict:
-        verdict = self.follower.judge(now, event)
+        verdict = self.follower.receive(now, event)
         if verdict is Verdict.APPLY:
             self.apply(event)
         return verdict
@@ -55,16 +56,16 @@
         if event.invalidate is not None:
             key = event.invalidate.object or event.invalidate.bucket
             self.purges[key] = max(event.invalidate.time, self.purges.get(key, 0.0))
-        if self.follower.takes_configuration(event) and event.configuration is not None:
+        if self.follower.is_new_configuration(event) and event.configuration is not None:
             self.configuration = event.configuration.text
-            self.follower.configuration_applied(event.version)
+            self.follower.mark_configuration_applied(event.version)
 
     def floor(self, key: str | int) -> float:
         return max(self.purges.get(key, 0.0), self.purges.get(ALL_OBJECTS_BUCKET, 0.0))
 
     def follow(self, now: int, replica: ReplicatedState, lines: int | None = None) -> list[Verdict]:
         """A new connection to a replica; it breaks off after so many lines, if any number is given."""
-        self.follower.connection_began(now)
+        self.follower.connection_opened(now)
         sent = replica.lines_since(self.follower.resume_at)[:lines]
         return [self.hear(now, line) for line in sent]
 
@@ -72,7 +73,7 @@
         event = read_replica_line(line.strip())
         assert isinstance(event, ReplicatedEvent)
         verdict = self.take(now, event)
-        self.follower.applied(self.follower.told)
+        self.follower.mark_applied(self.follower.received)
         return verdict
 
 
@@ -125,7 +126,7 @@
     assert set(mirror.hosts) == {"a", "b"}
     missed.apply(0, ReplicatedEvent(2, 2, fleet=listed("a")))
     mirror.follow(0, missed)
-    assert set(mirror.hosts) == {"a"} and mirror.follower.told == Version(2, 2)
+    assert set(mirror.hosts) == {"a"} and mirror.follower.received == Version(2, 2)
 
 
 def test_a_part_of_a_catch_up_is_not_in_force_before_its_end() -> None:
@@ -133,7 +134,7 @@
     state, mirror = ReplicatedState(HORIZON), Mirror()
     state.apply(0, ReplicatedEvent(1, 7, fleet=listed("a")))
     mirror.follow(0, state)
-    assert mirror.follower.in_force().version.to_version() == Version(7, 1)
+    assert mirror.follower.acknowledgement().version.to_version() == Version(7, 1)
     state.apply(0, ReplicatedEvent(2, 7, fleet=Fleet(targets=[target("a", "draining")])))
     state.apply(0, ReplicatedEvent(3, 7, invalidate=Purge(1.0, "o")))
     behind = ReplicatedState(HORIZON)
@@ -141,11 +142,11 @@
     behind.apply(0, ReplicatedEvent(2, 7, fleet=Fleet(targets=[target("a", "draining")])))
     state.apply(0, ReplicatedEvent(4, 7, fleet=Fleet(targets=[target("a", hint=2.0)])))
     assert mirror.follow(0, state, lines=2) == [Verdict.HEARTBEAT, Verdict.APPLY]
-    mirror.follower.applied(Version(7, 3))
-    assert mirror.follower.in_force().version.to_version() == Version(7, 1)
+    mirror.follower.mark_applied(Version(7, 3))
+    assert mirror.follower.acknowledgement().version.to_version() == Version(7, 1)
     assert set(mirror.follow(0, behind)) <= {Verdict.BEHIND}, "a replica at 2, and 3 was heard"
     mirror.follow(0, state)
-    assert mirror.follower.in_force().version.to_version() == Version(7, 4)
+    assert mirror.follower.acknowledgement().version.to_version() == Version(7, 4)
     assert mirror.hosts["a"].capacity_hint == 2.0
 
 
@@ -157,11 +158,11 @@
     early = ReplicatedEvent(1, 7, invalidate=purge), ReplicatedEvent(1, 7, 1, invalidate=purge)
     part = ReplicatedEvent(3, 7, invalidate=purge, catch_up=CatchUp.PART)
     for event in (*early, ReplicatedEvent(3, 7), part, ReplicatedEvent(3, 7, catch_up=CatchUp.END)):
-        assert follower.judge(0, event) is Verdict.GAP, "nothing is held"
+        assert follower.receive(0, event) is Verdict.GAP, "nothing is held"
     begin, *parts, end = state.events_since(NOTHING)
-    assert [follower.judge(0, event) for event in (begin, *parts)][0] is Verdict.HEARTBEAT
-    assert follower.judge(0, state.heartbeat()) is Verdict.HEARTBEAT and follower.told == NOTHING
-    assert follower.judge(0, end) is Verdict.HEARTBEAT and follower.told == Version(7, 3)
+    assert [follower.receive(0, event) for event in (begin, *parts)][0] is Verdict.HEARTBEAT
+    assert follower.receive(0, state.heartbeat()) is Verdict.HEARTBEAT and follower.received == NOTHING
+    assert follower.receive(0, end) is Verdict.HEARTBEAT and follower.received == Version(7, 3)
     for event in (
         ReplicatedEvent(5, 7, 4, invalidate=purge),
         ReplicatedEvent(5, 7, 4),
@@ -170,16 +171,56 @@
         ReplicatedEvent(1, 8, 1, invalidate=purge),
         ReplicatedEvent(9, 8, 3, catch_up=CatchUp.BEGIN),
     ):
-        assert follower.judge(0, event) is Verdict.GAP
-    assert follower.told == Version(7, 3)
-    assert follower.judge(0, ReplicatedEvent(5, 7, 3, invalidate=purge)) is Verdict.APPLY
-    assert follower.judge(0, ReplicatedEvent(7, 7, 4)) is Verdict.HEARTBEAT and follower.told == Version(7, 7)
-    assert follower.judge(0, ReplicatedEvent(6, 7, 5, invalidate=purge)) is Verdict.BEHIND
+        assert follower.receive(0, event) is Verdict.GAP
+    assert follower.received == Version(7, 3)
+    assert follower.receive(0, ReplicatedEvent(5, 7, 3, invalidate=purge)) is Verdict.APPLY
+    assert follower.receive(
+        0, ReplicatedEvent(7, 7, 4)
+    ) is Verdict.HEARTBEAT and follower.received == Version(7, 7)
+    assert follower.receive(0, ReplicatedEvent(6, 7, 5, invalidate=purge)) is Verdict.BEHIND
     assert (
-        follower.judge(0, ReplicatedEvent(900, 6, 3, invalidate=purge)) is Verdict.BEHIND
+        follower.receive(0, ReplicatedEvent(900, 6, 3, invalidate=purge)) is Verdict.BEHIND
     ), "of an earlier epoch"
 
 
+NEXT = {
+    LineKind.HEARTBEAT: ReplicatedEvent(5, 7),
+    LineKind.EVENT: ReplicatedEvent(6, 7, 5, invalidate=Purge(2.0, "p")),
+    LineKind.BEGIN: ReplicatedEvent(8, 7, 5, catch_up=CatchUp.BEGIN),
+    LineKind.PART: ReplicatedEvent(7, 7, invalidate=Purge(2.0, "p"), catch_up=CatchUp.PART),
+    LineKind.END: ReplicatedEvent(8, 7, 5, catch_up=CatchUp.END),
+}
+VERDICTS = {
+    Phase.LIVE: (Verdict.HEARTBEAT, Verdict.APPLY, Verdict.HEARTBEAT, Verdict.GAP, Verdict.GAP),
+    Phase.CATCHING_UP: (
+        Verdict.HEARTBEAT,
+        Verdict.GAP,
+        Verdict.HEARTBEAT,
+        Verdict.APPLY,
+        Verdict.HEARTBEAT,
+    ),
+    Phase.SKIPPING: (Verdict.HEARTBEAT, Verdict.GAP, Verdict.HEARTBEAT, Verdict.BEHIND, Verdict.BEHIND),
+}
+BEGINS = {
+    Phase.CATCHING_UP: ReplicatedEvent(8, 7, 5, catch_up=CatchUp.BEGIN),
+    Phase.SKIPPING: ReplicatedEvent(4, 7, catch_up=CatchUp.BEGIN),
+}
+
+
+@pytest.mark.parametrize("phase", Phase)
+def test_each_kind_of_line_has_one_verdict_in_each_phase(phase: Phase) -> None:
+    """The whole state table, for a follower at 7/5 and lines that would be right in some phase."""
+    for kind, verdict in zip(LineKind, VERDICTS[phase], strict=True):
+        follower = FollowerState()
+        for place in (CatchUp.BEGIN, CatchUp.END):
+            follower.receive(0, ReplicatedEvent(5, 7, catch_up=place))
+        assert follower.received == Version(7, 5)
+        if phase in BEGINS:
+            follower.receive(0, BEGINS[phase])
+        assert LineKind.of(NEXT[kind]) is kind
+        assert follower.receive(0, NEXT[kind]) is verdict, (phase, kind)
+
+
 def test_a_catch_up_that_broke_off_is_not_taken_back_by_a_replica_behind_it() -> None:
     ahead, behind, mirror = ReplicatedState(HORIZON), ReplicatedState(HORIZON), Mirror()
     for state in (ahead, behind):
@@ -209,57 +250,59 @@
     mirror.follow(0, state)
     for second in range(1, 4):
         mirror.hear(second * S, encode(state.heartbeat()))
-    assert not mirror.follower.unheard(4 * S)
-    assert mirror.follower.unheard(64 * S), "before anything is read"
+    assert not mirror.follower.is_silent(4 * S)
+    assert mirror.follower.is_silent(64 * S), "before anything is read"
     mirror.hear(64 * S, encode(state.heartbeat()))
     mirror.hear(64 * S + 1_000, encode(state.heartbeat()))
-    assert mirror.follower.unheard(64 * S + 2_000), "what waited in the buffer says nothing of now"
+    assert mirror.follower.is_silent(64 * S + 2_000), "what waited in the buffer says nothing of now"
     mirror.hear(65 * S, encode(state.heartbeat()))
-    assert not mirror.follower.unheard(65 * S)
+    assert not mirror.follower.is_silent(65 * S)
 
 
 def test_only_a_heartbeat_of_a_replica_that_is_not_behind_ends_the_silence() -> None:
     state, follower = ReplicatedState(HORIZON), FollowerState()
     state.apply(0, ReplicatedEvent(1, 7, fleet=listed("a"), invalidate=Purge(1.0, "o")))
-    assert follower.unheard(0), "nobody was heard yet"
+    assert follower.is_silent(0), "nobody was heard yet"
     begin, *parts, end = state.events_since(NOTHING)
-    follower.connection_began(0)
+    follower.connection_opened(0)
     for second in range(20):
-        follower.judge(second * S, begin)
+        follower.receive(second * S, begin)
     for event in parts:
-        follower.judge(20 * S, event)
-    assert follower.unheard(20 * S), "in its turn, and not at its end"
-    follower.judge(20 * S, end)
-    assert follower.unheard(20 * S), "a replica that does not hear the change log tells what it holds, too"
-    follower.judge(20 * S, state.heartbeat())
-    assert not follower.unheard(20 * S)
+        follower.receive(20 * S, event)
+    assert follower.is_silent(20 * S), "in its turn, and not at its end"
+    follower.receive(20 * S, end)
+    assert follower.is_silent(20 * S), "a replica that does not hear the change log tells what it holds, too"
+    follower.receive(20 * S, state.heartbeat())
+    assert not follower.is_silent(20 * S)
     for second in range(21, 30):
-        assert follower.judge(second * S, ReplicatedEvent(900, 6)) is Verdict.BEHIND
-    assert follower.unheard(29 * S)
-    follower.connection_began(29 * S)
-    follower.judge(29 * S + 1, state.heartbeat())
-    assert not follower.unheard(35 * S) and follower.unheard(37 * S)
+        assert follower.receive(second * S, ReplicatedEvent(900, 6)) is Verdict.BEHIND
+    assert follower.is_silent(29 * S)
+    follower.connection_opened(29 * S)
+    follower.receive(29 * S + 1, state.heartbeat())
+    assert not follower.is_silent(35 * S) and follower.is_silent(37 * S)
 
 
 def test_a_change_of_a_refused_configuration_is_not_in_force() -> None:
     state, follower = ReplicatedState(HORIZON), FollowerState()
     state.apply(0, ReplicatedEvent(1, 7, fleet=listed("a"), configuration=Configuration("(a)")))
     for event in state.events_since(NOTHING):
-        follower.judge(0, event)
-    follower.applied(follower.told)
-    assert follower.in_force().version.to_version() == NOTHING, "not before the configuration is decided"
-    follower.configuration_applied(Version(7, 1))
+        follower.receive(0, event)
+    follower.mark_applied(follower.received)
+    assert (
+        follower.acknowledgement().version.to_version() == NOTHING
+    ), "not before the configuration is decided"
+    follower.mark_configuration_applied(Version(7, 1))
     state.apply(0, ReplicatedEvent(2, 7, configuration=Configuration("(b")))
     [event] = state.events_since(Version(7, 1))
-    assert follower.judge(0, event) is Verdict.APPLY and follower.takes_configuration(event)
-    follower.configuration_refused(event.version, "line 1: ( is not closed")
-    assert not follower.takes_configuration(event), "told again, it is not tried again"
-    follower.applied(follower.told)
-    said = follower.in_force()
+    assert follower.receive(0, event) is Verdict.APPLY and follower.is_new_configuration(event)
+    follower.mark_configuration_refused(event.version, "line 1: ( is not closed")
+    assert not follower.is_new_configuration(event), "told again, it is not tried again"
+    follower.mark_applied(follower.received)
+    said = follower.acknowledgement()
     assert said.version.to_version() == Version(7, 2) and said.configuration.to_version() == Version(7, 1)
     assert said.refusal is not None and said.refusal.reason == "line 1: ( is not closed"
-    follower.configuration_applied(Version(7, 1))
-    assert follower.in_force() == said, "an older one replaces nothing"
+    follower.mark_configuration_applied(Version(7, 1))
+    assert follower.acknowledgement() == said, "an older one replaces nothing"
 
 
 # Any history of a change log, replicas that lag behind it, and a dispatcher that moves between them.
@@ -340,7 +383,7 @@
 
 def check_in_force(mirror: Mirror, known: list[Truth]) -> None:
     """All that is acknowledged is applied: nothing held is of before the version in force."""
-    version = mirror.follower.in_force().version.to_version()
+    version = mirror.follower.acknowledgement().version.to_version()
     since = [truth for truth in known if truth.version >= version]
     for uid in UIDS:
         as_of = mirror.as_of.get(uid, NOTHING)
@@ -376,7 +419,7 @@
     replicas = [ReplicatedState(HORIZON, tombstones, max_purges) for _ in range(3)]
     heard = [0, 0, 0]
     mirror, followed, sent, is_current = Mirror(), -1, NOTHING, False
-    now, before = 0, mirror.follower.in_force()
+    now, before = 0, mirror.follower.acknowledgement()
     for move in walk:
         now += 100_000
         replica = replicas[move.replica]
@@ -398,15 +441,15 @@
             followed = -1 if move.lines is not None or Verdict.GAP in verdicts else followed
         sent = replica.version
         check_in_force(mirror, known)
-        said = mirror.follower.in_force()
+        said = mirror.follower.acknowledgement()
         assert said.version.to_version() >= before.version.to_version(), "in force went back"
         assert said.configuration.to_version() >= before.configuration.to_version()
         before = said
     for event in events[heard[0] :]:
         replicas[0].apply(now, event)
     assert Verdict.GAP not in mirror.follow(now, replicas[0])
-    assert mirror.follower.told == known[-1].version
-    assert mirror.follower.in_force().version.to_version() == known[-1].version
+    assert mirror.follower.received == known[-1].version
+    assert mirror.follower.acknowledgement().version.to_version() == known[-1].version
     assert mirror.hosts == known[-1].hosts
     assert mirror.configuration == known[-1].configuration
     assert all(mirror.floor(key) >= time for key, time in known[-1].purges.items())
@@ -511,20 +554,20 @@
     follower, now = FollowerState(), 0
     for step in walk:
         now += S
-        before, told = follower.in_force(), follower.told
+        before, told = follower.acknowledgement(), follower.received
         if isinstance(step, ReplicatedEvent):
-            verdict = follower.judge(now, step)
+            verdict = follower.receive(now, step)
             assert verdict is not Verdict.APPLY or step.catch_up is CatchUp.PART or step.version > told
-            assert verdict is Verdict.HEARTBEAT or verdict is Verdict.APPLY or follower.told == told
+            assert verdict is Verdict.HEARTBEAT or verdict is Verdict.APPLY or follower.received == told
         elif isinstance(step, Version):
-            follower.applied(step)
+            follower.mark_applied(step)
         elif step == "connects":
-            follower.connection_began(now)
+            follower.connection_opened(now)
         elif step == "refuses":
-            follower.configuration_refused(Version(2, now // S), "no")
+            follower.mark_configuration_refused(Version(2, now // S), "no")
         else:
-            follower.configuration_applied(Version(1, now // S))
-        said = follower.in_force()
-        assert before.version.to_version() <= said.version.to_version() <= follower.told
+            follower.mark_configuration_applied(Version(1, now // S))
+        said = follower.acknowledgement()
+        assert before.version.to_version() <= said.version.to_version() <= follower.received
         assert before.configuration.to_version() <= said.configuration.to_version()
-        assert follower.told >= told, "what is held went back"
+        assert follower.received >= told, "what is held went back"
