--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -1,7 +1,8 @@
-"""A dispatcher's connection to a control replica, in place of the change log's watch.
+"""A dispatcher's connection to a control replica, which replaces its connection to the change log.
 
-What it hears goes to the owner as from the change log itself. It follows the first replica of its order that
-takes it, says what it has in force, and has the list count as stale while nobody who knows is heard.
+What it receives goes to the owner as if it came from the change log itself. It follows the first replica of
+its order that accepts it, acknowledges what is in force, and marks the list as stale while no replica that is
+up to date is heard.
 """
 
 from __future__ import annotations
@@ -14,12 +15,14 @@
 
 import structlog
 
+from hoistplank.distribution.acknowledgement_sender import AcknowledgementSender
 from hoistplank.distribution.assignment import ReplicaAddress, preference, return_delay_us
-from hoistplank.distribution.configuration_taker import (
-    ConfigurationTaker,
-    Preparing,
-    without_configuration,
+from hoistplank.distribution.configuration_applier import (
+    ConfigurationApplier,
+    PrepareConfiguration,
+    accept_any_configuration,
 )
+from hoistplank.distribution.errors import RedirectedError
 from hoistplank.distribution.follower_state import FollowerState, Verdict
 from hoistplank.distribution.host_record import HostRecord
 from hoistplank.distribution.lines import LineReader
@@ -33,6 +36,7 @@
     encode,
     read_replica_line,
 )
+from hoistplank.distribution.replica_selection import ReplicaSelection
 from hoistplank.distribution.silence import SILENCE_US
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import Event, Known
@@ -43,17 +47,13 @@
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
-ACKNOWLEDGE_S = 0.05  # acknowledgements are no closer together
-HEARTBEAT_S = 1.0  # nor further apart
-LOOK_S = 0.25
-# Danger: who is refused for load by the replica that it prefers would leave another each minute for nothing.
-REDIRECTED_S = 120.0
-HALTED_S = 1.0  # a line of a megabyte from another region may stall for a retransmission
+CHECK_INTERVAL_S = 0.25
+STALLED_LINE_S = 1.0  # a line of a megabyte from another region may stall for a retransmission
 
 
 @dataclass(frozen=True)
 class FollowerSettings:
-    """Who a dispatcher is, and which replicas there are; `incarnation` rises with each start of it."""
+    """Who a dispatcher is and which replicas exist; `incarnation` increases with each start of it."""
 
     name: str
     region: str
@@ -62,10 +62,6 @@
     silence_us: int = SILENCE_US
 
 
-class Redirected(Exception):
-    """A replica does not take this dispatcher now; the text is its reason."""
-
-
 class ReplicaFollower(Listing):
     """Follows control replicas for an owner; `run` and `configurations.run` go on until cancelled."""
 
@@ -74,58 +70,54 @@
         owner: Hearer,
         settings: FollowerSettings,
         known: Known,
-        chance: Random,
+        random: Random,
         grace_s: float = 0.25,
-        prepare: Preparing = without_configuration,
+        prepare: PrepareConfiguration = accept_any_configuration,
     ) -> None:
         self.settings = settings
-        self.order = preference(settings.name, settings.region, settings.replicas)
+        order = preference(settings.name, settings.region, settings.replicas)
+        self.selection = ReplicaSelection(order)
         self.state = FollowerState(settings.silence_us)
         self.hosts = HostRecord(owner)
-        super().__init__(self.hosts, self.order[0].address, known, chance, grace_s)
-        self.chance_of_return = chance
-        self.look_s, self.halted_s = LOOK_S, HALTED_S
-        self.configurations = ConfigurationTaker(prepare, self)
+        super().__init__(self.hosts, order[0].address, known, random, grace_s)
+        self.random = random
+        self.look_s, self.halted_s = CHECK_INTERVAL_S, STALLED_LINE_S
+        self.configurations = ConfigurationApplier(prepare, self)
+        self.acknowledgements = AcknowledgementSender(self.state, lambda: self.connection)
         self.loop = asyncio.get_running_loop()
-        self.place = 0  # in the order, of the replica that is followed or tried
         self.epoch = 0
         self.behind_lines = 0  # heartbeats and events older than what is held
-        self._redirected_at: dict[str, float] = {}  # by replica: when it last did not take this dispatcher
-        self._began_us = owner.clock.now()
-        self._is_warned = False  # that nobody is heard has been logged
-        self._acknowledged_at = 0.0
-        self._acknowledging: asyncio.TimerHandle | None = None
-
-    # What it says of itself.
+        self._started_us = owner.clock.now()
+        self._is_silence_logged = False
 
     @property
     def replica(self) -> ReplicaAddress:
         """The replica that is followed or tried."""
-        return self.order[self.place]
+        return self.selection.current
 
     def detail(self) -> str:
-        """For the health answer: empty while all is heard. It is asked between turns, too."""
+        """For the health answer: empty while a replica is heard. It is called between turns, too."""
         if not (self.hosts.is_stale or self.state.is_silent(self.owner.clock.now())):
             return ""
         return f"no control replica heard; in force: {self.state.resume_at}"
 
     def check_silence(self, now_us: int) -> Listed | None:
-        """The list as a stale one, once nobody has been heard for too long; asked before each turn.
+        """The list marked as stale, once no replica was heard for too long; called before each turn.
 
-        Danger: after a standstill of the whole process, requests are read before any timer runs.
+        Danger: after the whole process was suspended, requests are read before any timer runs.
         """
         if self.hosts.is_stale or not self.state.is_silent(now_us):
             return None
         return self.hosts.mark_stale()
 
-    # Lines.
+    # Lines from the replica.
 
     def _request(self) -> bytes:
         self.state.connection_opened(self.owner.clock.now())
         settings = self.settings
-        at = VersionFields(*self.state.resume_at)
-        follow = FollowRequest(settings.name, settings.incarnation, settings.region, at)
-        return encode(RequestLine(follow=follow))
+        resume_at = VersionFields(*self.state.resume_at)
+        request = FollowRequest(settings.name, settings.incarnation, settings.region, resume_at)
+        return encode(RequestLine(follow=request))
 
     def _consumer(self) -> Consume:
         reader = LineReader(MAX_LINE_BYTES)
@@ -134,176 +126,164 @@
             start, lines = reader.read(buffer, start, end)
             try:
                 for line in lines:
-                    self._heard(read_replica_line(line))
+                    self._receive(read_replica_line(line))
             finally:
                 if lines:
-                    self._lines_ended()
+                    self._batch_received()
             return start
 
         return consume
 
-    def _heard(self, told: ReplicatedEvent | Redirect) -> None:
-        if isinstance(told, Redirect):
-            raise Redirected(told.reason)
-        verdict = self.state.receive(self.owner.clock.now(), told)
+    def _receive(self, message: ReplicatedEvent | Redirect) -> None:
+        if isinstance(message, Redirect):
+            raise RedirectedError(message.reason)
+        verdict = self.state.receive(self.owner.clock.now(), message)
         if verdict is Verdict.GAP:
-            raise BadBytes(f"event {told.version} after {told.after} does not follow {self.state.received}")
+            held = self.state.received
+            raise BadBytes(f"event {message.version} after {message.after} does not follow {held}")
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
-        self.fresh, self.moves = True, self.moves + 1
+        self.fresh = True
+        self.moves += 1
         if verdict is Verdict.APPLY:
-            self._take_up(told)
-        elif told.catch_up is None and self.watch is not None:
+            self._forward(message)
+        elif message.catch_up is None and self.watch is not None:
             self.watch.alive()
 
-    def _take_up(self, event: ReplicatedEvent) -> None:
+    def _forward(self, event: ReplicatedEvent) -> None:
         if event.epoch != self.epoch:
-            # A log that counts anew has a list from before the drains that we heard.
+            # A restarted log has a list from before the drains that were received.
             self.anew = self.anew or self.epoch > 0
             self.epoch = event.epoch
         if event.configuration is not None and self.state.is_new_configuration(event):
-            self.configurations.tell(event.version, event.configuration.text)
+            self.configurations.submit(event.version, event.configuration.text)
         if event.fleet is not None or event.invalidate is not None:
             self._apply(Event(event.seq, event.fleet, event.invalidate, epoch=event.epoch))
 
-    def _lines_ended(self) -> None:
-        """All lines that were read together have been told to the owner."""
-        self.owner.tell(Applied(partial(self._applied, self.state.received)))
+    def _batch_received(self) -> None:
+        """All lines that were read together have been forwarded to the owner."""
+        self.owner.tell(Applied(partial(self._turn_ended, self.state.received)))
         if self.hosts.is_stale and not self.state.is_silent(self.owner.clock.now()):
-            self._heard_again()
+            self.hosts.mark_current()
+            self._log_silence_over()
 
-    def _heard_again(self) -> None:
-        self.hosts.mark_current()
-        if self._is_warned:
-            self._is_warned = False
+    def _log_silence_over(self) -> None:
+        if self._is_silence_logged:
+            self._is_silence_logged = False
             log.info("control replica heard again", replica=self.replica.name, told=str(self.state.received))
 
     # What is in force.
 
-    def _applied(self, told: Version) -> None:
-        """The owner's turn is over in which all up to `told` was taken in."""
+    def _turn_ended(self, received: Version) -> None:
+        """The owner's turn is over in which everything up to `received` was applied."""
         before = self.state.acknowledgement()
-        self.state.mark_applied(told)
+        self.state.mark_applied(received)
         if self.state.acknowledgement() != before:
-            self._acknowledge_soon()
+            self.acknowledgements.schedule()
 
-    def configuration_taken(self, version: Version) -> None:
-        """A configuration was taken up: in force after the owner's next turn."""
+    def configuration_applied(self, version: Version) -> None:
+        """A configuration was applied: it is in force after the owner's next turn."""
         self.owner.tell(Applied(partial(self._configuration_in_force, version)))
 
     def _configuration_in_force(self, version: Version) -> None:
         self.state.mark_configuration_applied(version)
-        self._acknowledge_soon()
+        self.acknowledgements.schedule()
 
     def configuration_refused(self, version: Version, reason: str) -> None:
-        """A configuration can't be used: the replicas are told why."""
+        """A configuration can't be used: the replica is told why."""
         self.state.mark_configuration_refused(version, reason)
-        self._acknowledge_soon()
-
-    def _acknowledge_soon(self) -> None:
-        if self._acknowledging is None:
-            wait_s = max(0.0, self._acknowledged_at + ACKNOWLEDGE_S - self.loop.time())
-            self._acknowledging = self.loop.call_later(wait_s, self._acknowledge)
-
-    def _acknowledge(self) -> None:
-        if self._acknowledging is not None:
-            self._acknowledging.cancel()
-            self._acknowledging = None
-        if self.connection is not None:
-            self._acknowledged_at = self.loop.time()
-            self.connection.send(encode(RequestLine(acknowledgement=self.state.acknowledgement())))
+        self.acknowledgements.schedule()
 
-    # Time.
+    # Timers.
 
-    async def _ticks(self) -> None:
-        """Heartbeats to the replica, and looks at how long nobody was heard."""
+    async def _run_timers(self) -> None:
+        """Sends heartbeats to the replica and checks how long none was heard."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self.loop.time() - self._acknowledged_at >= HEARTBEAT_S - LOOK_S / 2:
-                self._acknowledge()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.acknowledgements.send_heartbeat(tolerance_s=CHECK_INTERVAL_S / 2)
             now = self.owner.clock.now()
             stale = self.check_silence(now)
             if stale is not None:
                 self.hosts.owner.tell(stale)
-            if self.hosts.is_stale and not self._is_warned:
-                self._warn(now)
+            if self.hosts.is_stale and not self._is_silence_logged:
+                self._log_silence(now)
 
-    def _warn(self, now_us: int) -> None:
-        if now_us - self._began_us > self.settings.silence_us:
-            self._is_warned = True
+    def _log_silence(self, now_us: int) -> None:
+        if now_us - self._started_us > self.settings.silence_us:
+            self._is_silence_logged = True
             log.warning(
                 "no control replica heard: old copies are not asked for",
                 silence_s=self.settings.silence_us / 1e6,
                 in_force=str(self.state.resume_at),
             )
 
-    # Replicas.
+    # Connections to replicas.
 
     def move(self, address: tuple[str, int]) -> None:
-        """The change log's address, which may change at a reload, says nothing to who follows replicas."""
+        """Ignores the change log's address, which may change at a reload."""
 
     async def run(self) -> None:
         """Follows replicas until it is cancelled."""
-        ticks = asyncio.create_task(self._ticks(), name="replica heartbeats")
+        timers = asyncio.create_task(self._run_timers(), name="replica heartbeats")
         try:
             await self._follow_each()
         finally:
-            ticks.cancel()
-            if self._acknowledging is not None:
-                self._acknowledging.cancel()
-            await asyncio.gather(ticks, return_exceptions=True)
+            timers.cancel()
+            self.acknowledgements.cancel()
+            await asyncio.gather(timers, return_exceptions=True)
 
     async def _follow_each(self) -> None:
-        """One replica after another: the next where one is lost or does not take this dispatcher."""
-        pause = FIRST_PAUSE_S
+        """Follows one replica after another: the next one where one is lost or rejects this dispatcher."""
+        pause_s = FIRST_PAUSE_S
         while True:
             self.fresh = False
-            if await self._follow_one():
-                self.place = 0
+            if await self._follow_current():
+                self.selection.restart()
                 continue
             self.owner.tell(Listed("failed", []))
             if self.fresh:
-                pause = FIRST_PAUSE_S
-            self.place = (self.place + 1) % len(self.order)
-            if self.place == 0 or self.fresh:
-                # Danger: a replica that takes all and ends each connection would be asked without a pause.
-                await asyncio.sleep(pause * (0.5 + self.chance() / 2))
-                pause = min(self.longest_pause_s, pause * 2)
-
-    async def _follow_one(self) -> bool:
-        """Follows the replica at `place` until it is lost; True: one that is preferred is there again."""
+                pause_s = FIRST_PAUSE_S
+            self.selection.advance()
+            if self.selection.is_preferred or self.fresh:
+                # Danger: a replica that accepts all and ends each connection would be asked without a pause.
+                await asyncio.sleep(pause_s * (0.5 + self.chance() / 2))
+                pause_s = min(self.longest_pause_s, pause_s * 2)
+
+    async def _follow_current(self) -> bool:
+        """Follows the current replica until it is lost; returns True if a preferred one is back."""
         following = asyncio.create_task(self._follow(self.replica.address), name="control replica")
         try:
             while not following.done():
-                wait_s = return_delay_us(self.chance_of_return) / 1e6 if self.place else None
-                await asyncio.wait((following,), timeout=wait_s)
+                delay_s = None if self.selection.is_preferred else return_delay_us(self.random) / 1e6
+                await asyncio.wait((following,), timeout=delay_s)
                 if not following.done() and await self._is_preferred_back():
                     return True
         finally:
             following.cancel()
             await asyncio.gather(following, return_exceptions=True)
-        wrong = following.exception() or following.result()
-        if isinstance(wrong, Redirected):
-            self._redirected_at[self.replica.name] = self.loop.time()
+        reason = following.exception() or following.result()
+        if isinstance(reason, RedirectedError):
+            self.selection.mark_redirected(self.loop.time())
         self.complaints.tell(
-            "control replica lost", replica=self.replica.name, wrong=str(wrong), told=str(self.state.received)
+            "control replica lost",
+            replica=self.replica.name,
+            wrong=str(reason),
+            told=str(self.state.received),
         )
         return False
 
     async def _is_preferred_back(self) -> bool:
-        for replica in self.order[: self.place]:
-            redirected_at = self._redirected_at.get(replica.name, -REDIRECTED_S)
-            if self.loop.time() - redirected_at < REDIRECTED_S:
+        for replica in self.selection.preferred_to_current():
+            if not self.selection.may_try(replica, self.loop.time()):
                 continue
-            if await _is_there(replica.address):
+            if await _accepts_connections(replica.address):
                 log.info("back to a control replica", replica=replica.name, before=self.replica.name)
                 return True
         return False
 
 
-async def _is_there(address: tuple[str, int]) -> bool:
-    """Whether somebody takes connections there."""
+async def _accepts_connections(address: tuple[str, int]) -> bool:
     try:
         sock = await connected(address, CONNECT_S)
     except (OSError, ValueError):
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -12,7 +12,8 @@
 import structlog
 
 from hoistplank.distribution.assignment import ReplicaAddress
-from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
+from hoistplank.distribution.configuration_applier import ApplyConfiguration
+from hoistplank.distribution.errors import ConfigurationRefusedError
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
@@ -24,7 +25,7 @@
 log = structlog.get_logger()
 
 # A text with the name that its faults are told by: read and checked, and what is returned takes it up.
-ReadText = Callable[[bytes, str], Callable[[], TakeUp]]
+ReadText = Callable[[bytes, str], Callable[[], ApplyConfiguration]]
 
 
 class Host(Protocol):
@@ -70,13 +71,13 @@
         host.front.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
-    async def _prepare(self, version: Version, text: str) -> TakeUp:
+    async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
         # Danger: a megabyte takes seconds to parse, in which no request would be answered: a thread does it.
         try:
             check = await asyncio.to_thread(self.read, text.encode(), f"configuration {version}")
             return check()
         except BadConfiguration as wrong:
-            raise ConfigurationRefused(str(wrong)) from None
+            raise ConfigurationRefusedError(str(wrong)) from None
 
     def close(self) -> None:
         """Nothing is held beside the tasks."""
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -10,7 +10,8 @@
 import asyncio
 
 from hoistplank.distribution.assignment import ReplicaAddress
-from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
+from hoistplank.distribution.configuration_applier import ApplyConfiguration
+from hoistplank.distribution.errors import ConfigurationRefusedError
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.lab.scale.hollow import HollowOwner, Position, Source
@@ -39,14 +40,14 @@
         )
         hearer.before_turn = self.following.check_silence
 
-    async def _prepare(self, version: Version, text: str) -> TakeUp:
+    async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
         checking = _checks.get(version)
         if checking is None:
             checking = _checks[version] = asyncio.create_task(_check(version, text))
         try:
             await asyncio.shield(checking)
         except Faults as wrong:
-            raise ConfigurationRefused(str(wrong)) from None
+            raise ConfigurationRefusedError(str(wrong)) from None
         return lambda: self._take_up(version)
 
     def _take_up(self, version: Version) -> None:
--- a/hoistplank/lab/scale/role_replica_follower.py
+++ b/hoistplank/lab/scale/role_replica_follower.py
@@ -125,7 +125,7 @@
 
     async def acknowledge(self) -> int:
         """Sends the acknowledgement, with the loop's turn that writes it; its bytes."""
-        self.follower._acknowledge()
+        self.follower.acknowledgements.send()
         await asyncio.sleep(0)
         return len(self.far.recv(READ_BYTES))
 
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from hoistplank.distribution.assignment import ReplicaAddress
-from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
+from hoistplank.distribution.configuration_applier import ApplyConfiguration
+from hoistplank.distribution.errors import ConfigurationRefusedError
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.messages import RequestLine, StatusRequest, VersionFields, encode
 from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
@@ -84,9 +85,11 @@
             asyncio.create_task(self.follower.configurations.run()),
         ]
 
-    async def _prepare(self, version: Version, text: str) -> TakeUp:
+    async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
         if self.refuses in text:
-            raise ConfigurationRefused(f"configuration {version}:1:1: the form 'bad', expected a good one")
+            raise ConfigurationRefusedError(
+                f"configuration {version}:1:1: the form 'bad', expected a good one"
+            )
         return lambda: self.configurations.append((version, text))
 
     @property
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -142,8 +142,8 @@
             rig.log.configure(4, "new")
             new, old = rig.addresses
             one = rig.dispatcher("d1", [new, old])
-            one.follower.order = (new, old)
-            one.follower.place = 0
+            one.follower.selection.order = (new, old)
+            one.follower.selection.position = 0
             await until(lambda: one.in_force == at(4))
             told = len(one.owner.events)
             await rig.stop_replica(0)
@@ -421,7 +421,7 @@
             ]
             rig.purge(3, "ab")
             rig.log.configure(4, "two")
-            await until(lambda: all(one.follower._is_warned for one in again))
+            await until(lambda: all(one.follower._is_silence_logged for one in again))
             for one in again:
                 assert one.owner.hosts == {"a": "ready"} and one.owner.is_blind
                 assert one.follower.detail() == "no control replica heard; in force: 0/0"
@@ -534,7 +534,7 @@
 
     async def scene() -> None:
         monkeypatch.setattr("hoistplank.distribution.follower.return_delay_us", lambda chance: 200_000)
-        monkeypatch.setattr("hoistplank.distribution.follower.REDIRECTED_S", 0.5)
+        monkeypatch.setattr("hoistplank.distribution.replica_selection.REDIRECT_HOLD_S", 0.5)
         async with Rig(replicas) as rig:
             rig.hosts(1, whole=True, a="ready")
             await until(lambda: all(replica.log_follower.is_read() for replica in rig.replicas))
--- a/tests/test_scale_replica_slopes.py
+++ b/tests/test_scale_replica_slopes.py
@@ -73,7 +73,7 @@
         await path.caught_up(role_replica_follower.listed_state())
         for line in role_replica_follower.live_lines(count):
             path.read(line)
-            path.follower._acknowledge()
+            path.follower.acknowledgements.send()
             await asyncio.sleep(0)
             told = read_request(path.far.recv(role_replica_follower.READ_BYTES).strip())
             assert isinstance(told, Acknowledgement)
