--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(
-    "traffic class, fields, script",
+    "class_name, fields, script",
     [
         ("page", {"HTTP_X_DEADLINE_MS": "2900"}, "/api/v2/"),
         ("page", {"HTTP_X_DEADLINE_MS": "0"}, "/api/v2/"),
