--- /dev/null
+++ b/tests/dispatcher_scene.py
@@ -0,0 +1,80 @@
+"""What the tests of a running dispatcher share: a scene's loop, hosts' answers, a client's bytes."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+import uvloop
+
+from hoistplank.fakes.wire import Client
+from hoistplank.program.service import Phase
+from tests.helpers import Running, until
+
+BODY = bytes(range(256)) * 900
+
+
+KEY = {"HTTP_X_OPERATION_KEY": "5c0f" * 8}
+
+
+def run(scene: Coroutine[Any, Any, None]) -> None:
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(asyncio.wait_for(scene, 20))
+
+
+class Calm(Running):
+    """A dispatcher that takes no notice of its loop's lag: one whose machine holds it up rejects what comes
+    then, before any attempt, and nothing of what these tests are about begins."""
+
+    async def __aenter__(self) -> Running:
+        await super().__aenter__()
+        owner = self.service.owner
+        owner.router.loop_told = lambda waits, late_us: None  # type: ignore[method-assign]
+        owner.admission.observe = lambda *told: None  # type: ignore[method-assign]
+        await until(lambda: self.service.phase is Phase.SERVING)
+        return self
+
+
+def served(id: str, fields: dict[str, str], body: bytes) -> bytes:
+    return f"{id} served detail=hit,digest=aa,dated=1 {len(BODY)}\r\n".encode() + BODY + b"\r\n"
+
+
+def silent(id: str, fields: dict[str, str], body: bytes) -> None:
+    return None
+
+
+def said(word: str) -> Callable[[str, dict[str, str], bytes], bytes]:
+    fields = "digest=aa,dated=1" if word in ("served", "still_good") else "-"
+    return lambda id, _, body: f"{id} {word} {fields} 0\r\n\r\n".encode()
+
+
+def whole(id: str) -> bytes:
+    return served(id, {}, b"")
+
+
+def spied(call: Callable[..., None], told: list[Any]) -> Callable[..., None]:
+    def inner(*words: Any) -> None:
+        told.append(words)
+        call(*words)
+
+    return inner
+
+
+def request_bytes(
+    number: int, name: str = "page", fields: dict[str, str] | None = None, body: bytes = b""
+) -> bytes:
+    """The bytes of a request, for those who send them themselves."""
+    sent: list[bytes] = []
+
+    class Writer:
+        write = staticmethod(sent.append)
+
+    Client(None, Writer()).send(number, name, fields, body)  # type: ignore[arg-type]
+    return sent[0]
+
+
+async def only(dispatcher: Running) -> Any:
+    """The session of the one client that has sent requests."""
+    await until(lambda: any(each.spoke for each in dispatcher.service.front.sessions))
+    return next(each for each in dispatcher.service.front.sessions if each.spoke)
--- /dev/null
+++ b/tests/test_cache_host_attempts.py
@@ -0,0 +1,267 @@
+"""Attempts at cache hosts: their results, bad answers, and hosts that change meanwhile."""
+
+from __future__ import annotations
+
+import asyncio
+import copy
+import socket
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.wire import CacheHost
+from hoistplank.interface import Result
+from hoistplank.routing.attempts import ENDINGS
+from tests.dispatcher_scene import (
+    BODY,
+    run,
+    said,
+    served,
+    silent,
+    spied,
+    whole,
+)
+from tests.helpers import Running, until
+
+
+@pytest.mark.parametrize(
+    "how",
+    [
+        name
+        for name in ENDINGS
+        if name not in ("not up", "unwritten", "withheld", "withdrawn", "served", "still_good")
+    ],
+)
+def test_every_ending_is_told_as_its_result(
+    tmp_path: Path, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """What an attempt's end is told as; afterwards the request gets its one final answer."""
+
+    async def scene() -> None:
+        told: list[Any] = []
+        answer: Any = {"broken": lambda *_: b"reset", "late": silent, "refused": silent}.get(how, said(how))
+        async with Running(tmp_path, {"a": CacheHost(answer), "o": CacheHost(answer)}) as dispatcher:
+            owner = dispatcher.service.owner
+            if how == "refused":
+                with socket.socket() as unused:
+                    unused.bind(("127.0.0.1", 0))
+                    port = unused.getsockname()[1]
+                gone = [target("a", "box", port), target("o", "origin", port)]
+                dispatcher.tell(listing(2, gone, whole=True))
+                await until(lambda: owner.posts["a"].address[1] == port)
+            monkeypatch.setattr(owner.router, "attempt_ended", spied(owner.router.attempt_ended, told))
+            status, _, _ = await dispatcher.ask(1, "page", fields={"HTTP_X_DEADLINE_MS": "300"})
+            assert status in (502, 503) and told[0][3] == ENDINGS[how]
+
+    run(scene())
+
+
+def test_only_what_proves_it_counts_as_never_run() -> None:
+    never = {Result.NO_CONNECTION, Result.NEVER_SENT, Result.MISS, Result.FULL}
+    proofs = {"refused", "not up", "unwritten", "withheld", "not_here", "overload", "nobody"}
+    assert {how for how, result in ENDINGS.items() if result in never} == proofs
+
+
+def test_host_that_drains_while_its_connection_comes_up_gets_nothing(tmp_path: Path) -> None:
+    async def scene() -> None:
+        box, origin = CacheHost(served), CacheHost(served)
+        async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
+            owner = dispatcher.service.owner
+            draining = listing(
+                2, [target("a", "box", dispatcher.targets[0]["endpoint"].split(":")[1], "draining")]
+            )
+            draining["fleet"]["targets"][0]["endpoint"] = dispatcher.targets[0]["endpoint"]
+            act = owner._act["attempt"]
+
+            def attempt(now: int, decision: Any) -> None:
+                act(now, decision)
+                if decision.host == "a":  # before the first byte: the connection is not up yet
+                    owner.posts["a"].entry = owner.posts["a"].entry._replace(state="draining")
+                    dispatcher.tell(draining)
+
+            owner._act["attempt"] = attempt
+            status, _, body = await dispatcher.ask(1, "page")
+            assert status == 200 and not box.seen and origin.seen
+
+    run(scene())
+
+
+def test_new_host_at_an_old_address_gets_its_own_connection(tmp_path: Path) -> None:
+    async def scene() -> None:
+        box = CacheHost(served)
+        async with Running(tmp_path, {"a": box, "o": CacheHost(served)}) as dispatcher:
+            await dispatcher.ask(1, "page")
+            old = dispatcher.targets[0]
+            dispatcher.tell(listing(2, [old | {"state": "gone"}, old | {"uid": "b"}]))
+            await until(lambda: "b" in dispatcher.service.owner.posts)
+            await dispatcher.ask(2, "page")
+            assert box.connections == 2 and len(box.seen) == 2
+
+    run(scene())
+
+
+def test_hosts_that_come_and_go_leave_nothing_behind(tmp_path: Path) -> None:
+    async def scene() -> None:
+        box = CacheHost(served)
+        settings = copy.deepcopy(SETTINGS["classes"])
+        for class_name in settings:
+            class_name["give_up"] = 0.9
+        async with Running(
+            tmp_path, {"a": box, "o": CacheHost(silent)}, **{"settings.classes": settings}
+        ) as dispatcher:
+            owner, old = dispatcher.service.owner, dispatcher.targets[0]
+            owner.router.longest_us = 0
+            short = {"HTTP_X_DEADLINE_MS": "800"}
+            for turn in range(30):
+                new = old | {"uid": f"b{turn}"}
+                dispatcher.tell(listing(2 + turn, [old | {"state": "gone"}, new]))
+                await until(lambda uid=new["uid"]: uid in owner.posts)  # type: ignore[misc]
+                assert (await dispatcher.ask(1 + turn, "page", fields=short))[0] == 200
+                old = new
+            router = owner.router
+            assert len(owner.posts) == 2 and len(router.index) == 2 and len(router.caches) == 1
+            pool = owner.pool
+            assert len(router.names) <= 4 and pool is not None
+            await until(lambda: set(pool.lines) <= {"b29"})
+
+    run(scene())
+
+
+def test_late_answer_of_a_dropped_attempt_harms_nobody(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        monkeypatch.setattr("hoistplank.transport.pool.MOST_LINES", 1)
+        later: list[bytes] = []
+
+        def slowly(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
+            if fields["blk"] == "1":
+                later.append(served(id, fields, body))
+                return None
+            return b"".join(later if box.drops else []) + served(id, fields, body)
+
+        box = CacheHost(slowly)
+        async with Running(tmp_path, {"a": box, "o": CacheHost(said("overload"))}) as dispatcher:
+            dispatcher.client.send(2, "page", {"HTTP_X_CHUNK": "2", "HTTP_X_SUBJECT": f"{5:016x}"})
+            assert (await dispatcher.client.answer())[1] == 200
+            dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "500"})
+            await until(lambda: len(box.seen) == 2)
+            assert (await dispatcher.ask(4, "page"))[
+                0
+            ] == 200  # the line is alive: the attempt alone is given up
+            assert (await dispatcher.client.answer())[1] == 503
+            await until(lambda: box.drops == [f"{1:016x}"])
+            assert (await dispatcher.ask(3, "page"))[0] == 200
+
+    run(scene())
+
+
+Kinds = dict[str, Callable[[str], bytes]]
+
+
+SURPLUS: Kinds = {
+    "second copy": lambda id: whole(id) * 2,
+    "unknown id ahead": lambda id: whole("f" * 16) + whole(id),
+}
+
+
+SPOILT: Kinds = {
+    "noise": lambda id: b"\x00\xffnoise\r\n" * 3,
+    "line that never ends": lambda id: b"x" * 9000,
+    "length that does not fit": lambda id: whole(id).replace(b"230400", b"230300"),
+    "huge length": lambda id: f"{id} served digest=aa,dated=1 3000000000\r\n".encode() + bytes(70_000),
+    "negative length": lambda id: f"{id} served digest=aa,dated=1 -3\r\n".encode(),
+    "half an answer": lambda id: whole(id)[:5000],
+    "probe's word": lambda id: f"{id} green - 0\r\n\r\n".encode(),
+    "no copy named": lambda id: f"{id} still_good digest=aa,dated=1 0\r\n\r\n".encode(),
+    "another copy named": lambda id: f"{id} still_good digest=aa,dated=1 0\r\n\r\n".encode(),
+    "no fields": lambda id: f"{id} served - 2\r\nab\r\n".encode(),
+    "not dated": lambda id: f"{id} served digest=aa,dated=nan 2\r\nab\r\n".encode(),
+}
+
+
+@pytest.mark.parametrize("kind", [*SURPLUS, *SPOILT])
+def test_bad_answer_costs_its_connection_alone(
+    tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A surplus answer costs nothing; a spoilt one its connection, and the attempts there go again at
+    once."""
+
+    async def scene() -> None:
+        monkeypatch.setattr("hoistplank.transport.pool.MOST_LINES", 1)
+
+        def bad(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
+            if len(box.seen) == 1:
+                return None  # the first waits on the same connection
+            return (SURPLUS | SPOILT)[kind](id) if len(box.seen) == 2 else whole(id)
+
+        box, origin = CacheHost(bad), CacheHost(silent)
+        async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
+            dispatcher.client.send(1, "page", {"HTTP_X_SUBJECT": "ab" * 8, "HTTP_X_DEADLINE_MS": "900"})
+            await until(lambda: len(box.seen) == 1)
+            dispatcher.client.send(2, "page", {"HTTP_X_KNOWN": "cd" * 8} if kind[:7] == "another" else {})
+            answers = [await asyncio.wait_for(dispatcher.client.answer(), 2)]
+            if kind in SPOILT:
+                answers.append(await asyncio.wait_for(dispatcher.client.answer(), 2))
+                # A halt is known only after the latency target: what can't be in time any more is turned
+                # back.
+                wanted = {200, 503} if kind == "half an answer" else {200}
+                assert {answer[1] for answer in answers} <= wanted
+                assert box.connections == 2 or kind == "half an answer"
+            else:
+                assert answers[0][:2] == (2, 200) and box.connections == 1
+                assert (await dispatcher.ask(3, "page"))[2] == BODY and box.connections == 1
+            router = dispatcher.service.owner.router
+            assert router.cold_since[router.index["a"]] < 0 and not any(router.losses)
+
+    run(scene())
+
+
+def test_attempts_share_few_connections_till_one_ends_with_attempts_on_it(tmp_path: Path) -> None:
+    async def scene() -> None:
+        def answer(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
+            return {"1": None, "2": b"reset"}.get(fields["blk"], whole(id))
+
+        box = CacheHost(answer)
+        few = {"limits.sockets": 64, "settings.limits.max_attempts": 1}
+        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}, **few) as run_:
+            pool = run_.service.owner.pool
+            assert pool is not None
+
+            async def counts(first: int) -> list[int]:
+                for number in range(first, first + 8):
+                    before = len(box.seen)
+                    run_.client.send(number, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
+                    await until(lambda before=before: len(box.seen) > before)  # type: ignore[misc]
+                return sorted(len(line.open) for line in pool.lines["a"])
+
+            assert await counts(1) == [4, 4]
+            for _ in range(8):
+                await run_.client.answer()
+            for number in range(20, 24):
+                await run_.ask(number, "page", fields={"HTTP_X_CHUNK": "2"})
+            share = run_.service.ledger.most["cache host"] // 2
+            assert await counts(30) == [1] * (2 * share - 8) + [2] * (8 - share)
+            pool.spread_at -= 100  # a long calm: half as many again
+            spread = pool.spread
+            pool.sweep()
+            assert pool.spread == spread // 2
+
+    run(scene())
+
+
+def test_id_that_was_on_every_line_gets_a_new_one(tmp_path: Path) -> None:
+    async def scene() -> None:
+        def answer(id: str, fields: dict[str, str], body: bytes) -> bytes:
+            return whole(id) if len(box.seen) > 4 else said("crashed")(id, fields, body)
+
+        box = CacheHost(answer)
+        hosts = {"a": box, "o": CacheHost(silent)}
+        async with Running(tmp_path, hosts, **{"settings.limits.max_attempts": 6}) as dispatcher:
+            assert (await dispatcher.ask(1, "page"))[0] == 200
+            assert dispatcher.service.owner.counts["attempts"] == 5 and box.connections == 5
+
+    run(scene())
--- /dev/null
+++ b/tests/test_configuration.py
@@ -0,0 +1,71 @@
+"""EDGE_CONFIG: what can't be used names its key, and the program ends before it listens."""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from hoistplank.fakes.settings import listing, target
+from hoistplank.program.configuration import BadConfiguration, read
+from tests.dispatcher_scene import (
+    run,
+)
+from tests.helpers import configuration
+
+
+@pytest.mark.parametrize(
+    "key, value, told",
+    [
+        ("listen", "here", "listen: 'here' is no address"),
+        ("changelog", None, "changelog"),
+        ("limits.sockets", "many", r"\$.limits.sockets"),
+        ("limits.memory_mb", 0, r"\$.limits.memory_mb"),
+        ("seed", "xyz", "seed: 'xyz'"),
+        ("settings.classes", [], "'classes' is absent or empty"),
+        ("settings.rules.cold", "soon", "settings: field 'rules.cold' is no time"),
+        ("settings.limits.streams_per_conn", 0, "'limits.streams_per_conn' is 0, below 1"),
+        (
+            "known",
+            {"seq": 1, "results": [listing(1, [target("a", "box", 70_000)])]},
+            "known.results: '127.0.0.1:70000'",
+        ),
+        ("known", {"seq": 1, "results": [{"fleet": {}}]}, "seq"),
+        ("known", {"seq": 1, "results": [listing(1, [target("a,hints=x", "box", 7)])]}, "uid 'a,hints=x'"),
+    ],
+)
+def test_bad_configuration_names_its_key(tmp_path: Path, key: str, value: Any, told: str) -> None:
+    with pytest.raises(BadConfiguration, match=told):
+        configuration(tmp_path, **{key: value})
+
+
+def test_configuration_that_disagrees_or_is_none(tmp_path: Path) -> None:
+    configuration(tmp_path)
+    file = str(tmp_path / "config.json")
+    with pytest.raises(
+        BadConfiguration, match="listen: the file says '127.0.0.1:0', EDGE_LISTEN '1.2.3.4:5'"
+    ):
+        read({"EDGE_CONFIG": file, "EDGE_LISTEN": "1.2.3.4:5"})
+    with pytest.raises(BadConfiguration, match="EDGE_CONFIG is not set"):
+        read({})
+    (tmp_path / "config.json").write_text("{")
+    with pytest.raises(BadConfiguration, match="no JSON"):
+        read({"EDGE_CONFIG": file})
+
+
+def test_bad_configuration_ends_the_program_before_it_listens(tmp_path: Path) -> None:
+    async def scene() -> None:
+        program = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "hoistplank",
+            env={"EDGE_CONFIG": str(tmp_path / "none")},
+            stderr=asyncio.subprocess.PIPE,
+        )
+        _, said = await program.communicate()
+        assert program.returncode == 2 and said.startswith(b"hoistplank: EDGE_CONFIG: the file can't be read")
+
+    run(scene())
--- /dev/null
+++ b/tests/test_endpoint_watcher.py
@@ -0,0 +1,333 @@
+"""The watch on the change log: silence, gaps, lost lines and a log that counts anew."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import socket
+from pathlib import Path
+from random import Random
+from typing import Any
+
+import msgspec
+import pytest
+
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import CacheHost, serve
+from hoistplank.protocol.changelog import Event, Fleet, Known
+from hoistplank.routing import endpoint_watcher as watching
+from hoistplank.routing.clock import Clock
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Listed, Purged
+from tests.dispatcher_scene import run, served, silent, spied
+from tests.helpers import Running, until
+
+
+class Told:
+    """Hears what the change log says."""
+
+    def __init__(self) -> None:
+        self.clock, self.events = Clock(), list[Any]()
+
+    def tell(self, event: Any) -> None:
+        self.events.append(event)
+
+
+def row(seq: int, whole: bool = False, state: str = "ready") -> bytes:
+    return json.dumps(listing(seq, [target("a", "box", 9, state)], whole=whole)).encode() + b"\n"
+
+
+QUIET: dict[str, list[bytes]] = {
+    "silent from its first second": [],
+    "silent after half a line": [row(2)[:20]],
+    "a dribble of bytes": [bytes([byte]) for byte in row(2)[:-1]],
+    "a number behind ours": [b"0\n"] * 1_000,
+    "a number behind ours, as an object": [b'{"seq":0}\n'] * 1_000,
+    "the same event again": [row(1, whole=True)] * 1_000,
+}
+
+
+@pytest.mark.parametrize("how", QUIET)
+def test_a_watch_on_which_nothing_moves_on_is_taken_up_again(
+    how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        monkeypatch.setattr(watching, "SILENT_S", 0.2)
+        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        asked = list[int]()
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            if len(asked) == 1:
+                for piece in QUIET[how]:
+                    writer.write(piece)
+                    await asyncio.sleep(0.02)
+            else:
+                writer.write(row(1, whole=True) * (asked[-1] == 0) + row(2, state="draining") + b"2\n")
+            await reader.read()
+
+        told = Told()
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        task = asyncio.create_task(log.run())
+        await until(lambda: log.last == 2)
+        # A log that counts anew is asked for all it has; any other goes on from where we are.
+        assert asked == [1, 0 if how.startswith("a number behind ours") else 1]
+        assert told.events[-1].targets[0].state == "draining"
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+def test_a_log_that_counts_anew_takes_no_drain_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        monkeypatch.setattr(watching, "SILENT_S", 0.2)
+        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        asked = list[int]()
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            writer.write(b"1\n" if asked[-1] else row(1, whole=True) + b"1\n")  # from before the drain
+            await reader.read()
+
+        told = Told()
+        lines = [row(1, whole=True), row(2, state="draining")]
+        known = msgspec.json.decode(b'{"seq":2,"results":[' + b",".join(lines) + b"]}", type=Known)
+        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        task = asyncio.create_task(log.run())
+        await until(lambda: log.last == 1)
+        assert asked == [2, 0] and told.events[-1].targets[0].state == "draining"
+        log._apply(msgspec.json.decode(row(2), type=Event))  # the same process: only a new one is ready again
+        assert told.events[-1].targets[0].state == "draining"
+        new = msgspec.structs.replace(told.events[-1].targets[0], state="ready", boot_ms=5.0)
+        log._apply(Event(3, Fleet(3, False, [new])))
+        assert told.events[-1].targets[0].state == "ready"
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+@pytest.mark.parametrize("number", [b"%d\n", b'{"seq":%d}\n'])
+def test_a_watch_that_tells_its_number_each_second_stays(
+    number: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        monkeypatch.setattr(watching, "SILENT_S", 0.2)
+        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        asked = list[int]()
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            while True:
+                writer.write(number % 1)
+                await asyncio.sleep(0.05)
+
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        log = Listing(Told(), ("127.0.0.1", await serve(talk)), known, Random(1))
+        task = asyncio.create_task(log.run())
+        await until(lambda: log.moves > 20)
+        assert asked == [1]
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+def test_a_line_of_the_log_that_breaks_off_is_asked_for_again_at_once() -> None:
+    """Half an event may be a drain: it counts as told, and the seconds that stay away show it far too
+    late."""
+
+    async def scene() -> None:
+        asked, broke = list[int](), list[float]()
+        loop = asyncio.get_running_loop()
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            line = row(2, state="draining")
+            writer.write(line[: len(line) // 2] if len(asked) == 1 else line)
+            broke.append(loop.time())
+            await reader.read()
+
+        told = Told()
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        task = asyncio.create_task(log.run())
+        await until(lambda: log.last == 2)
+        assert asked == [1, 1] and loop.time() - broke[0] < 1.0
+        assert told.events[-1].targets[0].state == "draining"
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+@pytest.mark.parametrize("number", [b"2\n", b'{"seq":2}\n'])
+def test_a_number_ahead_of_its_event_asks_for_the_event(number: bytes) -> None:
+    """An event was lost on its way: the number shows it, and it must not count as heard."""
+
+    async def scene() -> None:
+        asked = list[int]()
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            writer.write(number if len(asked) == 1 else row(2, state="draining") + number)
+            await reader.read()
+
+        told = Told()
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        task = asyncio.create_task(log.run())
+        await until(lambda: log.last == 2)
+        assert asked == [1, 1] and told.events[-1].targets[0].state == "draining"
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+def test_a_log_that_is_back_is_heard_within_a_drains_grace() -> None:
+    """What it holds counts as told though nobody is connected: the pause between tries stays short."""
+
+    async def scene() -> None:
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            port = listener.getsockname()[1]
+        told, failed, loop = Told(), list[float](), asyncio.get_running_loop()
+        plain = told.tell
+
+        def tell(event: Any) -> None:
+            plain(event)
+            failed.append(loop.time())
+
+        told.tell = tell  # type: ignore[method-assign]
+        log = Listing(told, ("127.0.0.1", port), Known(0, []), Random(1), grace_s=0.25)
+        task = asyncio.create_task(log.run())
+        await until(lambda: len(failed) > 12)
+        assert max(later - first for first, later in zip(failed[5:], failed[6:], strict=False)) < 0.25
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+def test_a_standstill_of_our_own_is_not_taken_for_the_logs_silence(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        monkeypatch.setattr(watching, "SILENT_S", 0.2)
+        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        asked, speaks = list[int](), asyncio.Event()
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            while True:
+                writer.write(b"0\n")
+                speaks.set()
+                await asyncio.sleep(0.02)
+
+        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+        task = asyncio.create_task(log.run())
+        await until(lambda: log.moves > 0)
+        for _ in range(3):
+            stop = asyncio.get_running_loop().time() + 0.3
+            while asyncio.get_running_loop().time() < stop:
+                pass  # the loop stands still for longer than a log may be silent
+            moves = log.moves
+            await until(lambda moves=moves: log.moves > moves)  # type: ignore[misc]
+        assert asked == [0]
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+def test_no_descriptor_for_the_watch_ends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        failed, asked, plain = list[int](), list[int](), socket.socket
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            writer.write(b"0\n")
+            await reader.read()
+
+        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+
+        def none(*words: Any) -> Any:
+            if len(failed) < 2:
+                failed.append(1)
+                raise OSError(24, "Too many open files")
+            return plain(*words)
+
+        monkeypatch.setattr("hoistplank.routing.endpoint_watcher.socket.socket", none)
+        task = asyncio.create_task(log.run())
+        await until(lambda: log.fresh)
+        assert asked == [0] and len(failed) == 2
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+def test_a_configuration_in_the_log_does_no_harm_to_a_dispatcher_that_follows_it_directly() -> None:
+    """It has no use for one; taken for a bare number ahead of its event, it would end the watch for good."""
+
+    async def scene() -> None:
+        log = ChangeLog(epoch=7)
+        told = Told()
+        listing_ = Listing(told, ("127.0.0.1", await serve(log.talk)), Known(0, []), Random(1))
+        task = asyncio.create_task(listing_.run())
+        log.tell(listing(1, [target("a", "box", 9)], whole=True))
+        log.configure(2, "x" * 1_000_000)
+        log.tell({"seq": 3, "configuration": {"text": ["wrong"]}})
+        log.tell({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
+        await until(lambda: listing_.last == 4)
+        assert [type(event) for event in told.events] == [Listed, Purged] and log.since == [0]
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(scene())
+
+
+def test_change_log_is_taken_up_from_the_last_event_without_gaps(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
+            told: list[Any] = []
+            owner = dispatcher.service.owner
+            monkeypatch.setattr(owner, "tell", spied(owner.tell, told))
+            dispatcher.tell({"seq": 2, "invalidate": {"object": "ab", "time": 1}})
+            dispatcher.tell({"seq": 4, "invalidate": {"bucket": 9, "time": 2}})  # 3 is missing
+            await until(lambda: len(dispatcher.since) > 1)
+            dispatcher.log.insert(1, {"seq": 3, "invalidate": {"bucket": 8, "time": 3}})
+            await until(lambda: dispatcher.service.listing.last == 4)
+            assert dispatcher.since[:2] == [1, 2]
+            purges = [(event.object_key, event.group) for (event,) in told if isinstance(event, Purged)]
+            assert purges == [("ab", 0), ("", 8), ("", 9)]
+
+    run(scene())
+
+
+def test_silent_change_log_and_silent_host(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A log that says nothing is taken up again; a line on which all was silent gets no new attempts."""
+
+    async def scene() -> None:
+        monkeypatch.setattr("hoistplank.routing.endpoint_watcher.SILENT_S", 0.05)
+        asked: list[int] = []
+
+        async def quiet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            await reader.read()
+
+        box = CacheHost(silent)
+        log = f"127.0.0.1:{await serve(quiet)}"
+        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}, changelog=log) as dispatcher:
+            await until(lambda: len(asked) >= 2)
+            for number in (1, 2, 3):  # the first brings the connection up, the second finds it silent
+                await dispatcher.ask(
+                    number, "booking", fields={"HTTP_X_DEADLINE_MS": "400", "HTTP_X_OPERATION_KEY": "5c" * 16}
+                )
+            assert dispatcher.hosts["o"].connections == 2
+
+    run(scene())
--- /dev/null
+++ b/tests/test_malformed_clients.py
@@ -0,0 +1,82 @@
+"""Clients that break the framing or never finish: each costs only its own connection."""
+
+from __future__ import annotations
+
+import asyncio
+import struct
+from pathlib import Path
+
+import pytest
+
+from hoistplank.fakes.wire import CacheHost
+from hoistplank.protocol import fastcgi
+from tests.dispatcher_scene import (
+    run,
+    served,
+    silent,
+)
+from tests.helpers import Running, until
+
+
+def begun(number: int, params: bytes = b"") -> bytes:
+    first = fastcgi.record(fastcgi.BEGIN, number, struct.pack(">HB5x", 1, 1))
+    return first + (fastcgi.record(fastcgi.PARAMS, number, params) if params else b"")
+
+
+RUDE: dict[str, list[bytes]] = {
+    "nothing": [],
+    "half a record": [begun(1)[:11]],
+    "never whole": [begun(1, fastcgi.pair(b"SCRIPT_NAME", b"/api/v2/page"))],
+    "endless parameters": [begun(1), *[fastcgi.record(fastcgi.PARAMS, 1, bytes(60_000))] * 200],
+    "huge body": [begun(1), fastcgi.record(fastcgi.PARAMS, 1), *[fastcgi.record(5, 1, bytes(60_000))] * 200],
+    "one number twice": [begun(1), begun(1)],
+    "strays": [fastcgi.record(fastcgi.STDIN, 9, b"x")] * 5_000,
+    "other version": [b"\x07" + begun(1)[1:]],
+}
+
+
+@pytest.mark.parametrize("kind", RUDE)
+def test_rude_client_is_answered_or_closed_and_costs_only_itself(
+    tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        monkeypatch.setattr("hoistplank.routing.frontend.UNFINISHED_S", 0.2)
+        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
+        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+            assert (await dispatcher.ask(3, "page"))[0] == 200
+            rude, mixed = await dispatcher.connect(), await dispatcher.connect()
+            mixed.send(5, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "2400"})
+            await until(lambda: len(box.seen) == 2)
+            for piece in RUDE[kind]:
+                rude.writer.write(piece)
+            rest = asyncio.create_task(rude.reader.read())
+            # A clock that runs from the start: what still trickles in does not hold it up.
+            while not rest.done() and kind in ("nothing", "half a record", "never whole"):
+                await asyncio.sleep(0.02)
+                if kind == "never whole":
+                    rude.writer.write(fastcgi.record(fastcgi.PARAMS, 1, fastcgi.pair(b"A", b"b")))
+            try:
+                said = await asyncio.wait_for(rest, 3)
+            except ConnectionResetError:
+                said = b""
+            assert b"Status: 200" not in said and (b"Status: 400" in said) == (kind[-4:] in ("body", "ters"))
+            # What is open where framing breaks is answered before the close.
+            mixed.writer.write(b"GET / HTTP/1.1\r\n\r\n")
+            assert (await mixed.answer())[:2] == (5, 502) and await mixed.reader.read() == b""
+            assert (await dispatcher.ask(1, "page"))[0] == 200
+            front = dispatcher.service.front
+            await until(lambda: len(front.sessions) == 1 and not dispatcher.service.owner.router.ledger)
+            assert front.held == 0
+
+    run(scene())
+
+
+def test_bytes_that_are_no_fastcgi_end_their_connection_alone(tmp_path: Path) -> None:
+    async def scene() -> None:
+        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
+            other = await dispatcher.connect()
+            other.writer.write(b"GET / HTTP/1.1\r\n\r\n")
+            assert await other.reader.read() == b""
+            assert (await dispatcher.ask(1, "page"))[0] == 200
+
+    run(scene())
--- /dev/null
+++ b/tests/test_reload.py
@@ -0,0 +1,104 @@
+"""A reload (SIGHUP) at any moment of a dispatcher's life."""
+
+from __future__ import annotations
+
+import asyncio
+import copy
+import json
+import os
+import signal
+import socket
+import sys
+from pathlib import Path
+
+import pytest
+
+from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.wire import CacheHost, Client, serve
+from hoistplank.program.service import Phase
+from tests.dispatcher_scene import (
+    run,
+    served,
+    silent,
+)
+from tests.helpers import Running, configuration, until
+
+
+@pytest.mark.parametrize("times", [1, 3])
+def test_reload_follows_the_new_change_log_and_stops_nothing(tmp_path: Path, times: int) -> None:
+    async def scene() -> None:
+        asked: list[int] = []
+
+        async def other(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.append(int((await reader.readline()).split()[1]))
+            events = [{"seq": seq, "invalidate": {"bucket": seq, "time": 1}} for seq in (2, 3)]
+            writer.write(b"".join(json.dumps(event).encode() + b"\n" for event in events))
+            await reader.read()
+
+        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
+        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+            dispatcher.tell({"seq": 2, "invalidate": {"bucket": 2, "time": 1}})
+            listing = dispatcher.service.listing
+            await until(lambda: listing.last == 2)
+            dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
+            await until(lambda: bool(box.seen))
+            file = tmp_path / "config.json"
+            good = json.loads(file.read_text())
+            file.write_text("{")  # a file that can't be used changes nothing
+            os.kill(os.getpid(), signal.SIGHUP)
+            await until(lambda: not dispatcher.service.renewed.is_set())
+            assert listing.address[1] != 9
+            # What can't change is told and left; the rest is taken up all the same.
+            good |= {"changelog": f"127.0.0.1:{await serve(other)}", "listen": "127.0.0.1:1", "seed": "8"}
+            file.write_text(json.dumps(good))
+            for _ in range(times):
+                os.kill(os.getpid(), signal.SIGHUP)
+            await until(lambda: listing.last == 3)
+            assert asked == [2] and dispatcher.service.phase is Phase.SERVING
+            assert (await dispatcher.ask(2, "page"))[0] == 200
+            assert (await dispatcher.client.answer())[:2] == (1, 503)
+
+    run(scene())
+
+
+def test_program_survives_a_reload_at_any_moment_and_ends_by_its_deadlines(tmp_path: Path) -> None:
+    """As a process: SIGHUP from its first moments on, and during the drain; SIGTERM with a request open."""
+
+    async def scene() -> None:
+        with socket.socket() as free:
+            free.bind(("127.0.0.1", 0))
+            listen = f"127.0.0.1:{free.getsockname()[1]}"
+        box = CacheHost(silent)
+        known = {"seq": 1, "results": [listing(1, [target("a", "box", await serve(box.talk))], whole=True)]}
+        short = copy.deepcopy(SETTINGS["classes"])
+        for class_name in short:
+            class_name["give_up"] = 0.9
+        configuration(tmp_path, listen=listen, known=known, **{"settings.classes": short})
+        program = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-c",
+            "import hoistplank.__main__ as m, sys, os, signal\n"
+            "from hoistplank.program import configuration\n"
+            "read = configuration.read\n"
+            "def reread(env):\n"
+            "    configuration.read = read\n    os.kill(os.getpid(), signal.SIGHUP)\n    return read(env)\n"
+            "configuration.read = reread\nsys.exit(m.main())",
+            env={"EDGE_CONFIG": str(tmp_path / "config.json"), "EDGE_LISTEN": listen},
+            stdout=asyncio.subprocess.PIPE,
+        )
+        assert program.stdout is not None
+        while b"serving" not in (line := await program.stdout.readline()):
+            assert line
+        program.send_signal(signal.SIGHUP)
+        client = Client(*await asyncio.open_connection(*listen.split(":")))
+        client.send(1, "booking", {"HTTP_X_DEADLINE_MS": "900", "HTTP_X_OPERATION_KEY": "5c0f" * 8})
+        client.send(2, "page", {"HTTP_X_DEADLINE_MS": "900"})
+        await until(lambda: bool(box.seen))
+        began = asyncio.get_running_loop().time()
+        program.send_signal(signal.SIGTERM)
+        program.send_signal(signal.SIGHUP)
+        assert {(await client.answer())[0], (await client.answer())[0]} == {1, 2}
+        assert await program.wait() == 0 and asyncio.get_running_loop().time() - began < 0.9 + 0.7
+        assert b"configuration read again" in await program.stdout.read()
+
+    run(scene())
--- /dev/null
+++ b/tests/test_xds_ranking.py
@@ -0,0 +1,77 @@
+"""The order of hosts that the control service gives is the dispatcher's own."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from random import Random
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from hoistplank.choice import Router
+from hoistplank.fakes.first_choice import first_choice
+from hoistplank.interface import HostEntry
+from hoistplank.xds.ranking_cache import Firsts, key_of, order
+from tests.helpers import configuration
+from tests.xds_rig import ABOVE, S
+
+
+def test_the_order_is_the_modules_own(tmp_path: Path) -> None:
+    site, chance = configuration(tmp_path).site, Random(3)
+    weights = {f"box-{n}": 100.0 for n in range(30)}
+    router, now = Router(site, 1), 100 * S
+    entries = [HostEntry(uid, "z1", "box", 0, units, 0, "up") for uid, units in weights.items()]
+    router.hosts_listed(now, "whole", [*entries, *ABOVE])
+    for n in range(300):
+        object_key, part = f"{chance.getrandbits(64):016x}", chance.randrange(4)
+        assert (
+            first_choice(router, now, n, "page", object_key, part)
+            == order(key_of(object_key, part), weights)[0]
+        ), (
+            n,
+            object_key,
+        )
+
+
+@settings(deadline=None, max_examples=60)
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["came", "went", "follow", "leave"]),
+            st.integers(0, 9),
+            st.sampled_from([0.1, 1.0, 4.0]),
+        ),
+        max_size=60,
+    )
+)
+def test_the_index_of_first_hosts_is_the_plain_search(steps: list[tuple[str, int, float]]) -> None:
+    firsts, followed = Firsts(), dict[str, int]()
+    for what, n, weight in steps:
+        before = {name: firsts.first[name][1] for name in followed}
+        moved = set[str]()
+        if what == "came":
+            moved = firsts.came(f"h{n}", weight)
+        elif what == "went":
+            moved = firsts.went(f"h{n}")
+        elif what == "follow":
+            followed[f"n{n}"] = key_of(f"n{n}", 0)
+            firsts.follow(f"n{n}", followed[f"n{n}"])
+        else:
+            followed.pop(f"n{n}", None)
+            firsts.leave([f"n{n}"])
+        for name, key in followed.items():
+            want = order(key, firsts.weights)[0] if firsts.weights else ""
+            assert firsts.first[name][1] == want
+            assert name in firsts.at[want]
+            if name in before and before[name] != want:
+                assert name in moved
+
+
+def test_a_host_that_comes_or_goes_moves_its_own_share_alone() -> None:
+    keys = [key_of(f"{n:016x}", 0) for n in range(3_000)]
+    weights = {f"box-{n}": 1.0 for n in range(20)}
+    before = [order(key, weights)[0] for key in keys]
+    fewer = {uid: weight for uid, weight in weights.items() if uid != "box-7"}
+    after = [order(key, fewer)[0] for key in keys]
+    assert all(a == b for a, b in zip(before, after, strict=True) if a != "box-7")
+    assert 0.03 < before.count("box-7") / len(keys) < 0.07
--- /dev/null
+++ b/tests/xds_rig.py
@@ -0,0 +1,96 @@
+"""A control service, its change log and proxies on loopback, in one event loop."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.proxy import Proxy
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import serve
+from hoistplank.interface import HostEntry
+from hoistplank.xds.control import Control
+from hoistplank.xds.resources import (
+    Host,
+)
+from hoistplank.xds.service import Limits
+from tests.helpers import configuration
+
+S = 1_000_000
+
+
+ABOVE = [HostEntry(kind[0], "hub", kind, 0, 100.0, 0, "up") for kind in ("parent", "origin")]
+
+
+def host(uid: str, up: bool = True, zone: str = "z1", weight: float = 1.0, share: float = 1.0) -> Host:
+    return Host(uid, "127.0.0.1", 8080, "caches", zone, 0, weight, 0, up, share)
+
+
+THINGS = [(f"{Random(n).getrandbits(64):016x}", n % 3) for n in range(60)]
+
+
+class Place:
+    """A control process that follows a stand-in change log, and proxies."""
+
+    def __init__(self, folder: Path, hosts: int = 6, limits: Limits | None = None) -> None:
+        self.folder, self.log, self.limits = folder, ChangeLog(), limits
+        self.targets = [target(f"box-{n}", "box", 9_000 + n) for n in range(hosts)]
+        self.targets += [target("p", "parent", 9_100), target("o", "origin", 9_101)]
+        self.seq, self.tasks = 1, list[asyncio.Task[Any]]()
+
+    async def __aenter__(self) -> Place:
+        self.log_port = await serve(self.log.talk)
+        self.control = await self.another()
+        return self
+
+    async def another(self) -> Control:
+        """One more control process on the same log."""
+        known = {"seq": 1, "results": [listing(1, self.targets, whole=True)]}
+        made = Control(
+            configuration(self.folder, changelog=f"127.0.0.1:{self.log_port}", known=known), self.limits
+        )
+        await made.serve("127.0.0.1:0")
+        self.tasks.append(asyncio.create_task(made.run()))
+        return made
+
+    async def __aexit__(self, *_: object) -> None:
+        for task in self.tasks:
+            task.cancel()
+        await asyncio.gather(*self.tasks, return_exceptions=True)
+        await self.control.close()
+
+    def proxy(
+        self,
+        node: str,
+        extension: bool,
+        control: Control | None = None,
+        refuses: Callable[[str, Any], str] | None = None,
+    ) -> Proxy:
+        port = (control or self.control).port
+        made = Proxy(f"127.0.0.1:{port}", node, "z1", extension, refuses)
+        self.tasks.append(asyncio.create_task(made.run()))
+        return made
+
+    def say(self, uid: str, state: str) -> None:
+        self.seq += 1
+        row = next(row for row in self.targets if row["uid"] == uid) | {"state": state}
+        self.log.tell(listing(self.seq, [row]))
+
+    def purge(self, group: int, at_ms: float) -> None:
+        self.seq += 1
+        self.log.tell({"seq": self.seq, "invalidate": {"bucket": group, "time": at_ms}})
+
+
+async def until(true: Callable[[], bool], seconds: float = 5.0) -> None:
+    end = asyncio.get_running_loop().time() + seconds
+    while not true():
+        assert asyncio.get_running_loop().time() < end, "it did not come about"
+        await asyncio.sleep(0.002)
+
+
+def run(scene: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scene, 30))
