--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -17,8 +17,8 @@
 from hoistplank.distribution.messages import VersionFields
 from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
 from hoistplank.distribution.sections import MAX_REPLICAS
-from hoistplank.distribution.status import ChangeRow, MissingRow, StatusAnswer
-from hoistplank.distribution.status_client import ask
+from hoistplank.distribution.status import ChangeRow, MissingRow, StatusResponse
+from hoistplank.distribution.status_client import request_status
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import address as read_address
 from hoistplank.protocol.errors import BadBytes
@@ -122,14 +122,14 @@
     """A replica's answer, or why there is none."""
 
     endpoint: str
-    answer: StatusAnswer | None
+    answer: StatusResponse | None
     wrong: str
 
 
 async def _ask_all(endpoints: tuple[str, ...], version: Version | None) -> list[Asked]:
     async def one(endpoint: str) -> Asked:
         try:
-            return Asked(endpoint, await ask(_address("--replica", endpoint), version), "")
+            return Asked(endpoint, await request_status(_address("--replica", endpoint), version), "")
         except (OSError, BadBytes) as wrong:
             return Asked(endpoint, None, str(wrong) or type(wrong).__name__)
 
@@ -167,7 +167,7 @@
     return f"{words}; missing: {named}" + (f", and {rest} more" if rest > 0 else "")
 
 
-def _replica_words(answer: StatusAnswer) -> str:
+def _replica_words(answer: StatusResponse) -> str:
     heard = answer.log_heard_ago_us
     peers = [
         f"{peer.name} {'heard' if peer.heard_ago_us is not None else 'not heard'}" for peer in answer.peers
@@ -182,7 +182,7 @@
     return f"{answer.replica}{f' ({answer.region})' if answer.region else ''}: {'; '.join(words)}"
 
 
-def _echo(asked: list[Asked], best: StatusAnswer) -> None:
+def _echo(asked: list[Asked], best: StatusResponse) -> None:
     for one in asked:
         click.echo(_replica_words(one.answer) if one.answer else f"{one.endpoint}: no answer ({one.wrong})")
     if best.change is not None:
@@ -190,7 +190,7 @@
         return
     click.echo(f"events up to {_text(best.events.version)}: {in_force_words(best.events)}")
     click.echo(f"configuration {_text(best.configurations.version)}: {in_force_words(best.configurations)}")
-    unheard = [f"{row.dispatcher} for {_seconds(row.heard_ago_us)}" for row in best.unheard]
+    unheard = [f"{row.dispatcher} for {_seconds(row.heard_ago_us)}" for row in best.silent]
     if unheard:
         click.echo(f"connected but not heard: {', '.join(unheard[:MAX_NAMED])}")
 
--- a/hoistplank/distribution/__init__.py
+++ b/hoistplank/distribution/__init__.py
@@ -1,6 +1,6 @@
-"""Versioned distribution of configuration, purges and host changes, with acknowledgements
-(docs/distribution.md).
+"""Versioned distribution of configuration, purges and host changes, with acknowledgements.
 
-Control replicas follow the change log and hand its events on; dispatchers follow one replica each and say
-which version they have in force. Off without a `(distribution …)` form in the operator's file.
+Control replicas follow the change log and forward its events; each dispatcher follows one replica and
+acknowledges which version it has in force (docs/distribution.md). Off without a `(distribution …)` section in
+the operator's file.
 """
--- a/hoistplank/distribution/dispatcher_session.py
+++ b/hoistplank/distribution/dispatcher_session.py
@@ -1,4 +1,4 @@
-"""A replica's side of one dispatcher's connection: its catch-up in turns, then each event as it comes."""
+"""A replica's side of one dispatcher's connection: its catch-up in turns, then each event as it arrives."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from hoistplank.transport.connection import Connection
 
 log = structlog.get_logger()
-SMALL_CATCH_UP = 32_768  # bytes that are sent without waiting for a turn
-CHUNK = 65_536  # bytes of a catch-up that are handed to the connection at once
-# Danger: what waits for a dispatcher that reads nothing takes this replica's memory from all others.
+SMALL_CATCH_UP_BYTES = 32_768  # sent without waiting for a turn
+CHUNK_BYTES = 65_536  # of a catch-up that are passed to the connection at once
+# Danger: what is pending for a dispatcher that reads nothing takes this replica's memory from all others.
 MAX_PENDING_BYTES = 1_048_576
 
 
-class Phase(enum.Enum):
+class SessionPhase(enum.Enum):
     """What a dispatcher is sent."""
 
     WAITING = "waiting"  # for its turn to catch up
@@ -30,120 +30,129 @@
     LIVE = "live"
 
 
-class Serving(Protocol):
+class SessionReplica(Protocol):
     """What a session uses of its replica."""
 
     state: ReplicatedState
     queue: CatchUpQueue[DispatcherSession]
-    cut_off: int
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The time in microseconds."""
+
+    def count_slow_reader(self) -> None:
+        """Counts a connection that was closed because the dispatcher reads too slowly."""
 
 
 class DispatcherSession:
     """Sends one dispatcher what it lacks, in order."""
 
-    def __init__(self, replica: Serving, connection: Connection, follow: FollowRequest) -> None:
-        self.replica, self.connection, self.follow = replica, connection, follow
-        self.at: Version = follow.resume_at.to_version()  # all up to it has been sent
-        self.phase = Phase.LIVE
-        self._until = self.at
-        self._pending = deque[bytes]()
-        self.refused: Refusal | None = None  # the last refusal that was logged
+    def __init__(self, replica: SessionReplica, connection: Connection, request: FollowRequest) -> None:
+        self.replica = replica
+        self.connection = connection
+        self.request = request
+        self.sent: Version = request.resume_at.to_version()  # everything up to it has been sent
+        self.phase = SessionPhase.LIVE
+        self.last_refusal: Refusal | None = None  # the last refusal that was logged
+        self._catch_up_version = self.sent
+        self._chunks = deque[bytes]()
 
     @property
     def name(self) -> str:
-        return self.follow.dispatcher
+        """The dispatcher's name."""
+        return self.request.dispatcher
 
     def start(self) -> None:
-        """Sends what is missing, at once where that is little, else in its turn."""
+        """Sends what is missing: at once if that is little, otherwise in its turn."""
         state = self.replica.state
-        lines = state.lines_since(self.at)
+        lines = state.lines_since(self.sent)
         size = sum(map(len, lines))
-        if size > SMALL_CATCH_UP:
-            self._ask(size)
+        if size > SMALL_CATCH_UP_BYTES:
+            self._wait_for_turn(size)
             return
-        self.phase = Phase.LIVE
+        self.phase = SessionPhase.LIVE
         if lines:
             self._send(b"".join(lines))
         if state.is_listed:
-            self.at = max(self.at, state.version)
+            self.sent = max(self.sent, state.version)
 
-    def _ask(self, size: int) -> None:
-        self.phase = Phase.WAITING
+    def _wait_for_turn(self, size: int) -> None:
+        self.phase = SessionPhase.WAITING
         if not self.replica.queue.enqueue(self, size):
             self.connection.close()
             return
-        self.heartbeat()
+        self.send_heartbeat()
 
     def begin_turn(self) -> None:
-        """Its turn has come: the catch-up is sent a chunk at a time, the next when the last was taken."""
-        state = self.replica.state
-        self.phase, self._until = Phase.CATCHING_UP, state.version
-        self._pending = deque(_chunks(self._catch_up_lines()))
-        self.connection.emptied = self._next_chunk
-        self._next_chunk()
+        """Sends the catch-up chunk by chunk, each when the previous one has been written."""
+        self.phase = SessionPhase.CATCHING_UP
+        self._catch_up_version = self.replica.state.version
+        self._chunks = deque(_join_to_chunks(self._catch_up_lines()))
+        self.connection.emptied = self._send_next_chunk
+        self._send_next_chunk()
 
     def _catch_up_lines(self) -> list[bytes]:
-        """What is lacking, as a catch-up also where it is one event.
+        """What is missing, as a catch-up even if it is a single event.
 
-        Danger: while it waited it was told that a catch-up begins; an event outside of it is a gap then.
+        Danger: while waiting, the dispatcher was sent the begin of a catch-up; an event outside of one would
+        be a gap then.
         """
         state = self.replica.state
-        lines = state.lines_since(self.at)
+        lines = state.lines_since(self.sent)
         if len(lines) != 1:
             return lines
-        (event,) = state.events_since(self.at)
-        begin = state.heartbeat_for(self.at)
-        part = replace(event, after=0, catch_up=CatchUp.PART)
+        (event,) = state.events_since(self.sent)
+        begin = state.heartbeat_for(self.sent)
         end = replace(begin, catch_up=CatchUp.END)
-        return [encode(line) for line in (begin, part, end) if line is not part or not event.is_heartbeat]
+        if event.is_heartbeat:
+            return [encode(begin), encode(end)]
+        part = replace(event, after=0, catch_up=CatchUp.PART)
+        return [encode(begin), encode(part), encode(end)]
 
-    def _next_chunk(self) -> None:
-        if self._pending:
-            self.connection.send(self._pending.popleft())
+    def _send_next_chunk(self) -> None:
+        if self._chunks:
+            self.connection.send(self._chunks.popleft())
             return
         self.connection.emptied = None
         self.replica.queue.finish(self)
-        self.at = self._until
-        self.start()  # what came meanwhile
-        if self.phase is Phase.LIVE:
-            self.heartbeat()
+        self.sent = self._catch_up_version
+        self.start()  # what has arrived in the meantime
+        if self.phase is SessionPhase.LIVE:
+            self.send_heartbeat()
 
-    def event_came(self, previous: Version, data: bytes) -> None:
-        """`data` holds what the replica's newest event brings to who holds `previous`."""
+    def send_event(self, previous: Version, data: bytes) -> None:
+        """Sends the replica's newest event; `data` is what a dispatcher at `previous` lacks."""
         version = self.replica.state.version
-        if self.phase is not Phase.LIVE or version <= self.at:
+        if self.phase is not SessionPhase.LIVE or version <= self.sent:
             return
-        if self.at == previous:
+        if self.sent == previous:
             self._send(data)
-            self.at = version
+            self.sent = version
         else:
             self.start()
 
-    def heartbeat(self) -> None:
-        """Nothing is newer than what was sent; or, while a catch-up is awaited, that it will come."""
-        if self.phase is not Phase.CATCHING_UP:
-            self._send(encode(self.replica.state.heartbeat_for(self.at)))
+    def send_heartbeat(self) -> None:
+        """Says that nothing is newer than what was sent; while a catch-up is awaited, that it will come."""
+        if self.phase is not SessionPhase.CATCHING_UP:
+            self._send(encode(self.replica.state.heartbeat_for(self.sent)))
 
     def _send(self, data: bytes) -> None:
         self.connection.send(data)
-        if self.connection.out_bytes > MAX_PENDING_BYTES + len(data):
-            self.replica.cut_off += 1
-            waiting = self.connection.out_bytes
-            log.warning("dispatcher reads too slowly, connection ended", peer=self.name, waiting=waiting)
+        pending = self.connection.out_bytes
+        if pending > MAX_PENDING_BYTES + len(data):
+            self.replica.count_slow_reader()
+            log.warning("dispatcher reads too slowly, connection ended", peer=self.name, waiting=pending)
             self.connection.close()
 
 
-def _chunks(lines: list[bytes]) -> list[bytes]:
-    """Lines joined to pieces of some size: one write each costs more than the bytes."""
-    found, some, size = list[bytes](), list[bytes](), 0
+def _join_to_chunks(lines: list[bytes]) -> list[bytes]:
+    """Joins lines to chunks of some size: a write for each line would cost more than its bytes."""
+    chunks, current, size = list[bytes](), list[bytes](), 0
     for line in lines:
-        some.append(line)
+        current.append(line)
         size += len(line)
-        if size >= CHUNK:
-            found.append(b"".join(some))
-            some, size = [], 0
-    if some:
-        found.append(b"".join(some))
-    return found
+        if size >= CHUNK_BYTES:
+            chunks.append(b"".join(current))
+            current, size = [], 0
+    if current:
+        chunks.append(b"".join(current))
+    return chunks
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -15,127 +15,134 @@
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.router_task import Event as Telling
+from hoistplank.routing.router_task import Event as OwnerEvent
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
-# A log that tells events all the time may tell no bare number: so long after its first event it is read.
-SETTLED_US = 500_000
-# After a standstill of this process of such length, lines that wait say nothing of the present for so long.
-STANDSTILL_US, DISTRUST_US = 1_000_000, 500_000
+# A log that sends events all the time may send no bare number: so long after its first event it is read.
+INITIAL_READ_US = 500_000
+# After this process was suspended for so long, pending lines say nothing of the present for some time.
+SUSPENSION_US, DISTRUST_US = 1_000_000, 500_000
 
-_configurations = msgspec.json.Decoder(Configuration)
+_configuration_decoder = msgspec.json.Decoder(Configuration)
 
 
-class EventTaker(Protocol):
-    """Who takes the change log's events."""
+class ChangeLogListener(Protocol):
+    """Receives the change log's events."""
 
-    def take(self, event: ReplicatedEvent) -> None: ...
+    def apply_event(self, event: ReplicatedEvent) -> None:
+        """The next event, in order."""
 
-    def unreadable(self, version: Version, reason: str) -> None:
-        """The event of this version brought a configuration that can't be read: it is handed on to nobody."""
+    def report_unreadable(self, version: Version, reason: str) -> None:
+        """The event of this version holds a configuration that can't be read: it is not forwarded."""
 
 
-class _Unlisted:
-    """Stands where a dispatcher's owner hears what the log says: a replica takes whole events instead."""
+class _DiscardingOwner:
+    """Takes the place of a dispatcher's owner in `Listing`: a replica applies whole events instead."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
 
-    def tell(self, event: Telling) -> None:
-        """A loss of the log is seen by its silence."""
+    def tell(self, event: OwnerEvent) -> None:
+        """Discards the event; that the log is lost shows in its silence."""
 
 
 class LogFollower(Listing):
-    """Follows the change log for a replica; the rules on silence, gaps and pauses are those of `Listing`."""
+    """Follows the change log for a replica; silence, gaps and backoff are handled by `Listing`."""
 
-    def __init__(self, taker: EventTaker, address: tuple[str, int], chance: Random, clock: Clock) -> None:
-        super().__init__(_Unlisted(clock), address, Known(), chance)
-        self.taker = taker
+    def __init__(
+        self, listener: ChangeLogListener, address: tuple[str, int], random: Random, clock: Clock
+    ) -> None:
+        super().__init__(_DiscardingOwner(clock), address, Known(), random)
+        self.listener = listener
         self.epoch = 0
-        self.heard_us = 0  # when an event or a number last came in its order; 0: never
-        self._first_us = 0
-        self._awake_us = clock.now()
+        self.last_heard_us = 0  # when an event or a number last arrived in order; 0: never
+        self._first_heard_us = 0
+        self._running_us = clock.now()  # when this process was last known to run
         self._trusted_from_us = 0
         self._has_number = False
 
-    def awake(self) -> None:
-        """To be called several times a second, so that a standstill of this process is noticed.
+    def check_suspension(self) -> None:
+        """Notices that this process was suspended; to be called several times a second.
 
-        Danger: lines that waited meanwhile are old; taken for news they say that nothing was missed since.
+        Danger: lines that were pending meanwhile are old, and would say that nothing was missed since.
         """
         now = self.owner.clock.now()
-        if now - self._awake_us > STANDSTILL_US:
+        if now - self._running_us > SUSPENSION_US:
             self._trusted_from_us = now + DISTRUST_US
-        self._awake_us = now
+        self._running_us = now
 
     @property
     def version(self) -> Version:
-        """How far the log is, as it was told in this connection or the last."""
+        """How far the log is, as received on this connection or the last."""
         return Version(self.epoch, self.last)
 
-    def silent_us(self) -> int | None:
-        """For how long nothing has come in its order; None: nothing ever has."""
-        return self.owner.clock.now() - self.heard_us if self.heard_us else None
+    def silence_us(self) -> int | None:
+        """For how long nothing has arrived in order; None if nothing ever has."""
+        return self.owner.clock.now() - self.last_heard_us if self.last_heard_us else None
 
-    def is_read(self) -> bool:
-        """Whether all that the log held at the start has come, as far as can be told."""
-        settled = self._first_us > 0 and self.owner.clock.now() - self._first_us > SETTLED_US
-        return self._has_number or settled
+    def is_caught_up(self) -> bool:
+        """Whether everything that the log held at the start has arrived, as far as can be known."""
+        since_first_us = self.owner.clock.now() - self._first_heard_us
+        has_settled = self._first_heard_us > 0 and since_first_us > INITIAL_READ_US
+        return self._has_number or has_settled
 
     def _consumer(self) -> Consume:
         reader = changelog.Reader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
-            self.awake()
-            start, found = reader.read(buffer, start, end)
-            for told in found:
-                if isinstance(told, Event):
-                    self._check_epoch(told.epoch)
+            self.check_suspension()
+            start, messages = reader.read(buffer, start, end)
+            for message in messages:
+                if isinstance(message, Event):
+                    self._check_epoch(message.epoch)
                 elif reader.epoch:
                     self._check_epoch(reader.epoch)
-                self._take(told)
+                self._take(message)
             return start
 
         return consume
 
     def _check_epoch(self, epoch: int) -> None:
-        """Danger: a log that counts anew may be past our number, and would seem to go on from it."""
+        """Raises BadBytes if the epoch has changed, so that everything is requested again.
+
+        Danger: a restarted log may be past our number, and would seem to continue from it.
+        """
         if epoch == self.epoch:
             return
         if epoch < self.epoch:
             raise BadBytes(f"the change log is in epoch {epoch}, {self.epoch} is known")
-        began_anew = self.last > 0
+        is_restart = self.last > 0
         self.epoch = epoch
-        if began_anew:
+        if is_restart:
             self.last, self.behind, self.anew = 0, False, True
             raise BadBytes(f"the change log began anew in epoch {epoch}: all is asked for")
 
-    def _take(self, told: Event | int) -> None:
+    def _take(self, message: Event | int) -> None:
         moves, was_behind = self.moves, self.behind
-        super()._take(told)
+        super()._take(message)
         if self.behind and not was_behind:
             log.error("change log began anew without an epoch", epoch=self.epoch, last=self.last)
         if self.moves == moves:
             return
         now = self.owner.clock.now()
         if now >= self._trusted_from_us:
-            self.heard_us = now
-        self._first_us = self._first_us or now
-        self._has_number = self._has_number or not isinstance(told, Event)
+            self.last_heard_us = now
+        self._first_heard_us = self._first_heard_us or now
+        self._has_number = self._has_number or not isinstance(message, Event)
 
     def _apply(self, event: Event) -> None:
         self.last, self.listed = event.seq, True
-        self.taker.take(self._replicated(event))
+        self.listener.apply_event(self._replicated(event))
 
     def _replicated(self, event: Event) -> ReplicatedEvent:
         configuration: Configuration | None = None
         if event.configures:
             try:
-                configuration = _configurations.decode(event.configuration)
-            except msgspec.MsgspecError as wrong:
-                # Danger: one that can't be read must not stop the purges behind it; its number is passed.
-                self.taker.unreadable(Version(event.epoch, event.seq), str(wrong))
+                configuration = _configuration_decoder.decode(event.configuration)
+            except msgspec.MsgspecError as error:
+                # Danger: an unreadable one must not stop the purges behind it: its number is passed.
+                self.listener.report_unreadable(Version(event.epoch, event.seq), str(error))
         return ReplicatedEvent(
             event.seq, event.epoch, 0, event.fleet, event.invalidate, configuration=configuration
         )
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -1,4 +1,4 @@
-"""Acknowledgements between replicas: each tells its peers the rows of its own dispatchers."""
+"""Exchanges acknowledgements between replicas: each reports the rows of its own dispatchers to its peers."""
 
 from __future__ import annotations
 
@@ -25,96 +25,105 @@
 
 log = structlog.get_logger()
 CONNECT_S = 1.0
-SILENT_S = 3.2  # a peer says something each second
-LOOK_S = 0.2
-SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.1, 1.0  # between tries to connect
+SILENCE_S = 3.2  # a peer sends something each second
+CHECK_INTERVAL_S = 0.2
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0  # between attempts to connect
 MAX_PENDING_BYTES = 65_536
-ALIVE = b"\n"  # an empty line: a peer that has no row to tell is there
+KEEPALIVE = b"\n"  # a blank line: the peer is alive and has no row to report
 
-_rows = msgspec.json.Decoder(AcknowledgementRow)
+_row_decoder = msgspec.json.Decoder(AcknowledgementRow)
 
 
-class Reporting(Protocol):
+class PeerReplica(Protocol):
     """What the exchange of rows uses of its replica."""
 
     table: AcknowledgementTable
     name: str
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The time in microseconds."""
 
 
 class PeerSession:
-    """A peer that asked for this replica's rows: all once, then those that change."""
+    """A peer that subscribed to this replica's rows: it is sent all of them, then those that change."""
 
-    def __init__(self, replica: Reporting, connection: Connection, report: PeerSubscription) -> None:
-        self.replica, self.connection, self.peer = replica, connection, report.replica
-        self._told = 0  # the revision of the table up to which rows were sent
+    def __init__(self, replica: PeerReplica, connection: Connection, subscription: PeerSubscription) -> None:
+        self.replica = replica
+        self.connection = connection
+        self.peer = subscription.replica
+        self._sent_revision = 0  # the revision of the table up to which rows were sent
 
     def send_changes(self) -> None:
-        """The rows that changed; a peer that reads slowly gets the newest of them later."""
+        """Sends the changed rows; a peer that reads slowly gets the newest of them later."""
         if self.connection.out_bytes > MAX_PENDING_BYTES:
             return
         table = self.replica.table
-        rows = table.rows_since(self.replica.now(), self._told)
-        self._told = table.revision
+        rows = table.rows_since(self.replica.now(), self._sent_revision)
+        self._sent_revision = table.revision
         if rows:
             self.connection.send(b"".join(map(encode, rows)))
 
-    def send_alive(self) -> None:
+    def send_keepalive(self) -> None:
+        """Tells the peer that this replica is alive."""
         if self.connection.out_bytes <= MAX_PENDING_BYTES:
-            self.connection.send(ALIVE)
+            self.connection.send(KEEPALIVE)
 
 
 class PeerLink:
-    """Follows the rows of one peer, and connects anew for as long as it runs."""
+    """Receives the rows of one peer, reconnecting for as long as it runs."""
 
-    def __init__(self, replica: Reporting, peer: ReplicaAddress, chance: Random) -> None:
-        self.replica, self.peer, self.chance = replica, peer, chance
+    def __init__(self, replica: PeerReplica, peer: ReplicaAddress, random: Random) -> None:
+        self.replica = replica
+        self.peer = peer
+        self.random = random
         self.connection: Connection | None = None
-        self.heard_us = 0
+        self.last_heard_us = 0  # on this connection; 0: never
 
     @property
     def is_heard(self) -> bool:
-        """Whether the peer is connected and has said something on this connection."""
-        return self.connection is not None and self.heard_us > 0
+        """Whether the peer is connected and has sent something on this connection."""
+        return self.connection is not None and self.last_heard_us > 0
 
     async def run(self) -> None:
-        """Until it is cancelled."""
-        pause = SHORTEST_PAUSE_S
+        """Runs until it is cancelled."""
+        backoff_s = MIN_BACKOFF_S
         while True:
-            wrong = await self._follow()
-            if self.heard_us:
-                pause = SHORTEST_PAUSE_S
-                log.warning("peer replica lost", peer=self.peer.name, wrong=str(wrong))
+            reason = await self._follow()
+            if self.last_heard_us:
+                backoff_s = MIN_BACKOFF_S
+                log.warning("peer replica lost", peer=self.peer.name, wrong=str(reason))
                 self.replica.table.mark_peer_lost(self.peer.name)
-                self.heard_us = 0
-            await asyncio.sleep(pause * (0.5 + self.chance.random() / 2))
-            pause = min(LONGEST_PAUSE_S, pause * 2)
+                self.last_heard_us = 0
+            await asyncio.sleep(backoff_s * (0.5 + self.random.random() / 2))
+            backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
 
-    async def _follow(self) -> object:
+    async def _follow(self) -> BaseException | str:
+        """Receives rows on one connection; returns why it ended."""
         try:
             sock = await connected(self.peer.address, CONNECT_S)
-        except (OSError, ValueError) as wrong:
-            return wrong
+        except (OSError, ValueError) as error:
+            return error
         connection = Connection(sock, self._consumer(), MAX_REQUEST_LINE_BYTES * 2, MAX_PENDING_BYTES)
         connection.send(encode(RequestLine(peer_subscription=PeerSubscription(self.replica.name))))
         self.connection = connection
         task = asyncio.create_task(connection.run(), name=f"peer {self.peer.name}")
         try:
-            return await self._watch(connection, task)
+            return await self._wait_for_end(connection, task)
         finally:
             self.connection = None
             connection.close()
             await asyncio.gather(task, return_exceptions=True)
 
-    async def _watch(self, connection: Connection, task: asyncio.Task[BaseException | None]) -> object:
+    async def _wait_for_end(
+        self, connection: Connection, task: asyncio.Task[BaseException | None]
+    ) -> BaseException | str:
         silent_s, heard_at = 0.0, connection.heard_at
         while not task.done():
-            await asyncio.wait((task,), timeout=LOOK_S)
-            silent_s += LOOK_S
+            await asyncio.wait((task,), timeout=CHECK_INTERVAL_S)
+            silent_s += CHECK_INTERVAL_S
             if connection.heard_at != heard_at:
                 silent_s, heard_at = 0.0, connection.heard_at
-            if silent_s > SILENT_S:
+            if silent_s > SILENCE_S:
                 return "it says nothing"
         return task.result() or "closed by the other side"
 
@@ -123,13 +132,17 @@
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             start, lines = reader.read(buffer, start, end)
-            self.heard_us = now = self.replica.now()
+            self.last_heard_us = now_us = self.replica.now()
             for line in lines:
-                try:
-                    row = _rows.decode(line)
-                except msgspec.MsgspecError as wrong:
-                    raise BadBytes(f"a peer's row can't be read: {wrong}") from None
-                self.replica.table.merge_peer_row(now, self.peer.name, row)
+                row = _read_row(line)
+                self.replica.table.merge_peer_row(now_us, self.peer.name, row)
             return start
 
         return consume
+
+
+def _read_row(line: bytes) -> AcknowledgementRow:
+    try:
+        return _row_decoder.decode(line)
+    except msgspec.MsgspecError as error:
+        raise BadBytes(f"a peer's row can't be read: {error}") from error
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -1,7 +1,7 @@
-"""A control replica: follows the change log, hands its events on to dispatchers, and knows what is in force.
+"""A control replica: follows the change log, forwards its events to dispatchers, and tracks what is in force.
 
-It has no state beside memory: at a start it reads the change log anew, and its peers and dispatchers tell it
-what is in force. It works alone where the peers are gone.
+Its only state is in memory: at a start it reads the change log from the beginning, and its peers and
+dispatchers report what is in force. It works alone if its peers are down.
 """
 
 from __future__ import annotations
@@ -9,11 +9,9 @@
 import asyncio
 import resource
 import socket
-from collections import OrderedDict
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any
 
 import structlog
 from msgspec.structs import replace
@@ -22,7 +20,7 @@
 from hoistplank.distribution.assignment import ReplicaAddress, may_accept
 from hoistplank.distribution.catch_up import CatchUpQueue
 from hoistplank.distribution.change_status import ChangeKind
-from hoistplank.distribution.dispatcher_session import DispatcherSession, Phase
+from hoistplank.distribution.dispatcher_session import DispatcherSession, SessionPhase
 from hoistplank.distribution.log_follower import LogFollower
 from hoistplank.distribution.messages import (
     Acknowledgement,
@@ -34,7 +32,15 @@
 from hoistplank.distribution.peer_link import PeerLink, PeerSession
 from hoistplank.distribution.request_connection import RequestConnection
 from hoistplank.distribution.state import ReplicatedState
-from hoistplank.distribution.status import Load, PeerRow, StatusAnswer, UnheardRow, change_row
+from hoistplank.distribution.status import (
+    ChangeRow,
+    PeerRow,
+    ReplicaLoad,
+    StatusResponse,
+    change_row,
+    silent_row,
+)
+from hoistplank.distribution.unreadable_changes import UnreadableChanges
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
@@ -48,16 +54,15 @@
 HEARTBEAT_S = 1.0
 PEER_CHANGES_S = 0.1
 # Danger: while the change log is silent nobody knows that nothing is newer, and a heartbeat would say so.
-LOG_SILENT_US = int(SILENT_S * 1e6)
-UNHEARD_US = 7_000_000  # a dispatcher that is connected says something each second
-RETENTION_US = 86_400_000_000  # for so long a dispatcher that has gone is missed by name
+LOG_SILENCE_US = int(SILENT_S * 1e6)
+DISPATCHER_SILENCE_US = 7_000_000  # a connected dispatcher sends something each second
+RETENTION_US = 86_400_000_000  # how long a disconnected dispatcher is still listed as missing
 MAX_DESCRIPTORS = 8_192
-MAX_UNREADABLE_CHANGES = 64  # configurations of which it is kept why they can't be read
 
 
 @dataclass(frozen=True)
 class ReplicaSettings:
-    """What a replica is started with; `purge_horizon_us`: for how long a purge is handed on."""
+    """What a replica is started with; `purge_horizon_us`: for how long a purge is forwarded."""
 
     name: str
     listen: tuple[str, int]
@@ -74,23 +79,25 @@
     """One control replica; `run` serves until it is cancelled."""
 
     def __init__(self, settings: ReplicaSettings, clock: Clock | None = None) -> None:
-        self.settings, self.name, self.clock = settings, settings.name, clock or Clock()
+        self.settings = settings
+        self.name = settings.name
+        self.clock = clock or Clock()
         self.state = ReplicatedState(settings.purge_horizon_us)
         self.table = AcknowledgementTable(settings.retention_us)
         self.queue = settings.queue()
-        self.cut_off = 0
-        self.unreadable_changes = OrderedDict[Version, str]()
+        self.slow_readers = 0  # connections closed because the dispatcher read too slowly
+        self.unreadable_changes = UnreadableChanges()
         self.complaints = Complaints()
-        self.chance = Random(f"{settings.seed} {settings.name}")
-        self.log_follower = LogFollower(self, settings.changelog, self.chance, self.clock)
+        self.random = Random(f"{settings.seed} {settings.name}")
+        self.log_follower = LogFollower(self, settings.changelog, self.random, self.clock)
         self.links: list[PeerLink] = []
         self.follow_peers(settings.peers)
         self.connections: dict[RequestConnection, None] = {}
-        self.sessions: dict[str, DispatcherSession] = {}
+        self.sessions: dict[str, DispatcherSession] = {}  # by dispatcher
         self.peer_sessions: dict[PeerSession, None] = {}
-        soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.ledger = Ledger(min(soft, MAX_DESCRIPTORS))
-        self.listener = Listener(settings.listen, self.ledger, self._greet)
+        soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+        self.ledger = Ledger(min(soft_limit, MAX_DESCRIPTORS))
+        self.listener = Listener(settings.listen, self.ledger, self._connection_accepted)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -99,76 +106,72 @@
         return str(host), int(port)
 
     def now(self) -> int:
+        """The time in microseconds."""
         return self.clock.now()
 
     def follow_peers(self, peers: Iterable[ReplicaAddress]) -> None:
-        """The other replicas; to be told before it runs."""
-        self.links = [PeerLink(self, peer, self.chance) for peer in peers]
+        """Sets the other replicas; to be called before it runs."""
+        self.links = [PeerLink(self, peer, self.random) for peer in peers]
 
     async def run(self) -> None:
-        """Serves until it is cancelled or a part breaks, whose exception is raised then."""
-        parts = [
-            asyncio.create_task(part, name=name)
-            for name, part in (
-                ("listener", self.listener.run()),
-                ("change log", self.log_follower.run()),
-                ("ticks", self._ticks()),
-                *((f"peer {link.peer.name}", link.run()) for link in self.links),
-            )
+        """Serves until it is cancelled or one of its tasks fails, whose exception is then raised."""
+        tasks = [
+            asyncio.create_task(self.listener.run(), name="listener"),
+            asyncio.create_task(self.log_follower.run(), name="change log"),
+            asyncio.create_task(self._run_timers(), name="ticks"),
+            *(asyncio.create_task(link.run(), name=f"peer {link.peer.name}") for link in self.links),
         ]
         try:
-            done, _ = await asyncio.wait(parts, return_when=asyncio.FIRST_COMPLETED)
-            for part in done:
-                part.result()
+            done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                task.result()
         finally:
-            for part in parts:
-                part.cancel()
-            await asyncio.gather(*parts, return_exceptions=True)
-            await self._close()
+            for task in tasks:
+                task.cancel()
+            await asyncio.gather(*tasks, return_exceptions=True)
+            await self._close_connections()
 
-    async def _close(self) -> None:
+    async def _close_connections(self) -> None:
         tasks = [connection.task for connection in self.connections]
         for connection in list(self.connections):
-            connection.connection.close()
+            connection.close()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     # The change log.
 
-    def take(self, event: ReplicatedEvent) -> None:
-        """An event of the change log: kept, and handed on to all that are up to date."""
+    def apply_event(self, event: ReplicatedEvent) -> None:
+        """Applies an event of the change log and forwards it to all dispatchers that are up to date."""
         previous = self.state.version
         if not self.state.apply(self.now(), event):
             return
-        log.info("change", version=str(event.version), **_words(event))
+        log.info("change", version=str(event.version), **_log_fields(event))
         if not self.state.is_listed:
             return
         data = b"".join(self.state.lines_since(previous))
         for session in list(self.sessions.values()):
-            session.event_came(previous, data)
+            session.send_event(previous, data)
 
-    def unreadable(self, version: Version, reason: str) -> None:
-        """A configuration of the change log can't be read: kept for who asks for its status."""
+    def report_unreadable(self, version: Version, reason: str) -> None:
+        """Records that a configuration of the change log can't be read."""
         log.error("configuration of the change log can't be read", version=str(version), wrong=reason)
-        self.unreadable_changes[version] = reason
-        while len(self.unreadable_changes) > MAX_UNREADABLE_CHANGES:
-            self.unreadable_changes.popitem(last=False)
+        self.unreadable_changes.add(version, reason)
 
     def is_log_heard(self) -> bool:
         """Whether this replica knows that nothing is newer than what it holds.
 
-        Danger: a log that counts anew without an epoch is heard, but what it tells counts as old.
+        Danger: a log restarted without an epoch is heard, but what it sends counts as old.
         """
-        silent_us = self.log_follower.silent_us()
-        is_silent = silent_us is None or silent_us > LOG_SILENT_US
+        silence_us = self.log_follower.silence_us()
+        is_silent = silence_us is None or silence_us > LOG_SILENCE_US
         return not is_silent and self.log_follower.version >= self.state.version
 
     # Connections.
 
-    def _greet(self, sock: socket.socket, peer: str) -> None:
+    def _connection_accepted(self, sock: socket.socket, peer: str) -> None:  # noqa: ARG002 Listener's callback
         self.connections[RequestConnection(self, sock)] = None
 
-    def gone(self, connection: RequestConnection) -> None:
-        """A connection has ended."""
+    def connection_closed(self, connection: RequestConnection) -> None:
+        """Removes a connection that has ended."""
         self.connections.pop(connection, None)
         self.ledger.give("client")
         if connection.peer is not None:
@@ -177,138 +180,150 @@
         if session is None:
             return
         self.queue.remove(session)
-        self.table.disconnect(session.name, session.follow.incarnation)
+        self.table.disconnect(session.name, session.request.incarnation)
         if self.sessions.get(session.name) is session:
             del self.sessions[session.name]
 
-    def refuses(self, follow: FollowRequest) -> str:
-        """Why this replica does not take a dispatcher now; empty: it does."""
-        if not (self.state.is_listed and self.log_follower.is_read()):
+    def rejection(self, request: FollowRequest) -> str:
+        """Why this replica does not accept a dispatcher now; empty if it does."""
+        if not (self.state.is_listed and self.log_follower.is_caught_up()):
             return "the change log has not been read yet"
-        known = self.table.latest_incarnation(follow.dispatcher)
-        if known is not None and known > follow.incarnation:
-            return f"incarnation {known} of {follow.dispatcher} is known, this is {follow.incarnation}"
-        if follow.dispatcher in self.sessions:
-            return ""  # it comes back: its place is its own
+        known = self.table.latest_incarnation(request.dispatcher)
+        if known is not None and known > request.incarnation:
+            return f"incarnation {known} of {request.dispatcher} is known, this is {request.incarnation}"
+        if request.dispatcher in self.sessions:
+            return ""  # it reconnects: its place is counted already
         living = 1 + sum(link.is_heard for link in self.links)
         if not may_accept(len(self.sessions), self.table.connected_count() + 1, living):
             return f"{len(self.sessions)} dispatchers follow here, and {living} replicas are there"
         return ""
 
     def accept(self, session: DispatcherSession) -> None:
-        """A dispatcher follows from now on."""
-        life = self.table.register(self.now(), self.name, session.follow)
-        if life is not Registration.ACCEPTED:
-            raise BadBytes(f"{session.name} can't follow: {life.value}")
+        """A dispatcher follows this replica from now on; raises BadBytes if it can't."""
+        registration = self.table.register(self.now(), self.name, session.request)
+        if registration is not Registration.ACCEPTED:
+            raise BadBytes(f"{session.name} can't follow: {registration.value}")
         earlier = self.sessions.get(session.name)
         self.sessions[session.name] = session
         if earlier is not None:
             earlier.connection.close()
         session.start()
-        if session.phase is Phase.LIVE and self.is_log_heard():
-            session.heartbeat()
-
-    def acknowledged(self, session: DispatcherSession, in_force: Acknowledgement) -> None:
-        """A dispatcher says what it has in force."""
-        accepted = self.table.acknowledge(self.now(), session.name, session.follow.incarnation, in_force)
-        refused = in_force.refusal
-        if accepted and refused is not None and refused != session.refused:
-            version = str(refused.version.to_version())
-            log.warning("configuration refused", version=version, by=session.name, reason=refused.reason)
-            session.refused = refused
-
-    # What time brings.
-
-    async def _ticks(self) -> None:
+        if session.phase is SessionPhase.LIVE and self.is_log_heard():
+            session.send_heartbeat()
+
+    def acknowledge(self, session: DispatcherSession, acknowledgement: Acknowledgement) -> None:
+        """Records what a dispatcher has in force, and logs a new refusal."""
+        incarnation = session.request.incarnation
+        is_accepted = self.table.acknowledge(self.now(), session.name, incarnation, acknowledgement)
+        refusal = acknowledgement.refusal
+        if is_accepted and refusal is not None and refusal != session.last_refusal:
+            version = str(refusal.version.to_version())
+            log.warning("configuration refused", version=version, by=session.name, reason=refusal.reason)
+            session.last_refusal = refusal
+
+    def count_slow_reader(self) -> None:
+        """Counts a connection that was closed because the dispatcher reads too slowly."""
+        self.slow_readers += 1
+
+    # Timers.
+
+    async def _run_timers(self) -> None:
         loop = asyncio.get_running_loop()
         heartbeat_at = peers_at = loop.time()
         while True:
             await asyncio.sleep(TICK_S)
-            self.log_follower.awake()
-            self._give_turns()
+            self.log_follower.check_suspension()
+            self._schedule_catch_ups()
             if loop.time() >= peers_at:
                 peers_at = loop.time() + PEER_CHANGES_S
                 for peer in list(self.peer_sessions):
                     peer.send_changes()
             if loop.time() >= heartbeat_at:
                 heartbeat_at = loop.time() + HEARTBEAT_S
-                self._heartbeat()
+                self._run_every_second()
 
-    def _give_turns(self) -> None:
+    def _schedule_catch_ups(self) -> None:
         now = self.now()
         for session in self.queue.remove_overdue(now):
-            self.cut_off += 1
+            self.count_slow_reader()
             log.warning("dispatcher takes its catch-up too slowly, connection ended", peer=session.name)
             session.connection.close()
         for session in self.queue.start_ready(now):
             session.begin_turn()
 
-    def _heartbeat(self) -> None:
+    def _run_every_second(self) -> None:
         now = self.now()
         self.state.remove_expired(now)
         for name in self.table.remove_expired(now):
             log.info("dispatcher forgotten: not heard for the time of retention", peer=name)
         for connection in list(self.connections):
             if connection.is_lost():
-                connection.connection.close()
+                connection.close()
         for peer in list(self.peer_sessions):
-            peer.send_alive()
-        heard = self.is_log_heard()
+            peer.send_keepalive()
+        is_log_heard = self.is_log_heard()
         for session in list(self.sessions.values()):
-            if heard or session.phase is Phase.WAITING:
-                session.heartbeat()
+            if is_log_heard or session.phase is SessionPhase.WAITING:
+                session.send_heartbeat()
 
-    # What an operator asks.
+    # Status.
 
-    def status(self, request: StatusRequest) -> StatusAnswer:
-        """How far this replica is, and what is in force where; of one change where a version is asked for."""
+    def status(self, request: StatusRequest) -> StatusResponse:
+        """How far this replica is, and what is in force where; also of one change, if it is asked for."""
         now, state = self.now(), self.state
-        fleet = self.table.fleet_status(now, state.version, state.configuration_version, UNHEARD_US)
-        size = state.size()
-        change = None
-        if request.version is not None:
-            version = request.version.to_version()
-            change = change_row(now, self.table.change_status(version, self._kind(version)))
-            if version in self.unreadable_changes:
-                # Danger: its number is passed by all, but nobody was ever handed it.
-                change = replace(change, in_force=0, unreadable=self.unreadable_changes[version])
-        return StatusAnswer(
+        configuration_version = state.configuration_version
+        fleet = self.table.fleet_status(now, state.version, configuration_version, DISPATCHER_SILENCE_US)
+        version = request.version.to_version() if request.version is not None else None
+        return StatusResponse(
             replica=self.name,
             region=self.settings.region,
             version=VersionFields(*state.version),
-            configuration=VersionFields(*state.configuration_version),
-            log_heard_ago_us=self.log_follower.silent_us(),
+            configuration=VersionFields(*configuration_version),
+            log_heard_ago_us=self.log_follower.silence_us(),
             connected=fleet.connected,
-            load=Load(
-                dispatchers=len(self.sessions),
-                catching_up=self.queue.active_count,
-                waiting=self.queue.waiting_count,
-                hosts=size.hosts,
-                purges=size.purges,
-                bytes=size.bytes,
-                cut_off=self.cut_off,
-            ),
+            load=self._load(),
             events=change_row(now, fleet.events),
             configurations=change_row(now, fleet.configuration),
-            unheard=[UnheardRow(row.dispatcher, max(0, now - row.last_heard_us)) for row in fleet.silent],
-            peers=[
-                PeerRow(link.peer.name, now - link.heard_us if link.is_heard else None) for link in self.links
-            ],
-            change=change,
+            silent=[silent_row(now, silent) for silent in fleet.silent],
+            peers=[_peer_row(now, link) for link in self.links],
+            change=self._change_row(now, version) if version is not None else None,
         )
 
-    def _kind(self, version: Version) -> ChangeKind:
-        return ChangeKind.CONFIGURATION if self.state.is_configuration(version) else ChangeKind.EVENT
+    def _load(self) -> ReplicaLoad:
+        size = self.state.size()
+        return ReplicaLoad(
+            dispatchers=len(self.sessions),
+            catching_up=self.queue.active_count,
+            waiting=self.queue.waiting_count,
+            hosts=size.hosts,
+            purges=size.purges,
+            bytes=size.bytes,
+            slow_readers=self.slow_readers,
+        )
+
+    def _change_row(self, now_us: int, version: Version) -> ChangeRow:
+        is_configuration = self.state.is_configuration(version)
+        kind = ChangeKind.CONFIGURATION if is_configuration else ChangeKind.EVENT
+        row = change_row(now_us, self.table.change_status(version, kind))
+        reason = self.unreadable_changes.reason(version)
+        if reason is None:
+            return row
+        # Danger: all dispatchers are past its number, but none was ever sent it.
+        return replace(row, in_force=0, unreadable=reason)
+
+
+def _peer_row(now_us: int, link: PeerLink) -> PeerRow:
+    return PeerRow(link.peer.name, now_us - link.last_heard_us if link.is_heard else None)
 
 
-def _words(event: ReplicatedEvent) -> dict[str, Any]:
+def _log_fields(event: ReplicatedEvent) -> dict[str, str | int | bool]:
     """What the log line of a change says of it."""
-    words: dict[str, Any] = {}
+    fields: dict[str, str | int | bool] = {}
     if event.fleet is not None:
-        words |= {"hosts": len(event.fleet.targets), "whole": event.fleet.all}
+        fields |= {"hosts": len(event.fleet.targets), "whole": event.fleet.all}
     if event.invalidate is not None:
         purge = event.invalidate
-        words["purge"] = purge.object or f"bucket {purge.bucket}"
+        fields["purge"] = purge.object or f"bucket {purge.bucket}"
     if event.configuration is not None:
-        words["configuration_bytes"] = len(event.configuration.text)
-    return words
+        fields["configuration_bytes"] = len(event.configuration.text)
+    return fields
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a replica, of a dispatcher, a peer or an operator: its lines, and who answers them."""
+"""A connection to a replica from a dispatcher, a peer or an operator: its requests and who handles them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import structlog
 
-from hoistplank.distribution.dispatcher_session import DispatcherSession, Serving
+from hoistplank.distribution.dispatcher_session import DispatcherSession, SessionReplica
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import (
     MAX_REQUEST_LINE_BYTES,
@@ -17,95 +17,108 @@
     PeerSubscription,
     Redirect,
     ReplicaLine,
+    ReplicaRequest,
     StatusRequest,
     encode,
     read_request,
 )
-from hoistplank.distribution.peer_link import PeerSession, Reporting
-from hoistplank.distribution.status import StatusAnswer
+from hoistplank.distribution.peer_link import PeerReplica, PeerSession
+from hoistplank.distribution.status import StatusResponse
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.transport.connection import Connection
 
 log = structlog.get_logger()
-# A connection on which nothing comes for so long ends; peers, who ask once, are given up once stuck.
-SILENT_CONNECTION_S = 30.0
-MAX_PENDING_BYTES = 65_536  # bytes waiting for the other side before nothing more is read from it
+# A connection without input for so long ends; peers, who send one line only, are dropped once stuck.
+IDLE_TIMEOUT_S = 30.0
+MAX_PENDING_BYTES = 65_536  # output pending before nothing more is read
 
 
-class Answering(Serving, Reporting, Protocol):
+class RequestHandler(SessionReplica, PeerReplica, Protocol):
     """What a connection uses of its replica."""
 
     complaints: Complaints
     peer_sessions: dict[PeerSession, None]
 
-    def refuses(self, follow: FollowRequest) -> str: ...
+    def rejection(self, request: FollowRequest) -> str:
+        """Why the dispatcher is not accepted now; empty if it is."""
 
-    def accept(self, session: DispatcherSession) -> None: ...
+    def accept(self, session: DispatcherSession) -> None:
+        """The dispatcher follows this replica from now on; raises BadBytes if it can't."""
 
-    def acknowledged(self, session: DispatcherSession, in_force: Acknowledgement) -> None: ...
+    def acknowledge(self, session: DispatcherSession, acknowledgement: Acknowledgement) -> None:
+        """Records what a dispatcher has in force."""
 
-    def status(self, request: StatusRequest) -> StatusAnswer: ...
+    def status(self, request: StatusRequest) -> StatusResponse:
+        """The response to an operator."""
 
-    def gone(self, connection: RequestConnection) -> None: ...
+    def connection_closed(self, connection: RequestConnection) -> None:
+        """The connection has ended."""
 
 
 class RequestConnection:
-    """One connection to a replica: its first line says whose it is."""
+    """One connection to a replica; its first line says who connects."""
 
-    def __init__(self, replica: Answering, sock: socket.socket) -> None:
+    def __init__(self, replica: RequestHandler, sock: socket.socket) -> None:
         self.replica = replica
-        self.reader = LineReader(MAX_REQUEST_LINE_BYTES)
         self.dispatcher: DispatcherSession | None = None
         self.peer: PeerSession | None = None
+        self._reader = LineReader(MAX_REQUEST_LINE_BYTES)
         self.connection = Connection(sock, self._consume, 2 * MAX_REQUEST_LINE_BYTES, MAX_PENDING_BYTES)
         self.task = asyncio.get_running_loop().create_task(self.connection.run(), name="replica connection")
         self.task.add_done_callback(self._ended)
 
     def _consume(self, buffer: bytearray, start: int, end: int) -> int:
-        start, lines = self.reader.read(buffer, start, end)
+        start, lines = self._reader.read(buffer, start, end)
         for line in lines:
-            self._asked(read_request(line))
+            self._handle(read_request(line))
         return start
 
-    def _asked(self, request: FollowRequest | Acknowledgement | PeerSubscription | StatusRequest) -> None:
+    def _handle(self, request: ReplicaRequest) -> None:
         if isinstance(request, StatusRequest):
             self.connection.send(encode(self.replica.status(request)))
         elif isinstance(request, Acknowledgement):
-            self._acknowledged(request)
+            self._acknowledge(request)
         elif self.dispatcher is not None or self.peer is not None:
             raise BadBytes("a connection says a second time whose it is")
         elif isinstance(request, FollowRequest):
-            self._followed(request)
+            self._follow(request)
         else:
-            self.peer = PeerSession(self.replica, self.connection, request)
-            self.replica.peer_sessions[self.peer] = None
-            self.peer.send_changes()
-            self.peer.send_alive()
-
-    def _followed(self, follow: FollowRequest) -> None:
-        refused = self.replica.refuses(follow)
-        if refused:
-            log.info("dispatcher sent on", peer=follow.dispatcher, why=refused)
-            self.connection.send(encode(ReplicaLine(redirect=Redirect(refused))))
+            self._subscribe(request)
+
+    def _follow(self, request: FollowRequest) -> None:
+        rejection = self.replica.rejection(request)
+        if rejection:
+            log.info("dispatcher sent on", peer=request.dispatcher, why=rejection)
+            self.connection.send(encode(ReplicaLine(redirect=Redirect(rejection))))
             self.connection.finish()
             return
-        self.dispatcher = DispatcherSession(self.replica, self.connection, follow)
+        self.dispatcher = DispatcherSession(self.replica, self.connection, request)
         self.replica.accept(self.dispatcher)
 
-    def _acknowledged(self, in_force: Acknowledgement) -> None:
+    def _subscribe(self, subscription: PeerSubscription) -> None:
+        self.peer = PeerSession(self.replica, self.connection, subscription)
+        self.replica.peer_sessions[self.peer] = None
+        self.peer.send_changes()
+        self.peer.send_keepalive()
+
+    def _acknowledge(self, acknowledgement: Acknowledgement) -> None:
         if self.dispatcher is None:
             raise BadBytes("an acknowledgement comes before 'follow'")
-        self.replica.acknowledged(self.dispatcher, in_force)
+        self.replica.acknowledge(self.dispatcher, acknowledgement)
 
     def is_lost(self) -> bool:
-        """Whether its other side counts as gone: a machine that is cut off closes nothing."""
-        silent_s = asyncio.get_running_loop().time() - self.connection.heard_at
-        is_silent = self.peer is None and silent_s > SILENT_CONNECTION_S
-        return is_silent or self.connection.is_stuck()
+        """Whether its other side counts as gone: a machine that is cut off closes no connection."""
+        idle_s = asyncio.get_running_loop().time() - self.connection.heard_at
+        is_idle = self.peer is None and idle_s > IDLE_TIMEOUT_S
+        return is_idle or self.connection.is_stuck()
+
+    def close(self) -> None:
+        """Ends the connection now."""
+        self.connection.close()
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
-        wrong = None if task.cancelled() else task.result()
-        if wrong is not None and not isinstance(wrong, OSError):
-            self.replica.complaints.tell("connection ended", wrong=str(wrong))
-        self.replica.gone(self)
+        error = None if task.cancelled() else task.result()
+        if error is not None and not isinstance(error, OSError):
+            self.replica.complaints.tell("connection ended", wrong=str(error))
+        self.replica.connection_closed(self)
--- a/hoistplank/distribution/sections.py
+++ b/hoistplank/distribution/sections.py
@@ -1,4 +1,4 @@
-"""The form of the operator's file for following control replicas in place of the change log."""
+"""The `(distribution …)` section of the operator's file: following control replicas, not the change log."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def checked(section: Section, faults: list[Fault]) -> None:
-    """What the shapes alone can't say."""
+    """Adds the faults that the shapes alone do not find: names given twice, too few or too many replicas."""
     names: set[str] = set()
     for replica in section["replica"]:
         if replica.title in names:
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -1,5 +1,5 @@
-"""Runs the distribution in a dispatcher: replicas are followed in place of the change log, and the
-configuration that they hand on is taken up."""
+"""Runs the distribution in a dispatcher: it follows replicas in place of the change log, and applies the
+configuration that they forward."""
 
 from __future__ import annotations
 
@@ -7,9 +7,7 @@
 import time
 from collections.abc import Callable, Coroutine
 from random import Random
-from typing import Any, Protocol
-
-import structlog
+from typing import Any, Protocol, TypeAlias
 
 from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.configuration_applier import ApplyConfiguration
@@ -22,14 +20,12 @@
 from hoistplank.routing.frontend import Front
 from hoistplank.routing.router_task import Owner
 
-log = structlog.get_logger()
-
-# A text with the name that its faults are told by: read and checked, and what is returned takes it up.
-ReadText = Callable[[bytes, str], Callable[[], ApplyConfiguration]]
+# Parses a text, given the name that its faults are reported under; the result checks it against what runs.
+ParseConfiguration: TypeAlias = Callable[[bytes, str], Callable[[], ApplyConfiguration]]
 
 
 class Host(Protocol):
-    """What this uses of the program that it is part of."""
+    """What the service uses of the program that it extends."""
 
     owner: Owner
     front: Front
@@ -37,15 +33,17 @@
 
 
 class DistributionService:
-    """One for the program. `read` parses a configuration's text, which may be done in a thread; the call
-    that it returns checks it against what runs, and returns the call that takes it up."""
+    """The distribution of one dispatcher."""
 
-    def __init__(self, section: Section, configuration: Configuration, read: ReadText) -> None:
-        self.section, self.configuration, self.read = section, configuration, read
+    def __init__(self, section: Section, configuration: Configuration, parse: ParseConfiguration) -> None:
+        """`parse` may be called in a thread; the call that it returns is made on the event loop."""
+        self.section = section
+        self.configuration = configuration
+        self.parse = parse
         self.follower: ReplicaFollower | None = None
 
     def settings(self) -> FollowerSettings:
-        """Who this dispatcher is, as replicas are told. Each start is a later incarnation than the last."""
+        """Who this dispatcher is. Each start has a higher incarnation than the one before."""
         replicas = [
             ReplicaAddress(row.title, row["region"], row["endpoint"]) for row in self.section["replica"]
         ]
@@ -56,7 +54,10 @@
         )
 
     def attach(self, host: Host) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """Takes the place of the change log's watch, before anything else watches it."""
+        """Replaces the change log's watcher, before anything else refers to it.
+
+        Returns the names and coroutines of the tasks that the program is to run.
+        """
         configuration = self.configuration
         follower = ReplicaFollower(
             host.owner,
@@ -74,10 +75,10 @@
     async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
         # Danger: a megabyte takes seconds to parse, in which no request would be answered: a thread does it.
         try:
-            check = await asyncio.to_thread(self.read, text.encode(), f"configuration {version}")
+            check = await asyncio.to_thread(self.parse, text.encode(), f"configuration {version}")
             return check()
-        except BadConfiguration as wrong:
-            raise ConfigurationRefusedError(str(wrong)) from None
+        except BadConfiguration as error:
+            raise ConfigurationRefusedError(str(error)) from error
 
     def close(self) -> None:
-        """Nothing is held beside the tasks."""
+        """Nothing to release: the program owns the tasks."""
--- a/hoistplank/distribution/status.py
+++ b/hoistplank/distribution/status.py
@@ -1,25 +1,28 @@
-"""What a replica answers an operator: how far it has come, and what is in force where."""
+"""What a replica answers an operator: how far it has come, and what is in force where.
+
+Attribute names follow the code's terms; the names on the wire are given by `msgspec.field(name=…)`.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-from hoistplank.distribution.change_status import ChangeStatus
+from hoistplank.distribution.change_status import ChangeStatus, MissingDispatcher, SilentDispatcher
 from hoistplank.distribution.messages import VersionFields
 
 
 class MissingRow(msgspec.Struct, frozen=True):
-    """A dispatcher that does not have a change in force, and since when it was not heard."""
+    """A dispatcher that does not have a change in force, and how long ago it was heard."""
 
     dispatcher: str
     version: VersionFields
     heard_ago_us: int
     connected: bool
-    refused: str = ""
+    refused: str = ""  # why it refused the change
 
 
 class ChangeRow(msgspec.Struct, frozen=True):
-    """A change is in force at `in_force` of `total` dispatchers; `unreadable`: why no replica hands it on."""
+    """A change is in force at `in_force` of `total` dispatchers; `unreadable`: why it is not forwarded."""
 
     version: VersionFields
     in_force: int
@@ -28,22 +31,22 @@
     unreadable: str = ""
 
 
-class UnheardRow(msgspec.Struct, frozen=True):
-    """A dispatcher that is connected, but has not been heard lately."""
+class SilentRow(msgspec.Struct, frozen=True):
+    """A dispatcher that is connected but has not been heard lately."""
 
     dispatcher: str
     heard_ago_us: int
 
 
 class PeerRow(msgspec.Struct, frozen=True):
-    """Another replica; `heard_ago_us` None: not connected."""
+    """Another replica; `heard_ago_us` is None if it is not connected."""
 
     name: str
     heard_ago_us: int | None = None
 
 
-class Load(msgspec.Struct, frozen=True):
-    """What a replica holds and carries just now; `bytes`: of a catch-up from nothing."""
+class ReplicaLoad(msgspec.Struct, frozen=True):
+    """What a replica holds and carries now; `bytes`: the size of a catch-up from nothing."""
 
     dispatchers: int
     catching_up: int
@@ -51,11 +54,11 @@
     hosts: int
     purges: int
     bytes: int
-    cut_off: int  # dispatchers whose connection was ended as they read too slowly
+    slow_readers: int = msgspec.field(name="cut_off")  # whose connections were closed for reading too slowly
 
 
-class StatusAnswer(msgspec.Struct, frozen=True):
-    """One replica's answer; `change`: of the version that was asked for."""
+class StatusResponse(msgspec.Struct, frozen=True):
+    """One replica's answer; `change`: the status of the version that was asked for."""
 
     replica: str
     region: str
@@ -63,24 +66,30 @@
     configuration: VersionFields
     log_heard_ago_us: int | None
     connected: int
-    load: Load
+    load: ReplicaLoad
     events: ChangeRow
     configurations: ChangeRow
-    unheard: list[UnheardRow]
+    silent: list[SilentRow] = msgspec.field(name="unheard")
     peers: list[PeerRow]
     change: ChangeRow | None = None
 
 
 def change_row(now_us: int, status: ChangeStatus) -> ChangeRow:
-    """A status as it stands in the answer."""
-    missing = [
-        MissingRow(
-            row.dispatcher,
-            VersionFields(*row.version),
-            max(0, now_us - row.last_heard_us),
-            row.is_connected,
-            row.refused,
-        )
-        for row in status.missing
-    ]
+    """The status of a change as part of a response."""
+    missing = [_missing_row(now_us, dispatcher) for dispatcher in status.missing]
     return ChangeRow(VersionFields(*status.version), status.in_force, status.total, missing)
+
+
+def _missing_row(now_us: int, missing: MissingDispatcher) -> MissingRow:
+    return MissingRow(
+        missing.dispatcher,
+        VersionFields(*missing.version),
+        max(0, now_us - missing.last_heard_us),
+        missing.is_connected,
+        missing.refused,
+    )
+
+
+def silent_row(now_us: int, silent: SilentDispatcher) -> SilentRow:
+    """A silent dispatcher as part of a response."""
+    return SilentRow(silent.dispatcher, max(0, now_us - silent.last_heard_us))
--- a/hoistplank/distribution/status_client.py
+++ b/hoistplank/distribution/status_client.py
@@ -1,4 +1,4 @@
-"""Asks a control replica for its status."""
+"""Requests the status of a control replica."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 import msgspec
 
 from hoistplank.distribution.messages import RequestLine, StatusRequest, VersionFields, encode
-from hoistplank.distribution.status import StatusAnswer
+from hoistplank.distribution.status import StatusResponse
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.errors import BadBytes
 
-ANSWER_S = 5.0
-MAX_RESPONSE_BYTES = 16_777_216  # bytes: a row for each of 8,192 dispatchers, with its refusal
+TIMEOUT_S = 5.0
+MAX_RESPONSE_BYTES = 16_777_216  # a row for each of 8,192 dispatchers, with its refusal
 
 
-async def ask(address: tuple[str, int], version: Version | None = None) -> StatusAnswer:
+async def request_status(address: tuple[str, int], version: Version | None = None) -> StatusResponse:
     """The status of the replica at `address`, and of the change `version`; raises OSError or BadBytes."""
     wanted = VersionFields(*version) if version is not None else None
-    async with asyncio.timeout(ANSWER_S):
+    async with asyncio.timeout(TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address, limit=MAX_RESPONSE_BYTES)
         try:
             writer.write(encode(RequestLine(status=StatusRequest(wanted))))
             line = await reader.readline()
-        except ValueError as wrong:
-            raise BadBytes(f"the answer can't be read: {wrong}") from None
+        except ValueError as error:
+            raise BadBytes(f"the answer can't be read: {error}") from error
         finally:
             writer.close()
     if not line:
         raise BadBytes("the connection was closed without an answer")
     try:
-        return msgspec.json.decode(line, type=StatusAnswer)
-    except msgspec.MsgspecError as wrong:
-        raise BadBytes(f"the answer can't be read: {wrong}") from None
+        return msgspec.json.decode(line, type=StatusResponse)
+    except msgspec.MsgspecError as error:
+        raise BadBytes(f"the answer can't be read: {error}") from error
--- a/hoistplank/lab/scale/mechanisms.py
+++ b/hoistplank/lab/scale/mechanisms.py
@@ -12,7 +12,7 @@
 REQUEST_TABLE = Mechanism("table of open requests, load shedding above it", "routing/router_task.py")
 CONNECTION_POOL = Mechanism("connection pool", "transport/pool.py")
 CONFIGURATION = Mechanism(
-    "versioned configuration, checked whole before it is taken", "distribution/configuration_taker.py"
+    "versioned configuration, checked whole before it is taken", "distribution/configuration_applier.py"
 )
 XDS_RESOURCES = Mechanism("xDS: state of the world per resource", "xds/resources.py")
 XDS_STREAMS = Mechanism("xDS: subscription and acknowledgement per stream", "xds/follower.py")
--- a/hoistplank/lab/scale/run_replicas.py
+++ b/hoistplank/lab/scale/run_replicas.py
@@ -10,8 +10,8 @@
 import time
 from pathlib import Path
 
-from hoistplank.distribution.status import StatusAnswer
-from hoistplank.distribution.status_client import ask
+from hoistplank.distribution.status import StatusResponse
+from hoistplank.distribution.status_client import request_status
 from hoistplank.fakes.deployment import free_port
 from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.scale.fleet import Fleet
@@ -91,10 +91,10 @@
     def running(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
-    async def status(self) -> StatusAnswer | None:
+    async def status(self) -> StatusResponse | None:
         """What it says of itself and of what is in force; None where it does not answer."""
         try:
-            return await ask(("127.0.0.1", self.port), None)
+            return await request_status(("127.0.0.1", self.port), None)
         except (OSError, BadBytes):
             return None
 
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -14,7 +14,7 @@
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.messages import RequestLine, StatusRequest, VersionFields, encode
 from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
-from hoistplank.distribution.status import StatusAnswer
+from hoistplank.distribution.status import StatusResponse
 from hoistplank.distribution.versions import Version
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
@@ -232,12 +232,12 @@
         self.log.tell({"seq": number, "invalidate": {"object": object_key, "time": 1.0}})
 
 
-async def asked(address: tuple[str, int], version: Version | None = None) -> StatusAnswer:
+async def asked(address: tuple[str, int], version: Version | None = None) -> StatusResponse:
     """A replica's status, over its socket."""
     reader, writer = await asyncio.open_connection(*address, limit=1 << 24)
     wanted = VersionFields(*version) if version is not None else None
     writer.write(encode(RequestLine(status=StatusRequest(wanted))))
     try:
-        return msgspec.json.decode(await reader.readline(), type=StatusAnswer)
+        return msgspec.json.decode(await reader.readline(), type=StatusResponse)
     finally:
         writer.close()
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -186,7 +186,7 @@
                 status = replica.table.change_status(at(99))
                 return status.missing[0].version if status.missing else NOTHING
 
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             reader, earlier = await life(1)
             await reader.readline()
             rig.purge(2, "ab")
@@ -270,7 +270,7 @@
                 await until(lambda: replica.table.change_status(at(number)).in_force >= 1)  # noqa: B023
                 most = max(most, *(session.connection.out_bytes for session in replica.sessions.values()))
                 assert number < 200
-            assert replica.cut_off == 1 and most <= MAX_PENDING_BYTES + 210_000
+            assert replica.slow_readers == 1 and most <= MAX_PENDING_BYTES + 210_000
             status = await asked(replica.address)
             assert [row.dispatcher for row in status.events.missing] == ["deaf"]
             assert not status.events.missing[0].connected
@@ -304,7 +304,7 @@
                 finally:
                     far_writer.close()
 
-            await until(rig.replicas[0].log_follower.is_read)
+            await until(rig.replicas[0].log_follower.is_caught_up)
             relay = ReplicaAddress("c1", "east", ("127.0.0.1", await serve(cutting)))
             one = rig.dispatcher("d1", [relay])
             await until(lambda: len(lines) == 6)
@@ -442,14 +442,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENT_US", 300_000)
+        monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENCE_US", 300_000)
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             rig.log.configure(2, "one")
             relay = await Relay(ReplicaAddress("log", "", ("127.0.0.1", rig.log_port))).start()
             replica = rig.start_replica("c2", changelog=relay.address.address[1])
             rig.connect_peers()
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             relay.cut()
             await until(lambda: not replica.is_log_heard())
             rig.purge(3, "ab")
@@ -537,7 +537,7 @@
         monkeypatch.setattr("hoistplank.distribution.replica_selection.REDIRECT_HOLD_S", 0.5)
         async with Rig(replicas) as rig:
             rig.hosts(1, whole=True, a="ready")
-            await until(lambda: all(replica.log_follower.is_read() for replica in rig.replicas))
+            await until(lambda: all(replica.log_follower.is_caught_up() for replica in rig.replicas))
             each = [rig.dispatcher(f"d{number}") for number in range(count)]
             await until(lambda: all(one.in_force == at(1) for one in each), patience_s=20)
             assert all(len(replica.sessions) <= load_bound(count, replicas) for replica in rig.replicas)
@@ -564,7 +564,7 @@
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             replica = rig.replicas[0]
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             assert replica.is_log_heard()
             replica.clock.ahead += 60_000_000_000  # a minute, in which this process did not run
             rig.purge(2, "ab")
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -16,7 +16,7 @@
 import msgspec
 import uvloop
 
-from hoistplank.distribution.status import StatusAnswer
+from hoistplank.distribution.status import StatusResponse
 from hoistplank.distribution.versions import Version
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
@@ -161,7 +161,7 @@
         self.processes.append(process)
         return await process.start()
 
-    async def in_force(self, index: int, version: Version, count: int) -> StatusAnswer:
+    async def in_force(self, index: int, version: Version, count: int) -> StatusResponse:
         """The replica's status once the change is in force at so many."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
