--- a/hoistplank/lab/scale/role_control_service.py
+++ b/hoistplank/lab/scale/role_control_service.py
@@ -108,7 +108,7 @@
 
         def follow(cache: Any, count: int) -> None:
             for number in range(count):
-                cache.follow(f"requests/{number:016x}.0@z1")
+                cache.follow(f"visits/{number:016x}.0@z1")
 
         def held(count: int) -> float:
             cache = self.cache()
--- a/hoistplank/xds/resources.py
+++ b/hoistplank/xds/resources.py
@@ -11,7 +11,7 @@
   that has no route for a name yet, subsets by `uid` for routes that name a host.
 - ClusterLoadAssignment, one for each cluster: endpoints with `uid`, cell and weight as metadata.
 - RouteConfiguration `visits`, and a VirtualHost on demand (VHDS) for each object and part that is asked for:
-  `requests/OBJECT.PART@ZONE`, whose route names the host that the dispatcher ranks first.
+  `visits/OBJECT.PART@ZONE`, whose route names the host that the dispatcher ranks first.
 - Runtime `purges`: for each object or group purged lately, when (ms since 1970) it was purged.
 """
 
@@ -196,7 +196,7 @@
     # Names on demand.
 
     def follow(self, name: str) -> bool:
-        """One more follower wants a virtual host, `requests/OBJECT.PART@ZONE`; False where it can't be
+        """One more follower wants a virtual host, `visits/OBJECT.PART@ZONE`; False where it can't be
         had."""
         if name in self.followed:
             self.followed[name] += 1
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -16,6 +16,7 @@
 from hoistplank.xds.resources import (
     CLUSTER,
     ENDPOINT,
+    ROUTES,
     RUNTIME,
     VHOST,
     ResourceCache,
@@ -75,10 +76,16 @@
 @given(st.text(max_size=40))
 def test_names_on_demand_are_parsed_or_refused(text: str) -> None:
     assert ResourceCache().follow(text) is (parsed(text) is not None)
-    found = parsed(f"requests/{text}")
+    found = parsed(f"{ROUTES}/{text}")
     assert found is None or parsed(name_of(*found)) == found
 
 
+def test_the_name_of_a_virtual_host_on_the_wire_stays() -> None:
+    """Proxies are configured with it (docs/operations/xds.md)."""
+    assert name_of("00aa", 3, "z1") == "visits/00aa.3@z1"
+    assert parsed("visits/00aa.3@z1") == ("00aa", 3, "z1") and parsed("requests/00aa.3@z1") is None
+
+
 def test_routes_follow_the_hosts_they_name() -> None:
     resources = ResourceCache()
     for n in range(5):
