--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -29,8 +29,9 @@
 from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
 from hoistplank.program.configuration import Configuration, read
-from hoistplank.xds.control import Control
-from hoistplank.xds.resources import ENDPOINT, VHOST, ResourceCache
+from hoistplank.xds.control import ControlService
+from hoistplank.xds.resource_types import ENDPOINT_TYPE, VIRTUAL_HOST_TYPE
+from hoistplank.xds.resources import ResourceCache
 
 QUICK = os.environ.get("QUICK") == "1"
 SEED, S = 7, 1_000_000
@@ -74,7 +75,7 @@
 
     async def __aenter__(self) -> Place:
         self.port = await serve(self.log.talk)
-        self.control = Control(self.configuration())
+        self.control = ControlService(self.configuration())
         await self.control.serve("127.0.0.1:0")
         self.task = asyncio.create_task(self.control.run())
         return self
@@ -195,23 +196,26 @@
             while (
                 time.monotonic() < until
                 and sum(
-                    ENDPOINT in stream.follower.types and bool(stream.follower.types[ENDPOINT].accepted)
-                    for stream in place.control.hub.streams
+                    ENDPOINT_TYPE in stream.follower.subscriptions
+                    and bool(stream.follower.subscriptions[ENDPOINT_TYPE].accepted)
+                    for stream in place.control.broadcaster.streams
                 )
                 < followers
             ):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.3)
-            ready = len(place.control.hub.streams)
+            ready = len(place.control.broadcaster.streams)
             memory_kb = (resident_kb() - before_kb) / followers
-            bytes_before = sum(stream.follower.bytes for stream in place.control.hub.streams)
+            bytes_before = sum(stream.follower.bytes_sent for stream in place.control.broadcaster.streams)
             cpu = time.process_time()
             first = place.say("box-0", "draining")
             purged = place.purge(40)
             await asyncio.sleep(PURGE_S + 0.4)
             cpu = time.process_time() - cpu
-            bytes_told = sum(stream.follower.bytes for stream in place.control.hub.streams) - bytes_before
-            whole = sum(len(row.data) for row in place.control.resources.by_type[ENDPOINT].values())
+            bytes_told = (
+                sum(stream.follower.bytes_sent for stream in place.control.broadcaster.streams) - bytes_before
+            )
+            whole = sum(len(row.data) for row in place.control.resources.by_type[ENDPOINT_TYPE].values())
             back = place.say("box-0", "ready")
             await asyncio.sleep(0.3)
             rows = list[dict[str, Any]]()
@@ -219,7 +223,7 @@
                 assert process.stdout is not None
                 rows.append(json.loads(await process.stdout.readline()))
                 await process.wait()
-            renewed = place.control.hub.counts["renewed"]
+            renewed = place.control.broadcaster.counts.renewed
 
     def times(key: str, at: float) -> list[float]:
         return [when - at for row in rows for when in row["seen"].get(key, ())]
@@ -272,12 +276,13 @@
             def even() -> bool:
                 """Both hold the newest list, and the plain one a route for each name that it asked for."""
                 want = {uid: states.get(uid, "up") == "up" for uid in names}
-                resources, held = place.control.resources, plain.versions.get(VHOST, {})
+                resources, held = place.control.resources, plain.versions.get(VIRTUAL_HOST_TYPE, {})
                 return (
                     all({u: row[0] for u, row in p.hosts.items()} == want for p in (plain, extension))
                     and len(held) == len(asked)
                     and all(
-                        resources.by_type[VHOST][name].version == version for name, version in held.items()
+                        resources.by_type[VIRTUAL_HOST_TYPE][name].version == version
+                        for name, version in held.items()
                     )
                 )
 
@@ -333,7 +338,7 @@
     """CPU of one changed host by the size of the whole, and of all of them."""
     from dataclasses import replace
 
-    from hoistplank.xds.resources import Host
+    from hoistplank.xds.resource_messages import Host
 
     found = {}
     for hosts in (12, 100, 1_000):
@@ -342,14 +347,14 @@
             Host(f"h{n}", "127.0.0.1", 9_000, "caches", f"z{n // 50}", 0, 1.0, 0, True) for n in range(hosts)
         ]
         for row in rows:
-            resources.put(row)
+            resources.put_host(row)
         whole, began = time.perf_counter() - began, time.perf_counter()
-        resources.encoded = 0
+        resources.endpoints_encoded = 0
         for n in range(50):
-            resources.put(replace(rows[0], up=n % 2 == 1))
+            resources.put_host(replace(rows[0], up=n % 2 == 1))
         found[str(hosts)] = {
             "us_a_change": round((time.perf_counter() - began) / 50 * 1e6, 1),
-            "endpoints_encoded_a_change": resources.encoded / 50,
+            "endpoints_encoded_a_change": resources.endpoints_encoded / 50,
             "all_ms": round(whole * 1e3, 1),
         }
     return found
--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -60,7 +60,7 @@
     """
     from hoistplank.program.configuration import BadConfiguration, read
     from hoistplank.program.logging_setup import open_log
-    from hoistplank.xds.control import Control
+    from hoistplank.xds.control import ControlService
 
     try:
         configuration = read({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
@@ -74,7 +74,7 @@
     async def serve() -> None:
         import structlog
 
-        log, made, ended = structlog.get_logger(), Control(configuration), asyncio.Event()
+        log, made, ended = structlog.get_logger(), ControlService(configuration), asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, ended.set)
         port = await made.serve(listen)
@@ -84,14 +84,14 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(look_every):
                     await ended.wait()
-            rows = made.hub.look()
-            behind = sum(kind["behind"] for row in rows for kind in row["types"].values())
+            rows = made.broadcaster.status()
+            behind = sum(subscription.behind for row in rows for subscription in row.types.values())
             log.info(
                 "followers",
                 count=len(rows),
                 behind=behind,
-                refused=sum(r["refused"] for r in rows),
-                **made.hub.counts,
+                refused=sum(row.refused for row in rows),
+                **made.broadcaster.counts.log_fields(),
             )
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -114,7 +114,7 @@
     from envoy.service.runtime.v3 import rtds_pb2
     from google.protobuf.json_format import MessageToDict
 
-    from hoistplank.xds.resources import CLUSTER, ENDPOINT, PURGES, RUNTIME
+    from hoistplank.xds.resource_types import CLUSTER_TYPE, ENDPOINT_TYPE, PURGES_NAME, RUNTIME_TYPE
 
     out: asyncio.Queue[Any] = asyncio.Queue()
     found: dict[str, Any] = {}
@@ -128,20 +128,20 @@
         out.put_nowait(discovery_pb2.DiscoveryRequest(node=node, type_url=kind, resource_names=names))
 
     def take(kind: str, values: list[bytes]) -> None:
-        if kind == CLUSTER:
+        if kind == CLUSTER_TYPE:
             names = sorted(cluster_pb2.Cluster.FromString(value).name for value in values)
             found["clusters"] = [name for name in names if not zone or name == f"caches-{zone}"]
-            ask(ENDPOINT, found["clusters"])
-        elif kind == ENDPOINT:
+            ask(ENDPOINT_TYPE, found["clusters"])
+        elif kind == ENDPOINT_TYPE:
             rows = [endpoint_pb2.ClusterLoadAssignment.FromString(value) for value in values]
             found["endpoints"] = {row.cluster_name: MessageToDict(row)["endpoints"] for row in rows}
-        elif kind == RUNTIME:
+        elif kind == RUNTIME_TYPE:
             found["purges"] = MessageToDict(rtds_pb2.Runtime.FromString(values[0]).layer)
 
     async with grpc.aio.insecure_channel(address) as way, asyncio.timeout(5):
         call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(way).StreamAggregatedResources(requests())
-        ask(CLUSTER, [])
-        ask(RUNTIME, [PURGES])
+        ask(CLUSTER_TYPE, [])
+        ask(RUNTIME_TYPE, [PURGES_NAME])
         async for response in call:
             take(response.type_url, [resource.value for resource in response.resources])
             if len(found) == 3 or found.get("clusters") == []:
--- a/hoistplank/cli/scale.py
+++ b/hoistplank/cli/scale.py
@@ -46,19 +46,20 @@
     from hoistplank.lab.scale.metering import QUICK, WHOLE, Step
 
     try:
-        from hoistplank.xds import follower, resources, service
+        from hoistplank.xds import follower, resource_messages, resource_types, resources, response_encoder
     except ModuleNotFoundError as error:
         raise click.ClickException(f"the control service needs '{error.name}': {EXTRAS['control']}") from None
     from hoistplank.lab.scale.role_control_service import ControlParts
 
     parts = ControlParts(
         cache=resources.ResourceCache,
-        host=resources.Host,
+        host=resource_messages.Host,
         follower=follower.Follower,
-        encoder=service.Encoder,
-        endpoint_type=resources.ENDPOINT,
-        runtime_type=resources.RUNTIME,
-        purges_name=resources.PURGES,
+        encoder=response_encoder.ResponseEncoder,
+        delta_request=follower.DeltaRequest,
+        endpoint_type=resource_types.ENDPOINT_TYPE,
+        runtime_type=resource_types.RUNTIME_TYPE,
+        purges_name=resource_types.PURGES_NAME,
     )
     effort = QUICK if quick else WHOLE
     chosen = titled(steps(parts, effort), only)
--- a/hoistplank/fakes/proxy.py
+++ b/hoistplank/fakes/proxy.py
@@ -22,9 +22,16 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 from envoy.service.runtime.v3 import rtds_pb2
 
-from hoistplank.xds.ranking_cache import key_of, order
-from hoistplank.xds.resources import CLUSTER, ENDPOINT, PURGES, ROUTES, RUNTIME, VHOST
-from hoistplank.xds.service import refusal
+from hoistplank.xds.ranking_cache import ranked_hosts, ranking_key
+from hoistplank.xds.resource_types import (
+    CLUSTER_TYPE,
+    ENDPOINT_TYPE,
+    PURGES_NAME,
+    ROUTES_NAME,
+    RUNTIME_TYPE,
+    VIRTUAL_HOST_TYPE,
+)
+from hoistplank.xds.response_encoder import error_detail
 
 RING = 64  # points of a host of weight 100
 
@@ -75,7 +82,7 @@
         if not pool:
             return ""
         if self.extension:
-            return order(key_of(object_key, part), pool)[0]
+            return ranked_hosts(ranking_key(object_key, part), pool)[0]
         uid = self.vhosts.get(name_of(object_key, part, self.zone), "")
         if uid in pool:
             return uid
@@ -93,7 +100,7 @@
         """Asks for an object's virtual host, as a proxy does at the first request for it."""
         name = name_of(object_key, part, self.zone)
         if name not in self.vhosts:
-            self._send(VHOST, more=[name])
+            self._send(VIRTUAL_HOST_TYPE, more=[name])
 
     # The stream.
 
@@ -112,7 +119,7 @@
                 resource_names_subscribe=more or [],
                 initial_resource_versions=held or {},
                 response_nonce=nonce,
-                error_detail=refusal(error) if error else None,
+                error_detail=error_detail(error) if error else None,
             )
         )
 
@@ -141,12 +148,14 @@
             self.calls = ads_pb2_grpc.AggregatedDiscoveryServiceStub(way).DeltaAggregatedResources(
                 self._requests()
             )
-            self._send(CLUSTER, held=self.versions.get(CLUSTER))
+            self._send(CLUSTER_TYPE, held=self.versions.get(CLUSTER_TYPE))
             names = [f"caches-{self.zone}"]
-            self._send(ENDPOINT, more=names, held=self.versions.get(ENDPOINT))
-            self._send(RUNTIME, more=[PURGES], held=self.versions.get(RUNTIME))
+            self._send(ENDPOINT_TYPE, more=names, held=self.versions.get(ENDPOINT_TYPE))
+            self._send(RUNTIME_TYPE, more=[PURGES_NAME], held=self.versions.get(RUNTIME_TYPE))
             if self.vhosts:
-                self._send(VHOST, more=sorted(self.vhosts), held=self.versions.get(VHOST))
+                self._send(
+                    VIRTUAL_HOST_TYPE, more=sorted(self.vhosts), held=self.versions.get(VIRTUAL_HOST_TYPE)
+                )
             async for response in self.calls:
                 await self.stalled.wait()
                 self._take(response)
@@ -171,7 +180,7 @@
             held[resource.name] = resource.version
             if resource.HasField("resource"):
                 self._apply(kind, resource.name, resource.resource.value)
-            if kind == ENDPOINT:
+            if kind == ENDPOINT_TYPE:
                 self.fresh_until = time.monotonic() + resource.ttl.seconds
         for name in response.removed_resources:
             held.pop(name, None)
@@ -181,9 +190,9 @@
         self.heard.set()
 
     def _apply(self, kind: str, name: str, data: bytes) -> None:
-        if kind == CLUSTER:
+        if kind == CLUSTER_TYPE:
             self.clusters.add(cluster_pb2.Cluster.FromString(data).name)
-        elif kind == ENDPOINT:
+        elif kind == ENDPOINT_TYPE:
             self.hosts = {}
             for locality in endpoint_pb2.ClusterLoadAssignment.FromString(data).endpoints:
                 for row in locality.lb_endpoints:
@@ -195,13 +204,13 @@
                         mine["share"],
                     )
             self.ring = []  # made when a choice needs it
-        elif kind == VHOST:
+        elif kind == VIRTUAL_HOST_TYPE:
             action = route_components_pb2.VirtualHost.FromString(data).routes[0].route
             self.vhosts[name] = action.metadata_match.filter_metadata["envoy.lb"]["uid"]
-        elif kind == RUNTIME:
+        elif kind == RUNTIME_TYPE:
             layer = rtds_pb2.Runtime.FromString(data).layer
             self.floors = {name: int(layer[name]) for name in layer}
 
 
 def name_of(object_key: str, part: int, zone: str) -> str:
-    return f"{ROUTES}/{object_key}.{part}@{zone}"
+    return f"{ROUTES_NAME}/{object_key}.{part}@{zone}"
--- a/hoistplank/lab/scale/role_control_service.py
+++ b/hoistplank/lab/scale/role_control_service.py
@@ -26,13 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlParts:
-    """The service's own parts: `hoistplank.xds.resources`' ResourceCache, Host and type names, `follower`'s
-    Follower and `service`'s Encoder."""
+    """The service's own parts: `hoistplank.xds`' ResourceCache, Host, Follower, DeltaRequest, ResponseEncoder
+    and type names."""
 
     cache: Callable[..., Any]
     host: Callable[..., Any]
     follower: Callable[..., Any]
     encoder: Callable[..., Any]
+    delta_request: Callable[..., Any]
     endpoint_type: str
     runtime_type: str
     purges_name: str
@@ -52,9 +53,9 @@
 
     def cache(self, hosts: int = HOSTS_AT_TARGET, purges: int = 0) -> Any:
         made = self.parts.cache(FOR_EVER_US)
-        made.listed(self.hosts(hosts), [])
+        made.update_hosts(self.hosts(hosts), [])
         for number in range(purges):
-            made.floors[f"{number:016x}"] = MADE_US
+            made.purges.purged_us[f"{number:016x}"] = MADE_US
         return made
 
     def purge_cost(self, effort: Effort) -> list[Measurement]:
@@ -66,13 +67,13 @@
 
             def purge() -> None:
                 for number in range(effort.events):
-                    cache.purged(MADE_US, f"new-{number}", 0, MADE_US)
+                    cache.add_purge(MADE_US, f"new-{number}", 0, MADE_US)
 
             return processor_us(purge) / effort.events
 
         def resource(kept: int) -> float:
             cache = self.cache(purges=kept)
-            cache.purged(MADE_US, f"{0:016x}", 0, MADE_US + 1)
+            cache.add_purge(MADE_US, f"{0:016x}", 0, MADE_US + 1)
             return len(cache.get(self.parts.runtime_type, self.parts.purges_name).data)
 
         return series(cost, PURGES, effort.repeats, value) + series(size, PURGES, 1, resource)
@@ -89,7 +90,7 @@
 
             def change() -> None:
                 for number in range(effort.events):
-                    cache.put(replace(hosts[number], up=False))
+                    cache.put_host(replace(hosts[number], up=False))
 
             return processor_us(change) / effort.events
 
@@ -118,7 +119,7 @@
             cache = self.cache()
             follow(cache, count)
             new = replace(self.hosts(1)[0], uid="new")
-            return processor_us(lambda: cache.put(new))
+            return processor_us(lambda: cache.put_host(new))
 
         return series(memory, effort.sizes(NAMES), effort.slow_repeats, held) + series(
             cost, NAMES, effort.slow_repeats, value
@@ -134,22 +135,22 @@
         def joined(cache: Any, count: int) -> list[Any]:
             followers = []
             for _ in range(count):
-                follower = self.parts.follower(cache, True)
-                follower.changes(kind, [name], [], {}, "", "")
-                response = follower.next()
-                follower.changes(kind, [], [], {}, response.nonce, "")
+                follower = self.parts.follower(cache, is_incremental=True)
+                follower.handle_delta_request(self.parts.delta_request(kind, [name], [], {}))
+                response = follower.next_response()
+                follower.handle_delta_request(self.parts.delta_request(kind, [], [], {}, response.nonce))
                 followers.append(follower)
             return followers
 
         def value(count: int) -> float:
             cache, encoder = self.cache(purges=234), self.parts.encoder()
             followers = joined(cache, count)
-            cache.purged(MADE_US, "new", 0, MADE_US)
+            cache.add_purge(MADE_US, "new", 0, MADE_US)
 
             def tell() -> None:
                 for follower in followers:
-                    follower.changed(0, kind, {name}, True)
-                    encoder.encoded(follower.next(), True)
+                    follower.mark_changed(0, kind, {name}, urgent=True)
+                    encoder.encode(follower.next_response(), is_incremental=True)
 
             return processor_us(tell)
 
--- a/hoistplank/xds/__init__.py
+++ b/hoistplank/xds/__init__.py
@@ -1,1 +1,1 @@
-"""Handing decisions over xDS (transport v3): proxies that land where the dispatcher would. `docs/xds.md`."""
+"""The xDS control service: cache hosts, purges and routes for proxies of other sites (docs/xds.md)."""
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -15,113 +15,126 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.router_task import Event, Listed, Purged
-from hoistplank.xds.resources import ORIGIN, PARENTS, Host, ResourceCache
-from hoistplank.xds.service import Hub, Limits, server
+from hoistplank.xds.broadcaster import Broadcaster, StreamLimits
+from hoistplank.xds.discovery_service import discovery_server
+from hoistplank.xds.resource_messages import Host
+from hoistplank.xds.resource_types import ORIGIN_CLUSTER, PARENTS_CLUSTER
+from hoistplank.xds.resources import ResourceCache
 
 log = structlog.get_logger()
 TICK_S = 0.25
+STOP_S = 0.2  # for streams to end
+CACHES_TIER = "caches"
+MIN_SHARE = 0.05  # of a cold host's weight: followers are never told to send it nothing
 
 
-def seen(site: Site, target: Target, now: int) -> Host:
-    """A target of the change log as followers see it."""
+def host_of(site: Site, target: Target, now_us: int) -> Host:
+    """A target of the change log as followers are to see it."""
     address, port = target.address()
-    kinds = {site.origin_kind: ORIGIN, site.parent_kind: PARENTS}
-    tier = kinds.get(target.model, "caches")
-    told = site.links_told and target.capacity_hint > 0
+    tiers = {site.origin_kind: ORIGIN_CLUSTER, site.parent_kind: PARENTS_CLUSTER}
+    is_weighted = site.links_told and target.capacity_hint > 0
     host = Host(
-        target.uid,
-        address,
-        port,
-        tier,
-        target.az,
-        target.pod_group,
-        target.capacity_hint if told else 1.0,
-        int(target.boot_ms * 1000),
-        target.state == "ready",
+        uid=target.uid,
+        address=address,
+        port=port,
+        tier=tiers.get(target.model, CACHES_TIER),
+        zone=target.az,
+        cell=target.pod_group,
+        weight=target.capacity_hint if is_weighted else 1.0,
+        started_us=int(target.boot_ms * 1000),
+        up=target.state == "ready",
     )
-    return replace(host, share=warmth(site, host, now))
+    return replace(host, share=slow_start_share(site, host, now_us))
 
 
-def warmth(site: Site, host: Host, now: int) -> float:
-    """Of its weight, what a host may have now: what the settings say of a cold one, in tenths, so that
-    warming is some ten changes and not one each tick.
+def slow_start_share(site: Site, host: Host, now_us: int) -> float:
+    """The share of its weight that a host may have now, by the settings of slow start.
 
-    Danger: all followers together would push a cold host over.
+    It rises in tenths, so that warming up is some ten changes and not one each tick. Danger: all followers
+    together would overload a cold host.
     """
     rules = site.rules
-    least, long = rules.cold_from, rules.cold_us
-    if host.tier == PARENTS:
-        least, long = rules.parent_cold_from, rules.parent_cold_us
-    since = now - host.started_us
-    if host.tier == ORIGIN or host.started_us <= 0 or since >= long:
+    start_share, duration_us = rules.cold_from, rules.cold_us
+    if host.tier == PARENTS_CLUSTER:
+        start_share, duration_us = rules.parent_cold_from, rules.parent_cold_us
+    elapsed_us = now_us - host.started_us
+    if host.tier == ORIGIN_CLUSTER or host.started_us <= 0 or elapsed_us >= duration_us:
         return 1.0
-    return max(0.05, int(10 * (least + (1 - least) * max(0, since) / long)) / 10)
+    share = start_share + (1 - start_share) * max(0, elapsed_us) / duration_us
+    return max(MIN_SHARE, int(10 * share) / 10)
 
 
-class Control:
-    """One control process: the change log in, resources out. It is the `Listing`'s hearer."""
+class ControlService:
+    """One control process: the change log in, resources out. It receives the events of its `Listing`."""
 
-    def __init__(self, configuration: Configuration, limits: Limits | None = None) -> None:
-        self.site, self.clock = configuration.site, Clock()
+    def __init__(self, configuration: Configuration, limits: StreamLimits | None = None) -> None:
+        self.site = configuration.site
+        self.clock = Clock()
         self.resources = ResourceCache(configuration.site.floors_us)
-        self.hub = Hub(self.resources, self.clock.now, limits)
-        self.server: Any = None
+        self.broadcaster = Broadcaster(self.resources, self.clock.now, limits)
+        self.server: Any = None  # of grpc.aio, which has no types
         self.port = 0
-        self.listing = Listing(self, configuration.changelog, configuration.known, Random(configuration.seed))
+        random = Random(configuration.seed)
+        self.listing = Listing(self, configuration.changelog, configuration.known, random)
 
     def tell(self, event: Event) -> None:
-        """What the change log says, in order; followers are told at once, drains and purges first."""
-        now = self.clock.now()
+        """Takes an event of the change log and tells followers at once, drains and purges first."""
         if isinstance(event, Purged):
-            self.hub.tell(
-                self.resources.purged(now, event.object_key, event.group, event.made_us), urgent=True
-            )
+            now = self.clock.now()
+            changes = self.resources.add_purge(now, event.object_key, event.group, event.made_us)
+            self.broadcaster.publish(changes, urgent=True)
         elif isinstance(event, Listed) and event.form != "failed":
-            known, named = self.resources.hosts, {target.uid for target in event.targets}
-            gone = {target.uid for target in event.targets if target.state == "gone"}
-            if event.form != "changes":
-                gone |= {uid for uid in known if uid not in named}
-            left = gone | {target.uid for target in event.targets if target.state != "ready"}
-            urgent = any(uid in known and known[uid].up for uid in left)
-            there = [seen(self.site, target, now) for target in event.targets if target.uid not in gone]
-            self.hub.tell(self.resources.listed(there, gone), urgent)
-
-    def warm(self) -> None:
-        """Cold hosts get what their time allows by now."""
+            self._update_hosts(event)
+
+    def _update_hosts(self, event: Listed) -> None:
+        now = self.clock.now()
+        known = self.resources.hosts
+        removed = {target.uid for target in event.targets if target.state == "gone"}
+        if event.form != "changes":
+            listed = {target.uid for target in event.targets}
+            removed |= {uid for uid in known if uid not in listed}
+        unusable = removed | {target.uid for target in event.targets if target.state != "ready"}
+        is_urgent = any(uid in known and known[uid].up for uid in unusable)
+        hosts = [host_of(self.site, target, now) for target in event.targets if target.uid not in removed]
+        self.broadcaster.publish(self.resources.update_hosts(hosts, removed), urgent=is_urgent)
+
+    def update_warming_hosts(self) -> None:
+        """Gives warming hosts the share that their time allows by now, and drops expired purges."""
         now = self.clock.now()
-        self.resources.passed(now)
-        cold = [host for host in self.resources.hosts.values() if host.share < 1.0]
-        warmer = [replace(host, share=warmth(self.site, host, now)) for host in cold]
-        self.hub.tell(self.resources.listed(warmer, []))
+        self.resources.remove_expired_purges(now)
+        warming = [host for host in self.resources.hosts.values() if host.share < 1.0]
+        updated = [replace(host, share=slow_start_share(self.site, host, now)) for host in warming]
+        self.broadcaster.publish(self.resources.update_hosts(updated, []))
 
     async def serve(self, address: str, credentials: Any = None) -> int:
         """Starts to serve followers at HOST:PORT; returns the port. Raises OSError."""
-        self.server = server(self.hub)
+        self.server = discovery_server(self.broadcaster)
         try:
             port = (
                 self.server.add_secure_port(address, credentials)
                 if credentials is not None
                 else self.server.add_insecure_port(address)
             )
-        except RuntimeError as wrong:
-            raise OSError(str(wrong)) from None
+        except RuntimeError as error:
+            raise OSError(str(error)) from error
         await self.server.start()
         self.port = int(port)
         return self.port
 
     async def run(self) -> None:
-        """Until it is cancelled: the log is followed, hosts warm, late followers are renewed."""
+        """Follows the log, updates warming hosts and ends late streams, until it is cancelled."""
         following = asyncio.create_task(self.listing.run(), name="change log")
         try:
             while not following.done():
                 await asyncio.sleep(TICK_S)
-                self.warm()
-                for node in self.hub.renew_late():
+                self.update_warming_hosts()
+                for node in self.broadcaster.end_late_streams():
                     log.warning("follower renewed: it did not accept a drain or a purge in time", node=node)
         finally:
             following.cancel()
             await asyncio.gather(following, return_exceptions=True)
 
     async def close(self) -> None:
+        """Stops serving followers."""
         if self.server is not None:
-            await self.server.stop(0.2)
+            await self.server.stop(STOP_S)
--- /dev/null
+++ b/hoistplank/xds/discovery_service.py
@@ -0,0 +1,214 @@
+"""The aggregated discovery service on grpc.aio, state of the world and incremental.
+
+For each stream one task reads requests, another writes what the follower is owed, one message at a time: no
+message is made before the transport has taken the previous one.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator, Callable
+from typing import Any, TypeAlias
+
+import grpc
+import structlog
+from envoy.service.discovery.v3 import discovery_pb2
+
+from hoistplank.xds.broadcaster import Broadcaster, FollowerStream
+from hoistplank.xds.errors import InvalidRequestError
+from hoistplank.xds.follower import DeltaRequest, Follower, StateRequest
+from hoistplank.xds.response_encoder import ResponseEncoder
+
+log = structlog.get_logger()
+MAX_REQUEST_BYTES = 4_194_304
+KEEPALIVE_MS = 10_000
+START_S = 2.0  # for a follower's first whole state, before the next may begin theirs
+HEARTBEAT_S = 1.0
+MAX_NODE_CHARACTERS = 200
+MAX_LOGGED_ERROR_CHARACTERS = 300
+SERVICE_NAME = "envoy.service.discovery.v3.AggregatedDiscoveryService"
+
+# Whether a caller may be a node by its certificate, given the node's name and the call's context: "" if so,
+# else the reason why not.
+AuthorizeNode: TypeAlias = Callable[[str, Any], str]
+_HandleRequest: TypeAlias = Callable[[Follower, Any], None]
+
+
+class AggregatedDiscoveryService:
+    """The service's two methods, for all streams of a broadcaster."""
+
+    def __init__(self, broadcaster: Broadcaster, authorize_node: AuthorizeNode | None = None) -> None:
+        self.broadcaster = broadcaster
+        self.authorize_node = authorize_node
+        self.encoder = ResponseEncoder()
+
+    def handlers(self) -> Any:
+        """The methods by the service's published names; responses are sent as the bytes they are."""
+        return grpc.method_handlers_generic_handler(
+            SERVICE_NAME,
+            {
+                "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(
+                    self.stream_resources,
+                    request_deserializer=discovery_pb2.DiscoveryRequest.FromString,
+                    response_serializer=None,
+                ),
+                "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(
+                    self.delta_resources,
+                    request_deserializer=discovery_pb2.DeltaDiscoveryRequest.FromString,
+                    response_serializer=None,
+                ),
+            },
+        )
+
+    async def stream_resources(self, requests: AsyncIterator[Any], context: Any) -> None:
+        """Serves a state-of-the-world stream."""
+        stream = await self._open(context, is_incremental=False)
+        await self._serve(stream, requests, context, _handle_state_request)
+
+    async def delta_resources(self, requests: AsyncIterator[Any], context: Any) -> None:
+        """Serves an incremental stream."""
+        stream = await self._open(context, is_incremental=True)
+        await self._serve(stream, requests, context, _handle_delta_request)
+
+    async def _open(self, context: Any, *, is_incremental: bool) -> FollowerStream:
+        """Adds a stream; aborts the call if there are too many."""
+        broadcaster = self.broadcaster
+        if broadcaster.is_full:
+            broadcaster.counts.refused_streams += 1
+            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "as many followers as this process takes")
+        stream = FollowerStream(broadcaster.resources, context.peer(), is_incremental=is_incremental)
+        broadcaster.streams.add(stream)
+        broadcaster.counts.streams += 1
+        return stream
+
+    async def _serve(
+        self, stream: FollowerStream, requests: AsyncIterator[Any], context: Any, handle: _HandleRequest
+    ) -> None:
+        reader = asyncio.create_task(self._read(stream, requests, context, handle), name="xds reader")
+        writer = asyncio.create_task(self._write(stream, context), name="xds writer")
+        stream.writer = writer
+        try:
+            await asyncio.wait((reader, writer), return_when=asyncio.FIRST_COMPLETED)
+            await self._abort_if_failed(stream, reader, context)
+            if writer.done():
+                await context.abort(grpc.StatusCode.UNAVAILABLE, "renewed: come again with what you hold")
+        finally:
+            self.broadcaster.streams.discard(stream)
+            stream.follower.close()
+            for task in (reader, writer):
+                task.cancel()
+            await asyncio.gather(reader, writer, return_exceptions=True)
+
+    async def _abort_if_failed(
+        self, stream: FollowerStream, reader: asyncio.Task[None], context: Any
+    ) -> None:
+        error = reader.exception() if reader.done() and not reader.cancelled() else None
+        if isinstance(error, InvalidRequestError):
+            self.broadcaster.counts.bad_requests += 1
+            log.warning("follower's request can't be used", peer=stream.peer, wrong=str(error))
+            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
+
+    async def _read(
+        self, stream: FollowerStream, requests: AsyncIterator[Any], context: Any, handle: _HandleRequest
+    ) -> None:
+        """Handles requests until the follower sends no more; raises InvalidRequestError."""
+        follower = stream.follower
+        async for request in requests:
+            if request.node.id and not follower.node:
+                self._identify(follower, request.node.id, context)
+            refusals_before = follower.refusal_count
+            handle(follower, request)
+            if follower.refusal_count > refusals_before:
+                _log_refusal(stream, request)
+            stream.wake.set()
+
+    def _identify(self, follower: Follower, node: str, context: Any) -> None:
+        follower.node = node[:MAX_NODE_CHARACTERS]
+        reason = self.authorize_node(follower.node, context) if self.authorize_node is not None else ""
+        if reason:
+            raise InvalidRequestError(reason)
+
+    async def _write(self, stream: FollowerStream, context: Any) -> None:
+        """Sends what the follower is owed, and heartbeats, until it is cancelled."""
+        await stream.wake.wait()  # one that has sent nothing yet takes nobody's place
+        await self._send_first_state(stream, context)
+        while True:
+            await self._send_owed(stream, context)
+            try:
+                async with asyncio.timeout(HEARTBEAT_S):
+                    await stream.wake.wait()
+            except TimeoutError:
+                for heartbeat in stream.follower.heartbeats():
+                    await context.write(self.encoder.encode(heartbeat, is_incremental=True))
+
+    async def _send_first_state(self, stream: FollowerStream, context: Any) -> None:
+        """Sends a follower's first state, one of a bounded number at a time.
+
+        Danger: 500 followers that come back at once would all get a whole state in the same second, and a
+        drain meanwhile would stand behind it. One that reads nothing gives its place back after a time.
+        """
+        await self.broadcaster.starting.acquire()
+        place = contextlib.ExitStack()
+        place.callback(self.broadcaster.starting.release)
+        timer = asyncio.get_running_loop().call_later(START_S, place.close)
+        try:
+            await self._send_owed(stream, context)
+        finally:
+            timer.cancel()
+            place.close()
+
+    async def _send_owed(self, stream: FollowerStream, context: Any) -> None:
+        """Sends everything that is owed now."""
+        stream.wake.clear()
+        follower = stream.follower
+        while (response := follower.next_response()) is not None:
+            data = self.encoder.encode(response, is_incremental=follower.is_incremental)
+            await context.write(data)
+
+
+def _error_message(request: Any) -> str:
+    return str(request.error_detail.message) if request.HasField("error_detail") else ""
+
+
+def _handle_state_request(follower: Follower, request: Any) -> None:
+    names = list(request.resource_names)
+    error = _error_message(request)
+    follower.handle_state_request(StateRequest(request.type_url, names, request.response_nonce, error))
+
+
+def _handle_delta_request(follower: Follower, request: Any) -> None:
+    follower.handle_delta_request(
+        DeltaRequest(
+            type_url=request.type_url,
+            subscribe=list(request.resource_names_subscribe),
+            unsubscribe=list(request.resource_names_unsubscribe),
+            initial_versions=dict(request.initial_resource_versions),
+            nonce=request.response_nonce,
+            error=_error_message(request),
+        )
+    )
+
+
+def _log_refusal(stream: FollowerStream, request: Any) -> None:
+    log.warning(
+        "refused by a follower",
+        node=stream.follower.node,
+        peer=stream.peer,
+        type=request.type_url,
+        error=request.error_detail.message[:MAX_LOGGED_ERROR_CHARACTERS],
+    )
+
+
+def discovery_server(broadcaster: Broadcaster, authorize_node: AuthorizeNode | None = None) -> Any:
+    """A grpc.aio server of the service; the caller adds its port and starts it."""
+    server = grpc.aio.server(
+        options=[
+            ("grpc.max_receive_message_length", MAX_REQUEST_BYTES),
+            ("grpc.keepalive_time_ms", KEEPALIVE_MS),
+            ("grpc.so_reuseport", 0),
+        ]
+    )
+    service = AggregatedDiscoveryService(broadcaster, authorize_node)
+    server.add_generic_rpc_handlers((service.handlers(),))
+    return server
--- a/hoistplank/xds/follower.py
+++ b/hoistplank/xds/follower.py
@@ -1,282 +1,325 @@
 """One follower's stream: what it has, wants, refused and is owed. No I/O: requests in, responses out.
 
 The rules of the xDS transport protocol, v3 (state of the world and incremental): each response has a nonce; a
-request with that nonce accepts it, or refuses it where it carries an error. A state-of-the-world request with
-an older nonce is stale and ignored: its sender comes again with the newer one. What is owed is kept as names,
+request with that nonce accepts it, or refuses it if it carries an error. A state-of-the-world request with an
+older nonce is stale and ignored: its sender comes again with the newer one. What is owed is stored as names,
 never as messages: a slow follower gets the newest state, not a queue of old ones.
 
-    state of a type   event                           next        effect
-    quiet             a change, a new subscription    owed        -
-    owed              its turn, nothing out           out         the response, with a nonce
-    out               accepted (its nonce)            quiet/owed  accepted versions are kept
-    out               refused (its nonce, an error)   quiet/owed  these versions are not sent again
-    out               another change                  out + owed  sent after the answer; drains and purges at
-                                                                  once, four responses out at most
-    any               a stale nonce                   the same    -
-
-Order, so that a proxy makes before it breaks: clusters, then endpoints, routes, virtual hosts; a cluster that
-goes is told only once no route is owed or out. Endpoints and purges that can't wait go before all else.
+    state of a type   event                           next            effect
+    quiet             a change, a new subscription    owed            -
+    owed              its turn, nothing pending       pending         the response, with a nonce
+    pending           accepted (its nonce)            quiet/owed      accepted versions are stored
+    pending           refused (its nonce, an error)   quiet/owed      these versions are not sent again
+    pending           another change                  pending + owed  sent after the answer; drains and purges
+                                                                      at once, four responses pending at most
+    any               a stale nonce                   the same        -
+
+Order, so that a proxy makes before it breaks: clusters, then endpoints, routes, virtual hosts; a removed
+cluster is told only once no route is owed or pending. Urgent endpoints and purges go before all else.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from typing import NamedTuple
 
-from hoistplank.xds.resources import CLUSTER, ENDPOINT, ROUTE, RUNTIME, TYPES, VHOST, ResourceCache, digest
+from hoistplank.xds.errors import InvalidRequestError
+from hoistplank.xds.resource_types import (
+    CLUSTER_TYPE,
+    ENDPOINT_TYPE,
+    RESOURCE_TYPES,
+    ROUTE_TYPE,
+    RUNTIME_TYPE,
+    VIRTUAL_HOST_TYPE,
+)
+from hoistplank.xds.resources import ResourceCache, digest
+from hoistplank.xds.subscription import PendingResponse, Subscription
 
-MOST_OUT = 4
-MOST_NAMES = 20_000  # subscriptions of one follower and type
-ON_DEMAND = (VHOST,)
-WITH_TTL = (ENDPOINT, RUNTIME)
-BY_WILDCARD = (CLUSTER,)  # types of which a first request without names means all
+MAX_NAMES = 20_000  # subscriptions of one follower and type
+ON_DEMAND_TYPES = (VIRTUAL_HOST_TYPE,)
+TYPES_WITH_TTL = (ENDPOINT_TYPE, RUNTIME_TYPE)
+WILDCARD_TYPES = (CLUSTER_TYPE,)  # a first request without names means all
+WILDCARD = "*"
 
 
-@dataclass(slots=True)
-class Response:
-    kind: str
-    nonce: str
-    version: str
-    resources: list[tuple[str, str, bytes]]  # name, version, bytes
-    removed: list[str]
-    beat: bool = False  # only says that what the follower holds still stands
-
+@dataclass(frozen=True, slots=True)
+class StateRequest:
+    """A state-of-the-world request; `error` is empty unless it refuses the response `nonce`."""
 
-class BadRequest(Exception):
-    """What a follower sent can't be used; the sentence says why. It costs that stream and no other."""
+    type_url: str
+    names: list[str]
+    nonce: str = ""
+    error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Out:
-    """A response that waits for its answer: name -> version ("" where it is removed), and since when a drain
-    or a purge in it is owed (us, 0 without one)."""
+class DeltaRequest:
+    """An incremental request; `initial_versions`: name -> version held from an earlier stream."""
+
+    type_url: str
+    subscribe: list[str]
+    unsubscribe: list[str]
+    initial_versions: dict[str, str]
+    nonce: str = ""
+    error: str = ""
+
 
-    told: dict[str, str]
-    urgent_since: int
+class VersionedResource(NamedTuple):
+    """A resource in a response."""
+
+    name: str
+    version: str
+    data: bytes
 
 
 @dataclass(slots=True)
-class Interest:
-    """One type of one stream."""
-
-    wild: bool = False
-    names: set[str] = field(default_factory=set)
-    owed: set[str] = field(default_factory=set)
-    whole: bool = False  # a state-of-the-world answer is owed even where nothing changed
-    accepted: dict[str, str] = field(default_factory=dict)  # name -> version that the follower holds
-    refused: dict[str, str] = field(default_factory=dict)
-    out: dict[str, Out] = field(default_factory=dict)  # by nonce
-    last: str = ""  # the newest nonce
-    error: str = ""
-    urgent_since: int = 0  # since when a drain or a purge is owed (us); 0: none is
+class Response:
+    """A response to be sent; as a heartbeat it only says that what the follower holds is current."""
 
+    type_url: str
+    nonce: str
+    version: str
+    resources: list[VersionedResource]
+    removed: list[str]
+    is_heartbeat: bool = False
 
-class Follower:
-    """`delta`: incremental; else state of the world. `node` is who it says it is."""
 
-    def __init__(self, resources: ResourceCache, delta: bool) -> None:
-        self.resources, self.delta, self.node = resources, delta, ""
-        self.types: dict[str, Interest] = {}
-        self.sent = self.nacks = self.bytes = 0
+class _Contents(NamedTuple):
+    """What a response could hold, and the names that must wait."""
 
-    # What it says.
+    resources: list[VersionedResource]
+    removed: list[str]
+    held_back: set[str]
 
-    def asks(self, kind: str, names: list[str], nonce: str, error: str) -> None:
-        """A state-of-the-world request; raises BadRequest."""
-        first = kind not in self.types
-        interest = self._interest(kind)
-        if not first and nonce != interest.last:
+
+class Follower:
+    """The protocol state of one stream, incremental or state of the world."""
+
+    def __init__(self, resources: ResourceCache, *, is_incremental: bool) -> None:
+        self.resources = resources
+        self.is_incremental = is_incremental
+        self.node = ""  # who it says it is
+        self.subscriptions: dict[str, Subscription] = {}  # by type
+        self.response_count = 0
+        self.refusal_count = 0
+        self.bytes_sent = 0
+
+    # Requests.
+
+    def handle_state_request(self, request: StateRequest) -> None:
+        """Takes a state-of-the-world request; raises InvalidRequestError."""
+        type_url = request.type_url
+        is_first = type_url not in self.subscriptions
+        subscription = self._subscription(type_url)
+        if not is_first and request.nonce != subscription.last_nonce:
             return  # stale: what it says of names will come again with the newest nonce
-        self._answered(interest, nonce, error)
-        wanted = set(names)
-        if first and not wanted and kind in BY_WILDCARD:
-            interest.wild = True
-        if not interest.wild or wanted:
-            self._want(kind, interest, wanted - interest.names, interest.names - wanted)
-        if first:
-            interest.whole = True
-
-    def changes(
-        self, kind: str, more: list[str], fewer: list[str], held: dict[str, str], nonce: str, error: str
+        self._take_answer(subscription, request.nonce, request.error)
+        wanted = set(request.names)
+        if is_first and not wanted and type_url in WILDCARD_TYPES:
+            subscription.is_wildcard = True
+        if not subscription.is_wildcard or wanted:
+            added, removed = wanted - subscription.names, subscription.names - wanted
+            self._update_names(type_url, subscription, added, removed)
+        if is_first:
+            subscription.is_full_response_due = True
+
+    def handle_delta_request(self, request: DeltaRequest) -> None:
+        """Takes an incremental request; raises InvalidRequestError."""
+        type_url = request.type_url
+        is_first = type_url not in self.subscriptions
+        subscription = self._subscription(type_url)
+        self._take_answer(subscription, request.nonce, request.error)
+        means_all = is_first and not request.subscribe and type_url in WILDCARD_TYPES
+        if is_first:
+            subscription.accepted.update(request.initial_versions)
+        if means_all or WILDCARD in request.subscribe:
+            subscription.is_wildcard = True
+        if WILDCARD in request.unsubscribe:
+            subscription.is_wildcard = False
+        added = set(request.subscribe) - {WILDCARD}
+        removed = set(request.unsubscribe) - {WILDCARD}
+        self._update_names(type_url, subscription, added, removed)
+        if is_first:
+            self._owe_initial(type_url, subscription)
+
+    def _owe_initial(self, type_url: str, subscription: Subscription) -> None:
+        """What a new stream is owed besides the names that it subscribed to."""
+        if subscription.is_wildcard:
+            names = set(self.resources.names(type_url))
+            subscription.owed |= names | (set(subscription.accepted) - names)
+        # What an earlier stream held and is no more is told as removed.
+        held = subscription.accepted
+        subscription.owed |= {name for name in held if self.resources.get(type_url, name) is None}
+
+    def _subscription(self, type_url: str) -> Subscription:
+        if type_url not in RESOURCE_TYPES:
+            raise InvalidRequestError(f"the type '{type_url[:80]}' is none of this service's")
+        return self.subscriptions.setdefault(type_url, Subscription())
+
+    def _take_answer(self, subscription: Subscription, nonce: str, error: str) -> None:
+        if subscription.answer(nonce, error):
+            self.refusal_count += 1
+
+    def _update_names(
+        self, type_url: str, subscription: Subscription, added: set[str], removed: set[str]
     ) -> None:
-        """An incremental request; `held`: versions from an earlier stream; raises BadRequest."""
-        first = kind not in self.types
-        interest = self._interest(kind)
-        self._answered(interest, nonce, error)
-        if first:
-            interest.accepted.update(held)
-            if (not more and kind in BY_WILDCARD) or "*" in more:
-                interest.wild = True
-        elif "*" in more:
-            interest.wild = True
-        if "*" in fewer:
-            interest.wild = False
-        self._want(kind, interest, set(more) - {"*"}, set(fewer) - {"*"})
-        if first and interest.wild:
-            names = set(self.resources.names(kind))
-            interest.owed |= names | (set(interest.accepted) - names)
-        if first:
-            # What an earlier stream held and is no more is told as removed.
-            interest.owed |= {name for name in interest.accepted if self.resources.get(kind, name) is None}
-
-    def _interest(self, kind: str) -> Interest:
-        if kind not in TYPES:
-            raise BadRequest(f"the type '{kind[:80]}' is none of this service's")
-        return self.types.setdefault(kind, Interest())
-
-    def _answered(self, interest: Interest, nonce: str, error: str) -> None:
-        out = interest.out.pop(nonce, None)
-        if out is None:
-            return
-        told = out.told
-        if error:
-            # Danger: what was refused and is sent again as it is comes back for ever.
-            interest.error, self.nacks = error[:500], self.nacks + 1
-            interest.refused.update(told)
-            return
-        interest.error = ""
-        for name, version in told.items():
-            interest.refused.pop(name, None)
-            if version:
-                interest.accepted[name] = version
-            else:
-                interest.accepted.pop(name, None)
-
-    def _want(self, kind: str, interest: Interest, more: set[str], fewer: set[str]) -> None:
-        if len(interest.names) + len(more) > MOST_NAMES:
-            raise BadRequest(f"more than {MOST_NAMES} names of one type")
-        for name in sorted(fewer & interest.names):
-            interest.names.discard(name)
-            interest.owed.discard(name)
-            interest.accepted.pop(name, None)
-            if kind in ON_DEMAND:
-                self.resources.leave(name)
-        for name in sorted(more - interest.names):
-            interest.names.add(name)
-            interest.owed.add(name)
-            if kind in ON_DEMAND and not self.resources.follow(name):
-                interest.names.discard(name)  # told as removed: there is none such
-
-    def ended(self) -> None:
-        """The stream is gone: what it had on demand is let go."""
-        for kind in ON_DEMAND:
-            interest = self.types.get(kind)
-            for name in interest.names if interest is not None else ():
-                self.resources.leave(name)
-        self.types.clear()
-
-    # What it is told.
-
-    def changed(self, now: int, kind: str, names: set[str], urgent: bool = False) -> bool:
-        """What changed of a type; whether this follower is to hear of it. `urgent`: a drain or a purge."""
-        interest = self.types.get(kind)
-        wanted = (
-            names if interest is not None and interest.wild else names & interest.names if interest else None
-        )
-        if interest is None or not wanted:
+        if len(subscription.names) + len(added) > MAX_NAMES:
+            raise InvalidRequestError(f"more than {MAX_NAMES} names of one type")
+        for name in sorted(removed & subscription.names):
+            subscription.names.discard(name)
+            subscription.owed.discard(name)
+            subscription.accepted.pop(name, None)
+            if type_url in ON_DEMAND_TYPES:
+                self.resources.unfollow(name)
+        for name in sorted(added - subscription.names):
+            subscription.names.add(name)
+            subscription.owed.add(name)
+            if type_url in ON_DEMAND_TYPES and not self.resources.follow(name):
+                subscription.names.discard(name)  # told as removed: no such resource exists
+
+    def close(self) -> None:
+        """The stream has ended: the names that it had on demand are released."""
+        for type_url in ON_DEMAND_TYPES:
+            subscription = self.subscriptions.get(type_url)
+            for name in subscription.names if subscription is not None else ():
+                self.resources.unfollow(name)
+        self.subscriptions.clear()
+
+    # Responses.
+
+    def mark_changed(self, now_us: int, type_url: str, names: set[str], *, urgent: bool = False) -> bool:
+        """Resources of a type changed (`urgent`: a drain or a purge); returns whether any are owed here."""
+        subscription = self.subscriptions.get(type_url)
+        wanted = subscription.wanted(names) if subscription is not None else set()
+        if subscription is None or not wanted:
             return False
-        interest.owed |= wanted
-        if urgent and not interest.urgent_since:
-            interest.urgent_since = now
+        subscription.mark_owed(now_us, wanted, urgent=urgent)
         return True
 
-    def next(self) -> Response | None:
-        """The most pressing response that may go out now, or None."""
-        for kind, interest in self.types.items():
-            if interest.urgent_since and len(interest.out) < MOST_OUT:
-                response = self._response(kind)
-                interest.urgent_since = 0
+    def next_response(self) -> Response | None:
+        """The most urgent response that may be sent now, or None."""
+        for type_url, subscription in self.subscriptions.items():
+            if subscription.can_send_urgent:
+                response = self._response(type_url, subscription)
+                subscription.urgent_since_us = 0
                 if response is not None:
                     return response
-        for kind in TYPES:
-            if kind in self.types and not self.types[kind].out:
-                response = self._response(kind)
+        for type_url in RESOURCE_TYPES:
+            waiting = self.subscriptions.get(type_url)
+            if waiting is not None and not waiting.pending:
+                response = self._response(type_url, waiting)
                 if response is not None:
                     return response
         return None
 
-    def _breaks(self, kind: str) -> bool:
-        """Whether a cluster may go now: no route that could name it is owed or out."""
-        return kind != CLUSTER or not any(
-            self.types[k].owed or self.types[k].out for k in (ROUTE, VHOST) if k in self.types
+    def _response(self, type_url: str, subscription: Subscription) -> Response | None:
+        names = self._names_to_send(type_url, subscription)
+        contents = self._contents(type_url, subscription, names)
+        is_new = self._is_new(type_url, subscription, names, contents.resources)
+        subscription.owed = contents.held_back
+        is_filled = bool(contents.resources or contents.removed)
+        if not is_new or not (is_filled or subscription.is_full_response_due):
+            return None
+        subscription.is_full_response_due = False
+        nonce = self._next_nonce()
+        self._add_pending(subscription, nonce, contents)
+        self.bytes_sent += sum(len(resource.data) for resource in contents.resources)
+        return Response(
+            type_url, nonce, _system_version(contents.resources), contents.resources, contents.removed
         )
 
-    def _response(self, kind: str) -> Response | None:
-        interest = self.types[kind]
-        names = (
-            interest.owed
-            if self.delta or not (interest.owed or interest.whole)
-            else (set(self.resources.names(kind)) if interest.wild else set(interest.names))
-        )
-        rows, removed, held_back = [], [], set()
+    def _names_to_send(self, type_url: str, subscription: Subscription) -> set[str]:
+        """The owed names; for state of the world, all names as soon as anything is owed."""
+        is_owed = bool(subscription.owed) or subscription.is_full_response_due
+        if self.is_incremental or not is_owed:
+            return subscription.owed
+        if subscription.is_wildcard:
+            return set(self.resources.names(type_url))
+        return set(subscription.names)
+
+    def _contents(self, type_url: str, subscription: Subscription, names: set[str]) -> _Contents:
+        contents = _Contents([], [], set())
         for name in sorted(names):
-            found = self.resources.get(kind, name)
-            if found is None:
-                if not self._breaks(kind):
-                    held_back.add(name)
-                elif self.delta and (name in interest.accepted or name not in interest.names):
-                    removed.append(name)
-            elif not self.delta or (
-                interest.accepted.get(name) != found.version and interest.refused.get(name) != found.version
-            ):
-                rows.append((name, found.version, found.data))
-        fresh = (
-            self.delta
-            or interest.whole
-            or any(
-                interest.accepted.get(name) != version and interest.refused.get(name) != version
-                for name, version, _ in rows
-            )
-            or any(name not in names or self.resources.get(kind, name) is None for name in interest.accepted)
-        )
-        interest.owed = held_back
-        if not fresh or not (rows or removed or interest.whole):
-            return None
-        interest.whole = False
-        self.sent += 1
-        nonce = f"{self.sent:x}"
-        told = {name: version for name, version, _ in rows}
-        told.update(dict.fromkeys(removed, ""))
-        if not self.delta:
-            told.update({name: "" for name in interest.accepted if name not in told})
-        if not self.delta:
-            interest.out.clear()  # each response holds all: the newest answer speaks for the older ones
-        interest.out[nonce], interest.last = Out(told, interest.urgent_since), nonce
-        self.bytes += sum(len(data) for _, _, data in rows)
-        version = digest("".join(sorted(f"{n}={v};" for n, v, _ in rows)).encode())
-        return Response(kind, nonce, version, rows, removed)
-
-    def beat(self) -> list[Response]:
-        """Heartbeats: what the follower has accepted and is told with a time to live still stands. They wait
-        for no answer and nothing waits for theirs.
-
-        Danger: a follower that is cut off keeps its last state, and would serve a stale pool for ever.
+            resource = self.resources.get(type_url, name)
+            if resource is None:
+                if not self._may_remove(type_url):
+                    contents.held_back.add(name)
+                elif self.is_incremental and self._is_known(subscription, name):
+                    contents.removed.append(name)
+            elif not self.is_incremental or subscription.lacks(name, resource.version):
+                contents.resources.append(VersionedResource(name, resource.version, resource.data))
+        return contents
+
+    @staticmethod
+    def _is_known(subscription: Subscription, name: str) -> bool:
+        """Whether a removal is to be told: the follower holds it, or asked for what can't be served."""
+        return name in subscription.accepted or name not in subscription.names
+
+    def _may_remove(self, type_url: str) -> bool:
+        """Whether a removed cluster may be told now: no route that could name it is owed or pending."""
+        if type_url != CLUSTER_TYPE:
+            return True
+        routes = [self.subscriptions.get(route_type) for route_type in (ROUTE_TYPE, VIRTUAL_HOST_TYPE)]
+        return not any(route.owed or route.pending for route in routes if route is not None)
+
+    def _is_new(
+        self, type_url: str, subscription: Subscription, names: set[str], resources: list[VersionedResource]
+    ) -> bool:
+        """Whether a response would tell the follower anything new; for state of the world it may not."""
+        if self.is_incremental or subscription.is_full_response_due:
+            return True
+        if any(subscription.lacks(resource.name, resource.version) for resource in resources):
+            return True
+        held = subscription.accepted
+        return any(name not in names or self.resources.get(type_url, name) is None for name in held)
+
+    def _add_pending(self, subscription: Subscription, nonce: str, contents: _Contents) -> None:
+        versions = {resource.name: resource.version for resource in contents.resources}
+        versions.update(dict.fromkeys(contents.removed, ""))
+        if not self.is_incremental:
+            versions.update({name: "" for name in subscription.accepted if name not in versions})
+            # Each response holds everything: the newest answer speaks for the older ones.
+            subscription.pending.clear()
+        subscription.pending[nonce] = PendingResponse(versions, subscription.urgent_since_us)
+        subscription.last_nonce = nonce
+
+    def _next_nonce(self) -> str:
+        self.response_count += 1
+        return f"{self.response_count:x}"
+
+    def heartbeats(self) -> list[Response]:
+        """Says that what the follower has accepted, and was told with a time to live, is still current.
+
+        Heartbeats wait for no answer, and nothing waits for theirs. Danger: a follower that is cut off keeps
+        its last state, and would serve a stale pool for ever.
         """
-        found = []
-        for kind in WITH_TTL if self.delta else ():
-            interest = self.types.get(kind)
-            if interest is None or interest.owed:
-                continue  # a response that is due says the same
-            rows = [
-                (name, version, b"")
-                for name, version in sorted(interest.accepted.items())
-                if self._stands(interest, kind, name, version)
+        responses = []
+        for type_url in TYPES_WITH_TTL if self.is_incremental else ():
+            subscription = self.subscriptions.get(type_url)
+            if subscription is None or subscription.owed:
+                continue  # a response that is owed says the same
+            current = [
+                VersionedResource(name, version, b"")
+                for name, version in sorted(subscription.accepted.items())
+                if self._is_current(subscription, type_url, name, version)
             ]
-            if rows:
-                self.sent += 1
-                found.append(Response(kind, f"{self.sent:x}", "", rows, [], True))
-        return found
+            if current:
+                responses.append(Response(type_url, self._next_nonce(), "", current, [], is_heartbeat=True))
+        return responses
 
-    def _stands(self, interest: Interest, kind: str, name: str, version: str) -> bool:
+    def _is_current(self, subscription: Subscription, type_url: str, name: str, version: str) -> bool:
         """Whether what a follower holds is the newest, or the last good one before what it refused."""
-        held, refused = self.resources.get(kind, name), interest.refused.get(name)
-        return held is not None and refused != version and held.version in (version, refused)
-
-    def late(self, now: int, most_us: int) -> bool:
-        """Whether a drain or a purge is owed, or out with no answer, for longer than that."""
-        since = [
-            at
-            for interest in self.types.values()
-            for at in (interest.urgent_since, *(out.urgent_since for out in interest.out.values()))
-            if at
-        ]
-        return bool(since) and now - min(since) > most_us
+        resource = self.resources.get(type_url, name)
+        refused = subscription.refused.get(name)
+        return resource is not None and refused != version and resource.version in (version, refused)
+
+    def is_late(self, now_us: int, limit_us: int) -> bool:
+        """Whether a drain or a purge has been owed or unanswered for longer than the limit."""
+        times = [time for each in self.subscriptions.values() for time in each.urgent_times_us()]
+        return bool(times) and now_us - min(times) > limit_us
+
+
+def _system_version(resources: list[VersionedResource]) -> str:
+    """A version of the whole response: the digest of its resources' versions."""
+    rows = sorted(f"{resource.name}={resource.version};" for resource in resources)
+    return digest("".join(rows).encode())
--- a/hoistplank/xds/ranking_cache.py
+++ b/hoistplank/xds/ranking_cache.py
@@ -1,87 +1,97 @@
-"""The order in which a follower goes through cache hosts: the decision module's own, from what xDS carries.
+"""The order in which a follower tries cache hosts: the decision module's own, from what xDS carries.
 
-No I/O, no clock. `hoistplank.choice` has the one formula; here is only the index that keeps, for each object
-and part followed, its first host, so that a host that comes or goes touches what stands at it alone.
+No I/O, no clock. The formula is in `hoistplank.choice`; here is only the index that keeps the first host of
+each followed object and part, so that a host that is added or removed affects only the names ranked at it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from hoistplank.choice import mix, standing
 
 
-def key_of(object_key: str, part: int) -> int:
-    """The key of an object's part, as the module ranks caches by it."""
+def ranking_key(object_key: str, part: int) -> int:
+    """The key of an object's part, by which the decision module ranks caches."""
     return mix(f"{object_key}/{part}")
 
 
-def order(key: int, weights: dict[str, float]) -> list[str]:
+def ranked_hosts(key: int, weights: dict[str, float]) -> list[str]:
     """All hosts in the order for a key; `weights`: uid -> weight above 0."""
     return sorted(weights, key=lambda uid: standing(key, mix(uid), weights[uid]))
 
 
-class Firsts:
-    """The first host of each name that is followed, kept through hosts that come and go.
+class RankedHost(NamedTuple):
+    """A host with its rank for some key; the lowest rank is first."""
 
-    A name's first changes only where its first went, or one came that stands before it: `came` costs a look
-    at each name, `went` a new search for the names that stood there.
+    rank: float
+    uid: str
+
+
+NO_HOST = RankedHost(0.0, "")
+
+
+class RankingCache:
+    """The first host of each followed name, maintained as hosts are added and removed.
+
+    A name's first host changes only if that host is removed or one that ranks before it is added: `add_host`
+    computes one rank for each name, `remove_host` searches again for the names whose first host it was.
     """
 
     def __init__(self) -> None:
-        self.weights: dict[str, float] = {}
-        self.salts: dict[str, int] = {}
-        self.keys: dict[str, int] = {}
-        self.first: dict[str, tuple[float, str]] = {}
-        self.at: dict[str, set[str]] = {}
+        self.weights: dict[str, float] = {}  # by uid
+        self.first_hosts: dict[str, RankedHost] = {}  # by name
+        self.names_by_host: dict[str, set[str]] = {}  # the names whose first host it is, by uid
+        self._host_hashes: dict[str, int] = {}  # by uid
+        self._keys: dict[str, int] = {}  # by name
 
     def _search(self, name: str) -> None:
-        key, salts = self.keys[name], self.salts
-        best = min(
-            ((standing(key, salts[uid], weight), uid) for uid, weight in self.weights.items()),
-            default=(0.0, ""),
-        )
-        self._put(name, best)
-
-    def _put(self, name: str, best: tuple[float, str]) -> None:
-        before = self.first.get(name)
-        if before is not None:
-            self.at.get(before[1], set()).discard(name)
-        self.first[name] = best
-        self.at.setdefault(best[1], set()).add(name)
+        key, hashes = self._keys[name], self._host_hashes
+        ranked = (RankedHost(standing(key, hashes[uid], weight), uid) for uid, weight in self.weights.items())
+        self._set_first(name, min(ranked, default=NO_HOST))
+
+    def _set_first(self, name: str, first: RankedHost) -> None:
+        previous = self.first_hosts.get(name)
+        if previous is not None:
+            self.names_by_host.get(previous.uid, set()).discard(name)
+        self.first_hosts[name] = first
+        self.names_by_host.setdefault(first.uid, set()).add(name)
 
     def follow(self, name: str, key: int) -> str:
-        """From now on the name's first host is kept; returns it, or "" where there is no host."""
-        if name not in self.keys:
-            self.keys[name] = key
+        """Starts to maintain the name's first host; returns its uid, "" if there is no host."""
+        if name not in self._keys:
+            self._keys[name] = key
             self._search(name)
-        return self.first[name][1]
+        return self.first_hosts[name].uid
 
-    def leave(self, names: Iterable[str]) -> None:
+    def unfollow(self, names: Iterable[str]) -> None:
+        """Stops maintaining the first hosts of these names."""
         for name in names:
-            if self.keys.pop(name, None) is not None:
-                self.at.get(self.first.pop(name)[1], set()).discard(name)
+            if self._keys.pop(name, None) is not None:
+                self.names_by_host.get(self.first_hosts.pop(name).uid, set()).discard(name)
 
-    def came(self, uid: str, weight: float) -> set[str]:
-        """A host that may be used, or its new weight; returns the names whose first it changes."""
+    def add_host(self, uid: str, weight: float) -> set[str]:
+        """Adds a usable host or changes its weight; returns the names whose first host changed."""
         if self.weights.get(uid) == weight:
             return set()
-        moved = self.went(uid) if uid in self.weights else set()
-        self.weights[uid], self.salts[uid] = weight, mix(uid)
-        for name, key in self.keys.items():
-            best = (standing(key, self.salts[uid], weight), uid)
-            if self.first[name][1] == "" or best < self.first[name]:
-                self._put(name, best)
-                moved.add(name)
-        return moved
-
-    def went(self, uid: str) -> set[str]:
-        """A host that may not be used any more; returns the names whose first it was."""
+        changed = self.remove_host(uid) if uid in self.weights else set()
+        self.weights[uid] = weight
+        self._host_hashes[uid] = mix(uid)
+        for name, key in self._keys.items():
+            ranked = RankedHost(standing(key, self._host_hashes[uid], weight), uid)
+            if self.first_hosts[name].uid == "" or ranked < self.first_hosts[name]:
+                self._set_first(name, ranked)
+                changed.add(name)
+        return changed
+
+    def remove_host(self, uid: str) -> set[str]:
+        """Removes a host that is not usable any more; returns the names whose first host it was."""
         if self.weights.pop(uid, None) is None:
             return set()
-        self.salts.pop(uid, None)
-        moved = self.at.pop(uid, set())
-        for name in moved:
-            del self.first[name]
+        self._host_hashes.pop(uid, None)
+        changed = self.names_by_host.pop(uid, set())
+        for name in changed:
+            del self.first_hosts[name]
             self._search(name)
-        return set(moved)
+        return set(changed)
--- a/tests/test_xds_ranking.py
+++ b/tests/test_xds_ranking.py
@@ -11,7 +11,7 @@
 from hoistplank.choice import Router
 from hoistplank.fakes.first_choice import first_choice
 from hoistplank.interface import HostEntry
-from hoistplank.xds.ranking_cache import Firsts, key_of, order
+from hoistplank.xds.ranking_cache import RankingCache, ranked_hosts, ranking_key
 from tests.helpers import configuration
 from tests.xds_rig import ABOVE, S
 
@@ -26,7 +26,7 @@
         object_key, part = f"{chance.getrandbits(64):016x}", chance.randrange(4)
         assert (
             first_choice(router, now, n, "page", object_key, part)
-            == order(key_of(object_key, part), weights)[0]
+            == ranked_hosts(ranking_key(object_key, part), weights)[0]
         ), (
             n,
             object_key,
@@ -45,33 +45,33 @@
     )
 )
 def test_the_index_of_first_hosts_is_the_plain_search(steps: list[tuple[str, int, float]]) -> None:
-    firsts, followed = Firsts(), dict[str, int]()
+    ranking, followed = RankingCache(), dict[str, int]()
     for what, n, weight in steps:
-        before = {name: firsts.first[name][1] for name in followed}
+        before = {name: ranking.first_hosts[name].uid for name in followed}
         moved = set[str]()
         if what == "came":
-            moved = firsts.came(f"h{n}", weight)
+            moved = ranking.add_host(f"h{n}", weight)
         elif what == "went":
-            moved = firsts.went(f"h{n}")
+            moved = ranking.remove_host(f"h{n}")
         elif what == "follow":
-            followed[f"n{n}"] = key_of(f"n{n}", 0)
-            firsts.follow(f"n{n}", followed[f"n{n}"])
+            followed[f"n{n}"] = ranking_key(f"n{n}", 0)
+            ranking.follow(f"n{n}", followed[f"n{n}"])
         else:
             followed.pop(f"n{n}", None)
-            firsts.leave([f"n{n}"])
+            ranking.unfollow([f"n{n}"])
         for name, key in followed.items():
-            want = order(key, firsts.weights)[0] if firsts.weights else ""
-            assert firsts.first[name][1] == want
-            assert name in firsts.at[want]
+            want = ranked_hosts(key, ranking.weights)[0] if ranking.weights else ""
+            assert ranking.first_hosts[name].uid == want
+            assert name in ranking.names_by_host[want]
             if name in before and before[name] != want:
                 assert name in moved
 
 
 def test_a_host_that_comes_or_goes_moves_its_own_share_alone() -> None:
-    keys = [key_of(f"{n:016x}", 0) for n in range(3_000)]
+    keys = [ranking_key(f"{n:016x}", 0) for n in range(3_000)]
     weights = {f"box-{n}": 1.0 for n in range(20)}
-    before = [order(key, weights)[0] for key in keys]
+    before = [ranked_hosts(key, weights)[0] for key in keys]
     fewer = {uid: weight for uid, weight in weights.items() if uid != "box-7"}
-    after = [order(key, fewer)[0] for key in keys]
+    after = [ranked_hosts(key, fewer)[0] for key in keys]
     assert all(a == b for a, b in zip(before, after, strict=True) if a != "box-7")
     assert 0.03 < before.count("box-7") / len(keys) < 0.07
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -11,17 +11,17 @@
 from hoistplank.fakes.proxy import name_of
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.router_task import Listed, Purged
-from hoistplank.xds.control import Control
-from hoistplank.xds.ranking_cache import key_of, order
-from hoistplank.xds.resources import (
-    CLUSTER,
-    ENDPOINT,
-    ROUTES,
-    RUNTIME,
-    VHOST,
-    ResourceCache,
-    parsed,
+from hoistplank.xds.control import ControlService
+from hoistplank.xds.ranking_cache import ranked_hosts, ranking_key
+from hoistplank.xds.resource_types import (
+    CLUSTER_TYPE,
+    ENDPOINT_TYPE,
+    ROUTES_NAME,
+    RUNTIME_TYPE,
+    VIRTUAL_HOST_TYPE,
+    parse_virtual_host_name,
 )
+from hoistplank.xds.resources import ResourceCache
 from tests.helpers import configuration
 from tests.xds_rig import S, host, run
 
@@ -29,98 +29,113 @@
 def test_the_same_facts_are_the_same_bytes_whatever_came_before() -> None:
     one, two, rows = ResourceCache(), ResourceCache(), [host(f"h{n}") for n in range(12)]
     for row in rows:
-        one.put(row)
-    one.put(host("h3", up=False))
+        one.put_host(row)
+    one.put_host(host("h3", up=False))
     for row in reversed(rows):
-        two.put(host(row.uid, share=0.4))
-    two.put(host("gone"))
-    two.drop("gone")
+        two.put_host(host(row.uid, share=0.4))
+    two.put_host(host("gone"))
+    two.remove_host("gone")
     for row in reversed(rows):
-        two.put(row if row.uid != "h3" else host("h3", up=False))
-    assert one.by_type[ENDPOINT] == two.by_type[ENDPOINT]
-    assert one.by_type[CLUSTER] == two.by_type[CLUSTER]
+        two.put_host(row if row.uid != "h3" else host("h3", up=False))
+    assert one.by_type[ENDPOINT_TYPE] == two.by_type[ENDPOINT_TYPE]
+    assert one.by_type[CLUSTER_TYPE] == two.by_type[CLUSTER_TYPE]
 
 
 def test_a_change_that_changes_nothing_is_none_and_one_host_costs_one_host() -> None:
     resources = ResourceCache()
     for n in range(1_000):
-        resources.put(host(f"h{n}", zone=f"z{n % 10}"))
-    resources.encoded = 0
-    assert resources.put(host("h17", zone="z7")) == set()
-    assert resources.put(host("h17", zone="z7", up=False)) == {(ENDPOINT, "caches-z7")}
-    assert resources.encoded == 1
-    assert resources.put(host("h17", zone="z2")) == {(ENDPOINT, "caches-z7"), (ENDPOINT, "caches-z2")}
-    assert resources.drop("h17") == {(ENDPOINT, "caches-z2")} and resources.drop("h17") == set()
+        resources.put_host(host(f"h{n}", zone=f"z{n % 10}"))
+    resources.endpoints_encoded = 0
+    assert resources.put_host(host("h17", zone="z7")) == set()
+    assert resources.put_host(host("h17", zone="z7", up=False)) == {(ENDPOINT_TYPE, "caches-z7")}
+    assert resources.endpoints_encoded == 1
+    assert resources.put_host(host("h17", zone="z2")) == {
+        (ENDPOINT_TYPE, "caches-z7"),
+        (ENDPOINT_TYPE, "caches-z2"),
+    }
+    assert (
+        resources.remove_host("h17") == {(ENDPOINT_TYPE, "caches-z2")}
+        and resources.remove_host("h17") == set()
+    )
 
 
 def test_purges_are_told_as_long_as_copies_may_be_older() -> None:
-    resources = ResourceCache(bound_us=10 * S)
-    assert resources.purged(5 * S, "", 7, 5 * S) == {(RUNTIME, "purges")}
-    assert resources.purged(6 * S, "", 7, 4 * S) == set()  # an older one says nothing new
-    assert resources.purged(20 * S, "aa", 0, 20 * S) == {(RUNTIME, "purges")} and resources.floors == {
-        "aa": 20 * S
-    }
+    resources = ResourceCache(purge_retention_us=10 * S)
+    assert resources.add_purge(5 * S, "", 7, 5 * S) == {(RUNTIME_TYPE, "purges")}
+    assert resources.add_purge(6 * S, "", 7, 4 * S) == set()  # an older one says nothing new
+    assert resources.add_purge(20 * S, "aa", 0, 20 * S) == {
+        (RUNTIME_TYPE, "purges")
+    } and resources.purges.purged_us == {"aa": 20 * S}
 
 
 def test_a_purge_heard_late_is_told_for_as_long_as_any_other() -> None:
-    resources = ResourceCache(bound_us=10 * S)
-    assert resources.purged(3_600 * S, "aa", 0, 5 * S) == {(RUNTIME, "purges")}
-    assert resources.floors == {"aa": 5 * S}
+    resources = ResourceCache(purge_retention_us=10 * S)
+    assert resources.add_purge(3_600 * S, "aa", 0, 5 * S) == {(RUNTIME_TYPE, "purges")}
+    assert resources.purges.purged_us == {"aa": 5 * S}
     for second in range(3_601, 3_610):
-        resources.purged(second * S, "often", 0, second * S)
-        assert resources.floors["aa"] == 5 * S
-    resources.purged(3_611 * S, "often", 0, 3_611 * S)
-    assert resources.floors == {"often": 3_611 * S} and list(resources.told_at) == ["often"]
+        resources.add_purge(second * S, "often", 0, second * S)
+        assert resources.purges.purged_us["aa"] == 5 * S
+    resources.add_purge(3_611 * S, "often", 0, 3_611 * S)
+    assert resources.purges.purged_us == {"often": 3_611 * S} and list(resources.purges.received_us) == [
+        "often"
+    ]
 
 
 @given(st.text(max_size=40))
 def test_names_on_demand_are_parsed_or_refused(text: str) -> None:
-    assert ResourceCache().follow(text) is (parsed(text) is not None)
-    found = parsed(f"{ROUTES}/{text}")
-    assert found is None or parsed(name_of(*found)) == found
+    assert ResourceCache().follow(text) is (parse_virtual_host_name(text) is not None)
+    found = parse_virtual_host_name(f"{ROUTES_NAME}/{text}")
+    assert found is None or parse_virtual_host_name(name_of(*found)) == found
 
 
 def test_the_name_of_a_virtual_host_on_the_wire_stays() -> None:
     """Proxies are configured with it (docs/operations/xds.md)."""
     assert name_of("00aa", 3, "z1") == "visits/00aa.3@z1"
-    assert parsed("visits/00aa.3@z1") == ("00aa", 3, "z1") and parsed("requests/00aa.3@z1") is None
+    assert (
+        parse_virtual_host_name("visits/00aa.3@z1") == ("00aa", 3, "z1")
+        and parse_virtual_host_name("requests/00aa.3@z1") is None
+    )
 
 
 def test_routes_follow_the_hosts_they_name() -> None:
     resources = ResourceCache()
     for n in range(5):
-        resources.put(host(f"h{n}"))
+        resources.put_host(host(f"h{n}"))
     names = [name_of(f"{n:016x}", 0, "z1") for n in range(40)]
     assert all(resources.follow(name) for name in names)
-    first = {name: resources.firsts["caches-z1"].first[name][1] for name in names}
-    moved = resources.put(host("h2", up=False))
-    assert {name for kind, name in moved if kind == VHOST} == {n for n in names if first[n] == "h2"}
-    back = resources.put(host("h2"))
-    assert {name for kind, name in back if kind == VHOST} == {n for n in names if first[n] == "h2"}
+    first = {name: resources.rankings["caches-z1"].first_hosts[name].uid for name in names}
+    moved = resources.put_host(host("h2", up=False))
+    assert {name for kind, name in moved if kind == VIRTUAL_HOST_TYPE} == {
+        n for n in names if first[n] == "h2"
+    }
+    back = resources.put_host(host("h2"))
+    assert {name for kind, name in back if kind == VIRTUAL_HOST_TYPE} == {
+        n for n in names if first[n] == "h2"
+    }
     for name in names:
-        resources.leave(name)
-    assert not resources.by_type[VHOST] and not resources.followed
+        resources.unfollow(name)
+    assert not resources.by_type[VIRTUAL_HOST_TYPE] and not resources.follower_counts
 
 
 def test_cold_hosts_get_their_share_and_warm_up(tmp_path: Path) -> None:
     async def scene() -> None:
-        made = Control(configuration(tmp_path))
+        made = ControlService(configuration(tmp_path))
         now = made.clock.now()
         rows = [Target(f"box-{n}", f"127.0.0.1:{9_000 + n}", "z1", "box", 0, "ready", 1.0) for n in range(5)]
         cold = Target("box-9", "127.0.0.1:9009", "z1", "box", 0, "ready", 1.0, now / 1_000)
         made.tell(Listed("whole", [*rows, cold]))
         assert made.resources.hosts["box-9"].share == pytest.approx(made.site.rules.cold_from, abs=0.1)
-        keys = [key_of(f"{n:016x}", 0) for n in range(2_000)]
-        weights = made.resources.firsts["caches-z1"].weights
-        got = sum(order(key, weights)[0] == "box-9" for key in keys) / len(keys)
+        keys = [ranking_key(f"{n:016x}", 0) for n in range(2_000)]
+        weights = made.resources.rankings["caches-z1"].weights
+        got = sum(ranked_hosts(key, weights)[0] == "box-9" for key in keys) / len(keys)
         assert got < 1.5 * made.site.rules.cold_from / 5.2
         made.clock.ahead += made.site.rules.cold_us * 1_000
-        made.warm()
+        made.update_warming_hosts()
         assert made.resources.hosts["box-9"].share == 1.0
         now = made.clock.now()
         made.tell(Purged("", 3, now))
         made.tell(Listed("failed", []))
         made.tell(Listed("whole", rows))
-        assert "box-9" not in made.resources.hosts and made.resources.floors == {"group.3": now}
+        assert "box-9" not in made.resources.hosts and made.resources.purges.purged_us == {"group.3": now}
 
     run(scene())
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -17,13 +17,8 @@
 from hoistplank.fakes.first_choice import first_choice
 from hoistplank.fakes.settings import listing
 from hoistplank.interface import HostEntry
-from hoistplank.xds.resources import (
-    CLUSTER,
-    ENDPOINT,
-    RUNTIME,
-    VHOST,
-)
-from hoistplank.xds.service import Limits
+from hoistplank.xds.broadcaster import StreamLimits
+from hoistplank.xds.resource_types import CLUSTER_TYPE, ENDPOINT_TYPE, RUNTIME_TYPE, VIRTUAL_HOST_TYPE
 from tests.helpers import configuration
 from tests.xds_rig import ABOVE, THINGS, Place, S, run, until
 
@@ -57,8 +52,8 @@
                 )
                 await until(
                     lambda: all(
-                        place.control.resources.get(VHOST, name).version == version  # type: ignore[union-attr]
-                        for name, version in plain.versions[VHOST].items()
+                        place.control.resources.get(VIRTUAL_HOST_TYPE, name).version == version  # type: ignore[union-attr]
+                        for name, version in plain.versions[VIRTUAL_HOST_TYPE].items()
                     )
                 )
                 told(states)
@@ -83,7 +78,7 @@
             await until(lambda: not quick.hosts["box-1"][0] and "group.40" in quick.floors, 0.25)
             assert asyncio.get_running_loop().time() - began < 0.25
             # The one that hangs is found, its stream ended; back, it gets what it missed.
-            await until(lambda: place.control.hub.counts["renewed"] >= 1)
+            await until(lambda: place.control.broadcaster.counts.renewed >= 1)
             hung.stalled.set()
             await until(lambda: not hung.hosts["box-1"][0] and "group.40" in hung.floors)
             await until(lambda: hung.counts["streams"] >= 2)
@@ -98,7 +93,7 @@
             await until(lambda: len(proxy.hosts) == 2)
             first = proxy.fresh_until
             await until(lambda: proxy.fresh_until > first)  # heartbeats, with nothing new to say
-            assert proxy.choose("00" * 8, 0) and place.control.hub.look()[0]["responses"] >= 3
+            assert proxy.choose("00" * 8, 0) and place.control.broadcaster.status()[0].responses >= 3
             proxy.fresh_until = 0.0
             assert proxy.choose("00" * 8, 0) == ""
 
@@ -112,7 +107,7 @@
             def too_large(kind: str, response: Any) -> str:
                 return (
                     "too large"
-                    if kind == ENDPOINT and proxy.hosts and response.resources[0].HasField("resource")
+                    if kind == ENDPOINT_TYPE and proxy.hosts and response.resources[0].HasField("resource")
                     else ""
                 )
 
@@ -123,9 +118,9 @@
             await until(lambda: proxy.counts["refused"] > 0 and not other.hosts["box-3"][0])
             await asyncio.sleep(0.3)
             assert proxy.counts["refused"] == 1 and proxy.hosts["box-3"][0]
-            row = next(row for row in place.control.hub.look() if row["node"] == "refuses")
-            assert row["refused"] == 1
-            assert row["types"]["ClusterLoadAssignment"]["error"] == "too large"
+            row = next(row for row in place.control.broadcaster.status() if row.node == "refuses")
+            assert row.refused == 1
+            assert row.types["ClusterLoadAssignment"].error == "too large"
 
     run(scene())
 
@@ -145,7 +140,7 @@
             proxy.drop()
             await until(lambda: not proxy.hosts["box-0"][0])
             await until(lambda: "box-0" not in proxy.vhosts.values())
-            assert second.resources.by_type[ENDPOINT] == place.control.resources.by_type[ENDPOINT]
+            assert second.resources.by_type[ENDPOINT_TYPE] == place.control.resources.by_type[ENDPOINT_TYPE]
             assert proxy.counts["bytes"] - before < before  # what it held was not told again
             await second.close()
 
@@ -154,7 +149,7 @@
 
 def test_bad_requests_and_too_many_streams_cost_their_sender_only(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, limits=Limits(streams=2)) as place:
+        async with Place(tmp_path, limits=StreamLimits(streams=2)) as place:
             proxy = place.proxy("good", True)
             await until(lambda: len(proxy.hosts) == 6)
 
@@ -172,9 +167,9 @@
                 await asked("type.googleapis.com/nonsense")
             assert wrong.value.code() == grpc.StatusCode.INVALID_ARGUMENT
             place.proxy("second", True)
-            await until(lambda: len(place.control.hub.streams) == 2)
+            await until(lambda: len(place.control.broadcaster.streams) == 2)
             with pytest.raises(grpc.aio.AioRpcError) as wrong:
-                await asked(CLUSTER)
+                await asked(CLUSTER_TYPE)
             assert wrong.value.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
             place.say("box-1", "draining")
             await until(lambda: not proxy.hosts["box-1"][0])
@@ -184,7 +179,7 @@
 
 def test_silent_streams_hold_nobodys_place_and_one_that_reads_nothing_is_cut_once(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, hosts=2_500, limits=Limits(starting=2)) as place:
+        async with Place(tmp_path, hosts=2_500, limits=StreamLimits(starting=2)) as place:
             address = f"127.0.0.1:{place.control.port}"
             ended = asyncio.Event()
 
@@ -201,19 +196,25 @@
             ]
             stubs = [ads_pb2_grpc.AggregatedDiscoveryServiceStub(way) for way in ways]
             silent = [stub.DeltaAggregatedResources(requests([])) for stub in stubs[:3]]
-            mute = stubs[3].DeltaAggregatedResources(requests([(ENDPOINT, "caches-z1"), (RUNTIME, "purges")]))
-            await until(lambda: len(place.control.hub.streams) == 4)
-            await until(lambda: sum(bool(s.follower.types) for s in place.control.hub.streams) == 1)
+            mute = stubs[3].DeltaAggregatedResources(
+                requests([(ENDPOINT_TYPE, "caches-z1"), (RUNTIME_TYPE, "purges")])
+            )
+            await until(lambda: len(place.control.broadcaster.streams) == 4)
+            await until(
+                lambda: sum(bool(s.follower.subscriptions) for s in place.control.broadcaster.streams) == 1
+            )
             proxy = place.proxy("good", True)
             await until(lambda: len(proxy.hosts) == 2_500)
             # What comes to the mute one is never read: its writer stands in a write.
             for n in range(8):
                 place.say(f"box-{n}", "draining")
             await until(lambda: not proxy.hosts["box-7"][0])
-            await until(lambda: place.control.hub.counts["renewed"] == 1)
-            await until(lambda: len(place.control.hub.streams) == 4)  # three silent ones and the good one
+            await until(lambda: place.control.broadcaster.counts.renewed == 1)
+            await until(
+                lambda: len(place.control.broadcaster.streams) == 4
+            )  # three silent ones and the good one
             await asyncio.sleep(0.6)  # two more looks at who is late
-            assert place.control.hub.counts["renewed"] == 1 and proxy.counts["streams"] == 1
+            assert place.control.broadcaster.counts.renewed == 1 and proxy.counts["streams"] == 1
             ended.set()
             for call in (*silent, mute):
                 call.cancel()
--- a/tests/xds_rig.py
+++ b/tests/xds_rig.py
@@ -13,11 +13,9 @@
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
-from hoistplank.xds.control import Control
-from hoistplank.xds.resources import (
-    Host,
-)
-from hoistplank.xds.service import Limits
+from hoistplank.xds.broadcaster import StreamLimits
+from hoistplank.xds.control import ControlService
+from hoistplank.xds.resource_messages import Host
 from tests.helpers import configuration
 
 S = 1_000_000
@@ -36,7 +34,7 @@
 class Place:
     """A control process that follows a stand-in change log, and proxies."""
 
-    def __init__(self, folder: Path, hosts: int = 6, limits: Limits | None = None) -> None:
+    def __init__(self, folder: Path, hosts: int = 6, limits: StreamLimits | None = None) -> None:
         self.folder, self.log, self.limits = folder, ChangeLog(), limits
         self.targets = [target(f"box-{n}", "box", 9_000 + n) for n in range(hosts)]
         self.targets += [target("p", "parent", 9_100), target("o", "origin", 9_101)]
@@ -47,10 +45,10 @@
         self.control = await self.another()
         return self
 
-    async def another(self) -> Control:
+    async def another(self) -> ControlService:
         """One more control process on the same log."""
         known = {"seq": 1, "results": [listing(1, self.targets, whole=True)]}
-        made = Control(
+        made = ControlService(
             configuration(self.folder, changelog=f"127.0.0.1:{self.log_port}", known=known), self.limits
         )
         await made.serve("127.0.0.1:0")
@@ -67,7 +65,7 @@
         self,
         node: str,
         extension: bool,
-        control: Control | None = None,
+        control: ControlService | None = None,
         refuses: Callable[[str, Any], str] | None = None,
     ) -> Proxy:
         port = (control or self.control).port
