--- a/hoistplank/cli/scale.py
+++ b/hoistplank/cli/scale.py
@@ -46,7 +46,14 @@
     from hoistplank.lab.scale.metering import QUICK, WHOLE, Step
 
     try:
-        from hoistplank.xds import follower, resource_messages, resource_types, resources, response_encoder
+        from hoistplank.xds import (
+            follower,
+            resource_messages,
+            resource_types,
+            resources,
+            response_encoder,
+            stream_messages,
+        )
     except ModuleNotFoundError as error:
         raise click.ClickException(f"the control service needs '{error.name}': {EXTRAS['control']}") from None
     from hoistplank.lab.scale.role_control_service import ControlParts
@@ -56,7 +63,7 @@
         host=resource_messages.Host,
         follower=follower.Follower,
         encoder=response_encoder.ResponseEncoder,
-        delta_request=follower.DeltaRequest,
+        delta_request=stream_messages.DeltaRequest,
         endpoint_type=resource_types.ENDPOINT_TYPE,
         runtime_type=resource_types.RUNTIME_TYPE,
         purges_name=resource_types.PURGES_NAME,
--- a/hoistplank/distribution/acknowledgement_sender.py
+++ b/hoistplank/distribution/acknowledgement_sender.py
@@ -14,7 +14,7 @@
 
 
 class AcknowledgementSender:
-    """Acknowledges what a `FollowerState` has in force on the connection that stands at that time."""
+    """Acknowledges what a `FollowerState` has in force on the connection that is open at that time."""
 
     def __init__(self, state: FollowerState, connection: Callable[[], Connection | None]) -> None:
         """`connection` returns the current connection to a replica, None without one."""
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -191,7 +191,7 @@
         self.acknowledgements.schedule()
 
     def configuration_refused(self, version: Version, reason: str) -> None:
-        """A configuration can't be used: the replica is told why."""
+        """A configuration can't be used: the replica is sent the reason."""
         self.state.mark_configuration_refused(version, reason)
         self.acknowledgements.schedule()
 
--- a/hoistplank/distribution/follower_state.py
+++ b/hoistplank/distribution/follower_state.py
@@ -214,7 +214,7 @@
         """Whether no replica that is up to date was heard for longer than the limit, or ever."""
         return self.silence.is_silent(now_us)
 
-    # The state table; it stands behind the methods that it names.
+    # The state table, after the methods that it names.
     _TRANSITIONS: ClassVar[dict[tuple[Phase, LineKind], _Transition]] = {
         (Phase.LIVE, LineKind.HEARTBEAT): _live_heartbeat,
         (Phase.LIVE, LineKind.EVENT): _live_event,
--- a/hoistplank/distribution/host_record.py
+++ b/hoistplank/distribution/host_record.py
@@ -52,7 +52,7 @@
         return self._stale_list() if self._is_listed else None
 
     def mark_current(self) -> None:
-        """Everything has been forwarded to the owner, which is told so."""
+        """Everything has been forwarded to the owner: says so to it."""
         self.is_stale = False
         if self._is_listed:
             self.owner.tell(Listed("changes", []))
--- a/hoistplank/distribution/host_table.py
+++ b/hoistplank/distribution/host_table.py
@@ -145,7 +145,7 @@
     def full_list_event(self) -> ReplicatedEvent:
         """The full list as part of a catch-up."""
         epoch, number = self.changed_at
-        fleet = Fleet(self._revision, True, self.targets())
+        fleet = Fleet(rev=self._revision, all=True, targets=self.targets())
         return ReplicatedEvent(number, epoch, fleet=fleet, catch_up=CatchUp.PART)
 
     def full_list_line(self) -> bytes:
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -14,12 +14,10 @@
 from random import Random
 
 import structlog
-from msgspec.structs import replace
 
 from hoistplank.distribution.acknowledgements import AcknowledgementTable, Registration
 from hoistplank.distribution.assignment import ReplicaAddress, may_accept
 from hoistplank.distribution.catch_up import CatchUpQueue
-from hoistplank.distribution.change_status import ChangeKind
 from hoistplank.distribution.dispatcher_session import DispatcherSession, SessionPhase
 from hoistplank.distribution.log_follower import LogFollower
 from hoistplank.distribution.messages import (
@@ -27,19 +25,12 @@
     FollowRequest,
     ReplicatedEvent,
     StatusRequest,
-    VersionFields,
 )
 from hoistplank.distribution.peer_link import PeerLink, PeerSession
 from hoistplank.distribution.request_connection import RequestConnection
 from hoistplank.distribution.state import ReplicatedState
-from hoistplank.distribution.status import (
-    ChangeRow,
-    PeerRow,
-    ReplicaLoad,
-    StatusResponse,
-    change_row,
-    silent_row,
-)
+from hoistplank.distribution.status import StatusResponse
+from hoistplank.distribution.status_report import replica_status
 from hoistplank.distribution.unreadable_changes import UnreadableChanges
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.errors import BadBytes
@@ -55,7 +46,6 @@
 PEER_CHANGES_S = 0.1
 # Danger: while the change log is silent nobody knows that nothing is newer, and a heartbeat would say so.
 LOG_SILENCE_US = int(SILENT_S * 1e6)
-DISPATCHER_SILENCE_US = 7_000_000  # a connected dispatcher sends something each second
 RETENTION_US = 86_400_000_000  # how long a disconnected dispatcher is still listed as missing
 MAX_DESCRIPTORS = 8_192
 
@@ -109,6 +99,11 @@
         """The time in microseconds."""
         return self.clock.now()
 
+    @property
+    def region(self) -> str:
+        """The region that it is in."""
+        return self.settings.region
+
     def follow_peers(self, peers: Iterable[ReplicaAddress]) -> None:
         """Sets the other replicas; to be called before it runs."""
         self.links = [PeerLink(self, peer, self.random) for peer in peers]
@@ -266,54 +261,9 @@
             if is_log_heard or session.phase is SessionPhase.WAITING:
                 session.send_heartbeat()
 
-    # Status.
-
     def status(self, request: StatusRequest) -> StatusResponse:
         """How far this replica is, and what is in force where; also of one change, if it is asked for."""
-        now, state = self.now(), self.state
-        configuration_version = state.configuration_version
-        fleet = self.table.fleet_status(now, state.version, configuration_version, DISPATCHER_SILENCE_US)
-        version = request.version.to_version() if request.version is not None else None
-        return StatusResponse(
-            replica=self.name,
-            region=self.settings.region,
-            version=VersionFields(*state.version),
-            configuration=VersionFields(*configuration_version),
-            log_heard_ago_us=self.log_follower.silence_us(),
-            connected=fleet.connected,
-            load=self._load(),
-            events=change_row(now, fleet.events),
-            configurations=change_row(now, fleet.configuration),
-            silent=[silent_row(now, silent) for silent in fleet.silent],
-            peers=[_peer_row(now, link) for link in self.links],
-            change=self._change_row(now, version) if version is not None else None,
-        )
-
-    def _load(self) -> ReplicaLoad:
-        size = self.state.size()
-        return ReplicaLoad(
-            dispatchers=len(self.sessions),
-            catching_up=self.queue.active_count,
-            waiting=self.queue.waiting_count,
-            hosts=size.hosts,
-            purges=size.purges,
-            bytes=size.bytes,
-            slow_readers=self.slow_readers,
-        )
-
-    def _change_row(self, now_us: int, version: Version) -> ChangeRow:
-        is_configuration = self.state.is_configuration(version)
-        kind = ChangeKind.CONFIGURATION if is_configuration else ChangeKind.EVENT
-        row = change_row(now_us, self.table.change_status(version, kind))
-        reason = self.unreadable_changes.reason(version)
-        if reason is None:
-            return row
-        # Danger: all dispatchers are past its number, but none was ever sent it.
-        return replace(row, in_force=0, unreadable=reason)
-
-
-def _peer_row(now_us: int, link: PeerLink) -> PeerRow:
-    return PeerRow(link.peer.name, now_us - link.last_heard_us if link.is_heard else None)
+        return replica_status(self, request)
 
 
 def _log_fields(event: ReplicatedEvent) -> dict[str, str | int | bool]:
--- a/hoistplank/distribution/status.py
+++ b/hoistplank/distribution/status.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from hoistplank.distribution.change_status import ChangeStatus, MissingDispatcher, SilentDispatcher
 from hoistplank.distribution.messages import VersionFields
 
 
@@ -72,24 +71,3 @@
     silent: list[SilentRow] = msgspec.field(name="unheard")
     peers: list[PeerRow]
     change: ChangeRow | None = None
-
-
-def change_row(now_us: int, status: ChangeStatus) -> ChangeRow:
-    """The status of a change as part of a response."""
-    missing = [_missing_row(now_us, dispatcher) for dispatcher in status.missing]
-    return ChangeRow(VersionFields(*status.version), status.in_force, status.total, missing)
-
-
-def _missing_row(now_us: int, missing: MissingDispatcher) -> MissingRow:
-    return MissingRow(
-        missing.dispatcher,
-        VersionFields(*missing.version),
-        max(0, now_us - missing.last_heard_us),
-        missing.is_connected,
-        missing.refused,
-    )
-
-
-def silent_row(now_us: int, silent: SilentDispatcher) -> SilentRow:
-    """A silent dispatcher as part of a response."""
-    return SilentRow(silent.dispatcher, max(0, now_us - silent.last_heard_us))
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -25,7 +25,7 @@
 TICK_S = 0.25
 STOP_S = 0.2  # for streams to end
 CACHES_TIER = "caches"
-MIN_SHARE = 0.05  # of a cold host's weight: followers are never told to send it nothing
+MIN_SHARE = 0.05  # of a cold host's weight: it always gets some requests
 
 
 def host_of(site: Site, target: Target, now_us: int) -> Host:
@@ -78,7 +78,7 @@
         self.listing = Listing(self, configuration.changelog, configuration.known, random)
 
     def tell(self, event: Event) -> None:
-        """Takes an event of the change log and tells followers at once, drains and purges first."""
+        """Takes an event of the change log and publishes its changes at once, drains and purges first."""
         if isinstance(event, Purged):
             now = self.clock.now()
             changes = self.resources.add_purge(now, event.object_key, event.group, event.made_us)
--- a/hoistplank/xds/discovery_service.py
+++ b/hoistplank/xds/discovery_service.py
@@ -17,8 +17,9 @@
 
 from hoistplank.xds.broadcaster import Broadcaster, FollowerStream
 from hoistplank.xds.errors import InvalidRequestError
-from hoistplank.xds.follower import DeltaRequest, Follower, StateRequest
+from hoistplank.xds.follower import Follower
 from hoistplank.xds.response_encoder import ResponseEncoder
+from hoistplank.xds.stream_messages import DeltaRequest, StateRequest
 
 log = structlog.get_logger()
 MAX_REQUEST_BYTES = 4_194_304
--- a/hoistplank/xds/follower.py
+++ b/hoistplank/xds/follower.py
@@ -15,12 +15,11 @@
     any               a stale nonce                   the same        -
 
 Order, so that a proxy makes before it breaks: clusters, then endpoints, routes, virtual hosts; a removed
-cluster is told only once no route is owed or pending. Urgent endpoints and purges go before all else.
+cluster is sent only once no route is owed or pending. Urgent endpoints and purges go before all else.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from hoistplank.xds.errors import InvalidRequestError
@@ -33,6 +32,7 @@
     VIRTUAL_HOST_TYPE,
 )
 from hoistplank.xds.resources import ResourceCache, digest
+from hoistplank.xds.stream_messages import DeltaRequest, Response, StateRequest, VersionedResource
 from hoistplank.xds.subscription import PendingResponse, Subscription
 
 MAX_NAMES = 20_000  # subscriptions of one follower and type
@@ -42,48 +42,6 @@
 WILDCARD = "*"
 
 
-@dataclass(frozen=True, slots=True)
-class StateRequest:
-    """A state-of-the-world request; `error` is empty unless it refuses the response `nonce`."""
-
-    type_url: str
-    names: list[str]
-    nonce: str = ""
-    error: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class DeltaRequest:
-    """An incremental request; `initial_versions`: name -> version held from an earlier stream."""
-
-    type_url: str
-    subscribe: list[str]
-    unsubscribe: list[str]
-    initial_versions: dict[str, str]
-    nonce: str = ""
-    error: str = ""
-
-
-class VersionedResource(NamedTuple):
-    """A resource in a response."""
-
-    name: str
-    version: str
-    data: bytes
-
-
-@dataclass(slots=True)
-class Response:
-    """A response to be sent; as a heartbeat it only says that what the follower holds is current."""
-
-    type_url: str
-    nonce: str
-    version: str
-    resources: list[VersionedResource]
-    removed: list[str]
-    is_heartbeat: bool = False
-
-
 class _Contents(NamedTuple):
     """What a response could hold, and the names that must wait."""
 
@@ -147,7 +105,7 @@
         if subscription.is_wildcard:
             names = set(self.resources.names(type_url))
             subscription.owed |= names | (set(subscription.accepted) - names)
-        # What an earlier stream held and is no more is told as removed.
+        # What an earlier stream held and no longer exists is sent as removed.
         held = subscription.accepted
         subscription.owed |= {name for name in held if self.resources.get(type_url, name) is None}
 
@@ -175,7 +133,7 @@
             subscription.names.add(name)
             subscription.owed.add(name)
             if type_url in ON_DEMAND_TYPES and not self.resources.follow(name):
-                subscription.names.discard(name)  # told as removed: no such resource exists
+                subscription.names.discard(name)  # sent as removed: no such resource exists
 
     def close(self) -> None:
         """The stream has ended: the names that it had on demand are released."""
@@ -252,11 +210,11 @@
 
     @staticmethod
     def _is_known(subscription: Subscription, name: str) -> bool:
-        """Whether a removal is to be told: the follower holds it, or asked for what can't be served."""
+        """Whether a removal is to be sent: the follower holds it, or asked for what can't be served."""
         return name in subscription.accepted or name not in subscription.names
 
     def _may_remove(self, type_url: str) -> bool:
-        """Whether a removed cluster may be told now: no route that could name it is owed or pending."""
+        """Whether a cluster's removal may be sent now: no route that could name it is owed or pending."""
         if type_url != CLUSTER_TYPE:
             return True
         routes = [self.subscriptions.get(route_type) for route_type in (ROUTE_TYPE, VIRTUAL_HOST_TYPE)]
@@ -288,7 +246,7 @@
         return f"{self.response_count:x}"
 
     def heartbeats(self) -> list[Response]:
-        """Says that what the follower has accepted, and was told with a time to live, is still current.
+        """Says that what the follower has accepted of types with a time to live is still current.
 
         Heartbeats wait for no answer, and nothing waits for theirs. Danger: a follower that is cut off keeps
         its last state, and would serve a stale pool for ever.
--- a/hoistplank/xds/purge_watermarks.py
+++ b/hoistplank/xds/purge_watermarks.py
@@ -1,4 +1,4 @@
-"""The purges that followers are told: the purge time of each object or group, for a bounded time.
+"""The purges that followers are sent: the purge time of each object or group, for a bounded time.
 
 Decision logic: no I/O, no clock; times are whole microseconds.
 """
@@ -12,7 +12,7 @@
     """The purge times by name, which is an object's key or `group.N`."""
 
     def __init__(self, retention_us: int) -> None:
-        """`retention_us`: how long a purge is told after it was last received."""
+        """`retention_us`: how long a purge is sent after it was last received."""
         self.retention_us = retention_us
         self.purged_us: dict[str, int] = {}
         self.received_us = OrderedDict[str, int]()  # when each name was last received, oldest first
--- a/hoistplank/xds/resources.py
+++ b/hoistplank/xds/resources.py
@@ -1,4 +1,4 @@
-"""The xDS resources that followers are told, kept in step with hosts, purges and followed names.
+"""The xDS resources that followers are sent, kept in step with hosts, purges and followed names.
 
 Decision logic without I/O except protobuf's own encoding: state changes in, names of changed resources out. A
 resource's version is the digest of its bytes, so a change without effect sends nothing, and two control
@@ -179,7 +179,7 @@
         return {ResourceChange(RUNTIME_TYPE, PURGES_NAME)} if is_changed else set()
 
     def remove_expired_purges(self, now_us: int) -> None:
-        """Drops purges that no copy can be older than; followers are told with the next purge."""
+        """Drops purges that no copy can be older than; followers learn of it with the next purge."""
         self.purges.remove_expired(now_us)
 
     def _purges_message(self) -> Any:
--- a/hoistplank/xds/response_encoder.py
+++ b/hoistplank/xds/response_encoder.py
@@ -8,7 +8,8 @@
 from google.protobuf import any_pb2, duration_pb2
 from google.rpc import status_pb2
 
-from hoistplank.xds.follower import TYPES_WITH_TTL, Response
+from hoistplank.xds.follower import TYPES_WITH_TTL
+from hoistplank.xds.stream_messages import Response
 
 TTL_S = 3  # how long endpoints and purges are valid without a heartbeat
 MAX_CACHED_MESSAGES = 64
--- a/tests/test_xds_follower.py
+++ b/tests/test_xds_follower.py
@@ -8,9 +8,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from hoistplank.xds.errors import InvalidRequestError
-from hoistplank.xds.follower import DeltaRequest, Follower, StateRequest
+from hoistplank.xds.follower import Follower
 from hoistplank.xds.resource_types import CLUSTER_TYPE, ENDPOINT_TYPE, ROUTE_TYPE, ROUTES_NAME
 from hoistplank.xds.resources import ResourceCache, ResourceChange
+from hoistplank.xds.stream_messages import DeltaRequest, StateRequest
 from tests.xds_rig import S, host
 
 
