--- /dev/null
+++ b/hoistplank/decision/parts.py
@@ -0,0 +1,60 @@
+"""How the parts of a router are put together: each gets those that it asks, and none is asked in a circle."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from hoistplank.decision.concurrency import FillLimit, HostLimits
+from hoistplank.decision.health import HealthTracker
+from hoistplank.decision.herds import HerdTable
+from hoistplank.decision.hosts import HostTable
+from hoistplank.decision.overload import OverloadGuard
+from hoistplank.decision.purges import PurgeWatermarks
+from hoistplank.decision.ranking import HostRanking
+from hoistplank.decision.requests import TrafficClassState
+from hoistplank.decision.retries import RetryPolicy
+from hoistplank.decision.settings import Degradation, RouterSettings
+from hoistplank.decision.slow_start import SlowStart
+from hoistplank.decision.sources import SourceSelector
+from hoistplank.decision.stalls import StallDetector
+
+
+@dataclass(frozen=True, slots=True)
+class PartTypes:
+    """What the replaceable parts are made by; a laboratory replaces one to see what a defence is worth."""
+
+    slow_start: Callable[[RouterSettings, HostTable, tuple[TrafficClassState, ...]], SlowStart] = SlowStart
+    health: Callable[[HostTable, SlowStart], HealthTracker] = HealthTracker
+    fills: Callable[[RouterSettings, HealthTracker, tuple[TrafficClassState, ...]], FillLimit] = FillLimit
+    herds: Callable[[PurgeWatermarks, HealthTracker], HerdTable] = HerdTable
+    stalls: Callable[[HealthTracker, OverloadGuard], StallDetector] = StallDetector
+
+
+DEFAULT_TYPES = PartTypes()
+
+
+class Parts:
+    """Everything that a router knows but for its open requests, each part with the state that it changes."""
+
+    def __init__(self, settings: RouterSettings, random: Callable[[], float], types: PartTypes) -> None:
+        self.class_states = {row.name: TrafficClassState(row) for row in settings.traffic_classes}
+        class_states = tuple(self.class_states.values())
+        self.hosts = HostTable(settings)
+        self.slow_start = types.slow_start(settings, self.hosts, class_states)
+        self.health = types.health(self.hosts, self.slow_start)
+        self.host_limits = HostLimits(settings, self.health)
+        self.fills = types.fills(settings, self.health, class_states)
+        self.purges = PurgeWatermarks(settings.purge_hold_us)
+        self.herds = types.herds(self.purges, self.health)
+        self.retries = RetryPolicy(settings, random)
+        self.overload = OverloadGuard(settings)
+        self.stalls = types.stalls(self.health, self.overload)
+        self.ranking = HostRanking(self.hosts)
+        self.sources = SourceSelector(self.ranking, self.health, self.slow_start)
+
+    def apply_degradation(self, degradation: Degradation) -> None:
+        """Hands what a level of degradation asks to the parts that do it."""
+        self.overload.apply_degradation(degradation)
+        self.fills.apply_degradation(degradation)
+        self.retries.apply_degradation(degradation)
--- /dev/null
+++ b/hoistplank/decision/ranking.py
@@ -0,0 +1,32 @@
+"""The order of caches and parents for an object, by weighted rendezvous hashing."""
+
+from __future__ import annotations
+
+from hoistplank.decision.hashing import hash_key, rendezvous_score
+from hoistplank.decision.hosts import Host, HostTable
+from hoistplank.decision.requests import HostOrder, Request
+
+
+class HostRanking:
+    """Orders hosts for a request; an order is kept until the endpoint list changes."""
+
+    def __init__(self, hosts: HostTable) -> None:
+        self.hosts = hosts
+
+    def order(self, request: Request) -> HostOrder:
+        """Caches by object and part, parents by the object alone, so that its fills meet at one parent.
+
+        Kept with the request's herd, where it has one: the same order, worked out less often.
+        """
+        keeper = request.herd or request
+        if keeper.order.version != self.hosts.version:
+            keeper.order = HostOrder(
+                self.hosts.version,
+                _ranked(self.hosts.caches, hash_key(f"{request.object_key}/{request.part}")),
+                _ranked(self.hosts.parents, hash_key(request.object_key)),
+            )
+        return keeper.order
+
+
+def _ranked(hosts: list[Host], key: int) -> list[Host]:
+    return sorted(hosts, key=lambda host: rendezvous_score(key, host.salt, host.hash_weight))
--- /dev/null
+++ b/hoistplank/decision/sources.py
@@ -0,0 +1,72 @@
+"""Parents and the origin: the source that a fill comes from, and how slowly each parent fills."""
+
+from __future__ import annotations
+
+from hoistplank.decision.health import HealthTracker
+from hoistplank.decision.hosts import Host
+from hoistplank.decision.ranking import HostRanking
+from hoistplank.decision.requests import Request
+from hoistplank.decision.slow_start import SlowStart
+
+# Slowness is a fill's time over its sending time and this, for the way: so it shows slow links, too.
+FILL_WAY_US = 100_000
+# The usual slowness settles over 50 fills, the recent one follows 5.
+USUAL_FILLS = 50
+RECENT_FILLS = 5
+# A parent is slow well above its usual and above the second parent: other faults slow both.
+SLOW_FACTOR = 1.5
+SLOW_MARGIN = 0.3
+# One fill a second finds out whether a slow parent has recovered.
+SLOW_TRIAL_US = 1_000_000
+
+
+class SourceSelector:
+    """Chooses the source of a fill, and keeps how slow each parent is."""
+
+    def __init__(self, ranking: HostRanking, health: HealthTracker, slow_start: SlowStart) -> None:
+        self.ranking = ranking
+        self.hosts = ranking.hosts
+        self.health = health
+        self.slow_start = slow_start
+
+    def choose(self, now_us: int, request: Request, otherwise: Host | None) -> Host | None:
+        """The first parent in the object's order that may be used, or the second where the first is slow.
+
+        Without a parent the origin, and without that `otherwise`.
+        """
+        sending_time_us = request.class_state.sending_time_us
+        usable = [
+            parent
+            for parent in self.ranking.order(request).parents
+            if self.health.is_usable(now_us, parent)
+            and parent.attempts_in_flight < parent.recovery_limit
+            and self.slow_start.fits_budget(now_us, parent, sending_time_us)
+        ]
+        if not usable:
+            return self.hosts.usable_origin() or otherwise
+        if request.failed_hosts:
+            usable = [parent for parent in usable if parent not in request.failed_hosts] or usable
+        if len(usable) == 1:
+            return usable[0]
+        first, second = usable[:2]
+        if self._is_slow(now_us, first, second):
+            return second
+        first.slow_trial_us = now_us
+        return first
+
+    def _is_slow(self, now_us: int, first: Host, second: Host) -> bool:
+        """Whether the second parent is to fill instead of the first.
+
+        Answers a parent that is slowed while it answers. Can harm by a second copy at another parent.
+        """
+        if not first.recent_slowness > SLOW_FACTOR * first.usual_slowness + SLOW_MARGIN:
+            return False
+        tried_lately = now_us - first.slow_trial_us < SLOW_TRIAL_US
+        return tried_lately and second.recent_slowness * SLOW_FACTOR < first.recent_slowness
+
+    def record_fill(self, parent: Host, took_us: int, sending_time_us: float) -> None:
+        """Takes one fill into the slowness of its parent."""
+        slowness = took_us / (sending_time_us + FILL_WAY_US)
+        parent.fills_seen += 1
+        parent.usual_slowness += (slowness - parent.usual_slowness) / min(USUAL_FILLS, parent.fills_seen)
+        parent.recent_slowness += (slowness - parent.recent_slowness) / min(RECENT_FILLS, parent.fills_seen)
