--- a/hoistplank/decision/events.py
+++ b/hoistplank/decision/events.py
@@ -62,9 +62,9 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, gc=False):
-    """One host of the endpoint list; `started_us` is 0 where its start is not known."""
+    """One row of the endpoint list; `host` is the name, `started_us` 0 where the start is not known."""
 
-    name: str
+    host: str
     zone: str
     kind: str
     cell: int
--- a/hoistplank/decision/herds.py
+++ b/hoistplank/decision/herds.py
@@ -3,15 +3,13 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from dataclasses import dataclass
 
 from hoistplank.decision.health import HealthTracker
 from hoistplank.decision.hosts import Host
 from hoistplank.decision.purges import PurgeWatermarks
-from hoistplank.decision.requests import NO_ORDER, Attempt, HostOrder, Request
+from hoistplank.decision.requests import BUCKET_SIZE, Attempt, Herd, Request
 
-# A bucket holds one request and is refilled at 8 a second, as the published design begins.
-BUCKET_SIZE = 1.0
+# A bucket is refilled at 8 a second, as the published design begins.
 REFILL_PER_US = 8e-6
 # For so long after a copy was last seen it should still be there.
 COOLDOWN_US = 8_000_000
@@ -19,21 +17,6 @@
 FORGOTTEN_AFTER_US = 10_000_000
 
 
-@dataclass(slots=True, eq=False)
-class Herd:
-    """What is known of one object part and traffic class."""
-
-    last_request_us: int
-    tokens: float = BUCKET_SIZE
-    leader: Attempt | None = None  # the fill that the others wait for
-    # The last copy that was seen.
-    host: Host | None = None
-    host_incarnation: int = 0
-    seen_us: int = 0
-    fetched_us: int = 0  # the earliest moment at which it may have been fetched from the origin
-    order: HostOrder = NO_ORDER  # worked out once for all its requests
-
-
 class HerdTable:
     """The herds by object, part and class, in the order of their last request."""
 
--- a/hoistplank/decision/hosts.py
+++ b/hoistplank/decision/hosts.py
@@ -142,7 +142,7 @@
 
         Danger: hosts that are replaced all day would fill the memory and every order.
         """
-        named = {endpoint.name for endpoint in endpoints}
+        named = {endpoint.host for endpoint in endpoints}
         for name, host in list(self.by_name.items()):
             missing = form != EndpointListForm.CHANGES and name not in named
             if missing or host.state == EndpointState.REMOVED:
--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -9,10 +9,9 @@
 from typing import NamedTuple
 
 from hoistplank.decision.events import EndpointListForm
-from hoistplank.decision.herds import Herd
 from hoistplank.decision.hosts import Host
 from hoistplank.decision.parts import Parts
-from hoistplank.decision.requests import Request
+from hoistplank.decision.requests import Herd, Request
 from hoistplank.decision.settings import Degradation, RouterSettings
 
 # A request that is held for its herd's leader goes by itself this much before its latest start.
--- a/hoistplank/decision/requests.py
+++ b/hoistplank/decision/requests.py
@@ -1,22 +1,22 @@
-"""The records of a request, its attempts and the running figures of its traffic class."""
+"""The records of a request, its attempts and its herd, and the running figures of its traffic class."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from hoistplank.decision.hosts import PARENT, Host
 from hoistplank.decision.settings import TrafficClass
 
-if TYPE_CHECKING:
-    from hoistplank.decision.herds import Herd
-
 # Sizes vary widely, their mean hardly moves: each counts for 1 in 50.
 SENDING_TIME_WEIGHT = 0.02
 # Each fill counts for 1 in 12, about a second's fills of a busy class: a slow origin and its end both show
 # soon.
 FILL_WEIGHT = 0.08
 
+# The bucket of a herd holds one request.
+BUCKET_SIZE = 1.0
+
 NEVER_US = -1
 
 
@@ -120,3 +120,18 @@
         if self.is_fill and source is not None and source.tier == PARENT:
             return source
         return self.host
+
+
+@dataclass(slots=True, eq=False)
+class Herd:
+    """What is known of one object part and traffic class."""
+
+    last_request_us: int
+    tokens: float = BUCKET_SIZE
+    leader: Attempt | None = None  # the fill that the others wait for
+    # The last copy that was seen.
+    host: Host | None = None
+    host_incarnation: int = 0
+    seen_us: int = 0
+    fetched_us: int = 0  # the earliest moment at which it may have been fetched from the origin
+    order: HostOrder = NO_ORDER  # worked out once for all its requests
--- a/hoistplank/decision/router.py
+++ b/hoistplank/decision/router.py
@@ -100,9 +100,9 @@
         self.parts.hosts.finish_update(event.form, event.endpoints)
 
     def _apply_endpoint(self, now_us: int, endpoint: Endpoint) -> None:
-        host = self.parts.hosts.by_name.get(endpoint.name)
+        host = self.parts.hosts.by_name.get(endpoint.host)
         if host is None:
-            host = self.parts.hosts.register(now_us, endpoint.name, endpoint.kind, endpoint.zone)
+            host = self.parts.hosts.register(now_us, endpoint.host, endpoint.kind, endpoint.zone)
             self.parts.host_limits.register(host)
         if host.describes_a_start(endpoint):
             host.begin_incarnation()
