--- a/hoistplank/decision/stalls.py
+++ b/hoistplank/decision/stalls.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from math import inf
 
 from hoistplank.decision.health import HealthTracker
 from hoistplank.decision.hosts import PARENT, Host
@@ -59,9 +60,19 @@
         """
         request = attempt.request
         host = attempt.awaited_host()
+        waited_us = now_us - attempt.sent_us
+        sending_time_us = request.sending_time_us()
         silent = self._is_silent(attempt, host)
-        lost = not silent and self._is_lost(now_us, attempt)
-        if not (lost or request.closed or self._is_overdue(now_us, attempt, silent)):
+        if silent:
+            # What lay unread while the loop was late is not the host's silence.
+            patience_us = SILENCE_US + SILENT_SENDING_TIMES * sending_time_us + self.overload.lag_us
+            lost = False
+        else:
+            patience_us = inf
+            lost = waited_us > LOST_SENDING_TIMES * sending_time_us + LOST_MARGIN_US
+            lost = lost and self._is_surely_lost(now_us, attempt)
+        overdue = waited_us > min(patience_us, OVERDUE_OBJECTIVES * request.objective_us(sending_time_us))
+        if not (lost or overdue or request.closed):
             return False
         if not lost:
             request.failed_hosts.append(host)
@@ -79,25 +90,12 @@
         in_time_share = attempt.request.class_state.in_time_share
         return in_time_share > HEALTHY_IN_TIME_SHARE and self.last_parent_fill_us >= attempt.sent_us
 
-    def _is_lost(self, now_us: int, attempt: Attempt) -> bool:
-        """Whether an answer that is certain to come, from a host that answers others, was lost."""
+    def _is_surely_lost(self, now_us: int, attempt: Attempt) -> bool:
+        """Whether an answer was certain to come, and its request gains by another attempt."""
         request = attempt.request
         if not attempt.is_certain or request.attempts_made >= MOST_ATTEMPTS_OF_A_LOST_ANSWER:
             return False
-        if now_us >= request.latest_start_us:
-            return False
-        waited_us = now_us - attempt.sent_us
-        return waited_us > LOST_SENDING_TIMES * request.sending_time_us() + LOST_MARGIN_US
-
-    def _is_overdue(self, now_us: int, attempt: Attempt, silent: bool) -> bool:
-        """Whether an attempt hangs at a silent host, or is far past its latency objective."""
-        waited_us = now_us - attempt.sent_us
-        sending_time_us = attempt.request.sending_time_us()
-        # What lay unread while the loop was late is not the host's silence.
-        patience_us = SILENCE_US + SILENT_SENDING_TIMES * sending_time_us + self.overload.lag_us
-        if silent and waited_us > patience_us:
-            return True
-        return waited_us > OVERDUE_OBJECTIVES * attempt.request.objective_us(sending_time_us)
+        return now_us < request.latest_start_us
 
     def _blame(self, now_us: int, host: Host, attempt: Attempt) -> None:
         if host.tier == PARENT:
