--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from hoistplank.decision.events import Endpoint
 from hoistplank.protocol import cachewire, changelog, fastcgi
 from hoistplank.protocol.errors import BadBytes
 
@@ -163,7 +164,7 @@
 def test_change_log_cut_anywhere() -> None:
     for listed, number, purged in everywhere(changelog.Reader, LINES):
         entry = listed.fleet.targets[0].entry()
-        assert entry == ("s-1", "east", "std", 2, 4.0, 17_000, "draining") and number == 41
+        assert entry == Endpoint("s-1", "east", "std", 2, 4.0, 17_000, "draining") and number == 41
         assert (purged.invalidate.object, purged.seq) == ("7f3a9c21e0b4d655", 42)
 
 
