--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -1,5 +1,7 @@
 """The lab's model: streams, links, keeps, scripts, the days of a seed, and checkers that fire."""
 
+import sys
+from pathlib import Path
 from typing import Any
 
 import pytest
@@ -7,7 +9,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
+import hoistplank
 from hoistplank.decision.events import CacheStatus, Outcome
+from hoistplank.decision.router import Router
 from hoistplank.lab.backends.virtual import built, digest
 from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.model.cache_storage import Keep
@@ -20,7 +24,7 @@
 from hoistplank.lab.model.streams import Streams
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import S, Shape, sized
-from hoistplank.lab.policies import Make, UnknownPolicy, policy
+from hoistplank.lab.policies import Make, UnknownPolicy, policy, text_of
 from hoistplank.operator_configuration.faults import Faults
 from hoistplank.routing.clock_offset import LogClock
 
@@ -140,6 +144,17 @@
     assert len(checked(rows, SMALL)) == 2 and not checked(script(drawn("any", 4, 6.0)), SMALL)
 
 
+def test_an_older_text_decides_by_its_own_files_and_leaves_todays_in_place() -> None:
+    root, now = Path(hoistplank.__file__).parents[1], sys.modules["hoistplank.decision.router"]
+    text = drawn("crash+herd", 4, 6.0)
+    world = built(SMALL, 4, policy("text-0000", {"0000": root}), script(text))
+    world.run()
+    assert text_of(root, "0000") is not Router and sys.modules["hoistplank.decision.router"] is now
+    assert digest(world) == digest(played("module", text, 4))
+    with pytest.raises(UnknownPolicy, match="no hoistplank/decision"):
+        text_of(root / "tests", "0001")
+
+
 def test_an_unknown_policy_or_day_names_what_there_is() -> None:
     with pytest.raises(UnknownPolicy, match="without-silence"):
         policy("modul")
