--- a/hoistplank/distribution/assignment.py
+++ b/hoistplank/distribution/assignment.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import NamedTuple
 
-from hoistplank.choice import mix, standing
+from hoistplank.decision.hashing import hash_key, rendezvous_score
 
 # A replica accepts its even share and a tenth more.
 MAX_LOAD_PERCENT = 110
@@ -32,10 +32,10 @@
     dispatcher: str, region: str, replicas: Iterable[ReplicaAddress]
 ) -> tuple[ReplicaAddress, ...]:
     """All replicas in the order in which `dispatcher` tries them, those of its region first."""
-    key = mix(dispatcher)
+    key = hash_key(dispatcher)
 
     def rank(replica: ReplicaAddress) -> tuple[bool, float, str]:
-        return replica.region != region, standing(key, mix(replica.name), 1.0), replica.name
+        return replica.region != region, rendezvous_score(key, hash_key(replica.name), 1.0), replica.name
 
     return tuple(sorted(replicas, key=rank))
 
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from hoistplank.interface import Site
+from hoistplank.decision.settings import RouterSettings
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.clock import Clock
@@ -28,11 +28,11 @@
 MIN_SHARE = 0.05  # of a cold host's weight: it always gets some requests
 
 
-def host_of(site: Site, target: Target, now_us: int) -> Host:
+def host_of(site: RouterSettings, target: Target, now_us: int) -> Host:
     """A target of the change log as followers are to see it."""
     address, port = target.address()
     tiers = {site.origin_kind: ORIGIN_CLUSTER, site.parent_kind: PARENTS_CLUSTER}
-    is_weighted = site.links_told and target.capacity_hint > 0
+    is_weighted = site.links_declared and target.capacity_hint > 0
     host = Host(
         uid=target.uid,
         address=address,
@@ -47,16 +47,16 @@
     return replace(host, share=slow_start_share(site, host, now_us))
 
 
-def slow_start_share(site: Site, host: Host, now_us: int) -> float:
+def slow_start_share(site: RouterSettings, host: Host, now_us: int) -> float:
     """The share of its weight that a host may have now, by the settings of slow start.
 
     It rises in tenths, so that warming up is some ten changes and not one each tick. Danger: all followers
     together would overload a cold host.
     """
     rules = site.rules
-    start_share, duration_us = rules.cold_from, rules.cold_us
+    start_share, duration_us = rules.warm_up_initial_share, rules.warm_up_us
     if host.tier == PARENTS_CLUSTER:
-        start_share, duration_us = rules.parent_cold_from, rules.parent_cold_us
+        start_share, duration_us = rules.parent_warm_up_initial_share, rules.parent_warm_up_us
     elapsed_us = now_us - host.started_us
     if host.tier == ORIGIN_CLUSTER or host.started_us <= 0 or elapsed_us >= duration_us:
         return 1.0
@@ -70,7 +70,7 @@
     def __init__(self, configuration: Configuration, limits: StreamLimits | None = None) -> None:
         self.site = configuration.site
         self.clock = Clock()
-        self.resources = ResourceCache(configuration.site.floors_us)
+        self.resources = ResourceCache(configuration.site.purge_hold_us)
         self.broadcaster = Broadcaster(self.resources, self.clock.now, limits)
         self.server: Any = None  # of grpc.aio, which has no types
         self.port = 0
--- a/hoistplank/xds/ranking_cache.py
+++ b/hoistplank/xds/ranking_cache.py
@@ -1,6 +1,6 @@
 """The order in which a follower tries cache hosts: the decision module's own, from what xDS carries.
 
-No I/O, no clock. The formula is in `hoistplank.choice`; here is only the index that keeps the first host of
+No I/O, no clock. The formula is in `decision.hashing`; here is only the index that keeps the first host of
 each followed object and part, so that a host that is added or removed affects only the names ranked at it.
 """
 
@@ -9,17 +9,17 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from hoistplank.choice import mix, standing
+from hoistplank.decision.hashing import hash_key, rendezvous_score
 
 
 def ranking_key(object_key: str, part: int) -> int:
     """The key of an object's part, by which the decision module ranks caches."""
-    return mix(f"{object_key}/{part}")
+    return hash_key(f"{object_key}/{part}")
 
 
 def ranked_hosts(key: int, weights: dict[str, float]) -> list[str]:
     """All hosts in the order for a key; `weights`: uid -> weight above 0."""
-    return sorted(weights, key=lambda uid: standing(key, mix(uid), weights[uid]))
+    return sorted(weights, key=lambda uid: rendezvous_score(key, hash_key(uid), weights[uid]))
 
 
 class RankedHost(NamedTuple):
@@ -48,7 +48,10 @@
 
     def _search(self, name: str) -> None:
         key, hashes = self._keys[name], self._host_hashes
-        ranked = (RankedHost(standing(key, hashes[uid], weight), uid) for uid, weight in self.weights.items())
+        ranked = (
+            RankedHost(rendezvous_score(key, hashes[uid], weight), uid)
+            for uid, weight in self.weights.items()
+        )
         self._set_first(name, min(ranked, default=NO_HOST))
 
     def _set_first(self, name: str, first: RankedHost) -> None:
@@ -77,9 +80,9 @@
             return set()
         changed = self.remove_host(uid) if uid in self.weights else set()
         self.weights[uid] = weight
-        self._host_hashes[uid] = mix(uid)
+        self._host_hashes[uid] = hash_key(uid)
         for name, key in self._keys.items():
-            ranked = RankedHost(standing(key, self._host_hashes[uid], weight), uid)
+            ranked = RankedHost(rendezvous_score(key, self._host_hashes[uid], weight), uid)
             if self.first_hosts[name].uid == "" or ranked < self.first_hosts[name]:
                 self._set_first(name, ranked)
                 changed.add(name)
--- a/tests/xds_rig.py
+++ b/tests/xds_rig.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import Any
 
+from hoistplank.decision.events import Endpoint
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.proxy import Proxy
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import serve
-from hoistplank.interface import HostEntry
 from hoistplank.xds.broadcaster import StreamLimits
 from hoistplank.xds.control import ControlService
 from hoistplank.xds.resource_messages import Host
@@ -21,7 +21,7 @@
 S = 1_000_000
 
 
-ABOVE = [HostEntry(kind[0], "hub", kind, 0, 100.0, 0, "up") for kind in ("parent", "origin")]
+ABOVE = [Endpoint(kind[0], "hub", kind, 0, 100.0, 0, "up") for kind in ("parent", "origin")]
 
 
 def host(uid: str, up: bool = True, zone: str = "z1", weight: float = 1.0, share: float = 1.0) -> Host:
