--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -21,7 +21,7 @@
 from hoistplank.distribution.status_client import ask
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import address as read_address
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 LOOPBACK = ("127.", "localhost:", "[::1]:")
 # What a copy from before a purge may outlive it by, beside the floors: clocks and paths between replicas.
@@ -37,7 +37,7 @@
 def _address(option: str, text: str) -> tuple[str, int]:
     try:
         return read_address(text)
-    except BadBytes as wrong:
+    except ProtocolError as wrong:
         _refuse(f"{option} {text}: {wrong}")
 
 
@@ -130,7 +130,7 @@
     async def one(endpoint: str) -> Asked:
         try:
             return Asked(endpoint, await ask(_address("--replica", endpoint), version), "")
-        except (OSError, BadBytes) as wrong:
+        except (OSError, ProtocolError) as wrong:
             return Asked(endpoint, None, str(wrong) or type(wrong).__name__)
 
     return await asyncio.gather(*map(one, endpoints))
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -35,7 +35,7 @@
 )
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import Event, Known
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
 from hoistplank.routing.router_task import Applied, Listed
 from hoistplank.transport.connecting import connected
@@ -146,7 +146,7 @@
             raise Redirected(told.reason)
         verdict = self.state.judge(self.owner.clock.now(), told)
         if verdict is Verdict.GAP:
-            raise BadBytes(f"event {told.version} after {told.after} does not follow {self.state.told}")
+            raise ProtocolError(f"event {told.version} after {told.after} does not follow {self.state.told}")
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
--- a/hoistplank/distribution/lines.py
+++ b/hoistplank/distribution/lines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 
 class LineReader:
@@ -13,7 +13,7 @@
         self._searched = 0  # bytes of an unfinished line that hold no end
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[bytes]]:
-        """The whole lines between `start` and `end`, and where the rest begins; raises BadBytes."""
+        """The whole lines between `start` and `end`, and where the rest begins; raises ProtocolError."""
         lines = list[bytes]()
         while (stop := buffer.find(b"\n", start + self._searched, end)) >= 0:
             line = bytes(buffer[start:stop]).strip()
@@ -22,5 +22,5 @@
                 lines.append(line)
         self._searched = end - start
         if self._searched > self.longest:
-            raise BadBytes(f"a line is longer than {self.longest} bytes")
+            raise ProtocolError(f"a line is longer than {self.longest} bytes")
         return start, lines
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -12,7 +12,7 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
 from hoistplank.protocol.changelog import Event, Known
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.router_task import Event as Telling
@@ -104,12 +104,12 @@
         if epoch == self.epoch:
             return
         if epoch < self.epoch:
-            raise BadBytes(f"the change log is in epoch {epoch}, {self.epoch} is known")
+            raise ProtocolError(f"the change log is in epoch {epoch}, {self.epoch} is known")
         began_anew = self.last > 0
         self.epoch = epoch
         if began_anew:
             self.last, self.behind, self.anew = 0, False, True
-            raise BadBytes(f"the change log began anew in epoch {epoch}: all is asked for")
+            raise ProtocolError(f"the change log began anew in epoch {epoch}: all is asked for")
 
     def _take(self, told: Event | int) -> None:
         moves, was_behind = self.moves, self.behind
--- a/hoistplank/distribution/messages.py
+++ b/hoistplank/distribution/messages.py
@@ -5,7 +5,7 @@
 so a follower checks `after` against what it holds in place of counting by one. A line with `seq` and
 `epoch` alone is a heartbeat: there is nothing newer than that number. More than one missing event is told
 as a catch-up: a line that begins it, its parts, and a line that ends it. Everything a line names is checked
-here; what can't be used raises BadBytes with what is wrong.
+here; what can't be used raises ProtocolError with what is wrong.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
 from hoistplank.protocol.changelog import Fleet, Purge
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 MOST_CONFIGURATION = 1_048_576  # bytes of one configuration's text
 # JSON may write each byte of a text as six characters.
@@ -169,29 +169,29 @@
 
 
 def read_request(line: bytes) -> Follow | InForce | Report | StatusRequest:
-    """What a dispatcher, a peer or an operator asks; raises BadBytes."""
+    """What a dispatcher, a peer or an operator asks; raises ProtocolError."""
     try:
         told = _requests.decode(line)
     except msgspec.MsgspecError as wrong:
-        raise BadBytes(f"a request can't be read: {wrong}") from None
+        raise ProtocolError(f"a request can't be read: {wrong}") from None
     found = [part for part in (told.follow, told.in_force, told.report, told.status) if part is not None]
     if len(found) != 1:
-        raise BadBytes(
+        raise ProtocolError(
             f"a request holds {len(found)} of 'follow', 'in_force', 'report' and 'status', not one"
         )
     return found[0]
 
 
 def read_replica_line(line: bytes) -> ReplicatedEvent | Redirect:
-    """What a replica tells a dispatcher; raises BadBytes."""
+    """What a replica tells a dispatcher; raises ProtocolError."""
     try:
         told = _replica_lines.decode(line)
     except msgspec.MsgspecError as wrong:
-        raise BadBytes(f"a replica's line can't be read: {wrong}") from None
+        raise ProtocolError(f"a replica's line can't be read: {wrong}") from None
     if told.redirect is not None:
         return told.redirect
     if told.seq is None:
-        raise BadBytes("a replica's line has neither 'seq' nor 'redirect'")
+        raise ProtocolError("a replica's line has neither 'seq' nor 'redirect'")
     changelog.check(changelog.Event(told.seq, told.fleet, told.invalidate))
     return ReplicatedEvent(
         told.seq,
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -19,7 +19,7 @@
     RequestLine,
     encode,
 )
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.transport.connecting import connected
 from hoistplank.transport.connection import Connection, Consume
 
@@ -128,7 +128,7 @@
                 try:
                     row = _rows.decode(line)
                 except msgspec.MsgspecError as wrong:
-                    raise BadBytes(f"a peer's row can't be read: {wrong}") from None
+                    raise ProtocolError(f"a peer's row can't be read: {wrong}") from None
                 self.replica.table.merged(now, self.peer.name, row)
             return start
 
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -36,7 +36,7 @@
 from hoistplank.distribution.state import ReplicatedState
 from hoistplank.distribution.status import Load, PeerRow, StatusAnswer, UnheardRow, change_row
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import SILENT_S
 from hoistplank.routing.rate_limited_log import Complaints
@@ -199,7 +199,7 @@
         """A dispatcher follows from now on."""
         life = self.table.followed(self.now(), self.name, session.follow)
         if life is not Life.ACCEPTED:
-            raise BadBytes(f"{session.name} can't follow: {life.value}")
+            raise ProtocolError(f"{session.name} can't follow: {life.value}")
         earlier = self.sessions.get(session.name)
         self.sessions[session.name] = session
         if earlier is not None:
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -23,7 +23,7 @@
 )
 from hoistplank.distribution.peer_link import PeerSession, Reporting
 from hoistplank.distribution.status import StatusAnswer
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.transport.connection import Connection
 
@@ -74,7 +74,7 @@
         elif isinstance(request, InForce):
             self._acknowledged(request)
         elif self.dispatcher is not None or self.peer is not None:
-            raise BadBytes("a connection says a second time whose it is")
+            raise ProtocolError("a connection says a second time whose it is")
         elif isinstance(request, Follow):
             self._followed(request)
         else:
@@ -95,7 +95,7 @@
 
     def _acknowledged(self, in_force: InForce) -> None:
         if self.dispatcher is None:
-            raise BadBytes("an acknowledgement comes before 'follow'")
+            raise ProtocolError("an acknowledgement comes before 'follow'")
         self.replica.acknowledged(self.dispatcher, in_force)
 
     def is_lost(self) -> bool:
--- a/hoistplank/fakes/wire.py
+++ b/hoistplank/fakes/wire.py
@@ -87,14 +87,14 @@
             "HTTP_X_DEADLINE_MS": "1500",
             "HTTP_X_SUBJECT": "7f3a9c21e0b4d655",
         } | (fields or {})
-        params = b"".join(fastcgi.pair(name.encode(), value.encode()) for name, value in pairs.items())
+        params = b"".join(fastcgi.encode_pair(name.encode(), value.encode()) for name, value in pairs.items())
         parts = [
-            fastcgi.record(fastcgi.BEGIN, number, struct.pack(">HB5x", 1, 1)),
-            fastcgi.record(fastcgi.PARAMS, number, params),
-            fastcgi.record(fastcgi.PARAMS, number),
+            fastcgi.encode_record(fastcgi.BEGIN_REQUEST, number, struct.pack(">HB5x", 1, 1)),
+            fastcgi.encode_record(fastcgi.PARAMS, number, params),
+            fastcgi.encode_record(fastcgi.PARAMS, number),
         ]
-        parts += [fastcgi.record(fastcgi.STDIN, number, body)] if body else []
-        self.writer.write(b"".join([*parts, fastcgi.record(fastcgi.STDIN, number)]))
+        parts += [fastcgi.encode_record(fastcgi.STDIN, number, body)] if body else []
+        self.writer.write(b"".join([*parts, fastcgi.encode_record(fastcgi.STDIN, number)]))
 
     async def answer(self) -> tuple[int, int, bytes, bytes]:
         """The next whole answer: its number, status, head and body."""
@@ -103,7 +103,7 @@
             content = (await self.reader.readexactly(length + padding))[:length]
             if kind == fastcgi.STDOUT:
                 self.out[number] = self.out.get(number, b"") + content
-            elif kind == fastcgi.END:
+            elif kind == fastcgi.END_REQUEST:
                 head, _, body = self.out.pop(number, b"Status: 0\r\n\r\n").partition(b"\r\n\r\n")
                 return number, int(head.split(b"\r\n")[0].split(b": ")[1]), head, body
 
--- a/hoistplank/lab/load/echo.py
+++ b/hoistplank/lab/load/echo.py
@@ -12,7 +12,7 @@
 
 from hoistplank.protocol import fastcgi
 
-ANSWER = fastcgi.answer(1, 200, (), b"ok")
+ANSWER = fastcgi.encode_response(1, 200, (), b"ok")
 
 
 def _patched() -> tuple[bytes, tuple[int, ...]]:
--- a/hoistplank/lab/load/wire.py
+++ b/hoistplank/lab/load/wire.py
@@ -30,14 +30,16 @@
             **(fields or {}),
             **({"HTTP_AUTHORIZATION": f"Bearer {token}"} if token else {}),
         }
-        params = b"".join(fastcgi.pair(name.encode(), value.encode()) for name, value in pairs.items())
-        params += fastcgi.pair(b"HTTP_X_CORRELATION_ID", ID) + fastcgi.pair(b"HTTP_X_SUBJECT", OBJECT_NUMBER)
-        params += fastcgi.pair(b"HTTP_X_OPERATION_KEY", KEY) if keyed else b""
+        params = b"".join(fastcgi.encode_pair(name.encode(), value.encode()) for name, value in pairs.items())
+        params += fastcgi.encode_pair(b"HTTP_X_CORRELATION_ID", ID) + fastcgi.encode_pair(
+            b"HTTP_X_SUBJECT", OBJECT_NUMBER
+        )
+        params += fastcgi.encode_pair(b"HTTP_X_OPERATION_KEY", KEY) if keyed else b""
         records = [
-            fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 1)),
-            fastcgi.record(fastcgi.PARAMS, 1, params),
-            fastcgi.record(fastcgi.PARAMS, 1),
-            fastcgi.record(fastcgi.STDIN, 1),
+            fastcgi.encode_record(fastcgi.BEGIN_REQUEST, 1, struct.pack(">HB5x", 1, 1)),
+            fastcgi.encode_record(fastcgi.PARAMS, 1, params),
+            fastcgi.encode_record(fastcgi.PARAMS, 1),
+            fastcgi.encode_record(fastcgi.STDIN, 1),
         ]
         self.data = b"".join(records)
         self.numbers, at = [], 0
@@ -83,7 +85,7 @@
             if kind == fastcgi.STDOUT and length and number not in self.status:
                 head = data[at + 8 : at + 8 + length]
                 self.status[number] = int(head[8:11]) if head.startswith(b"Status: ") else 0
-            elif kind == fastcgi.END:
+            elif kind == fastcgi.END_REQUEST:
                 found.append((number, self.status.pop(number, 0)))
             at = stop
         self.rest = data[at:]
--- a/hoistplank/lab/scale/run_replicas.py
+++ b/hoistplank/lab/scale/run_replicas.py
@@ -17,7 +17,7 @@
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.lab.scale.run_paths import ReplicaPaths
 from hoistplank.lab.scale.run_usage import ReplicaSample
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 READY_S, END_S = 30.0, 8.0
 CPU_CLOCK = 2  # of the clock ids that Linux builds from a process's id (clock_getcpuclockid(3))
@@ -95,7 +95,7 @@
         """What it says of itself and of what is in force; None where it does not answer."""
         try:
             return await ask(("127.0.0.1", self.port), None)
-        except (OSError, BadBytes):
+        except (OSError, ProtocolError):
             return None
 
     def sample(self, at_us: int) -> ReplicaSample | None:
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -19,7 +19,7 @@
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Event, Fleet, Target, address
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
@@ -347,7 +347,7 @@
                 if not more:
                     break
                 data += more
-    except (OSError, ValueError, BadBytes):  # a time-out is one too
+    except (OSError, ValueError, ProtocolError):  # a time-out is one too
         return "stranger" if data else "mute"
     finally:
         sock.close()
--- a/hoistplank/program/configuration.py
+++ b/hoistplank/program/configuration.py
@@ -16,7 +16,7 @@
 
 from hoistplank.interface import Site
 from hoistplank.protocol.changelog import Known, address, check
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.settings_reader import FactError, Fields, flat, site
 
 Count = Annotated[int, Meta(ge=1)]
@@ -66,7 +66,7 @@
 def _address(key: str, text: str) -> tuple[str, int]:
     try:
         return address(text)
-    except BadBytes as wrong:
+    except ProtocolError as wrong:
         raise BadConfiguration(f"{key}: {wrong}") from None
 
 
@@ -134,7 +134,7 @@
     try:
         for event in written.known.results:
             check(event)
-    except BadBytes as wrong:
+    except ProtocolError as wrong:
         raise BadConfiguration(f"known.results: {wrong}") from None
     facts = Fields([])
     facts.pairs = flat(written.settings)
--- a/hoistplank/protocol/cachewire.py
+++ b/hoistplank/protocol/cachewire.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 MOST_HEAD = 4_096  # a line of an answer: an id, a word, some short fields and a length
 MOST_BODY = 240_000
@@ -59,22 +59,24 @@
 
 
 def check(answer: Answer, probe: bool, holds: str, of_copy: bool) -> None:
-    """Raises BadBytes where a word or its fields don't fit what was asked; `holds` is the tag of the client's
-    copy that was passed on, or empty."""
+    """Raises ProtocolError where a word or its fields don't fit what was asked; `holds` is the tag of the
+    client's copy that was passed on, or empty."""
     if (answer.word in PROBE_WORDS) != probe:
-        raise BadBytes(f"'{answer.word}' answers a {'probe' if probe else 'attempt'}")
+        raise ProtocolError(f"'{answer.word}' answers a {'probe' if probe else 'attempt'}")
     if answer.word not in OK_WORDS:
         return
     if answer.word == "still_good" and (not holds or answer.body):
-        raise BadBytes("'still_good' without a copy to be good, or with bytes")
+        raise ProtocolError("'still_good' without a copy to be good, or with bytes")
     if answer.word == "still_good" and answer.fields.get("digest", "") != holds:
         # Danger: the client would be told that its copy is the one, of which nobody has said so.
-        raise BadBytes(f"'still_good' names '{answer.fields.get('digest', '')[:20]}', not the client's copy")
+        raise ProtocolError(
+            f"'still_good' names '{answer.fields.get('digest', '')[:20]}', not the client's copy"
+        )
     for name in ("digest", "dated") if of_copy else ():
         if not answer.fields.get(name):
-            raise BadBytes(f"an ok answer lacks the field '{name}'")
+            raise ProtocolError(f"an ok answer lacks the field '{name}'")
     if not answer.fields.get("dated", "0").isdecimal():
-        raise BadBytes(f"an ok answer is dated '{answer.fields['dated'][:20]}'")
+        raise ProtocolError(f"an ok answer is dated '{answer.fields['dated'][:20]}'")
 
 
 def is_token(text: str) -> bool:
@@ -103,18 +105,18 @@
         self.length, self.seen = 0, 0
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[Answer]]:
-        """Takes the whole answers between start and end, one a call; raises BadBytes on what is none."""
+        """Takes the whole answers between start and end, one a call; raises ProtocolError on what is none."""
         found: list[Answer] = []
         while not found:
             if self.head is None:
                 stop = buffer.find(b"\r\n", start + self.seen, end)
                 if stop < 0:
                     if end - start > MOST_HEAD:
-                        raise BadBytes("an answer's line is too long")
+                        raise ProtocolError("an answer's line is too long")
                     self.seen = max(0, end - start - 1)
                     return start, found
                 if stop - start > MOST_HEAD:
-                    raise BadBytes("an answer's line is too long")
+                    raise ProtocolError("an answer's line is too long")
                 self.seen = 0
                 answer = self._head(buffer[start:stop])
                 start = stop + 2
@@ -125,7 +127,7 @@
                 return start, found
             stop = start + self.length
             if buffer[stop : stop + 2] != b"\r\n":
-                raise BadBytes("an answer's bytes are not followed by CR LF")
+                raise ProtocolError("an answer's bytes are not followed by CR LF")
             with memoryview(buffer) as view:
                 found.append(Answer(*self.head, bytes(view[start:stop])))
             self.head, start = None, stop + 2
@@ -134,20 +136,20 @@
     def _head(self, line: bytearray) -> Answer | None:
         words = line.decode("latin-1").split(" ")
         if len(words) not in (2, 3, 4):
-            raise BadBytes(f"an answer has {len(words)} words")
+            raise ProtocolError(f"an answer has {len(words)} words")
         if words[1] not in WORDS:
-            raise BadBytes(f"an answer has the unknown word '{words[1][:20]}'")
+            raise ProtocolError(f"an answer has the unknown word '{words[1][:20]}'")
         fields: dict[str, str] = {}
         for part in words[2].split(",") if len(words) > 2 and words[2] != "-" else []:
             name, equals, value = part.partition("=")
             if not equals:
-                raise BadBytes(f"an answer has the field '{part[:20]}' without a value")
+                raise ProtocolError(f"an answer has the field '{part[:20]}' without a value")
             fields[name] = value
         if len(words) < 4:
             if words[1] in OK_WORDS:
-                raise BadBytes("an answer has no length")
+                raise ProtocolError("an answer has no length")
             return Answer(words[0], words[1], fields, b"")
         if not (words[3].isascii() and words[3].isdecimal()) or int(words[3]) > MOST_BODY:
-            raise BadBytes(f"an answer has the length '{words[3][:20]}'")
+            raise ProtocolError(f"an answer has the length '{words[3][:20]}'")
         self.head, self.length = (words[0], words[1], fields), int(words[3])
         return None
--- a/hoistplank/protocol/changelog.py
+++ b/hoistplank/protocol/changelog.py
@@ -6,7 +6,7 @@
 
 from hoistplank.interface import HostEntry
 from hoistplank.protocol.cachewire import is_token
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 # A configuration of 1 MiB, each byte of which JSON may write as six; a list of some thousand hosts is less.
 MOST_LINE = 6 * 1_048_576 + 65_536
@@ -85,7 +85,7 @@
 def address(text: str) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdecimal()) or int(port) > 65_535:
-        raise BadBytes(f"'{text[:60]}' is no address with a port")
+        raise ProtocolError(f"'{text[:60]}' is no address with a port")
     return host, int(port)
 
 
@@ -93,10 +93,10 @@
     for target in event.fleet.targets if event.fleet else []:
         if not is_token(target.uid):
             # Danger: it goes into the lines to cache hosts as a source's name, and could change their words.
-            raise BadBytes(f"a cache host's uid '{target.uid[:40]}' can't stand in a line")
+            raise ProtocolError(f"a cache host's uid '{target.uid[:40]}' can't stand in a line")
         address(target.endpoint)
         if target.state not in STATES:
-            raise BadBytes(f"cache host {target.uid[:40]} has the unknown state '{target.state[:20]}'")
+            raise ProtocolError(f"cache host {target.uid[:40]} has the unknown state '{target.state[:20]}'")
     return event
 
 
@@ -120,7 +120,7 @@
                 try:
                     told = _decoder.decode(line)
                 except msgspec.MsgspecError as wrong:
-                    raise BadBytes(f"a line of the change log can't be read: {wrong}") from None
+                    raise ProtocolError(f"a line of the change log can't be read: {wrong}") from None
                 self.epoch = told.epoch if isinstance(told, Event) else 0
                 if isinstance(told, Event) and told.is_number:
                     # The number alone, as the platform's log writes it. Danger: taken for an event, one that
@@ -129,5 +129,5 @@
                 found.append(told if isinstance(told, int) else check(told))
         self.seen = end - start
         if self.seen > MOST_LINE:
-            raise BadBytes("a line of the change log is too long")
+            raise ProtocolError("a line of the change log is too long")
         return start, found
--- /dev/null
+++ b/hoistplank/protocol/fastcgi/responses.py
@@ -0,0 +1,53 @@
+"""CGI responses (RFC 3875 section 6) in the records of FastCGI: STDOUT, its end, END_REQUEST."""
+
+from __future__ import annotations
+
+import struct
+
+from hoistplank.protocol.fastcgi.records import (
+    END_REQUEST,
+    HEADER,
+    MAX_CONTENT_BYTES,
+    REQUEST_COMPLETE,
+    STDOUT,
+    VERSION,
+)
+
+# An empty STDOUT record, and an END_REQUEST record with its body.
+_END_OF_RESPONSE = struct.Struct(">BBHHBxBBHHBxIB3x")
+_END_BODY_BYTES = 8
+
+
+def _encode_end(number: int) -> bytes:
+    """The end of a response's stream and of its request."""
+    return _END_OF_RESPONSE.pack(
+        VERSION, STDOUT, number, 0, 0, VERSION, END_REQUEST, number, _END_BODY_BYTES, 0, 0, REQUEST_COMPLETE
+    )
+
+
+def encode_head(status: int, fields: tuple[tuple[str, str], ...], length: int = 0) -> bytes:
+    """The CGI head of a response whose body has `length` bytes; one without a body may be encoded ahead, for
+    `encode_response_without_body`."""
+    text = f"Status: {status}\r\nContent-Type: application/octet-stream\r\nContent-Length: {length}\r\n"
+    for name, value in fields:
+        text += f"{name}: {value}\r\n"
+    return (text + "\r\n").encode("latin-1")
+
+
+def encode_response_without_body(number: int, head: bytes) -> bytes:
+    """A whole response without a body, behind a head that `encode_head` made ahead."""
+    return HEADER.pack(VERSION, STDOUT, number, len(head), 0) + head + _encode_end(number)
+
+
+def encode_response(number: int, status: int, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
+    """A whole response: its STDOUT records, the stream's end, END_REQUEST."""
+    head = encode_head(status, fields, len(body))
+    first = min(len(body), MAX_CONTENT_BYTES - len(head))
+    first_header = HEADER.pack(VERSION, STDOUT, number, len(head) + first, 0)
+    if first == len(body):
+        return b"".join((first_header, head, body, _encode_end(number)))
+    parts = [first_header, head, memoryview(body)[:first]]
+    for position in range(first, len(body), MAX_CONTENT_BYTES):
+        piece = memoryview(body)[position : position + MAX_CONTENT_BYTES]
+        parts += [HEADER.pack(VERSION, STDOUT, number, len(piece), 0), piece]
+    return b"".join([*parts, _encode_end(number)])
--- /dev/null
+++ b/hoistplank/protocol/fastcgi/script_name.py
@@ -0,0 +1,21 @@
+"""Finds SCRIPT_NAME in encoded parameters, for load shedding that decides before it reads."""
+
+from __future__ import annotations
+
+_NAME = b"SCRIPT_NAME"
+_MAX_SHORT_LENGTH = 0x7F
+
+
+def find_script_name(buffer: bytearray, start: int, end: int) -> bytes:
+    """The value of SCRIPT_NAME among the parameters between `start` and `end`, found without decoding the
+    others; b"" where it is not found. A text in another value that looks like it misleads only load shedding,
+    on its sender's own request."""
+    position = buffer.find(_NAME, start, end)
+    if position < start + 2:
+        return b""
+    name_length, value_length = buffer[position - 2], buffer[position - 1]
+    if name_length != len(_NAME) or value_length > _MAX_SHORT_LENGTH:
+        return b""
+    value_start = position + len(_NAME)
+    value_end = value_start + value_length
+    return bytes(buffer[value_start:value_end]) if value_end <= end else b""
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -13,7 +13,7 @@
 
 from hoistplank.protocol import changelog
 from hoistplank.protocol.changelog import Event, Known, Target
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.clock_offset import LogClock
 from hoistplank.routing.rate_limited_log import Complaints
@@ -115,11 +115,11 @@
             return
         if isinstance(told, int):
             if told > self.last:
-                raise BadBytes(f"the change log is at {told}, but its events came only to {self.last}")
+                raise ProtocolError(f"the change log is at {told}, but its events came only to {self.last}")
             if self.watch is not None:
                 self.watch.alive()
         elif told.seq > self.last + 1:
-            raise BadBytes(f"event {told.seq} follows event {self.last}")
+            raise ProtocolError(f"event {told.seq} follows event {self.last}")
         else:
             self._apply(told)
         self.fresh, self.behind, self.moves = True, False, self.moves + 1
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -10,7 +10,7 @@
 
 from hoistplank.interface import KEYED, Site
 from hoistplank.protocol import fastcgi
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.routing.router_task import Came, Left, Owner
@@ -79,7 +79,7 @@
         self.answer(why.status, tuple(fields), b"")
 
     def answer(self, status: int, fields: tuple[tuple[str, str], ...], body: bytes) -> None:
-        self.session.answer(self, fastcgi.answer(self.number, status, fields, body))
+        self.session.answer(self, fastcgi.encode_response(self.number, status, fields, body))
 
 
 Make = Callable[[socket.socket, Consume, int, int], Connection]
@@ -93,7 +93,7 @@
     def __init__(self, front: Front, sock: socket.socket, peer: str = "", make: Make = Connection) -> None:
         # Danger: load shedding is blind to who calls; one tenant's herd would have it shed all.
         shed = front.shed if front.authorizer is None else None
-        self.front, self.reader = front, fastcgi.Reader(MOST_REQUESTS, shed)
+        self.front, self.reader = front, fastcgi.RequestReader(MOST_REQUESTS, shed)
         self.open: dict[int, Request | None] = {}
         self.peer, self.identity, self.leaving = peer, None, False
         self.held_back: dict[
@@ -115,17 +115,17 @@
                 if not found:
                     return start
                 for event in found:
-                    if isinstance(event, fastcgi.Whole):
+                    if isinstance(event, fastcgi.RequestReceived):
                         self._whole(event.request)
-                    elif isinstance(event, fastcgi.Reply):
+                    elif isinstance(event, fastcgi.ProtocolReply):
                         self.connection.send(event.data)
                     else:
                         self._aborted(event)
-        except BadBytes as wrong:
+        except ProtocolError as wrong:
             self.give_up(str(wrong))
         finally:
             self._account()
-            if self.reader.parting:
+            if self.reader.close_requested:
                 asyncio.get_running_loop().call_soon(self.leave)
             if self.reader.shed_count > shed_before:
                 # Danger: a usual client that got nothing but refusals for a while would pass for one that
@@ -137,7 +137,7 @@
         return end
 
     def _account(self) -> None:
-        more, self.counted = self.reader.held - self.counted, self.reader.held
+        more, self.counted = self.reader.held_bytes - self.counted, self.reader.held_bytes
         self.front.hold(more)
 
     def give_up(self, why: str) -> None:
@@ -156,25 +156,25 @@
         self.connection.finish()
 
     def _whole(self, received: fastcgi.FastCgiRequest) -> None:
-        exchange = Exchange(self, received.number, received.keep)
+        exchange = Exchange(self, received.number, received.keep_connection)
         self.open[received.number] = None
         self.count += 1
         try:
-            if received.spoiled:
-                raise BadBytes(received.spoiled)
-            fields = received.fields()
+            if received.error:
+                raise ProtocolError(received.error)
+            fields = received.parameters()
             if fields.get("SCRIPT_NAME", "") + fields.get("PATH_INFO", "") == HEALTH:
                 self.spoke = True
                 detail = self.front.health_detail().encode()
                 exchange.answer(200 if self.front.is_ready() else 503, (), detail)
                 return
             request = self.front.request(exchange, fields, bytes(received.body))
-        except BadBytes as wrong:
+        except ProtocolError as wrong:
             # Answered at once, and nothing goes to a cache host.
             self.front.complaints.tell("request can't be used", wrong=str(wrong))
             exchange.answer(400, (), b"")
             self.bad += 1
-            if received.spoiled or self.bad >= MOST_BAD:
+            if received.error or self.bad >= MOST_BAD:
                 self.give_up(str(wrong))
             return
         received.body, received.params = bytearray(), bytearray()
@@ -212,13 +212,13 @@
                 del self.held_back[number]
                 self.front.owner.tell(Came(request))
 
-    def _aborted(self, event: fastcgi.Aborted) -> None:
+    def _aborted(self, event: fastcgi.RequestAborted) -> None:
         request = self.open.pop(event.number, None)
         if request is not None:
             self.held_back.pop(event.number, None)
             self.front.owner.tell(Left(request))
             self._done(request)
-        self.connection.send(fastcgi.ended(event.number, 1))
+        self.connection.send(fastcgi.encode_end_request(event.number, 1))
 
     def answer(self, exchange: Exchange, data: bytes) -> None:
         if exchange.number not in self.open:
@@ -227,7 +227,7 @@
         if request is not None and request.exchange is not exchange:
             return
         del self.open[exchange.number]
-        self.reader.done(exchange.number)
+        self.reader.release(exchange.number)
         self._account()
         self.connection.send(data)
         if request is not None:
@@ -247,7 +247,7 @@
 
     def unfinished(self) -> bool:
         connection = self.connection
-        return len(self.reader.requests) > len(self.reader.whole) or connection.start < connection.end
+        return len(self.reader.requests) > len(self.reader.complete) or connection.start < connection.end
 
     def idle(self) -> bool:
         """Danger: on a full core a request may lie unread for long; a close on it loses a taken request."""
@@ -267,7 +267,7 @@
         if not self.unfinished():
             self.begun = {}
             return ""
-        begun = [number for number in self.reader.requests if number not in self.reader.whole]
+        begun = [number for number in self.reader.requests if number not in self.reader.complete]
         if not begun:
             begun = [-self.count]  # a record that has begun; the next whole request ends its clock
         self.begun = {number: self.begun.get(number, now) for number in begun}
@@ -279,7 +279,7 @@
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         self.front.sessions.pop(self, None)
         self.front.ledger.give("client")
-        self.reader.held = 0
+        self.reader.held_bytes = 0
         self._account()
         wrong = None if task.cancelled() else task.exception() or task.result()
         if wrong is not None and not isinstance(wrong, OSError):
@@ -312,7 +312,7 @@
         self.most_out, self.most_held, self.held = memory_mb << 18, memory_mb << 17, 0
         ledger.reclaimers["client"] = self.reclaim
         wait_ms = owner.stay_away_us // 1000
-        self.refusal = fastcgi.head(503, (("X-Pushback-Ms", str(wait_ms)),) if wait_ms else ())
+        self.refusal = fastcgi.encode_head(503, (("X-Pushback-Ms", str(wait_ms)),) if wait_ms else ())
 
     def shed(self, number: int, script: bytes) -> bytes | None:
         """Asked as a request begins: where the core is at its bound for its traffic class, or for every
@@ -320,7 +320,7 @@
         away."""
         if script == HEALTH_SCRIPT or self.owner.admits(self.scripts.get(script, "")):
             return None
-        return fastcgi.refusal(number, self.refusal)
+        return fastcgi.encode_response_without_body(number, self.refusal)
 
     def greet(self, sock: socket.socket, peer: str = "", make: Make = Connection) -> Session:
         session = Session(self, sock, peer, make)
@@ -328,29 +328,29 @@
         return session
 
     def request(self, exchange: Exchange, fields: dict[str, str], body: bytes) -> Request:
-        """A request's fields as a request; raises BadBytes naming the field that can't be used."""
+        """A request's fields as a request; raises ProtocolError naming the field that can't be used."""
         now = self.owner.clock.now()
         script = fields.get("SCRIPT_NAME", "")
         traffic_class = self.classes.get(script[len(PATH) :]) if script.startswith(PATH) else None
         if traffic_class is None:
-            raise BadBytes(f"SCRIPT_NAME '{script[:60]}' names no traffic class")
+            raise ProtocolError(f"SCRIPT_NAME '{script[:60]}' names no traffic class")
         id, object_key = fields.get("HTTP_X_CORRELATION_ID", ""), fields.get("HTTP_X_SUBJECT", "")
         if not HEX(id):
-            raise BadBytes(f"X-Correlation-Id '{id[:60]}' is not of 16 hex digits")
+            raise ProtocolError(f"X-Correlation-Id '{id[:60]}' is not of 16 hex digits")
         if not HEX(object_key):
-            raise BadBytes(f"X-Subject '{object_key[:60]}' is not of 16 hex digits")
+            raise ProtocolError(f"X-Subject '{object_key[:60]}' is not of 16 hex digits")
         # Clients reckon their time by clocks of their own: some ms over the limit are no nonsense. Danger:
         # taken as such, they cost a usual client its connection and all that is open there.
         deadline_ms = traffic_class.deadline_us * 11 // 10_000 + 50
         until = now + whole(fields, "HTTP_X_DEADLINE_MS", None, 1, deadline_ms) * 1000
         key, holds = fields.get("HTTP_X_OPERATION_KEY", ""), fields.get("HTTP_X_KNOWN", "")
         if (key or traffic_class.semantics == KEYED) and not KEY(key):
-            raise BadBytes(f"X-Operation-Key '{key[:60]}' is not of 32 hex digits")
+            raise ProtocolError(f"X-Operation-Key '{key[:60]}' is not of 32 hex digits")
         if holds and not HEX(holds):
-            raise BadBytes(f"X-Known '{holds[:60]}' is not of 16 hex digits")
+            raise ProtocolError(f"X-Known '{holds[:60]}' is not of 16 hex digits")
         again = fields.get("HTTP_X_RESENT", "")
         if again not in ("", "1"):
-            raise BadBytes(f"X-Resent '{again[:60]}' is not 1")
+            raise ProtocolError(f"X-Resent '{again[:60]}' is not 1")
         return Request(
             exchange,
             id,
@@ -371,7 +371,7 @@
         """Counts what unfinished and open requests hold; the largest goes when all hold too much."""
         self.held += more
         if more > 0 and self.held > self.most_held:
-            most = max(self.sessions, key=lambda session: session.reader.held)
+            most = max(self.sessions, key=lambda session: session.reader.held_bytes)
             most.give_up("requests hold too much memory")
             most.connection.close()
 
@@ -451,7 +451,7 @@
     if text is None and default is not None:
         return default
     if text is None or not (text.isdecimal() and text.isascii() and len(text) <= 9):
-        raise BadBytes(f"{name} '{(text or '')[:60]}' is no whole number")
+        raise ProtocolError(f"{name} '{(text or '')[:60]}' is no whole number")
     if not least <= int(text) <= most:
-        raise BadBytes(f"{name} {text} is not from {least} to {most}")
+        raise ProtocolError(f"{name} {text} is not from {least} to {most}")
     return int(text)
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -263,9 +263,9 @@
 
     Danger: silence would look like an end. Health is answered to anybody, and a time-out is told as such.
     """
-    asked = fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 1))
-    asked += fastcgi.record(fastcgi.PARAMS, 1, fastcgi.pair(b"SCRIPT_NAME", b"/-/healthy"))
-    asked += fastcgi.record(fastcgi.PARAMS, 1) + fastcgi.record(fastcgi.STDIN, 1)
+    asked = fastcgi.encode_record(fastcgi.BEGIN_REQUEST, 1, struct.pack(">HB5x", 1, 1))
+    asked += fastcgi.encode_record(fastcgi.PARAMS, 1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/-/healthy"))
+    asked += fastcgi.encode_record(fastcgi.PARAMS, 1) + fastcgi.encode_record(fastcgi.STDIN, 1)
     try:
         raw = socket.create_connection(address, 3)
         with raw, context.wrap_socket(raw, server_hostname="localhost", session=session) as sock:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -23,7 +23,7 @@
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Event, Fleet, Known, Target
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.router_task import Applied, Listed
 from tests.distribution_rig import EPOCH, Relay, Rig, asked
 from tests.helpers import until
@@ -575,5 +575,5 @@
         start, lines = reader.read(buffer, start, end)
         found += lines
     assert found == [b'{"a":1}', b'{"b":2}'] and start == len(buffer)
-    with pytest.raises(BadBytes, match="longer than 8 bytes"):
+    with pytest.raises(ProtocolError, match="longer than 8 bytes"):
         reader.read(bytearray(b"x" * 9), 0, 9)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -407,7 +407,7 @@
             # What comes once too much waits is read, and so is what comes after it.
             await loop.sock_sendall(sock, request_bytes(31, fields={"HTTP_X_CHUNK": "1"}))
             await until(lambda: 31 in session.open)
-            await loop.sock_sendall(sock, fastcgi.record(fastcgi.ABORT, 32))
+            await loop.sock_sendall(sock, fastcgi.encode_record(fastcgi.ABORT_REQUEST, 32))
             began = loop.time()
             await until(lambda: f"{32:016x}" in box.drops)
             assert loop.time() - began < 1  # and not when its time is over
@@ -524,7 +524,7 @@
                 dispatcher.tell(listing(2, dispatcher.targets[1:], whole=True))
                 await until(lambda: "a" not in owner.posts)
             elif what == "client leaves":
-                client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+                client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
                 await until(lambda: not owner.open)
             elif what == "client resets":
                 client.writer.transport.abort()
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -72,12 +72,12 @@
 
 def test_a_request_by_template_is_one_that_the_dispatcher_reads() -> None:
     data = Template("booking", 900, True, "t0ken", {"HTTP_X_TAG": "3"}).encode(513, 0xABC, 7)
-    reader = fastcgi.Reader(8)
+    reader = fastcgi.RequestReader(8)
     buffer = bytearray(data)
     _, found = reader.read(buffer, 0, len(buffer))
-    whole = [event for event in found if isinstance(event, fastcgi.Whole)]
+    whole = [event for event in found if isinstance(event, fastcgi.RequestReceived)]
     assert whole[0].request.number == 513
-    assert whole[0].request.fields() == {
+    assert whole[0].request.parameters() == {
         "SCRIPT_NAME": "/api/v2/booking",
         "HTTP_X_DEADLINE_MS": "900",
         "HTTP_X_TAG": "3",
@@ -90,7 +90,9 @@
 
 def test_answers_are_scanned_however_they_are_cut() -> None:
     body = b"x" * 70_000
-    data = b"".join(fastcgi.answer(n, status, (), body) for n, status in ((1, 200), (2, 503), (900, 502)))
+    data = b"".join(
+        fastcgi.encode_response(n, status, (), body) for n, status in ((1, 200), (2, 503), (900, 502))
+    )
     for seed in range(20):
         chance, scan, at, found = random.Random(seed), Answers(), 0, list[tuple[int, int]]()
         while at < len(data):
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -7,11 +7,11 @@
 import pytest
 
 from hoistplank.protocol import cachewire, changelog, fastcgi
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 LONG = "v" * 300
 PARAMS = b"".join(
-    fastcgi.pair(name.encode(), value.encode())
+    fastcgi.encode_pair(name.encode(), value.encode())
     for name, value in {
         "SCRIPT_NAME": "/api/v2/page",
         "HTTP_X_CHUNK": "3",
@@ -22,7 +22,7 @@
 
 
 def begin(number: int, role: int = 1, flags: int = 1) -> bytes:
-    return fastcgi.record(fastcgi.BEGIN, number, struct.pack(">HB5x", role, flags))
+    return fastcgi.encode_record(fastcgi.BEGIN_REQUEST, number, struct.pack(">HB5x", role, flags))
 
 
 def padded(kind: int, number: int, content: bytes) -> bytes:
@@ -34,16 +34,16 @@
     (
         begin(1),
         begin(2),
-        fastcgi.record(fastcgi.PARAMS, 1, PARAMS[:7]),
+        fastcgi.encode_record(fastcgi.PARAMS, 1, PARAMS[:7]),
         padded(fastcgi.PARAMS, 2, PARAMS),
-        fastcgi.record(fastcgi.PARAMS, 1, PARAMS[7:]),
-        fastcgi.record(fastcgi.PARAMS, 2),
-        fastcgi.record(fastcgi.PARAMS, 2),
+        fastcgi.encode_record(fastcgi.PARAMS, 1, PARAMS[7:]),
+        fastcgi.encode_record(fastcgi.PARAMS, 2),
+        fastcgi.encode_record(fastcgi.PARAMS, 2),
         padded(fastcgi.STDIN, 2, b"\0\r\n" * 9),
-        fastcgi.record(fastcgi.PARAMS, 1),
-        fastcgi.record(fastcgi.STDIN, 1),
-        fastcgi.record(fastcgi.STDIN, 1),
-        fastcgi.record(fastcgi.STDIN, 2),
+        fastcgi.encode_record(fastcgi.PARAMS, 1),
+        fastcgi.encode_record(fastcgi.STDIN, 1),
+        fastcgi.encode_record(fastcgi.STDIN, 1),
+        fastcgi.encode_record(fastcgi.STDIN, 2),
     )
 )
 ANSWERS = (
@@ -79,10 +79,10 @@
 
 
 def test_requests_cut_anywhere() -> None:
-    for first, second in everywhere(lambda: fastcgi.Reader(32), TWO):
+    for first, second in everywhere(lambda: fastcgi.RequestReader(32), TWO):
         assert (first.request.number, first.request.body, second.request.body) == (1, b"", b"\0\r\n" * 9)
         for whole in (first, second):
-            fields = whole.request.fields()
+            fields = whole.request.parameters()
             assert (
                 fields["SCRIPT_NAME"] == "/api/v2/page"
                 and fields["L" * 200] == LONG
@@ -96,25 +96,29 @@
         (
             begin(number, flags=flags),
             padded(fastcgi.PARAMS, number, PARAMS),
-            fastcgi.record(fastcgi.PARAMS, number),
+            fastcgi.encode_record(fastcgi.PARAMS, number),
             padded(fastcgi.STDIN, number, body) if body else b"",
-            fastcgi.record(fastcgi.STDIN, number),
+            fastcgi.encode_record(fastcgi.STDIN, number),
         )
     )
 
 
 def test_a_request_that_stands_whole_reads_as_one_in_pieces() -> None:
     data = plain(1) + plain(2, flags=0, body=b"abc") + plain(3, body=b"x" * 40_000)
-    whole = cut(fastcgi.Reader(32), data, len(data))
+    whole = cut(fastcgi.RequestReader(32), data, len(data))
     assert [event.request.number for event in whole] == [1, 2, 3]
     for at in (0, 1, 8, 16, 24, 60, len(plain(1)) - 1, len(plain(1)) + 3, len(data) - 9):
-        assert cut(fastcgi.Reader(32), data, at) == whole
-    reader = fastcgi.Reader(32)
+        assert cut(fastcgi.RequestReader(32), data, at) == whole
+    reader = fastcgi.RequestReader(32)
     cut(reader, data, len(data))
-    assert reader.held == sum(event.request.held for event in whole) and reader.whole == {1, 2, 3}
+    assert reader.held_bytes == sum(event.request.held_bytes for event in whole) and reader.complete == {
+        1,
+        2,
+        3,
+    }
     for number in (1, 2, 3):
-        reader.done(number)
-    assert reader.held == 0 and not reader.requests
+        reader.release(number)
+    assert reader.held_bytes == 0 and not reader.requests
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -127,11 +131,15 @@
         return b"no" if number != 2 else None
 
     data = plain(1) + plain(2) + plain(3, flags=0)
-    reader = fastcgi.Reader(32, shed)
+    reader = fastcgi.RequestReader(32, shed)
     found = cut(reader, data, len(data) if at_once else 20)
-    assert asked == [1, 2, 3] and reader.shed_count == 2 and reader.parting
-    assert [type(event) for event in found] == [fastcgi.Reply, fastcgi.Whole, fastcgi.Reply]
-    assert not reader.refused and list(reader.requests) == [2]
+    assert asked == [1, 2, 3] and reader.shed_count == 2 and reader.close_requested
+    assert [type(event) for event in found] == [
+        fastcgi.ProtocolReply,
+        fastcgi.RequestReceived,
+        fastcgi.ProtocolReply,
+    ]
+    assert not reader.shed_requests and list(reader.requests) == [2]
 
 
 @pytest.mark.parametrize(
@@ -139,17 +147,19 @@
     [
         begin(1, role=2) + plain(1)[16:],  # a role that is not played
         plain(1)[:16]
-        + fastcgi.record(fastcgi.PARAMS, 2, PARAMS)
+        + fastcgi.encode_record(fastcgi.PARAMS, 2, PARAMS)
         + plain(1)[-16:],  # another number's parameters
-        plain(1)[:-8] + fastcgi.record(fastcgi.STDIN, 1, b"y") * 2 + fastcgi.record(fastcgi.STDIN, 1),
+        plain(1)[:-8]
+        + fastcgi.encode_record(fastcgi.STDIN, 1, b"y") * 2
+        + fastcgi.encode_record(fastcgi.STDIN, 1),
         begin(1)
-        + fastcgi.record(fastcgi.PARAMS, 1)
-        + fastcgi.record(fastcgi.STDIN, 1),  # no parameters at all
+        + fastcgi.encode_record(fastcgi.PARAMS, 1)
+        + fastcgi.encode_record(fastcgi.STDIN, 1),  # no parameters at all
     ],
 )
 def test_what_is_not_plain_is_read_by_its_records(data: bytes) -> None:
-    at_once = cut(fastcgi.Reader(32), data, len(data))
-    assert all(cut(fastcgi.Reader(32), data, at) == at_once for at in range(0, 40, 3))
+    at_once = cut(fastcgi.RequestReader(32), data, len(data))
+    assert all(cut(fastcgi.RequestReader(32), data, at) == at_once for at in range(0, 40, 3))
 
 
 def test_answers_cut_anywhere() -> None:
@@ -184,10 +194,14 @@
 @pytest.mark.parametrize(
     "make, data, told",
     [
-        (lambda: fastcgi.Reader(2), b"GET / HTTP/1.1\r\n\r\n", "version 71"),
-        (lambda: fastcgi.Reader(2), begin(1) + begin(1), "begins while it is open"),
-        (lambda: fastcgi.Reader(2), fastcgi.record(1, 1, b"\0"), "too short"),
-        (lambda: fastcgi.Reader(2), fastcgi.record(9, 0, b"\x05\x05ab"), "longer than what was sent"),
+        (lambda: fastcgi.RequestReader(2), b"GET / HTTP/1.1\r\n\r\n", "version 71"),
+        (lambda: fastcgi.RequestReader(2), begin(1) + begin(1), "begins while it is open"),
+        (lambda: fastcgi.RequestReader(2), fastcgi.encode_record(1, 1, b"\0"), "too short"),
+        (
+            lambda: fastcgi.RequestReader(2),
+            fastcgi.encode_record(9, 0, b"\x05\x05ab"),
+            "longer than what was sent",
+        ),
         (cachewire.Reader, b"01 fine - 0\r\n\r\n", "unknown word 'fine'"),
         (cachewire.Reader, b"01 served - 240001\r\n", "length '240001'"),
         (cachewire.Reader, b"01 served - -1\r\n", "length '-1'"),
@@ -202,46 +216,48 @@
     ],
 )
 def test_bad_bytes_are_named(make: Callable[[], Any], data: bytes, told: str) -> None:
-    with pytest.raises(BadBytes, match=told):
+    with pytest.raises(ProtocolError, match=told):
         cut(make(), data, len(data))
 
 
 @pytest.mark.parametrize("data", [b"\x05", b"\x05\x85\0", b"\x03\x01ab", b"\x84\0\0"])
 def test_short_parameters_are_named(data: bytes) -> None:
-    with pytest.raises(BadBytes, match="a parameter"):
-        fastcgi.pairs(data)
+    with pytest.raises(ProtocolError, match="a parameter"):
+        fastcgi.decode_pairs(data)
 
 
 def test_protocol_answers_by_itself() -> None:
-    reader = fastcgi.Reader(1)
+    reader = fastcgi.RequestReader(1)
     data = b"".join(
         (
-            fastcgi.record(
-                fastcgi.GET_VALUES, 0, fastcgi.pair(b"FCGI_MPXS_CONNS", b"") + fastcgi.pair(b"OTHER", b"")
+            fastcgi.encode_record(
+                fastcgi.GET_VALUES,
+                0,
+                fastcgi.encode_pair(b"FCGI_MPXS_CONNS", b"") + fastcgi.encode_pair(b"OTHER", b""),
             ),
-            fastcgi.record(77, 0),
+            fastcgi.encode_record(77, 0),
             begin(5, role=2),
             begin(1),
             begin(2),
-            fastcgi.record(fastcgi.STDIN, 9, b"x"),
-            fastcgi.record(8, 1, b"data"),
-            fastcgi.record(fastcgi.ABORT, 1),
-            fastcgi.record(fastcgi.ABORT, 1),
+            fastcgi.encode_record(fastcgi.STDIN, 9, b"x"),
+            fastcgi.encode_record(8, 1, b"data"),
+            fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1),
+            fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1),
         )
     )
     replies = cut(reader, data, len(data))
     assert [event.data for event in replies[:-1]] == [
-        fastcgi.record(fastcgi.GET_VALUES_RESULT, 0, fastcgi.pair(b"FCGI_MPXS_CONNS", b"1")),
-        fastcgi.record(fastcgi.UNKNOWN_TYPE, 0, b"\x4d" + bytes(7)),
-        fastcgi.ended(5, 0, fastcgi.UNKNOWN_ROLE),
-        fastcgi.ended(2, 0, fastcgi.OVERLOADED),
+        fastcgi.encode_record(fastcgi.GET_VALUES_RESULT, 0, fastcgi.encode_pair(b"FCGI_MPXS_CONNS", b"1")),
+        fastcgi.encode_record(fastcgi.UNKNOWN_TYPE, 0, b"\x4d" + bytes(7)),
+        fastcgi.encode_end_request(5, 0, fastcgi.UNKNOWN_ROLE),
+        fastcgi.encode_end_request(2, 0, fastcgi.OVERLOADED),
     ]
-    assert replies[-1] == fastcgi.Aborted(1, False)
+    assert replies[-1] == fastcgi.RequestAborted(1, False)
 
 
 def test_large_answer_is_split_into_records() -> None:
     body, data, at, out = bytes(range(256)) * 900, b"", 0, b""
-    data = fastcgi.answer(3, 200, (("X-Valid", "1"),), body)
+    data = fastcgi.encode_response(3, 200, (("X-Valid", "1"),), body)
     while at < len(data):
         version, kind, number, length, padding = fastcgi.HEADER.unpack_from(data, at)
         assert (version, number) == (1, 3)
@@ -249,4 +265,4 @@
         at += 8 + length + padding
     head, _, rest = out.partition(b"\r\n\r\n")
     assert rest == body and head.startswith(b"Status: 200\r\n") and b"X-Valid: 1" in head
-    assert kind == fastcgi.END
+    assert kind == fastcgi.END_REQUEST
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -119,17 +119,19 @@
             reader, writer = await asyncio.open_connection(*dispatcher.service.listener.sock.getsockname())
             owner.open = 20
             writer.write(
-                fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 0))
-                + fastcgi.record(fastcgi.PARAMS, 1, fastcgi.pair(b"SCRIPT_NAME", b"/api/v2/page"))
+                fastcgi.encode_record(fastcgi.BEGIN_REQUEST, 1, struct.pack(">HB5x", 1, 0))
+                + fastcgi.encode_record(
+                    fastcgi.PARAMS, 1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page")
+                )
             )
             await writer.drain()
             while owner.counts["shed"] < 3:
                 await asyncio.sleep(0.001)
-            writer.write(fastcgi.record(fastcgi.PARAMS, 1) + fastcgi.record(fastcgi.STDIN, 1))
+            writer.write(fastcgi.encode_record(fastcgi.PARAMS, 1) + fastcgi.encode_record(fastcgi.STDIN, 1))
             came = await asyncio.wait_for(reader.read(), 5)
             writer.close()
             owner.open = 0
-            assert b"Status: 503" in came and came.endswith(fastcgi.ended(1))
+            assert b"Status: 503" in came and came.endswith(fastcgi.encode_end_request(1))
 
     run(scene())
 
@@ -181,18 +183,22 @@
 
 
 def begun(number: int, params: bytes = b"") -> bytes:
-    first = fastcgi.record(fastcgi.BEGIN, number, struct.pack(">HB5x", 1, 1))
-    return first + (fastcgi.record(fastcgi.PARAMS, number, params) if params else b"")
+    first = fastcgi.encode_record(fastcgi.BEGIN_REQUEST, number, struct.pack(">HB5x", 1, 1))
+    return first + (fastcgi.encode_record(fastcgi.PARAMS, number, params) if params else b"")
 
 
 RUDE: dict[str, list[bytes]] = {
     "nothing": [],
     "half a record": [begun(1)[:11]],
-    "never whole": [begun(1, fastcgi.pair(b"SCRIPT_NAME", b"/api/v2/page"))],
-    "endless parameters": [begun(1), *[fastcgi.record(fastcgi.PARAMS, 1, bytes(60_000))] * 200],
-    "huge body": [begun(1), fastcgi.record(fastcgi.PARAMS, 1), *[fastcgi.record(5, 1, bytes(60_000))] * 200],
+    "never whole": [begun(1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page"))],
+    "endless parameters": [begun(1), *[fastcgi.encode_record(fastcgi.PARAMS, 1, bytes(60_000))] * 200],
+    "huge body": [
+        begun(1),
+        fastcgi.encode_record(fastcgi.PARAMS, 1),
+        *[fastcgi.encode_record(5, 1, bytes(60_000))] * 200,
+    ],
     "one number twice": [begun(1), begun(1)],
-    "strays": [fastcgi.record(fastcgi.STDIN, 9, b"x")] * 5_000,
+    "strays": [fastcgi.encode_record(fastcgi.STDIN, 9, b"x")] * 5_000,
     "other version": [b"\x07" + begun(1)[1:]],
 }
 
@@ -216,7 +222,9 @@
             while not rest.done() and kind in ("nothing", "half a record", "never whole"):
                 await asyncio.sleep(0.02)
                 if kind == "never whole":
-                    rude.writer.write(fastcgi.record(fastcgi.PARAMS, 1, fastcgi.pair(b"A", b"b")))
+                    rude.writer.write(
+                        fastcgi.encode_record(fastcgi.PARAMS, 1, fastcgi.encode_pair(b"A", b"b"))
+                    )
             try:
                 said = await asyncio.wait_for(rest, 3)
             except ConnectionResetError:
@@ -307,7 +315,7 @@
             other = await dispatcher.connect()
             other.send(1, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
             assert (await other.answer())[1] == 502 and len(box.seen) == 1
-            dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+            dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             assert (await dispatcher.client.answer())[1] == 0
             other.send(2, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)  # its attempt is still out
             assert (await other.answer())[1] == 502 and len(box.seen) == 1
@@ -326,7 +334,7 @@
         async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             dispatcher.client.send(1, "page")
             await until(lambda: bool(box.seen))
-            dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+            dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             owner = dispatcher.service.owner
             began = asyncio.get_running_loop().time()
             await until(lambda: not owner.requests and not owner.router.attempts)
@@ -592,7 +600,7 @@
         async with Running(tmp_path, {"a": box, "o": CacheHost(served)}) as dispatcher:
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1"})
             await until(lambda: bool(box.seen))
-            dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+            dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             assert (await dispatcher.client.answer())[1] == 0  # END_REQUEST alone
             assert (await dispatcher.ask(1, "page", fields={"HTTP_X_CORRELATION_ID": "ab" * 8}))[0] == 200
 
