--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -20,7 +20,7 @@
 from hoistplank.distribution.status import ChangeRow, MissingRow, StatusAnswer
 from hoistplank.distribution.status_client import ask
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.changelog import address as read_address
+from hoistplank.protocol.changelog import parse_address
 from hoistplank.protocol.errors import ProtocolError
 
 LOOPBACK = ("127.", "localhost:", "[::1]:")
@@ -36,7 +36,7 @@
 
 def _address(option: str, text: str) -> tuple[str, int]:
     try:
-        return read_address(text)
+        return parse_address(text)
     except ProtocolError as wrong:
         _refuse(f"{option} {text}: {wrong}")
 
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -34,7 +34,7 @@
     read_replica_line,
 )
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.changelog import Event, Known
+from hoistplank.protocol.changelog import Event, Snapshot
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
 from hoistplank.routing.router_task import Applied, Listed
@@ -72,7 +72,7 @@
         self,
         owner: Hearer,
         settings: FollowerSettings,
-        known: Known,
+        known: Snapshot,
         chance: Random,
         grace_s: float = 0.25,
         prepare: Preparing = without_configuration,
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -11,7 +11,7 @@
 from hoistplank.distribution.messages import Configuration, ReplicatedEvent
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Known
+from hoistplank.protocol.changelog import Event, Snapshot
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
@@ -50,7 +50,7 @@
     """Follows the change log for a replica; the rules on silence, gaps and pauses are those of `Listing`."""
 
     def __init__(self, taker: EventTaker, address: tuple[str, int], chance: Random, clock: Clock) -> None:
-        super().__init__(_Unlisted(clock), address, Known(), chance)
+        super().__init__(_Unlisted(clock), address, Snapshot(), chance)
         self.taker = taker
         self.epoch = 0
         self.heard_us = 0  # when an event or a number last came in its order; 0: never
@@ -84,7 +84,7 @@
         return self._has_number or settled
 
     def _consumer(self) -> Consume:
-        reader = changelog.Reader()
+        reader = changelog.ChangeLogReader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             self.awake()
@@ -130,7 +130,7 @@
 
     def _replicated(self, event: Event) -> ReplicatedEvent:
         configuration: Configuration | None = None
-        if event.configures:
+        if event.has_configuration:
             try:
                 configuration = _configurations.decode(event.configuration)
             except msgspec.MsgspecError as wrong:
--- a/hoistplank/distribution/messages.py
+++ b/hoistplank/distribution/messages.py
@@ -192,7 +192,7 @@
         return told.redirect
     if told.seq is None:
         raise ProtocolError("a replica's line has neither 'seq' nor 'redirect'")
-    changelog.check(changelog.Event(told.seq, told.fleet, told.invalidate))
+    changelog.check_event(changelog.Event(told.seq, told.fleet, told.invalidate))
     return ReplicatedEvent(
         told.seq,
         told.epoch,
--- a/hoistplank/lab/scale/hollow.py
+++ b/hoistplank/lab/scale/hollow.py
@@ -17,7 +17,7 @@
 
 from hoistplank.interface import Site
 from hoistplank.protocol.changelog import Event as LogEvent
-from hoistplank.protocol.changelog import Known
+from hoistplank.protocol.changelog import Snapshot
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.router_task import Event, Listed, Owner
@@ -67,7 +67,7 @@
     region: str
     life: int
     addresses: list[tuple[str, int]]
-    known: Known
+    known: Snapshot
     epoch: int
     chance: Random
     grace_s: float
--- a/hoistplank/lab/scale/hollow_process.py
+++ b/hoistplank/lab/scale/hollow_process.py
@@ -36,7 +36,7 @@
     Usage,
 )
 from hoistplank.lab.scale.run_lateness import Lateness
-from hoistplank.protocol.changelog import Known
+from hoistplank.protocol.changelog import Snapshot
 from hoistplank.settings_reader import Fields, flat, site
 
 FLUSH_S = 0.1  # how often acknowledgements are handed on
@@ -71,7 +71,7 @@
     def __init__(self, plan: HollowPlan, send: asyncio.WriteTransport) -> None:
         self.plan, self.send = plan, send
         self.factory = follower_factory(plan.through)
-        self.known = msgspec.convert(plan.known, Known)
+        self.known = msgspec.convert(plan.known, Snapshot)
         self.seats = {seat.number: seat for seat in plan.seats}
         self.dispatchers = {seat.number: self._dispatcher(seat) for seat in plan.seats}
         self.auditor, self.lateness = Auditor(), Lateness()
@@ -151,7 +151,7 @@
         dispatcher.lives += 1
         chance = Random(f"{self.plan.seed}/{seat.number}/{dispatcher.lives}")
         # The list of the start belongs to the log's first epoch; a later one begins with its own.
-        known = self.known if epoch <= 1 else Known()
+        known = self.known if epoch <= 1 else Snapshot()
         source = Source(
             name=seat.name,
             region=seat.region,
--- a/hoistplank/lab/scale/role_change_log.py
+++ b/hoistplank/lab/scale/role_change_log.py
@@ -46,7 +46,7 @@
         """The number of the last whole line, 0 before one has come."""
         lines = self.last.split(b"\n")
         buffer = bytearray(lines[-2] + b"\n") if len(lines) > 2 else bytearray()
-        _, found = changelog.Reader().read(buffer, 0, len(buffer))
+        _, found = changelog.ChangeLogReader().read(buffer, 0, len(buffer))
         if not found:
             return 0
         return found[-1] if isinstance(found[-1], int) else found[-1].seq
@@ -63,7 +63,7 @@
         loop = asyncio.get_running_loop()
         for _ in range(count):
             transport, follower = await loop.create_connection(_Follower, "127.0.0.1", port)
-            transport.write(changelog.since(since))
+            transport.write(changelog.encode_since(since))
             self.rows.append((transport, follower))
 
     def received(self) -> int:
--- a/hoistplank/lab/scale/role_dispatcher.py
+++ b/hoistplank/lab/scale/role_dispatcher.py
@@ -13,7 +13,7 @@
 from hoistplank.interface import Site
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, in_loop, kept_bytes, processor_us, series
-from hoistplank.protocol.changelog import Known, Reader
+from hoistplank.protocol.changelog import ChangeLogReader, Snapshot
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.router_task import Owner
@@ -80,8 +80,8 @@
 
     def __init__(self, hosts: int = 0) -> None:
         self.owner = Owner(planned_site(), SEED, Clock(), OPEN_CAP, ())
-        self.listing = Listing(self.owner, NOWHERE, Known(), Random(SEED))
-        self.reader = Reader()
+        self.listing = Listing(self.owner, NOWHERE, Snapshot(), Random(SEED))
+        self.reader = ChangeLogReader()
         if hosts:
             self.feed(whole_list(hosts))
 
@@ -158,7 +158,7 @@
     for count in effort.sizes(PURGES) * effort.repeats:
         lines = purge_lines(count)
         data = bytearray(b"".join(lines))
-        parsed = processor_us(lambda data=data: Reader().read(data, 0, len(data)))  # type: ignore[misc]
+        parsed = processor_us(lambda data=data: ChangeLogReader().read(data, 0, len(data)))  # type: ignore[misc]
 
         def apply(lines: list[bytes] = lines, data: bytes = bytes(data)) -> tuple[float, float]:
             each, together = ControlPath(HOSTS_AT_TARGET), ControlPath(HOSTS_AT_TARGET)
--- a/hoistplank/lab/scale/role_replica_follower.py
+++ b/hoistplank/lab/scale/role_replica_follower.py
@@ -25,7 +25,7 @@
 from hoistplank.lab.scale.role_control_replica import EPOCH, HORIZON_US, HOSTS_AT_TARGET, host_event
 from hoistplank.lab.scale.role_dispatcher import ControlPath
 from hoistplank.lab.scale.role_operator import tenants_file
-from hoistplank.protocol.changelog import Known, Purge
+from hoistplank.protocol.changelog import Purge, Snapshot
 from hoistplank.transport.connection import Connection
 
 ROLE = "dispatcher"
@@ -107,7 +107,7 @@
     def __init__(self) -> None:
         self.control = ControlPath()
         settings = FollowerSettings("d1", "north", 1, (ADDRESS,))
-        self.follower = ReplicaFollower(self.control.owner, settings, Known(), Random(SEED))
+        self.follower = ReplicaFollower(self.control.owner, settings, Snapshot(), Random(SEED))
         self.consume = self.follower._consumer()
         self.near, self.far = socket.socketpair()
         self.near.setblocking(False)
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -18,7 +18,7 @@
 from hoistplank.operator_configuration.faults import Fault, Faults
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
-from hoistplank.protocol.changelog import Event, Fleet, Target, address
+from hoistplank.protocol.changelog import Event, Fleet, Target, parse_address
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
@@ -340,7 +340,7 @@
     data = b""
     try:
         async with asyncio.timeout(within_s):
-            await loop.sock_connect(sock, address(endpoint))
+            await loop.sock_connect(sock, parse_address(endpoint))
             await loop.sock_sendall(sock, b"PING feel\r\n")
             while b"\r\n" not in data and len(data) < MOST_ANSWER:
                 more = await loop.sock_recv(sock, MOST_ANSWER)
--- a/hoistplank/program/configuration.py
+++ b/hoistplank/program/configuration.py
@@ -15,7 +15,7 @@
 from msgspec import Meta
 
 from hoistplank.interface import Site
-from hoistplank.protocol.changelog import Known, address, check
+from hoistplank.protocol.changelog import Snapshot, check_event, parse_address
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.settings_reader import FactError, Fields, flat, site
 
@@ -41,7 +41,7 @@
     settings: dict[str, Any]
     seed: str = "0"
     limits: Limits = Limits()
-    known: Known = Known()
+    known: Snapshot = Snapshot()
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: Known
+    known: Snapshot
     site: Site
     open_cap: int
     streams: int
@@ -65,7 +65,7 @@
 
 def _address(key: str, text: str) -> tuple[str, int]:
     try:
-        return address(text)
+        return parse_address(text)
     except ProtocolError as wrong:
         raise BadConfiguration(f"{key}: {wrong}") from None
 
@@ -133,7 +133,7 @@
         raise BadConfiguration(f"seed: '{written.seed[:40]}' is no hex number") from None
     try:
         for event in written.known.results:
-            check(event)
+            check_event(event)
     except ProtocolError as wrong:
         raise BadConfiguration(f"known.results: {wrong}") from None
     facts = Fields([])
--- a/hoistplank/protocol/cachewire.py
+++ b/hoistplank/protocol/cachewire.py
@@ -1,19 +1,38 @@
-"""The line protocol of cache hosts: requests are encoded, answers are read."""
+"""The line protocol of cache hosts, without I/O: requests are encoded, answers are read."""
 
 from __future__ import annotations
 
+import enum
 import re
-from dataclasses import dataclass
 
-from hoistplank.protocol.errors import ProtocolError
+import msgspec
 
-MOST_HEAD = 4_096  # a line of an answer: an id, a word, some short fields and a length
-MOST_BODY = 240_000
-OK_WORDS, PROBE_WORDS = ("served", "still_good"), ("green", "red")
-WORDS = (*OK_WORDS, "not_here", "overload", "crashed", "nobody", *PROBE_WORDS)
-MOST_REPORT = 1e9  # a figure of a load report beyond it is none
-# Order of the simulator's numbers; an answer without the field tells nothing.
-DETAILS = {
+from hoistplank.protocol.errors import CacheWireError
+
+MAX_HEAD_BYTES = 4_096  # a line of an answer: an id, a status, some short fields and a length
+MAX_BODY_BYTES = 240_000
+MAX_LOAD_FIGURE = 1e9  # a figure of a load report beyond it is none
+LINE_END = b"\r\n"
+
+
+class AnswerStatus(enum.StrEnum):
+    """What an answer says of its request; the values are the wire's words."""
+
+    SERVED = "served"
+    NOT_MODIFIED = "still_good"
+    MISS = "not_here"
+    OVERLOADED = "overload"
+    ERROR = "crashed"
+    NOT_ATTEMPTED = "nobody"
+    HEALTHY = "green"
+    UNHEALTHY = "red"
+
+
+SUCCESS_STATUSES = (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
+HEALTH_STATUSES = (AnswerStatus.HEALTHY, AnswerStatus.UNHEALTHY)
+_STATUS_OF_WORD = {status.value: status for status in AnswerStatus}
+# The cache status by the wire's word for it, numbered as `Note` is; an answer without the field says nothing.
+_CACHE_STATUS_OF_WORD = {
     "hit": 1,
     "filled": 2,
     "via_origin": 3,
@@ -25,8 +44,9 @@
     "no_slot": 9,
     "origin_failed": 10,
 }
-# Words of load reports where they differ from those of the settings.
-REPORT_WORDS = {
+NO_CACHE_STATUS = 0
+# The wire's names of load figures, by the settings' names, where they differ.
+_LOAD_NAME_ON_WIRE = {
     "rif": "inflight",
     "busy": "util",
     "q": "queue",
@@ -34,122 +54,163 @@
     "rate": "qps",
     "fail_rate": "eps",
 }
-TOKEN = re.compile(r"[!-+\--<>-~]+")  # visible characters but the comma and the equals sign
+_TOKEN = re.compile(r"[!-+\--<>-~]+")  # visible characters but the comma and the equals sign
+
 
+class Answer(msgspec.Struct, frozen=True):
+    """One whole answer: to the request of that id on its connection."""
 
-@dataclass(frozen=True, slots=True)
-class Answer:
-    id: str
-    word: str
+    request_id: str
+    status: AnswerStatus
     fields: dict[str, str]
     body: bytes
 
-    def note(self) -> int:
-        return DETAILS.get(self.fields.get("detail", ""), 0)
+    def cache_status(self) -> int:
+        """How the cache host got the object, as a number of `Note`; NO_CACHE_STATUS where it is not said."""
+        return _CACHE_STATUS_OF_WORD.get(self.fields.get("detail", ""), NO_CACHE_STATUS)
 
-    def report(self, names: tuple[str, ...]) -> list[float]:
-        """The load report in the order of the site's names; empty where none or an unreadable one came."""
-        use = dict(part.partition(":")[::2] for part in self.fields.get("use", "").split(";") if part)
+    def load_report(self, names: tuple[str, ...]) -> list[float]:
+        """The figures of the load report in the order of the settings' `names`; empty where none came, one is
+        missing or one can't be read."""
+        reported = dict(part.partition(":")[::2] for part in self.fields.get("use", "").split(";") if part)
+        if not reported:
+            return []
         try:
-            found = [float(use.get(name) or use[REPORT_WORDS[name]]) for name in names] if use else []
+            figures = [float(reported.get(name) or reported[_LOAD_NAME_ON_WIRE[name]]) for name in names]
         except (KeyError, ValueError):
             return []
         # Danger: `nan`, `inf` or a huge figure would stay in every mean it enters.
-        return found if all(0 <= figure <= MOST_REPORT for figure in found) else []
+        return figures if all(0 <= figure <= MAX_LOAD_FIGURE for figure in figures) else []
+
 
+def check_answer(answer: Answer, *, is_health_check: bool, client_digest: str, is_copy: bool) -> None:
+    """Raises CacheWireError where a status or its fields don't fit what was asked.
 
-def check(answer: Answer, probe: bool, holds: str, of_copy: bool) -> None:
-    """Raises ProtocolError where a word or its fields don't fit what was asked; `holds` is the tag of the
-    client's copy that was passed on, or empty."""
-    if (answer.word in PROBE_WORDS) != probe:
-        raise ProtocolError(f"'{answer.word}' answers a {'probe' if probe else 'attempt'}")
-    if answer.word not in OK_WORDS:
+    `client_digest` is the tag of the client's copy that was passed on, or empty; `is_copy`: the answer is one
+    of an object that is cached, and has its digest and date.
+    """
+    if (answer.status in HEALTH_STATUSES) != is_health_check:
+        raise CacheWireError(f"'{answer.status}' answers a {'probe' if is_health_check else 'attempt'}")
+    if answer.status not in SUCCESS_STATUSES:
         return
-    if answer.word == "still_good" and (not holds or answer.body):
-        raise ProtocolError("'still_good' without a copy to be good, or with bytes")
-    if answer.word == "still_good" and answer.fields.get("digest", "") != holds:
-        # Danger: the client would be told that its copy is the one, of which nobody has said so.
-        raise ProtocolError(
-            f"'still_good' names '{answer.fields.get('digest', '')[:20]}', not the client's copy"
-        )
-    for name in ("digest", "dated") if of_copy else ():
-        if not answer.fields.get(name):
-            raise ProtocolError(f"an ok answer lacks the field '{name}'")
+    if answer.status is AnswerStatus.NOT_MODIFIED:
+        _check_not_modified(answer, client_digest)
+    if is_copy:
+        for name in ("digest", "dated"):
+            if not answer.fields.get(name):
+                raise CacheWireError(f"an ok answer lacks the field '{name}'")
     if not answer.fields.get("dated", "0").isdecimal():
-        raise ProtocolError(f"an ok answer is dated '{answer.fields['dated'][:20]}'")
+        raise CacheWireError(f"an ok answer is dated '{answer.fields['dated'][:20]}'")
+
+
+def _check_not_modified(answer: Answer, client_digest: str) -> None:
+    if not client_digest or answer.body:
+        raise CacheWireError("'still_good' without a copy to be good, or with bytes")
+    digest = answer.fields.get("digest", "")
+    if digest != client_digest:
+        # Danger: the client would be told that its copy is the one, of which nobody has said so.
+        raise CacheWireError(f"'still_good' names '{digest[:20]}', not the client's copy")
 
 
 def is_token(text: str) -> bool:
     """Whether a value can stand in a line without changing what the line says."""
-    return TOKEN.fullmatch(text) is not None
+    return _TOKEN.fullmatch(text) is not None
+
 
+def encode_get(request_id: str, fields: dict[str, str], body: bytes = b"") -> bytes:
+    """The request for an object; each value of `fields` has to be a token."""
+    field_list = ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
+    head = f"GET {request_id} {field_list} {len(body)}\r\n".encode("latin-1")
+    return b"".join((head, body, LINE_END))
 
-def get(id: str, fields: dict[str, str], body: bytes = b"") -> bytes:
-    row = ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
-    return b"".join((f"GET {id} {row} {len(body)}\r\n".encode("latin-1"), body, b"\r\n"))
 
+def encode_drop(request_id: str) -> bytes:
+    """Takes a request back; the cache host may answer it all the same."""
+    return f"DROP {request_id}\r\n".encode("latin-1")
 
-def drop(id: str) -> bytes:
-    return f"DROP {id}\r\n".encode("latin-1")
+
+def encode_health_check(request_id: str) -> bytes:
+    """Asks whether the cache host is healthy, and for its load."""
+    return f"LOAD {request_id}\r\n".encode("latin-1")
+
+
+class _AnswerHead(msgspec.Struct, frozen=True):
+    request_id: str
+    status: AnswerStatus
+    fields: dict[str, str]
+    body_bytes: int  # NO_BODY: the answer ends with this line
 
 
-def load(tag: str) -> bytes:
-    return f"LOAD {tag}\r\n".encode("latin-1")
+NO_BODY = -1
 
 
-class Reader:
+class AnswerReader:
     """The answers of one connection; keeps the head of the answer whose body is still to come."""
 
     def __init__(self) -> None:
-        self.head: tuple[str, str, dict[str, str]] | None = None
-        self.length, self.seen = 0, 0
+        self._head: _AnswerHead | None = None
+        self._searched = 0  # bytes of an unfinished line that hold no end
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[Answer]]:
-        """Takes the whole answers between start and end, one a call; raises ProtocolError on what is none."""
-        found: list[Answer] = []
-        while not found:
-            if self.head is None:
-                stop = buffer.find(b"\r\n", start + self.seen, end)
-                if stop < 0:
-                    if end - start > MOST_HEAD:
-                        raise ProtocolError("an answer's line is too long")
-                    self.seen = max(0, end - start - 1)
-                    return start, found
-                if stop - start > MOST_HEAD:
-                    raise ProtocolError("an answer's line is too long")
-                self.seen = 0
-                answer = self._head(buffer[start:stop])
-                start = stop + 2
-                if answer is not None:
-                    found.append(answer)
-                continue
-            if end - start < self.length + 2:
-                return start, found
-            stop = start + self.length
-            if buffer[stop : stop + 2] != b"\r\n":
-                raise ProtocolError("an answer's bytes are not followed by CR LF")
-            with memoryview(buffer) as view:
-                found.append(Answer(*self.head, bytes(view[start:stop])))
-            self.head, start = None, stop + 2
-        return start, found
-
-    def _head(self, line: bytearray) -> Answer | None:
-        words = line.decode("latin-1").split(" ")
-        if len(words) not in (2, 3, 4):
-            raise ProtocolError(f"an answer has {len(words)} words")
-        if words[1] not in WORDS:
-            raise ProtocolError(f"an answer has the unknown word '{words[1][:20]}'")
-        fields: dict[str, str] = {}
-        for part in words[2].split(",") if len(words) > 2 and words[2] != "-" else []:
-            name, equals, value = part.partition("=")
-            if not equals:
-                raise ProtocolError(f"an answer has the field '{part[:20]}' without a value")
-            fields[name] = value
-        if len(words) < 4:
-            if words[1] in OK_WORDS:
-                raise ProtocolError("an answer has no length")
-            return Answer(words[0], words[1], fields, b"")
-        if not (words[3].isascii() and words[3].isdecimal()) or int(words[3]) > MOST_BODY:
-            raise ProtocolError(f"an answer has the length '{words[3][:20]}'")
-        self.head, self.length = (words[0], words[1], fields), int(words[3])
-        return None
+        """Reads at most one answer between `start` and `end`.
+
+        Returns where it has come to, and the answer, none where the next is not whole; raises CacheWireError
+        on what is no answer.
+        """
+        head = self._head
+        if head is None:
+            line_end = self._find_line_end(buffer, start, end)
+            if line_end < 0:
+                return start, []
+            head = _decode_head(buffer[start:line_end])
+            start = line_end + len(LINE_END)
+            if head.body_bytes == NO_BODY:
+                return start, [Answer(head.request_id, head.status, head.fields, b"")]
+            self._head = head
+        body_end = start + head.body_bytes
+        answer_end = body_end + len(LINE_END)
+        if end < answer_end:
+            return start, []
+        if buffer[body_end:answer_end] != LINE_END:
+            raise CacheWireError("an answer's bytes are not followed by CR LF")
+        with memoryview(buffer) as view:
+            body = bytes(view[start:body_end])
+        self._head = None
+        return answer_end, [Answer(head.request_id, head.status, head.fields, body)]
+
+    def _find_line_end(self, buffer: bytearray, start: int, end: int) -> int:
+        """Where the line that begins at `start` ends, or -1 where its end has not come."""
+        line_end = buffer.find(LINE_END, start + self._searched, end)
+        if (end if line_end < 0 else line_end) - start > MAX_HEAD_BYTES:
+            raise CacheWireError("an answer's line is too long")
+        # The last byte may be the first half of a line's end.
+        self._searched = max(0, end - start - 1) if line_end < 0 else 0
+        return line_end
+
+
+def _decode_head(line: bytearray) -> _AnswerHead:
+    words = line.decode("latin-1").split(" ")
+    if len(words) not in (2, 3, 4):
+        raise CacheWireError(f"an answer has {len(words)} words")
+    status = _STATUS_OF_WORD.get(words[1])
+    if status is None:
+        raise CacheWireError(f"an answer has the unknown word '{words[1][:20]}'")
+    fields = _decode_fields(words[2]) if len(words) > 2 else {}
+    if len(words) < 4:
+        if status in SUCCESS_STATUSES:
+            raise CacheWireError("an answer has no length")
+        return _AnswerHead(words[0], status, fields, NO_BODY)
+    length = words[3]
+    if not (length.isascii() and length.isdecimal()) or int(length) > MAX_BODY_BYTES:
+        raise CacheWireError(f"an answer has the length '{length[:20]}'")
+    return _AnswerHead(words[0], status, fields, int(length))
+
+
+def _decode_fields(text: str) -> dict[str, str]:
+    fields: dict[str, str] = {}
+    for part in text.split(",") if text != "-" else []:
+        name, equals, value = part.partition("=")
+        if not equals:
+            raise CacheWireError(f"an answer has the field '{part[:20]}' without a value")
+        fields[name] = value
+    return fields
--- a/hoistplank/protocol/changelog.py
+++ b/hoistplank/protocol/changelog.py
@@ -1,4 +1,7 @@
-"""The change log: its events as JSON, a line each, and the line that asks for them."""
+"""The change log, without I/O: its events as JSON, a line each, and the line that asks for them.
+
+Names and order of the structs' fields are those of the wire.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,17 @@
 
 from hoistplank.interface import HostEntry
 from hoistplank.protocol.cachewire import is_token
-from hoistplank.protocol.errors import ProtocolError
+from hoistplank.protocol.errors import ChangeLogError
 
 # A configuration of 1 MiB, each byte of which JSON may write as six; a list of some thousand hosts is less.
-MOST_LINE = 6 * 1_048_576 + 65_536
-STATES = {"ready": "up", "draining": "draining", "gone": "gone"}
+MAX_LINE_BYTES = 6 * 1_048_576 + 65_536
+_HOST_STATE_OF_WORD = {"ready": "up", "draining": "draining", "gone": "gone"}
+_MAX_PORT = 65_535
 
 
 class Target(msgspec.Struct, frozen=True):
+    """A cache host as the change log lists it; `boot_ms` is Unix time (ms)."""
+
     uid: str
     endpoint: str
     az: str = ""
@@ -24,6 +30,7 @@
     boot_ms: float = 0
 
     def entry(self) -> HostEntry:
+        """The host in the terms of the decision logic, times in microseconds."""
         return HostEntry(
             self.uid,
             self.az,
@@ -31,20 +38,26 @@
             self.pod_group,
             self.capacity_hint,
             int(self.boot_ms * 1000),
-            STATES[self.state],
+            _HOST_STATE_OF_WORD[self.state],
         )
 
     def address(self) -> tuple[str, int]:
-        return address(self.endpoint)
+        """Its host and port; raises ChangeLogError."""
+        return parse_address(self.endpoint)
 
 
 class Fleet(msgspec.Struct, frozen=True):
+    """The cache hosts that changed, or `all` of them, as of the list's revision `rev`."""
+
     rev: int = 0
     all: bool = False
     targets: list[Target] = []
 
 
 class Purge(msgspec.Struct, frozen=True):
+    """Copies made before `time` (Unix time of the log's clock, ms) are not to be used: those of one object,
+    or of a purge group (`bucket`)."""
+
     time: float
     object: str = ""
     bucket: int = 0
@@ -54,27 +67,29 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One event. `configuration` is left unread: a follower without use for it must not fail on what it
+    """One event. `configuration` is left undecoded: a follower without use for it must not fail on what it
     holds; who hands it on checks it (`hoistplank.distribution`)."""
 
     seq: int
     fleet: Fleet | None = None
     invalidate: Purge | None = None
     configuration: msgspec.Raw = NO_CONFIGURATION
-    epoch: int = 0  # rises whenever the log counts anew; 0 of a log that tells none
+    epoch: int = 0  # rises whenever the log counts anew; 0 of a log that says none
 
     @property
-    def is_number(self) -> bool:
+    def is_position(self) -> bool:
         """Whether it says nothing but how far the log has come."""
-        return self.fleet is None and self.invalidate is None and not self.configures
+        return self.fleet is None and self.invalidate is None and not self.has_configuration
 
     @property
-    def configures(self) -> bool:
+    def has_configuration(self) -> bool:
         """Whether it carries a configuration."""
         return bytes(self.configuration) not in (b"", b"null")
 
 
-class Known(msgspec.Struct, frozen=True):
+class Snapshot(msgspec.Struct, frozen=True):
+    """What the log had said up to `seq`, as given at the start of a process."""
+
     seq: int = 0
     results: list[Event] = []
 
@@ -82,52 +97,68 @@
 _decoder = msgspec.json.Decoder(int | Event)
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
+    """Host and port of `host:port`; raises ChangeLogError."""
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not (port.isascii() and port.isdecimal()) or int(port) > 65_535:
-        raise ProtocolError(f"'{text[:60]}' is no address with a port")
+    is_port = port.isascii() and port.isdecimal() and int(port) <= _MAX_PORT
+    if not colon or not host or not is_port:
+        raise ChangeLogError(f"'{text[:60]}' is no address with a port")
     return host, int(port)
 
 
-def check(event: Event) -> Event:
+def check_event(event: Event) -> Event:
+    """The event itself; raises ChangeLogError where one of its hosts can't be used."""
     for target in event.fleet.targets if event.fleet else []:
         if not is_token(target.uid):
             # Danger: it goes into the lines to cache hosts as a source's name, and could change their words.
-            raise ProtocolError(f"a cache host's uid '{target.uid[:40]}' can't stand in a line")
-        address(target.endpoint)
-        if target.state not in STATES:
-            raise ProtocolError(f"cache host {target.uid[:40]} has the unknown state '{target.state[:20]}'")
+            raise ChangeLogError(f"a cache host's uid '{target.uid[:40]}' can't stand in a line")
+        parse_address(target.endpoint)
+        if target.state not in _HOST_STATE_OF_WORD:
+            raise ChangeLogError(f"cache host {target.uid[:40]} has the unknown state '{target.state[:20]}'")
     return event
 
 
-def since(number: int) -> bytes:
-    return f"since {number}\n".encode()
+def encode_since(sequence_number: int) -> bytes:
+    """Asks for all events after `sequence_number`."""
+    return f"since {sequence_number}\n".encode()
 
 
-class Reader:
+class ChangeLogReader:
     """The lines of one connection: events, and numbers that say how far the log has come, each bare or as an
     object with nothing else in it but the log's epoch."""
 
     def __init__(self) -> None:
-        self.seen = 0
         self.epoch = 0  # of the last line that was read
+        self._searched = 0  # bytes of an unfinished line that hold no end
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[Event | int]]:
+        """Reads the whole lines between `start` and `end`.
+
+        Returns where it has come to, and each line's event, or the sequence number that the log has come to;
+        raises ChangeLogError.
+        """
         found: list[Event | int] = []
-        while (stop := buffer.find(b"\n", start + self.seen, end)) >= 0:
-            line, start, self.seen = bytes(buffer[start:stop]).strip(), stop + 1, 0
+        while (line_end := buffer.find(b"\n", start + self._searched, end)) >= 0:
+            line = bytes(buffer[start:line_end]).strip()
+            start, self._searched = line_end + 1, 0
             if line:
-                try:
-                    told = _decoder.decode(line)
-                except msgspec.MsgspecError as wrong:
-                    raise ProtocolError(f"a line of the change log can't be read: {wrong}") from None
-                self.epoch = told.epoch if isinstance(told, Event) else 0
-                if isinstance(told, Event) and told.is_number:
-                    # The number alone, as the platform's log writes it. Danger: taken for an event, one that
-                    # is ahead would count as heard what has not come, and a drain would be lost for good.
-                    told = told.seq
-                found.append(told if isinstance(told, int) else check(told))
-        self.seen = end - start
-        if self.seen > MOST_LINE:
-            raise ProtocolError("a line of the change log is too long")
+                found.append(self._decode(line))
+        self._searched = end - start
+        if self._searched > MAX_LINE_BYTES:
+            raise ChangeLogError("a line of the change log is too long")
         return start, found
+
+    def _decode(self, line: bytes) -> Event | int:
+        try:
+            message: Event | int = _decoder.decode(line)
+        except msgspec.MsgspecError as error:
+            raise ChangeLogError(f"a line of the change log can't be read: {error}") from error
+        if isinstance(message, int):
+            self.epoch = 0
+            return message
+        self.epoch = message.epoch
+        if message.is_position:
+            # The number alone, as the platform's log writes it. Danger: taken for an event, one that is ahead
+            # would count as heard what has not come, and a drain would be lost for good.
+            return message.seq
+        return check_event(message)
--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -114,7 +114,7 @@
 
     def answered(self, answer: Answer) -> None:
         self.ended_at = self.owner.clock.now()
-        self.owner.tell(Ended(self, answer.word, answer))
+        self.owner.tell(Ended(self, answer.status, answer))
 
 
 class Ended(NamedTuple):
@@ -146,4 +146,4 @@
             fields["hints"] = "+".join(hints)
     if request.holds:
         fields["got"] = request.holds
-    return cachewire.get(request.id, fields, request.body)
+    return cachewire.encode_get(request.id, fields, request.body)
--- a/hoistplank/routing/cache_host_reader.py
+++ b/hoistplank/routing/cache_host_reader.py
@@ -11,7 +11,7 @@
 
 
 def answers_of(line: Line) -> Callable[[bytearray, int, int], int]:
-    reader = cachewire.Reader()
+    reader = cachewire.AnswerReader()
 
     def consume(buffer: bytearray, start: int, end: int) -> int:
         while True:
@@ -21,13 +21,18 @@
             for answer in found:
                 # A second copy, an answer that crossed with its DROP, or one that nobody asked for says
                 # nothing of the others: it is dropped, and the connection goes on.
-                errand = line.open.get(answer.id)
+                errand = line.open.get(answer.request_id)
                 if isinstance(errand, Attempt):
-                    cachewire.check(answer, False, errand.request.holds, errand.request.kept)
+                    cachewire.check_answer(
+                        answer,
+                        is_health_check=False,
+                        client_digest=errand.request.holds,
+                        is_copy=errand.request.kept,
+                    )
                 elif isinstance(errand, Probe):
-                    cachewire.check(answer, True, "", False)
+                    cachewire.check_answer(answer, is_health_check=True, client_digest="", is_copy=False)
                 if isinstance(errand, Attempt | Probe):
-                    line.end(answer.id)
+                    line.end(answer.request_id)
                     errand.answered(answer)
 
     return consume
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Known, Target
+from hoistplank.protocol.changelog import Event, Snapshot, Target
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.clock_offset import LogClock
@@ -24,7 +24,7 @@
 SILENT_S = 2.2  # a number comes each second: two missed and some
 HALTED_S = 0.3  # a line is written in one go: one that has begun and moves no more has broken off
 LOOK_S = 0.1
-MOST_IN = changelog.MOST_LINE + 65_536  # bytes read ahead: the longest line, and what comes behind it
+MOST_IN = changelog.MAX_LINE_BYTES + 65_536  # bytes read ahead: the longest line, and what comes behind it
 LARGE = 262_144  # bytes of a buffer that is given back once it is empty: few lines are as long
 MOST_LEAVING = 4_096  # hosts of which it is remembered that they left
 CONNECT_S = 1.0
@@ -53,7 +53,7 @@
 
 class Listing:
     def __init__(
-        self, owner: Hearer, address: tuple[str, int], known: Known, chance: Random, grace_s: float = 0.25
+        self, owner: Hearer, address: tuple[str, int], known: Snapshot, chance: Random, grace_s: float = 0.25
     ) -> None:
         self.look_s, self.halted_s = LOOK_S, HALTED_S
         self.longest_pause_s = max(FIRST_PAUSE_S, min(LONGEST_PAUSE_S, OF_GRACE * grace_s))
@@ -164,11 +164,11 @@
 
     def _request(self) -> bytes:
         """The first line on a new connection."""
-        return changelog.since(self.last)
+        return changelog.encode_since(self.last)
 
     def _consumer(self) -> Consume:
         """What takes the bytes of one connection."""
-        reader = changelog.Reader()
+        reader = changelog.ChangeLogReader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             start, found = reader.read(buffer, start, end)
@@ -194,7 +194,7 @@
         except BaseException:
             sock.close()
             raise
-        connection = Connection(sock, self._consumer(), MOST_IN, changelog.MOST_LINE)
+        connection = Connection(sock, self._consumer(), MOST_IN, changelog.MAX_LINE_BYTES)
         connection.send(self._request())
         self.connection = connection
         task = loop.create_task(connection.run())
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -106,8 +106,8 @@
         self.owner.tell(Probed(self, False, []))
 
     def answered(self, answer: cachewire.Answer) -> None:
-        report = answer.report(self.owner.report_names)
-        self.owner.tell(Probed(self, answer.word == "green", report))
+        report = answer.load_report(self.owner.report_names)
+        self.owner.tell(Probed(self, answer.status == "green", report))
 
 
 class Owner:
@@ -294,7 +294,9 @@
     def _give_up(self, now: int, attempt: Attempt, written: str, unwritten: str) -> None:
         if not attempt.over:
             line = attempt.line
-            sent = line is not None and line.give_up(attempt.id, cachewire.drop(attempt.id), attempt.began)
+            sent = line is not None and line.give_up(
+                attempt.id, cachewire.encode_drop(attempt.id), attempt.began
+            )
             self._ended(now, Ended(attempt, written if sent else unwritten, None))
 
     def _ended(self, now: int, event: Ended) -> None:
@@ -318,9 +320,9 @@
             self._over(request, now - request.taken)
             self.counts["succeeded"] += 1
             request.exchange.succeed(answer.body, how == "still_good")
-        report = answer.report(self.report_names) if answer and self.reports_in_answers else []
+        report = answer.load_report(self.report_names) if answer and self.reports_in_answers else []
         if self.watch is not None and answer is not None:
-            self._watched(now, attempt, answer.note(), took, report)
+            self._watched(now, attempt, answer.cache_status(), took, report)
         self.router.attempt_ended(
             now,
             request.id,
@@ -329,7 +331,7 @@
             request.over,
             took,
             -1,
-            answer.note() if answer else 0,
+            answer.cache_status() if answer else 0,
             report,
         )
         self._forget(request)
@@ -437,7 +439,9 @@
         attempt = request.attempts.get(decision.attempt) if request else None
         if attempt is not None and not attempt.over:
             line = attempt.line
-            sent = line is not None and line.give_up(attempt.id, cachewire.drop(attempt.id), attempt.began)
+            sent = line is not None and line.give_up(
+                attempt.id, cachewire.encode_drop(attempt.id), attempt.began
+            )
             self.tell(Ended(attempt, "withdrawn" if sent else "withheld", None))
 
     def _set_timer(self, now: int, decision: Decision) -> None:
@@ -449,7 +453,7 @@
     def _probe(self, now: int, decision: Decision) -> None:
         self.probes += 1
         probe = Probe(self, decision.host, self.probes, now)
-        self._send(decision.host, probe, cachewire.load(probe.id))
+        self._send(decision.host, probe, cachewire.encode_health_check(probe.id))
 
 
 def _target_us(site: Site) -> int:
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -18,7 +18,7 @@
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import serve
-from hoistplank.protocol.changelog import Known
+from hoistplank.protocol.changelog import Snapshot
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.router_task import Applied, Listed, Purged
 
@@ -72,7 +72,7 @@
 class Dispatcher:
     """One follower with its owner; it refuses each configuration that holds the text 'bad'."""
 
-    def __init__(self, settings: FollowerSettings, known: Known, seed: int = 1) -> None:
+    def __init__(self, settings: FollowerSettings, known: Snapshot, seed: int = 1) -> None:
         self.owner = TakingOwner()
         self.configurations: list[tuple[Version, str]] = []
         self.refuses = "bad"
@@ -191,7 +191,7 @@
         self,
         name: str,
         addresses: list[ReplicaAddress] | None = None,
-        known: Known | None = None,
+        known: Snapshot | None = None,
         **more: Any,
     ) -> Dispatcher:
         """Starts one; `addresses` in place of all replicas."""
@@ -202,7 +202,7 @@
             replicas=addresses or self.addresses,
             **more,
         )
-        made = Dispatcher(settings, known or Known())
+        made = Dispatcher(settings, known or Snapshot())
         self.dispatchers.append(made)
         return made
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -22,7 +22,7 @@
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import serve
-from hoistplank.protocol.changelog import Event, Fleet, Known, Target
+from hoistplank.protocol.changelog import Event, Fleet, Snapshot, Target
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.router_task import Applied, Listed
 from tests.distribution_rig import EPOCH, Relay, Rig, asked
@@ -405,7 +405,7 @@
             for one in each:
                 await one.stop()
             # A start knows the list that its own configuration names, and nothing of what was purged.
-            known = Known(1, [Event(1, Fleet(1, True, [Target("a", "127.0.0.1:9")]))])
+            known = Snapshot(1, [Event(1, Fleet(1, True, [Target("a", "127.0.0.1:9")]))])
             again = [
                 rig.dispatcher(f"d{number}", incarnation=2, known=known, silence_us=300_000)
                 for number in range(3)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,7 +23,7 @@
 from hoistplank.fakes.wire import CacheHost, Client, serve
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
-from hoistplank.protocol.changelog import Event, Fleet, Known
+from hoistplank.protocol.changelog import Event, Fleet, Snapshot
 from hoistplank.routing import endpoint_watcher as watching
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
@@ -592,7 +592,7 @@
             await reader.read()
 
         told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 2)
@@ -618,7 +618,7 @@
 
         told = Told()
         lines = [row(1, whole=True), row(2, state="draining")]
-        known = msgspec.json.decode(b'{"seq":2,"results":[' + b",".join(lines) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":2,"results":[' + b",".join(lines) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 1)
@@ -649,7 +649,7 @@
                 writer.write(number % 1)
                 await asyncio.sleep(0.05)
 
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(Told(), ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.moves > 20)
@@ -676,7 +676,7 @@
             await reader.read()
 
         told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 2)
@@ -701,7 +701,7 @@
             await reader.read()
 
         told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 2)
@@ -727,7 +727,7 @@
             failed.append(loop.time())
 
         told.tell = tell  # type: ignore[method-assign]
-        log = Listing(told, ("127.0.0.1", port), Known(0, []), Random(1), grace_s=0.25)
+        log = Listing(told, ("127.0.0.1", port), Snapshot(0, []), Random(1), grace_s=0.25)
         task = asyncio.create_task(log.run())
         await until(lambda: len(failed) > 12)
         assert max(later - first for first, later in zip(failed[5:], failed[6:], strict=False)) < 0.25
@@ -750,7 +750,7 @@
                 speaks.set()
                 await asyncio.sleep(0.02)
 
-        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.moves > 0)
         for _ in range(3):
@@ -775,7 +775,7 @@
             writer.write(b"0\n")
             await reader.read()
 
-        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
 
         def none(*words: Any) -> Any:
             if len(failed) < 2:
@@ -951,7 +951,7 @@
     async def scene() -> None:
         log = ChangeLog(epoch=7)
         told = Told()
-        listing_ = Listing(told, ("127.0.0.1", await serve(log.talk)), Known(0, []), Random(1))
+        listing_ = Listing(told, ("127.0.0.1", await serve(log.talk)), Snapshot(0, []), Random(1))
         task = asyncio.create_task(listing_.run())
         log.tell(listing(1, [target("a", "box", 9)], whole=True))
         log.configure(2, "x" * 1_000_000)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -163,15 +163,15 @@
 
 
 def test_answers_cut_anywhere() -> None:
-    for served, missed, probed, unchanged in everywhere(cachewire.Reader, ANSWERS):
-        assert (served.body, served.note()) == (b"a\r\nb\0\r\nc", 1)
-        assert served.report(("rif", "busy")) == [7.0, 0.61] and served.report(("x0",)) == []
-        assert (missed.id, missed.word, missed.body) == ("00", "not_here", b"")
-        assert (probed.id, probed.word, unchanged.word) == ("t1", "green", "still_good")
+    for served, missed, probed, unchanged in everywhere(cachewire.AnswerReader, ANSWERS):
+        assert (served.body, served.cache_status()) == (b"a\r\nb\0\r\nc", 1)
+        assert served.load_report(("rif", "busy")) == [7.0, 0.61] and served.load_report(("x0",)) == []
+        assert (missed.request_id, missed.status, missed.body) == ("00", "not_here", b"")
+        assert (probed.request_id, probed.status, unchanged.status) == ("t1", "green", "still_good")
 
 
 def test_change_log_cut_anywhere() -> None:
-    for listed, number, purged in everywhere(changelog.Reader, LINES):
+    for listed, number, purged in everywhere(changelog.ChangeLogReader, LINES):
         entry = listed.fleet.targets[0].entry()
         assert entry == ("s-1", "east", "std", 2, 4.0, 17_000, "draining") and number == 41
         assert (purged.invalidate.object, purged.seq) == ("7f3a9c21e0b4d655", 42)
@@ -183,10 +183,10 @@
     ids=["good", "typed", "long"],
 )
 def test_a_configuration_in_the_change_log_is_an_event_whatever_it_holds(configuration: str) -> None:
-    reader = changelog.Reader()
+    reader = changelog.ChangeLogReader()
     data = f'{{"seq":7,"epoch":3,"configuration":{configuration}}}\n{{"seq":7,"epoch":3}}\n'.encode()
     event, number = cut(reader, data, 65_536)
-    assert (event.seq, event.epoch, event.configures, event.is_number) == (7, 3, True, False)
+    assert (event.seq, event.epoch, event.has_configuration, event.is_position) == (7, 3, True, False)
     assert bytes(event.configuration) == configuration.encode()
     assert number == 7 and reader.epoch == 3
 
@@ -202,17 +202,17 @@
             fastcgi.encode_record(9, 0, b"\x05\x05ab"),
             "longer than what was sent",
         ),
-        (cachewire.Reader, b"01 fine - 0\r\n\r\n", "unknown word 'fine'"),
-        (cachewire.Reader, b"01 served - 240001\r\n", "length '240001'"),
-        (cachewire.Reader, b"01 served - -1\r\n", "length '-1'"),
-        (cachewire.Reader, b"01 served x 3\r\n", "'x' without a value"),
-        (cachewire.Reader, b"01 served - 1\r\nabc\r\n", "not followed by CR LF"),
-        (cachewire.Reader, b"01\r\n", "1 words"),
-        (cachewire.Reader, b"x" * 5000, "too long"),
-        (changelog.Reader, b"{no json\n", "can't be read"),
-        (changelog.Reader, b'{"seq":"a"}\n', "seq"),
-        (changelog.Reader, LINES.replace(b"draining", b"asleep"), "unknown state 'asleep'"),
-        (changelog.Reader, LINES.replace(b":5050", b":x"), "no address"),
+        (cachewire.AnswerReader, b"01 fine - 0\r\n\r\n", "unknown word 'fine'"),
+        (cachewire.AnswerReader, b"01 served - 240001\r\n", "length '240001'"),
+        (cachewire.AnswerReader, b"01 served - -1\r\n", "length '-1'"),
+        (cachewire.AnswerReader, b"01 served x 3\r\n", "'x' without a value"),
+        (cachewire.AnswerReader, b"01 served - 1\r\nabc\r\n", "not followed by CR LF"),
+        (cachewire.AnswerReader, b"01\r\n", "1 words"),
+        (cachewire.AnswerReader, b"x" * 5000, "too long"),
+        (changelog.ChangeLogReader, b"{no json\n", "can't be read"),
+        (changelog.ChangeLogReader, b'{"seq":"a"}\n', "seq"),
+        (changelog.ChangeLogReader, LINES.replace(b"draining", b"asleep"), "unknown state 'asleep'"),
+        (changelog.ChangeLogReader, LINES.replace(b":5050", b":x"), "no address"),
     ],
 )
 def test_bad_bytes_are_named(make: Callable[[], Any], data: bytes, told: str) -> None:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -150,7 +150,7 @@
 def test_teller_counts_within_its_epoch_and_lists_what_there_is() -> None:
     made = scene("(hosts 5)")
     teller = Teller(made.fleet)
-    reader = changelog.Reader()
+    reader = changelog.ChangeLogReader()
     first = teller.first()
     rows = [first, teller.next(Purge(0, "ab"), 17), teller.next(HostStep(0, 3, "gone"), 18)]
     rows += [teller.next(Change(0, 6), 19)]
