--- a/hoistplank/authorization/admin_server.py
+++ b/hoistplank/authorization/admin_server.py
@@ -25,7 +25,7 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.frontend import Make
 from hoistplank.routing.router_task import Owner, Purged
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 
 log = structlog.get_logger()
@@ -133,7 +133,7 @@
     """What the control front uses of the program that it is part of."""
 
     owner: Owner
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
 class Keys(Protocol):
@@ -158,7 +158,7 @@
         self.callers, self.section, self.host = callers, section, host
         self.clients: dict[AdminClient, None] = {}
         self.purges: dict[str, Bucket] = {}
-        self.listener = Listener(section["listen"], host.ledger, self._greet)
+        self.listener = Listener(section["listen"], host.descriptors, self._greet)
         self.routes = {
             ("GET", "/v1/tenants"): self._tenants,
             ("GET", "/v1/keys"): self._keys,
@@ -179,7 +179,7 @@
 
     def gone(self, client: AdminClient) -> None:
         self.clients.pop(client, None)
-        self.host.ledger.give("client")
+        self.host.descriptors.release(ConnectionKind.CLIENT)
 
     async def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -27,7 +27,7 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.frontend import Front, Make, Refused, Session
 from hoistplank.routing.router_task import Owner
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.tls import TlsConnection
 
@@ -44,7 +44,7 @@
 
     owner: Owner
     front: Front
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
 @dataclass(slots=True, eq=False)
@@ -307,7 +307,7 @@
         self.host, self.owner = host, host.owner
         parts: list[tuple[str, Coroutine[Any, Any, None]]] = [("callers' files", self._watch())]
         if self.section["tls"] is not None:
-            self.listener = Listener(self.section["tls"]["listen"], host.ledger, self._greet)
+            self.listener = Listener(self.section["tls"]["listen"], host.descriptors, self._greet)
             parts += [("tls listener", self.listener.run()), ("handshakes", self._handshakes())]
         if self.section["control"] is not None:
             from hoistplank.authorization.admin_server import Control
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -19,7 +19,7 @@
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.routing.router_task import Owner, Told
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 
 log = structlog.get_logger()
 KEPT_CHANGES = 64  # the last changes, for the control front
@@ -28,7 +28,7 @@
 
 class Host(Protocol):
     owner: Owner
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
 def built(section: Section, configuration: Configuration) -> tuple[Ladder, Gauges, Reduced]:
@@ -61,11 +61,11 @@
         self.ladder, self.gauges, self.base = built(section, configuration)
         self.changes: deque[Change] = deque(maxlen=KEPT_CHANGES)
         self.owner: Owner | None = None
-        self.ledger: Ledger | None = None
+        self.descriptors: DescriptorBudget | None = None
         self.rejected_at_change = 0
 
     def attach(self, host: Host) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        self.owner, self.ledger = host.owner, host.ledger
+        self.owner, self.descriptors = host.owner, host.descriptors
         utility = {row.name: row.utility for row in self.configuration.site.traffic_classes}
         self.owner.watch = Watch(self.gauges, utility)
         self.owner.admission.bounds = sections.bounds(self.section, self.owner.admission.bounds.most)
@@ -81,11 +81,13 @@
 
     def judge(self, now: int) -> Change | None:
         """Reads what it needs beside the owner's observations and judges; tells the Router of a change."""
-        assert self.owner is not None and self.ledger is not None
+        assert self.owner is not None and self.descriptors is not None
         watch = self.owner.watch
         assert watch is not None
-        held = sum(self.ledger.held.values())
-        watch.resources(now, resident_share(self.configuration.memory_mb), held / max(1, self.ledger.room))
+        held = sum(self.descriptors.held.values())
+        watch.resources(
+            now, resident_share(self.configuration.memory_mb), held / max(1, self.descriptors.total_limit)
+        )
         change = self.ladder.step(now, self.gauges.readings(now))
         if change is not None:
             self._changed(change)
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -40,7 +40,7 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import SILENT_S
 from hoistplank.routing.rate_limited_log import Complaints
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 
 log = structlog.get_logger()
@@ -89,8 +89,8 @@
         self.sessions: dict[str, DispatcherSession] = {}
         self.peer_sessions: dict[PeerSession, None] = {}
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.ledger = Ledger(min(soft, MOST_DESCRIPTORS))
-        self.listener = Listener(settings.listen, self.ledger, self._greet)
+        self.descriptors = DescriptorBudget(min(soft, MOST_DESCRIPTORS))
+        self.listener = Listener(settings.listen, self.descriptors, self._greet)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -170,7 +170,7 @@
     def gone(self, connection: RequestConnection) -> None:
         """A connection has ended."""
         self.connections.pop(connection, None)
-        self.ledger.give("client")
+        self.descriptors.release(ConnectionKind.CLIENT)
         if connection.peer is not None:
             self.peer_sessions.pop(connection.peer, None)
         session = connection.dispatcher
--- a/hoistplank/lab/scale/role_cache_host.py
+++ b/hoistplank/lab/scale/role_cache_host.py
@@ -12,7 +12,7 @@
 from hoistplank.lab.scale.log_process import Usage
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, awaited, kept_bytes_of
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.pool import FEW_LINES, Line, Pool
 
 ROLE = "cache host"
@@ -47,8 +47,8 @@
 
 def dispatcher_pool() -> Pool:
     """A pool as a dispatcher has one."""
-    ledger = Ledger(DESCRIPTORS)
-    return Pool(ledger, STREAMS, IDLE_S, CONNECT_S, REMEMBER_S, _ignored, lambda host, wrong: None)
+    descriptors = DescriptorBudget(DESCRIPTORS)
+    return Pool(descriptors, STREAMS, IDLE_S, CONNECT_S, REMEMBER_S, _ignored, lambda host, wrong: None)
 
 
 def hold(pool: Pool, port: int, hosts: int) -> list[Line | None]:
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -27,7 +27,7 @@
 from hoistplank.store.background_writer import Keeper
 from hoistplank.store.folder import Folder, StoreError
 from hoistplank.store.schemas import History, KeptChange, KeptHost, KeptList, KeptPurge
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 log = structlog.get_logger()
 
@@ -51,7 +51,7 @@
 
     owner: Owner
     listing: Listing
-    ledger: Ledger
+    descriptors: DescriptorBudget
     provisional: bool
 
 
@@ -304,14 +304,14 @@
     async def _probe(self, host: KeptHost) -> None:
         assert self.host is not None
         what = "mute"
-        ledger = self.host.ledger
-        taken = ledger.take("cache host")
+        descriptors = self.host.descriptors
+        taken = descriptors.acquire(ConnectionKind.CACHE_HOST)
         try:
             if taken:
                 what = await _answered(host.endpoint, self.probe_s)
         finally:
             if taken:
-                ledger.give("cache host")
+                descriptors.release(ConnectionKind.CACHE_HOST)
             self.counts["probes"] += 1
             self.counts[what] += 1
             self.roster.felt(self.clock.now(), host.uid, what)
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -20,7 +20,7 @@
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.frontend import Authorizer, Front
 from hoistplank.routing.router_task import Closed, Closing, Owner
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.pool import Pool
 
@@ -85,12 +85,12 @@
         self.last_answer_s, self.last_byte_s = deadline_s + ANSWER_S, deadline_s + BYTE_S
         self.end_s = deadline_s + END_S
         self.loop = asyncio.get_running_loop()
-        self.ledger = Ledger(configuration.sockets)
+        self.descriptors = DescriptorBudget(configuration.sockets)
         self.owner = Owner(
             configuration.site, configuration.seed, Clock(), configuration.open_cap, configuration.reported
         )
         self.owner.pool = Pool(
-            self.ledger,
+            self.descriptors,
             configuration.streams,
             configuration.idle_s,
             configuration.site.rules.connect_us / 1e6 or 1.0,
@@ -103,7 +103,7 @@
         self.front = Front(
             self.owner,
             configuration.site,
-            self.ledger,
+            self.descriptors,
             configuration.memory_mb,
             lambda: self.phase in (Phase.PROVISIONAL, Phase.SERVING),
             additions.authorizer if additions is not None else None,
@@ -115,7 +115,7 @@
             Random(configuration.seed),
             configuration.site.rules.drain_us / 1e6,
         )
-        self.listener = Listener(configuration.listen, self.ledger, self.front.greet)
+        self.listener = Listener(configuration.listen, self.descriptors, self.front.greet)
         self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
 
     def enter(self, phase: Phase) -> None:
@@ -125,7 +125,7 @@
             "phase",
             phase=phase.value,
             open=self.owner.open,
-            peak_descriptors=self.ledger.peak,
+            peak_descriptors=self.descriptors.peak,
             peak_mb=peak_mb,
             **self.owner.counts,
         )
@@ -156,7 +156,7 @@
         # What the limits leave room for, so that nobody has to guess it from what is refused later.
         log.info(
             "bounds",
-            **{f"{kind} descriptors": most for kind, most in self.ledger.most.items()},
+            **{f"{kind} descriptors": most for kind, most in self.descriptors.limits.items()},
             waiting_answers_kb=self.front.most_out >> 10,
             open_requests_kb=self.front.most_held >> 10,
         )
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -15,7 +15,7 @@
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.routing.router_task import Came, Left, Owner
 from hoistplank.transport.connection import Connection, Consume
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 PATH, HEALTH, HEALTH_SCRIPT = "/api/v2/", "/-/healthy", b"/-/healthy"
 MOST_REQUESTS = 32  # open ones a connection
@@ -278,7 +278,7 @@
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         self.front.sessions.pop(self, None)
-        self.front.ledger.give("client")
+        self.front.descriptors.release(ConnectionKind.CLIENT)
         self.reader.held_bytes = 0
         self._account()
         wrong = None if task.cancelled() else task.exception() or task.result()
@@ -296,12 +296,17 @@
         self,
         owner: Owner,
         site: Site,
-        ledger: Ledger,
+        descriptors: DescriptorBudget,
         memory_mb: int,
         is_ready: Callable[[], bool],
         authorizer: Authorizer | None = None,
     ) -> None:
-        self.owner, self.ledger, self.is_ready, self.authorizer = owner, ledger, is_ready, authorizer
+        self.owner, self.descriptors, self.is_ready, self.authorizer = (
+            owner,
+            descriptors,
+            is_ready,
+            authorizer,
+        )
         self.most_wait_us = site.rules.max_return_us if site.rules.may_name_return else 0
         self.classes = {traffic_class.name: traffic_class for traffic_class in site.traffic_classes}
         self.scripts = {f"{PATH}{name}".encode(): name for name in self.classes}
@@ -310,7 +315,7 @@
         self.health_detail: Callable[[], str] = str  # what a health answer says beside its status
         # A quarter of the memory for answers that wait, an eighth for requests that are unfinished or open.
         self.most_out, self.most_held, self.held = memory_mb << 18, memory_mb << 17, 0
-        ledger.reclaimers["client"] = self.reclaim
+        descriptors.reclaimers[ConnectionKind.CLIENT] = self.reclaim
         wait_ms = owner.stay_away_us // 1000
         self.refusal = fastcgi.encode_head(503, (("X-Pushback-Ms", str(wait_ms)),) if wait_ms else ())
 
--- a/hoistplank/transport/descriptor_budget.py
+++ b/hoistplank/transport/descriptor_budget.py
@@ -1,32 +1,50 @@
-"""The one count of descriptors, over clients, cache hosts and the change log."""
+"""The one count of file descriptors, over connections of clients and to cache hosts."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import enum
 from collections.abc import Callable
 
 # Standard streams, the event loop's own, the listener, the change log, a file that is being read.
-OWN = 24
-LOOK_S = 0.02  # between looks at a full ledger: a connection that was too young to go may go by then
+RESERVED_DESCRIPTORS = 24
+# Between looks at a budget that is used up: a connection too young to be closed may be old enough by then.
+RECHECK_S = 0.02
+_MIN_TOTAL, _MIN_OF_A_KIND = 8, 4
 
 
-class Ledger:
-    """Who holds how many descriptors. When a kind has its share, those of it that are least missed go."""
+class ConnectionKind(enum.StrEnum):
+    """What a descriptor is held for; the values stand in the log."""
+
+    CLIENT = "client"
+    CACHE_HOST = "cache host"
+
+
+class DescriptorBudget:
+    """How many descriptors each kind of connection may hold, and does.
+
+    Where a kind has used up its limit, its reclaimer is called: it closes the connections of that kind that
+    are least missed.
+    """
 
     def __init__(self, limit: int) -> None:
-        self.room = max(8, limit - OWN)
-        self.held = {"client": 0, "cache host": 0}
-        # Clients may hold a third of the limit; the rest stays for cache hosts, whatever clients do.
-        clients = max(4, limit * 2 // 5)
-        self.most = {"client": clients, "cache host": max(4, self.room - clients)}
-        self.reclaimers: dict[str, Callable[[], None]] = {}
+        self.total_limit = max(_MIN_TOTAL, limit - RESERVED_DESCRIPTORS)
+        self.held = dict.fromkeys(ConnectionKind, 0)
+        # Clients may hold two fifths of the limit; the rest stays for cache hosts, whatever clients do.
+        client_limit = max(_MIN_OF_A_KIND, limit * 2 // 5)
+        self.limits = {
+            ConnectionKind.CLIENT: client_limit,
+            ConnectionKind.CACHE_HOST: max(_MIN_OF_A_KIND, self.total_limit - client_limit),
+        }
+        self.reclaimers: dict[ConnectionKind, Callable[[], None]] = {}
         self.peak = 0
-        self._freed: asyncio.Event | None = None
+        self._released: asyncio.Event | None = None
 
-    def take(self, kind: str) -> bool:
-        """Counts one more, if there is room; else idle connections go, and their room comes back shortly."""
-        if self.held[kind] >= self.most[kind] or sum(self.held.values()) >= self.room:
+    def acquire(self, kind: ConnectionKind) -> bool:
+        """Counts one more where there is one left; else idle connections are closed, and theirs come back
+        shortly."""
+        if self.held[kind] >= self.limits[kind] or sum(self.held.values()) >= self.total_limit:
             if kind in self.reclaimers:
                 self.reclaimers[kind]()
             return False
@@ -34,14 +52,15 @@
         self.peak = max(self.peak, sum(self.held.values()))
         return True
 
-    def give(self, kind: str) -> None:
+    def release(self, kind: ConnectionKind) -> None:
+        """A descriptor has been closed."""
         self.held[kind] -= 1
-        if self._freed is not None:
-            self._freed.set()
+        if self._released is not None:
+            self._released.set()
 
-    async def freed(self) -> None:
-        """Waits until a descriptor has come back, or it is time to look again who could go."""
-        self._freed = asyncio.Event()
+    async def wait_released(self) -> None:
+        """Waits until a descriptor has been released, or it is time to look again which to reclaim."""
+        self._released = asyncio.Event()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LOOK_S):
-                await self._freed.wait()
+            async with asyncio.timeout(RECHECK_S):
+                await self._released.wait()
--- a/hoistplank/transport/pool.py
+++ b/hoistplank/transport/pool.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from hoistplank.transport.connection import Connection
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 MOST_IN = 524_288  # an answer of 240,000 bytes with its line, and the start of the next
 MOST_OUT = 4_194_304
@@ -146,7 +146,7 @@
         """However it ended, even before its first step: gives the descriptor back and ends all errands."""
         self.over = True
         self.pool.forget(self)
-        self.pool.ledger.give("cache host")
+        self.pool.descriptors.release(ConnectionKind.CACHE_HOST)
         how = "unwritten"
         if not task.cancelled():
             wrong = task.exception()
@@ -196,7 +196,7 @@
 
     def __init__(
         self,
-        ledger: Ledger,
+        descriptors: DescriptorBudget,
         streams: int,
         idle_s: float,
         connect_s: float,
@@ -205,14 +205,14 @@
         complain: Callable[[str, BaseException], None],
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.ledger, self.streams, self.connect_s = ledger, max(1, streams), connect_s
+        self.descriptors, self.streams, self.connect_s = descriptors, max(1, streams), connect_s
         self.remember_s, self.swept_at = remember_s, self.loop.time()
         self.spread, self.spread_at = FEW_LINES, self.swept_at
         # Closed well before the cache host does it: a request that crosses its close would be lost.
         self.idle_s = idle_s * 0.6
         self.make_reader, self.complain = make_reader, complain
         self.lines: dict[str, list[Line]] = {}
-        ledger.reclaimers["cache host"] = self.reclaim
+        descriptors.reclaimers[ConnectionKind.CACHE_HOST] = self.reclaim
 
     def send(self, host: str, address: tuple[str, int], errand: Errand, data: bytes) -> Line | None:
         """Hands an errand to a free line, else to a new one, else to the line with the fewest.
@@ -233,12 +233,14 @@
                 if not line.open:
                     break  # none has fewer
         if best is None or best.open:
-            share = self.ledger.most["cache host"] // (len(self.lines) + 1)
+            share = self.descriptors.limits[ConnectionKind.CACHE_HOST] // (len(self.lines) + 1)
             most = max(1, min(MOST_LINES, share, self.spread))
             # Danger: a request that looks, fills and goes again has its id on several lines. Where none is
             # left for it, another is opened: else it would use up its attempts with none sent.
             must = best is None or len(best.open) >= self.streams
-            if len(lines) < (max(most, share) if must else most) and self.ledger.take("cache host"):
+            if len(lines) < (max(most, share) if must else most) and self.descriptors.acquire(
+                ConnectionKind.CACHE_HOST
+            ):
                 best = Line(self, host, address)
                 lines.append(best)
             elif best is None or len(best.open) >= self.streams:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -31,6 +31,7 @@
 from hoistplank.transport import connection as connections
 from hoistplank.transport import pool as pools
 from hoistplank.transport.connection import Connection
+from hoistplank.transport.descriptor_budget import ConnectionKind
 from tests.helpers import Running, until
 
 BODY = bytes(range(256)) * 900
@@ -797,8 +798,8 @@
     async def scene() -> None:
         hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
         async with Calm(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
-            ledger, stay = dispatcher.service.ledger, list[Client]()
-            for number in range(2 * ledger.most["client"]):
+            descriptors, stay = dispatcher.service.descriptors, list[Client]()
+            for number in range(2 * descriptors.limits[ConnectionKind.CLIENT]):
                 stay.append(await dispatcher.connect())
                 stay[-1].send(number + 1, "", script="/-/healthy")
             since = len(dispatcher.since)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -27,6 +27,7 @@
 from hoistplank.routing.attempts import ENDINGS
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.router_task import Listed, Purged
+from hoistplank.transport.descriptor_budget import ConnectionKind
 from tests.helpers import Running, configuration, until
 
 BLOB = bytes(range(256)) * 900
@@ -263,7 +264,7 @@
         hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
         async with Running(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
             front, stay = dispatcher.service.front, []
-            while len(front.sessions) < dispatcher.service.ledger.most["client"]:
+            while len(front.sessions) < dispatcher.service.descriptors.limits[ConnectionKind.CLIENT]:
                 stay.append(await dispatcher.connect())
                 stay[-1].send(1, "", script="/-/healthy")
                 assert (await stay[-1].answer())[1] == 200
@@ -570,7 +571,7 @@
                 await run_.client.answer()
             for number in range(20, 24):
                 await run_.ask(number, "page", fields={"HTTP_X_CHUNK": "2"})
-            share = run_.service.ledger.most["cache host"] // 2
+            share = run_.service.descriptors.limits[ConnectionKind.CACHE_HOST] // 2
             assert await counts(30) == [1] * (2 * share - 8) + [2] * (8 - share)
             pool.spread_at -= 100  # a long calm: half as many again
             spread = pool.spread
@@ -786,13 +787,13 @@
         async with Running(
             tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}, limits=limits
         ) as dispatcher:
-            ledger = dispatcher.service.ledger
+            descriptors = dispatcher.service.descriptors
             clients: list[Client] = []
             for number in range(1, 41):  # more than clients may hold
                 clients.append(await dispatcher.connect())
                 clients[-1].send(number, "page", {"HTTP_X_CORRELATION_ID": f"{number + 100:016x}"})
                 assert (await asyncio.wait_for(clients[-1].answer(), 5))[1] == 200
-                assert sum(ledger.held.values()) <= 40
+                assert sum(descriptors.held.values()) <= 40
 
     run(scene())
 
