--- a/hoistplank/authorization/admin_server.py
+++ b/hoistplank/authorization/admin_server.py
@@ -94,7 +94,7 @@
         except BadRequest as wrong:
             self._answer(refused(wrong.status, str(wrong)), False)
             self.ending = True
-            self.connection.deafen()
+            self.connection.stop_reading()
             return end
         if self.waiting and self.worker is None:
             self.worker = asyncio.get_running_loop().create_task(self._work(), name="control requests")
@@ -103,7 +103,7 @@
     async def _work(self) -> None:
         """One after another: answers come in the order of their requests."""
         try:
-            while self.waiting and not self.connection.closing:
+            while self.waiting and not self.connection.is_closed:
                 request = self.waiting.popleft()
                 answer = await self.control.answer(self.identity, request)
                 self.reader.waiting -= 1
@@ -116,12 +116,12 @@
             reply(answer.status, msgspec.json.encode(answer.body) + b"\n", keep, answer.wait_us)
         )
         if not keep:
-            self.connection.finish(SILENT_S)
+            self.connection.close_gracefully(SILENT_S)
 
     def leave(self) -> None:
         self.leaving = True
         if self.worker is None:
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         if self.worker is not None:
@@ -174,7 +174,7 @@
         if len(self.clients) >= self.section["connections"]:
             # Danger: operators' connections count against the clients' descriptors. The one silent for
             # longest goes.
-            min(self.clients, key=lambda one: one.connection.heard_at).connection.close()
+            min(self.clients, key=lambda one: one.connection.last_read_at).connection.close()
         self.clients[AdminClient(self, sock)] = None
 
     def gone(self, client: AdminClient) -> None:
@@ -188,10 +188,10 @@
             handshake_s = self.callers.section["tls"]["handshake-time"] / 1e6
             for client in list(self.clients):
                 unknown = client.identity is None and loop.time() - client.born > handshake_s
-                if unknown or loop.time() - client.connection.heard_at > SILENT_S:
+                if unknown or loop.time() - client.connection.last_read_at > SILENT_S:
                     client.connection.close()
                 else:
-                    client.connection.trim()
+                    client.connection.release_buffer()
 
     def strike(self) -> None:
         for client in list(self.clients):
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -338,7 +338,7 @@
                 failed()
                 raise
 
-        return partial(TlsConnection, context=context, shaken=shaken)
+        return partial(TlsConnection, context=context, on_handshake=shaken)
 
     def _identity(self, der: bytes | None) -> Identity | None:
         """Raises BadFile where a certificate does not stand, though its chain does."""
@@ -389,7 +389,7 @@
             await asyncio.sleep(0.05)
             most_s = self.section["tls"]["handshake-time"] / 1e6
             for session, since in list(self.shaking.items()):
-                if session.connection.closing:
+                if session.connection.is_closed:
                     del self.shaking[session]
                     self.handshakes["failed"] += 1
                 elif loop.time() - since > most_s:
--- a/hoistplank/distribution/dispatcher_session.py
+++ b/hoistplank/distribution/dispatcher_session.py
@@ -81,7 +81,7 @@
         state = self.replica.state
         self.phase, self._until = Phase.CATCHING_UP, state.version
         self._pending = deque(_chunks(self._catch_up_lines()))
-        self.connection.emptied = self._next_chunk
+        self.connection.on_all_written = self._next_chunk
         self._next_chunk()
 
     def _catch_up_lines(self) -> list[bytes]:
@@ -103,7 +103,7 @@
         if self._pending:
             self.connection.send(self._pending.popleft())
             return
-        self.connection.emptied = None
+        self.connection.on_all_written = None
         self.replica.queue.done(self.replica.now(), self)
         self.at = self._until
         self.start()  # what came meanwhile
@@ -128,9 +128,9 @@
 
     def _send(self, data: bytes) -> None:
         self.connection.send(data)
-        if self.connection.out_bytes > MOST_WAITING + len(data):
+        if self.connection.unsent_bytes > MOST_WAITING + len(data):
             self.replica.cut_off += 1
-            waiting = self.connection.out_bytes
+            waiting = self.connection.unsent_bytes
             log.warning("dispatcher reads too slowly, connection ended", peer=self.name, waiting=waiting)
             self.connection.close()
 
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -52,7 +52,7 @@
 
     def send_changes(self) -> None:
         """The rows that changed; a peer that reads slowly gets the newest of them later."""
-        if self.connection.out_bytes > MOST_OUT:
+        if self.connection.unsent_bytes > MOST_OUT:
             return
         table = self.replica.table
         rows = table.rows_since(self.replica.now(), self._told)
@@ -61,7 +61,7 @@
             self.connection.send(b"".join(map(encode, rows)))
 
     def send_alive(self) -> None:
-        if self.connection.out_bytes <= MOST_OUT:
+        if self.connection.unsent_bytes <= MOST_OUT:
             self.connection.send(ALIVE)
 
 
@@ -108,12 +108,12 @@
             await asyncio.gather(task, return_exceptions=True)
 
     async def _watch(self, connection: Connection, task: asyncio.Task[BaseException | None]) -> object:
-        silent_s, heard_at = 0.0, connection.heard_at
+        silent_s, heard_at = 0.0, connection.last_read_at
         while not task.done():
             await asyncio.wait((task,), timeout=LOOK_S)
             silent_s += LOOK_S
-            if connection.heard_at != heard_at:
-                silent_s, heard_at = 0.0, connection.heard_at
+            if connection.last_read_at != heard_at:
+                silent_s, heard_at = 0.0, connection.last_read_at
             if silent_s > SILENT_S:
                 return "it says nothing"
         return task.result() or "closed by the other side"
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -88,7 +88,7 @@
         if refused:
             log.info("dispatcher sent on", peer=follow.dispatcher, why=refused)
             self.connection.send(encode(ReplicaLine(redirect=Redirect(refused))))
-            self.connection.finish()
+            self.connection.close_gracefully()
             return
         self.dispatcher = DispatcherSession(self.replica, self.connection, follow)
         self.replica.accept(self.dispatcher)
@@ -100,9 +100,9 @@
 
     def is_lost(self) -> bool:
         """Whether its other side counts as gone: a machine that is cut off closes nothing."""
-        silent_s = asyncio.get_running_loop().time() - self.connection.heard_at
+        silent_s = asyncio.get_running_loop().time() - self.connection.last_read_at
         is_silent = self.peer is None and silent_s > SILENT_CONNECTION_S
-        return is_silent or self.connection.is_stuck()
+        return is_silent or self.connection.is_write_stalled()
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         wrong = None if task.cancelled() else task.result()
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -210,9 +210,9 @@
                 if self.moves != moves:
                     silent_s, moves = 0.0, self.moves
                 if len(connection.buffer) > LARGE:
-                    connection.trim()
-                if connection.heard_at != heard_at or connection.start == connection.end:
-                    halted_s, heard_at = 0.0, connection.heard_at
+                    connection.release_buffer()
+                if connection.last_read_at != heard_at or connection.start == connection.end:
+                    halted_s, heard_at = 0.0, connection.last_read_at
                 if silent_s > SILENT_S or halted_s > self.halted_s:
                     # A machine that is cut off closes nothing: only the seconds that stay away show it.
                     # Danger: half an event may be a drain, and the rest of it never comes here; whoever asks
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -133,7 +133,7 @@
                 self.spoke = True
                 # Danger: while the core is full, a read and a write for each request rejected cost more
                 # than serving another: what comes next is read later, in one go.
-                self.connection.rest(REST_S)
+                self.connection.pause_reading(REST_S)
         return end
 
     def _account(self) -> None:
@@ -152,8 +152,8 @@
                 self.front.owner.tell(Left(request))
             self.open.pop(number, None)
         self.held_back.clear()
-        self.connection.deafen()
-        self.connection.finish()
+        self.connection.stop_reading()
+        self.connection.close_gracefully()
 
     def _whole(self, received: fastcgi.FastCgiRequest) -> None:
         exchange = Exchange(self, received.number, received.keep_connection)
@@ -189,11 +189,11 @@
                 exchange.reject(self.front.owner.stay_away_us)
                 return
         self.open[received.number] = request
-        if self.connection.out_bytes > MOST_OUT:
+        if self.connection.unsent_bytes > MOST_OUT:
             # Danger: a client that does not read what it is owed would fill the memory. It is read on all the
             # same: an end that nobody reads is an end that nobody sees, and its requests would be sent on.
             self.held_back[received.number] = request
-            self.connection.emptied = self._emptied
+            self.connection.on_all_written = self._emptied
         else:
             self.front.owner.tell(Came(request))
 
@@ -203,7 +203,7 @@
         for request in held.values():
             self.front.owner.tell(Came(request))
         if self.leaving and self.idle():
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def release(self, now: int) -> None:
         """What is held back and nearly out of time is taken up after all, to be answered in time."""
@@ -241,9 +241,9 @@
 
     def leave(self, silent_too: bool = True) -> None:
         """Ends this connection once all that is open on it has been answered, and the answers are out."""
-        self.leaving, self.connection.emptied = True, self._emptied
+        self.leaving, self.connection.on_all_written = True, self._emptied
         if self.idle() and (silent_too or self.spoke):
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def unfinished(self) -> bool:
         connection = self.connection
@@ -251,9 +251,9 @@
 
     def idle(self) -> bool:
         """Danger: on a full core a request may lie unread for long; a close on it loses a taken request."""
-        if not (self.reader.requests or self.connection.out_bytes or self.unfinished()):
-            self.connection.look()
-        return not (self.reader.requests or self.connection.out_bytes or self.unfinished())
+        if not (self.reader.requests or self.connection.unsent_bytes or self.unfinished()):
+            self.connection.read_now()
+        return not (self.reader.requests or self.connection.unsent_bytes or self.unfinished())
 
     def silent(self) -> bool:
         return not (self.spoke or self.open or self.unfinished())
@@ -261,7 +261,7 @@
     def overdue(self, now: float) -> str:
         """Why this connection is to end; a clock that runs from the start, whatever has come since."""
         if not self.spoke and now - self.born > UNFINISHED_S:
-            self.connection.look()
+            self.connection.read_now()
             if not self.spoke:
                 return "no whole request in time"
         if not self.unfinished():
@@ -385,24 +385,24 @@
         now = asyncio.get_running_loop().time()
         for session in list(self.sessions):
             connection = session.connection
-            if connection.is_stuck():
+            if connection.is_write_stalled():
                 connection.close()
-            elif connection.finishing:
+            elif connection.is_closing:
                 continue  # its end has a clock of its own
-            elif (session.leaving or connection.heard_at < now - IDLE_S) and session.idle():
-                connection.finish()
+            elif (session.leaving or connection.last_read_at < now - IDLE_S) and session.idle():
+                connection.close_gracefully()
             elif not session.ending and (why := session.overdue(now)):
                 session.give_up(why)
             else:
                 session.release(self.owner.clock.now())
-                connection.trim()
-        total = sum(session.connection.out_bytes for session in self.sessions)
+                connection.release_buffer()
+        total = sum(session.connection.unsent_bytes for session in self.sessions)
         if total > self.most_out:
-            waits = sorted(self.sessions, key=lambda session: session.connection.out_bytes)
+            waits = sorted(self.sessions, key=lambda session: session.connection.unsent_bytes)
             while total > self.most_out:
                 slowest = waits.pop()
-                total -= slowest.connection.out_bytes
-                self.complaints.tell("slow reader let go", bytes=slowest.connection.out_bytes)
+                total -= slowest.connection.unsent_bytes
+                self.complaints.tell("slow reader let go", bytes=slowest.connection.unsent_bytes)
                 slowest.connection.close()
 
     def reclaim(self) -> None:
@@ -412,16 +412,16 @@
         the idle ones hold most of the room, waiting for the few young ones would leave all others outside.
         """
         now = asyncio.get_running_loop().time()
-        live = [session for session in self.sessions if not session.connection.finishing]
+        live = [session for session in self.sessions if not session.connection.is_closing]
         silent = [session for session in self.sessions if session.ending or session.silent()]
-        silent = [session for session in silent if not session.connection.closing]
+        silent = [session for session in silent if not session.connection.is_closed]
         old = [session for session in silent if session.ending or now - session.born > YOUNG_S]
         for session in old[: max(1, len(old) // 4)]:  # sessions stand in the order of their coming
             if session.ending or (session.idle() and session.silent()):
                 session.connection.close()
         if old or len(silent) > len(live) // 2:
             return
-        live.sort(key=lambda session: session.connection.heard_at)
+        live.sort(key=lambda session: session.connection.last_read_at)
         for session in live:
             # Half of the time that it has: what comes meanwhile may be a usual client's, read late.
             if not session.open and session.stale(now, UNFINISHED_S / 2):
@@ -431,13 +431,13 @@
             if session.idle():
                 # The last answer has arrived by now, and only what crosses the close is lost: its client
                 # sends it again. Else in order, which takes a moment more.
-                if now - session.connection.heard_at > SETTLED_S:
+                if now - session.connection.last_read_at > SETTLED_S:
                     session.connection.close()
                 else:
-                    session.connection.finish()
+                    session.connection.close_gracefully()
 
     def flushed(self) -> bool:
-        return all(not session.connection.out_bytes for session in self.sessions)
+        return all(not session.connection.unsent_bytes for session in self.sessions)
 
     def leave(self) -> None:
         """Each connection ends once nothing is owed on it any more; a young one may have its first bytes on
--- a/hoistplank/transport/pool.py
+++ b/hoistplank/transport/pool.py
@@ -97,7 +97,7 @@
         A line on which nothing has been heard since the errand began may be dead: it gets no new ones.
         """
         sent = id in self.begun
-        if self.connection is not None and self.connection.heard_at < since:
+        if self.connection is not None and self.connection.last_read_at < since:
             self.retired = True
         if id in self.begun and self.connection is not None:
             self.connection.send(farewell)
@@ -111,7 +111,7 @@
         return (
             connection is not None
             and connection.start < connection.end
-            and self.pool.loop.time() - connection.heard_at > HALTED_S
+            and self.pool.loop.time() - connection.last_read_at > HALTED_S
         )
 
     def turn_over(self, now: float) -> None:
@@ -128,7 +128,7 @@
             if self.connection is None:
                 self.task.cancel()
             elif in_order:
-                self.connection.finish()
+                self.connection.close_gracefully()
             else:
                 self.connection.close()
 
@@ -136,7 +136,7 @@
         how = await self._connect()
         if self.connection is not None:
             wrong = await self.connection.run()
-            self.spoilt = self.connection.halved
+            self.spoilt = self.connection.ended_inside_message
             if wrong is not None and not isinstance(wrong, OSError):
                 self.spoilt = True
                 self.pool.complain(self.host, wrong)
@@ -277,7 +277,7 @@
         if now - self.spread_at > CALM_S and self.spread > FEW_LINES:
             self.spread, self.spread_at = self.spread // 2, now
         for line in self._all():
-            stuck = line.connection is not None and line.connection.is_stuck()
+            stuck = line.connection is not None and line.connection.is_write_stalled()
             idle = not line.open and line.idle_since < now - self.idle_s
             if stuck or (awake and line.is_halted()):
                 line.close(in_order=False)
@@ -286,7 +286,7 @@
             else:
                 line.turn_over(now)
                 if line.connection is not None:
-                    line.connection.trim()
+                    line.connection.release_buffer()
 
     def reclaim(self) -> None:
         """Closes the line that has been idle longest."""
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -259,7 +259,7 @@
                 number += 1
                 rig.log.configure(number, "x" * 200_000)
                 await until(lambda: replica.table.in_force(0, at(number)).in_force >= 1)  # noqa: B023
-                most = max(most, *(session.connection.out_bytes for session in replica.sessions.values()))
+                most = max(most, *(session.connection.unsent_bytes for session in replica.sessions.values()))
                 assert number < 200
             assert replica.cut_off == 1 and most <= MOST_WAITING + 210_000
             status = await asked(replica.address)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -158,8 +158,8 @@
         peer, may, told = Peer(room=8_192), [True], list[str]()
         made, task = peer.serve(taken([]))
         await asyncio.sleep(0)
-        made.send(b"first", written=lambda: told.append("first"))
-        made.send(bytes(4 << 20), written=lambda: told.append("large"))
+        made.send(b"first", on_written=lambda: told.append("first"))
+        made.send(bytes(4 << 20), on_written=lambda: told.append("large"))
         made.send(b"late", lambda: may[0], lambda: told.append("late"), lambda: told.append("untaken"))
         await until(lambda: bool(told))
         assert told == ["untaken", "first"]  # no byte of the last one is with the system, all of the first is
@@ -167,8 +167,8 @@
         got = 0
         while got < 5 + (4 << 20):
             got += len(await asyncio.get_running_loop().sock_recv(peer.sock, 1 << 20))
-        await until(lambda: not made.out_bytes)
-        made.finish()
+        await until(lambda: not made.unsent_bytes)
+        made.close_gracefully()
         assert await peer.read() == b"" and told == ["untaken", "first", "large"]
         peer.sock.close()
         await task
@@ -183,12 +183,12 @@
         peer, told = Peer(room=8_192), list[str]()
         made, task = peer.serve(taken([]))
         await asyncio.sleep(0)
-        made.send(bytes(4 << 20), written=lambda: told.append("whole"))
-        await until(lambda: made._rest is not None)
-        while made._rest is not None:
+        made.send(bytes(4 << 20), on_written=lambda: told.append("whole"))
+        await until(lambda: made._partial is not None)
+        while made._partial is not None:
             with contextlib.suppress(BlockingIOError):
                 peer.sock.recv(1 << 20)
-            made._writable()
+            made._continue_write()
         peer.reset()  # before the loop has had another turn
         assert told == ["whole"]
         await task
@@ -209,8 +209,8 @@
         def written() -> None:
             peer.sock.send(b"one more")
 
-        made.send(b"the last answer", written=written)
-        made.finish()
+        made.send(b"the last answer", on_written=written)
+        made.close_gracefully()
         assert await peer.read() == b"the last answer"
         peer.sock.send(b"after the end")
         await asyncio.sleep(0)
@@ -226,7 +226,7 @@
         peer, into = Peer(), list[bytes]()
         made, task = peer.serve(taken(into))
         await asyncio.sleep(0)
-        made.finish()
+        made.close_gracefully()
         loop = asyncio.get_running_loop()
         began = loop.time()
         with pytest.raises(OSError):
@@ -234,7 +234,7 @@
                 await loop.sock_sendall(peer.sock, bytes(65_536))
         await task
         assert loop.time() - began < 2 * connections.LINGER_S + 0.2 and into == []
-        assert made.dropped <= connections.MOST_DROPPED + len(connections.DROPPED)
+        assert made.discarded_bytes <= connections.MAX_DISCARDED_BYTES + len(connections.DISCARD_BUFFER)
         peer.sock.close()
 
     run(scene())
@@ -246,7 +246,7 @@
         made, task = peer.serve(taken([]))
         await asyncio.sleep(0)
         made.send(bytes(4 << 20))
-        made.finish()
+        made.close_gracefully()
         await asyncio.wait_for(task, 2 * connections.LINGER_S + 0.2)
         peer.sock.close()
 
@@ -404,7 +404,7 @@
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": "1"}))
             session = next(each for each in dispatcher.service.front.sessions if each.open)
-            await until(lambda: session.connection.out_bytes > 2 << 20)
+            await until(lambda: session.connection.unsent_bytes > 2 << 20)
             # What comes once too much waits is read, and so is what comes after it.
             await loop.sock_sendall(sock, request_bytes(31, fields={"HTTP_X_CHUNK": "1"}))
             await until(lambda: 31 in session.open)
@@ -425,7 +425,7 @@
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             session = await only(dispatcher)
-            await until(lambda: session.connection.out_bytes > 2 << 20 and not session.open)
+            await until(lambda: session.connection.unsent_bytes > 2 << 20 and not session.open)
             seen = len(box.seen)
             for number in (31, 32):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
@@ -914,7 +914,7 @@
                     return self.sock.send(data[:most])
 
             def flush(made: Connection) -> None:
-                first = made.most_in == pools.MOST_IN and host.connections <= 1
+                first = made.max_buffer_bytes == pools.MOST_IN and host.connections <= 1
                 if first and not isinstance(made.sock, Small):
                     real = made.sock
                     made.sock = Small(real)  # type: ignore[assignment]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -289,7 +289,7 @@
             front = dispatcher.service.front
             for number, close in enumerate((front.reclaim, front.sweep), 2):
                 for session in front.sessions:
-                    session.connection.heard_at -= 100
+                    session.connection.last_read_at -= 100
                 number_of = dispatcher.client.writer.get_extra_info("socket").fileno()
                 with socket.socket(fileno=os.dup(number_of)) as raw:
                     sent: list[bytes] = []
