--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -38,7 +38,7 @@
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
 from hoistplank.routing.router_task import Applied, Listed
-from hoistplank.transport.connecting import connected
+from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
@@ -304,7 +304,7 @@
 async def _is_there(address: tuple[str, int]) -> bool:
     """Whether somebody takes connections there."""
     try:
-        sock = await connected(address, CONNECT_S)
+        sock = await connect(address, CONNECT_S)
     except (OSError, ValueError):
         return False
     sock.close()
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -20,7 +20,7 @@
     encode,
 )
 from hoistplank.protocol.errors import ProtocolError
-from hoistplank.transport.connecting import connected
+from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Connection, Consume
 
 log = structlog.get_logger()
@@ -93,7 +93,7 @@
 
     async def _follow(self) -> object:
         try:
-            sock = await connected(self.peer.address, CONNECT_S)
+            sock = await connect(self.peer.address, CONNECT_S)
         except (OSError, ValueError) as wrong:
             return wrong
         connection = Connection(sock, self._consumer(), MOST_REQUEST_LINE * 2, MOST_OUT)
--- a/hoistplank/lab/scale/role_cache_host.py
+++ b/hoistplank/lab/scale/role_cache_host.py
@@ -13,7 +13,9 @@
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, awaited, kept_bytes_of
 from hoistplank.transport.descriptor_budget import DescriptorBudget
-from hoistplank.transport.pool import FEW_LINES, Line, Pool
+from hoistplank.transport.pool import MIN_CONNECTIONS_PER_HOST, Pool, PoolSettings
+from hoistplank.transport.pooled_connection import PooledConnection
+from hoistplank.transport.pooled_request import RequestFailure
 
 ROLE = "cache host"
 ACCEPT_PROCESS = "hoistplank.lab.scale.accept_process"
@@ -34,34 +36,32 @@
     def may_begin(self) -> bool:
         return True
 
-    def written(self) -> None:
-        """Nothing hangs on it."""
-
-    def failed(self, how: str) -> None:
+    def failed(self, how: RequestFailure) -> None:
         """Its line is closed at the end of the measurement."""
 
 
-def _ignored(line: Line) -> Callable[[bytearray, int, int], int]:
+def _ignored(line: PooledConnection) -> Callable[[bytearray, int, int], int]:
     return lambda buffer, start, end: end
 
 
 def dispatcher_pool() -> Pool:
     """A pool as a dispatcher has one."""
     descriptors = DescriptorBudget(DESCRIPTORS)
-    return Pool(descriptors, STREAMS, IDLE_S, CONNECT_S, REMEMBER_S, _ignored, lambda host, wrong: None)
+    settings = PoolSettings(STREAMS, IDLE_S, CONNECT_S, REMEMBER_S)
+    return Pool(descriptors, settings, _ignored, lambda host, wrong: None)
 
 
-def hold(pool: Pool, port: int, hosts: int) -> list[Line | None]:
+def hold(pool: Pool, port: int, hosts: int) -> list[PooledConnection | None]:
     """Sends as many attempts to each host as it gets lines."""
     address = ("127.0.0.1", port)
     return [
-        pool.send(f"box-{host}", address, _Errand(host * FEW_LINES + number), REQUEST)
+        pool.send(f"box-{host}", address, _Errand(host * MIN_CONNECTIONS_PER_HOST + number), REQUEST)
         for host in range(hosts)
-        for number in range(FEW_LINES)
+        for number in range(MIN_CONNECTIONS_PER_HOST)
     ]
 
 
-async def _connected(lines: list[Line | None]) -> None:
+async def _connected(lines: list[PooledConnection | None]) -> None:
     while any(line is not None and line.connection is None for line in lines):
         await asyncio.sleep(LOOK_S)
 
@@ -70,11 +70,11 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-async def _close(lines: list[Line | None]) -> None:
+async def _close(lines: list[PooledConnection | None]) -> None:
     tasks = [line.task for line in lines if line is not None]
     for line in lines:
         if line is not None:
-            line.close(in_order=False)
+            line.close()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
@@ -96,7 +96,7 @@
             before = _own_descriptors()
             pool = dispatcher_pool()
 
-            async def connect(pool: Pool = pool, hosts: int = hosts) -> list[Line | None]:
+            async def connect(pool: Pool = pool, hosts: int = hosts) -> list[PooledConnection | None]:
                 lines = hold(pool, first.port, hosts)
                 await _connected(lines)
                 return lines
@@ -108,7 +108,7 @@
 
 
 def _dispatcher_side(effort: Effort) -> list[Measurement]:
-    notes = f"{FEW_LINES} kept lines a host"
+    notes = f"{MIN_CONNECTIONS_PER_HOST} kept lines a host"
     memory = Quantity("dispatcher", "memory of kept connections", "B", "hosts", notes)
     descriptors = Quantity("dispatcher", "descriptors to cache hosts", "descriptors", "hosts", notes)
     found = []
@@ -127,14 +127,14 @@
 async def _host_connections() -> list[Connections]:
     """What arrives at one host from each number of dispatchers, who join one after another."""
     found = []
-    lines: list[Line | None] = []
+    lines: list[PooledConnection | None] = []
     async with running(ACCEPT_PROCESS) as (child, first):
         for count in DISPATCHERS:
-            joined = len(lines) // FEW_LINES
+            joined = len(lines) // MIN_CONNECTIONS_PER_HOST
             pools = [dispatcher_pool() for _ in range(count - joined)]
             lines += [line for pool in pools for line in hold(pool, first.port, 1)]
             await _connected(lines)
-            now = await _arrived(child, first.descriptors + count * FEW_LINES)
+            now = await _arrived(child, first.descriptors + count * MIN_CONNECTIONS_PER_HOST)
             opened = now.descriptors - first.descriptors
             memory = now.resident_bytes - first.resident_bytes
             found.append(Connections(count, opened, memory, now.processor_us - first.processor_us))
@@ -143,7 +143,7 @@
 
 
 def _host_side(effort: Effort) -> list[Measurement]:
-    notes = f"{FEW_LINES} kept lines a dispatcher"
+    notes = f"{MIN_CONNECTIONS_PER_HOST} kept lines a dispatcher"
     descriptors = Quantity(ROLE, "connections that arrive", "descriptors", "dispatchers", notes)
     cost = Quantity(ROLE, "processor time of taking all connections", "us", "dispatchers", notes)
     memory = Quantity(
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -22,7 +22,7 @@
 from hoistplank.routing.router_task import Closed, Closing, Owner
 from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
-from hoistplank.transport.pool import Pool
+from hoistplank.transport.pool import Pool, PoolSettings
 
 log = structlog.get_logger()
 
@@ -91,10 +91,12 @@
         )
         self.owner.pool = Pool(
             self.descriptors,
-            configuration.streams,
-            configuration.idle_s,
-            configuration.site.rules.connect_us / 1e6 or 1.0,
-            max(row.deadline_us for row in configuration.site.traffic_classes) / 1e6,
+            PoolSettings(
+                max_requests_per_connection=configuration.streams,
+                idle_s=configuration.idle_s,
+                connect_timeout_s=configuration.site.rules.connect_us / 1e6 or 1.0,
+                remember_ids_s=max(row.deadline_us for row in configuration.site.traffic_classes) / 1e6,
+            ),
             answers_of,
             lambda host, wrong: self.front.complaints.tell(
                 "cache host's connection closed", host=host, wrong=str(wrong)
--- a/hoistplank/protocol/fastcgi/reader.py
+++ b/hoistplank/protocol/fastcgi/reader.py
@@ -128,7 +128,15 @@
         params = buffer[params_start:params_end]
         body = buffer[layout.body_start : layout.body_end]
         held_bytes = len(params) + len(body)
-        request = FastCgiRequest(number, keep_connection, params, body, True, True, "", held_bytes)
+        request = FastCgiRequest(
+            number,
+            keep_connection,
+            params,
+            body,
+            params_complete=True,
+            body_complete=True,
+            held_bytes=held_bytes,
+        )
         self.requests[number] = request
         self.held_bytes += held_bytes
         self.complete.add(number)
--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -10,7 +10,7 @@
 from hoistplank.protocol import cachewire
 from hoistplank.protocol.cachewire import Answer
 from hoistplank.routing.clock import Clock
-from hoistplank.transport.pool import Line
+from hoistplank.transport.pooled_connection import PooledConnection
 
 # Each way for an attempt to end, and the result that it is told as. The first three and `withheld` prove that
 # it never ran; a break or silence once it was written whole proves nothing. A new connection that is reset
@@ -83,7 +83,7 @@
         self.host, self.source, self.decided = decision.host, decision.source, now
         self.begin_by = decision.begin_by_us
         self.began = asyncio.get_running_loop().time()
-        self.line: Line | None = None
+        self.line: PooledConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.over = False
         # Times of the sockets, not of the owner's turns: the loop's lag and a connection's set-up are no part
@@ -105,9 +105,6 @@
             return False
         return self.begun_at - self.decided <= self.owner.stale_us
 
-    def written(self) -> None:
-        """Nothing to do: the line knows it when it is asked."""
-
     def failed(self, how: str) -> None:
         self.ended_at = self.owner.clock.now()
         self.owner.tell(Ended(self, how, None))
--- a/hoistplank/routing/cache_host_reader.py
+++ b/hoistplank/routing/cache_host_reader.py
@@ -7,10 +7,10 @@
 from hoistplank.protocol import cachewire
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.router_task import Probe
-from hoistplank.transport.pool import Line
+from hoistplank.transport.pooled_connection import PooledConnection
 
 
-def answers_of(line: Line) -> Callable[[bytearray, int, int], int]:
+def answers_of(line: PooledConnection) -> Callable[[bytearray, int, int], int]:
     reader = cachewire.AnswerReader()
 
     def consume(buffer: bytearray, start: int, end: int) -> int:
@@ -21,7 +21,7 @@
             for answer in found:
                 # A second copy, an answer that crossed with its DROP, or one that nobody asked for says
                 # nothing of the others: it is dropped, and the connection goes on.
-                errand = line.open.get(answer.request_id)
+                errand = line.in_flight.get(answer.request_id)
                 if isinstance(errand, Attempt):
                     cachewire.check_answer(
                         answer,
@@ -32,7 +32,7 @@
                 elif isinstance(errand, Probe):
                     cachewire.check_answer(answer, is_health_check=True, client_digest="", is_copy=False)
                 if isinstance(errand, Attempt | Probe):
-                    line.end(answer.request_id)
+                    line.finish(answer.request_id)
                     errand.answered(answer)
 
     return consume
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -18,7 +18,8 @@
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.attempts import ENDINGS, Attempt, Ended, Request, request_message
 from hoistplank.routing.clock import Clock
-from hoistplank.transport.pool import Line, Pool
+from hoistplank.transport.pool import Pool
+from hoistplank.transport.pooled_connection import PooledConnection
 
 log = structlog.get_logger()
 
@@ -99,9 +100,6 @@
     def may_begin(self) -> bool:
         return self.owner.is_up(self.host)
 
-    def written(self) -> None:
-        """Nothing hangs on it."""
-
     def failed(self, how: str) -> None:
         self.owner.tell(Probed(self, False, []))
 
@@ -294,7 +292,7 @@
     def _give_up(self, now: int, attempt: Attempt, written: str, unwritten: str) -> None:
         if not attempt.over:
             line = attempt.line
-            sent = line is not None and line.give_up(
+            sent = line is not None and line.cancel(
                 attempt.id, cachewire.encode_drop(attempt.id), attempt.began
             )
             self._ended(now, Ended(attempt, written if sent else unwritten, None))
@@ -377,7 +375,7 @@
 
     def _retire(self, host: str) -> None:
         if self.pool is not None:
-            self.pool.retire(host)
+            self.pool.drain(host)
 
     def _purged(self, now: int, event: Purged) -> None:
         self.router.purged(now, event.object_key, event.group, max(0, now - event.made_us))
@@ -415,7 +413,7 @@
         attempt.timer = loop.call_later(decision.within_us / 1e6, self.tell, Late(attempt))
         attempt.line = self._send(decision.host, attempt, request_message(request, decision))
 
-    def _send(self, host: str, errand: Attempt | Probe, data: bytes) -> Line | None:
+    def _send(self, host: str, errand: Attempt | Probe, data: bytes) -> PooledConnection | None:
         post = self.posts.get(host)
         line = self.pool.send(host, post.address, errand, data) if self.pool is not None and post else None
         if line is None:
@@ -439,7 +437,7 @@
         attempt = request.attempts.get(decision.attempt) if request else None
         if attempt is not None and not attempt.over:
             line = attempt.line
-            sent = line is not None and line.give_up(
+            sent = line is not None and line.cancel(
                 attempt.id, cachewire.encode_drop(attempt.id), attempt.began
             )
             self.tell(Ended(attempt, "withdrawn" if sent else "withheld", None))
--- a/hoistplank/transport/connection.py
+++ b/hoistplank/transport/connection.py
@@ -56,7 +56,7 @@
         )
         self._ended: asyncio.Future[BaseException | None] = self.loop.create_future()
         self._close_timer: asyncio.TimerHandle | None = None
-        self._is_reading, self._reading_paused, self._reading_stopped = False, False, False
+        self._reading_paused, self._reading_stopped = False, False
 
     @property
     def is_closed(self) -> bool:
@@ -121,7 +121,6 @@
         self._update_reading()
 
     def _update_reading(self) -> None:
-        """Begins or ends to watch the socket, by what the connection's state and settings ask for."""
         if self.state is ConnectionState.OPEN:
             # A slow reader is asked for nothing more until it has taken half of what waits for it.
             most = self.max_unsent_bytes if self._is_reading else self.max_unsent_bytes // 2
@@ -134,10 +133,6 @@
             self.loop.remove_reader(self.sock)
         self._is_reading = wanted
 
-    def _resume_reading(self) -> None:
-        if not self._is_reading:
-            self._update_reading()
-
     def _on_readable(self) -> None:
         if self.state is ConnectionState.WRITE_SHUT:
             self._discard_input()
--- a/hoistplank/transport/message_writer.py
+++ b/hoistplank/transport/message_writer.py
@@ -56,6 +56,7 @@
         self._partial: _PartialWrite | None = None
         self._flush_scheduled = False
         self._awaits_writable = False
+        self._is_reading = False  # whether the socket is watched for input
         self._write_stalled_at = 0.0  # when the system last took less than it was given; 0: it took all
 
     @abc.abstractmethod
@@ -63,8 +64,8 @@
         """Ends the connection at once, by `error` or in order."""
 
     @abc.abstractmethod
-    def _resume_reading(self) -> None:
-        """Messages were written: reading that waited for it may go on."""
+    def _update_reading(self) -> None:
+        """Begins or ends to read, by what the connection's state and `unsent_bytes` ask for."""
 
     @abc.abstractmethod
     def _after_write(self) -> None:
@@ -187,4 +188,5 @@
         for message in messages:
             if message.on_written is not None:
                 message.on_written()
-        self._resume_reading()
+        if not self._is_reading:
+            self._update_reading()
--- a/tests/test_cache_host_attempts.py
+++ b/tests/test_cache_host_attempts.py
@@ -126,7 +126,7 @@
             assert len(owner.posts) == 2 and len(router.index) == 2 and len(router.caches) == 1
             pool = owner.pool
             assert len(router.names) <= 4 and pool is not None
-            await until(lambda: set(pool.lines) <= {"b29"})
+            await until(lambda: set(pool.connections) <= {"b29"})
 
     run(scene())
 
@@ -135,7 +135,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.transport.pool.MOST_LINES", 1)
+        monkeypatch.setattr("hoistplank.transport.pool.MAX_CONNECTIONS_PER_HOST", 1)
         later: list[bytes] = []
 
         def slowly(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
@@ -192,7 +192,7 @@
     once."""
 
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.transport.pool.MOST_LINES", 1)
+        monkeypatch.setattr("hoistplank.transport.pool.MAX_CONNECTIONS_PER_HOST", 1)
 
         def bad(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
             if len(box.seen) == 1:
@@ -237,7 +237,7 @@
                     before = len(box.seen)
                     run_.client.send(number, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
                     await until(lambda before=before: len(box.seen) > before)  # type: ignore[misc]
-                return sorted(len(line.open) for line in pool.lines["a"])
+                return sorted(len(line.in_flight) for line in pool.connections["a"])
 
             assert await counts(1) == [4, 4]
             for _ in range(8):
@@ -246,10 +246,10 @@
                 await run_.ask(number, "page", fields={"HTTP_X_CHUNK": "2"})
             share = run_.service.descriptors.limits[ConnectionKind.CACHE_HOST] // 2
             assert await counts(30) == [1] * (2 * share - 8) + [2] * (8 - share)
-            pool.spread_at -= 100  # a long calm: half as many again
-            spread = pool.spread
+            pool.connections_per_host_set_at -= 100  # a long calm: half as many again
+            spread = pool.connections_per_host
             pool.sweep()
-            assert pool.spread == spread // 2
+            assert pool.connections_per_host == spread // 2
 
     run(scene())
 
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -14,7 +14,8 @@
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.router_task import Came, Left
-from hoistplank.transport import pool as pools
+from hoistplank.transport.pooled_connection import PooledConnection
+from hoistplank.transport.pooled_request import RequestFailure
 from tests.dispatcher_scene import BODY, KEY, Calm, only, request_bytes, run, served, silent
 from tests.helpers import Running, until
 
@@ -33,14 +34,14 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.open, self.waiting = asyncio.Event(), list[str]()
-        plain = pools.Line._connect
+        plain = PooledConnection._connect
 
-        async def connect(line: pools.Line) -> str:
+        async def connect(line: PooledConnection) -> RequestFailure | None:
             self.waiting.append(line.host)
             await self.open.wait()
             return await plain(line)
 
-        monkeypatch.setattr(pools.Line, "_connect", connect)
+        monkeypatch.setattr(PooledConnection, "_connect", connect)
 
 
 def test_the_end_of_a_client_is_seen_while_it_does_not_read_what_it_is_owed(tmp_path: Path) -> None:
--- a/tests/test_exactly_once.py
+++ b/tests/test_exactly_once.py
@@ -11,8 +11,10 @@
 
 import pytest
 
-from hoistplank.transport import pool as pools
+from hoistplank.transport import pooled_connection
 from hoistplank.transport.connection import Connection
+from hoistplank.transport.pooled_connection import PooledConnection
+from hoistplank.transport.pooled_request import RequestFailure
 from tests.dispatcher_scene import (
     KEY,
     Calm,
@@ -94,13 +96,13 @@
             }
         ]
         if ending in ("refused", "not up"):
-            plain = pools.Line._connect
+            plain = PooledConnection._connect
 
-            async def connect(line: pools.Line) -> str:
+            async def connect(line: PooledConnection) -> RequestFailure | None:
                 host.connections += 1
-                return ending if host.connections == 1 else await plain(line)
+                return RequestFailure(ending) if host.connections == 1 else await plain(line)
 
-            monkeypatch.setattr(pools.Line, "_connect", connect)
+            monkeypatch.setattr(PooledConnection, "_connect", connect)
         if ending in ("unwritten", "partly written"):
             # The system takes nothing, or a part, of what the first connection is given.
             plain_flush, most = Connection._flush, 0 if ending == "unwritten" else 10
@@ -118,7 +120,7 @@
                     return self.sock.send(data[:most])
 
             def flush(made: Connection) -> None:
-                first = made.max_buffer_bytes == pools.MOST_IN and host.connections <= 1
+                first = made.max_buffer_bytes == pooled_connection.MAX_BUFFER_BYTES and host.connections <= 1
                 if first and not isinstance(made.sock, Small):
                     real = made.sock
                     made.sock = Small(real)  # type: ignore[assignment]
