--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -20,7 +20,7 @@
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.frontend import Authorizer, Front
 from hoistplank.routing.router_task import Closed, Closing, Owner
-from hoistplank.transport.descriptor_budget import DescriptorBudget
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.pool import Pool, PoolSettings
 
@@ -94,7 +94,7 @@
             PoolSettings(
                 max_requests_per_connection=configuration.streams,
                 idle_s=configuration.idle_s,
-                connect_timeout_s=configuration.site.rules.connect_us / 1e6 or 1.0,
+                connect_timeout_s=configuration.site.rules.connect_timeout_us / 1e6 or 1.0,
                 remember_ids_s=max(row.deadline_us for row in configuration.site.traffic_classes) / 1e6,
             ),
             answers_of,
@@ -115,7 +115,7 @@
             configuration.changelog,
             configuration.known,
             Random(configuration.seed),
-            configuration.site.rules.drain_us / 1e6,
+            configuration.site.rules.drain_grace_us / 1e6,
         )
         self.listener = Listener(configuration.listen, self.descriptors, self.front.greet)
         self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
--- a/hoistplank/protocol/cachewire.py
+++ b/hoistplank/protocol/cachewire.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from hoistplank.decision.events import CacheStatus
 from hoistplank.protocol.errors import CacheWireError
 
 MAX_HEAD_BYTES = 4_096  # a line of an answer: an id, a status, some short fields and a length
@@ -31,20 +32,18 @@
 SUCCESS_STATUSES = (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
 HEALTH_STATUSES = (AnswerStatus.HEALTHY, AnswerStatus.UNHEALTHY)
 _STATUS_OF_WORD = {status.value: status for status in AnswerStatus}
-# The cache status by the wire's word for it, numbered as `Note` is; an answer without the field says nothing.
 _CACHE_STATUS_OF_WORD = {
-    "hit": 1,
-    "filled": 2,
-    "via_origin": 3,
-    "joined": 4,
-    "stale": 5,
-    "src_refused": 6,
-    "src_broke": 7,
-    "src_lacks": 8,
-    "no_slot": 9,
-    "origin_failed": 10,
+    "hit": CacheStatus.HIT,
+    "filled": CacheStatus.FILLED,
+    "via_origin": CacheStatus.FROM_ORIGIN,
+    "joined": CacheStatus.JOINED,
+    "stale": CacheStatus.STALE,
+    "src_refused": CacheStatus.SOURCE_REFUSED,
+    "src_broke": CacheStatus.SOURCE_UNREACHABLE,
+    "src_lacks": CacheStatus.SOURCE_LACKS,
+    "no_slot": CacheStatus.NOT_STORED,
+    "origin_failed": CacheStatus.ORIGIN_UNREACHABLE,
 }
-NO_CACHE_STATUS = 0
 # The wire's names of load figures, by the settings' names, where they differ.
 _LOAD_NAME_ON_WIRE = {
     "rif": "inflight",
@@ -66,8 +65,8 @@
     body: bytes
 
     def cache_status(self) -> int:
-        """How the cache host got the object, as a number of `Note`; NO_CACHE_STATUS where it is not said."""
-        return _CACHE_STATUS_OF_WORD.get(self.fields.get("detail", ""), NO_CACHE_STATUS)
+        """How the cache host got the object: one of `CacheStatus`, UNKNOWN where it is not said."""
+        return _CACHE_STATUS_OF_WORD.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
 
     def load_report(self, names: tuple[str, ...]) -> list[float]:
         """The figures of the load report in the order of the settings' `names`; empty where none came, one is
@@ -83,14 +82,14 @@
         return figures if all(0 <= figure <= MAX_LOAD_FIGURE for figure in figures) else []
 
 
-def check_answer(answer: Answer, *, is_health_check: bool, client_digest: str, is_copy: bool) -> None:
-    """Raises CacheWireError where a status or its fields don't fit what was asked.
+def check_answer(answer: Answer, *, client_digest: str, is_copy: bool) -> None:
+    """Raises CacheWireError where a status or its fields don't fit the attempt that was asked for.
 
     `client_digest` is the tag of the client's copy that was passed on, or empty; `is_copy`: the answer is one
     of an object that is cached, and has its digest and date.
     """
-    if (answer.status in HEALTH_STATUSES) != is_health_check:
-        raise CacheWireError(f"'{answer.status}' answers a {'probe' if is_health_check else 'attempt'}")
+    if answer.status in HEALTH_STATUSES:
+        raise CacheWireError(f"'{answer.status}' answers a attempt")
     if answer.status not in SUCCESS_STATUSES:
         return
     if answer.status is AnswerStatus.NOT_MODIFIED:
@@ -129,11 +128,6 @@
     return f"DROP {request_id}\r\n".encode("latin-1")
 
 
-def encode_health_check(request_id: str) -> bytes:
-    """Asks whether the cache host is healthy, and for its load."""
-    return f"LOAD {request_id}\r\n".encode("latin-1")
-
-
 class _AnswerHead(msgspec.Struct, frozen=True):
     request_id: str
     status: AnswerStatus
--- a/hoistplank/protocol/changelog.py
+++ b/hoistplank/protocol/changelog.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from hoistplank.interface import HostEntry
+from hoistplank.decision.events import Endpoint
 from hoistplank.protocol.cachewire import is_token
 from hoistplank.protocol.errors import ChangeLogError
 
@@ -29,9 +29,9 @@
     capacity_hint: float = 1.0
     boot_ms: float = 0
 
-    def entry(self) -> HostEntry:
+    def entry(self) -> Endpoint:
         """The host in the terms of the decision logic, times in microseconds."""
-        return HostEntry(
+        return Endpoint(
             self.uid,
             self.az,
             self.model,
--- a/hoistplank/routing/cache_host_reader.py
+++ b/hoistplank/routing/cache_host_reader.py
@@ -6,7 +6,6 @@
 
 from hoistplank.protocol import cachewire
 from hoistplank.routing.attempts import Attempt
-from hoistplank.routing.router_task import Probe
 from hoistplank.transport.pooled_connection import PooledConnection
 
 
@@ -24,14 +23,7 @@
                 errand = line.in_flight.get(answer.request_id)
                 if isinstance(errand, Attempt):
                     cachewire.check_answer(
-                        answer,
-                        is_health_check=False,
-                        client_digest=errand.request.holds,
-                        is_copy=errand.request.kept,
-                    )
-                elif isinstance(errand, Probe):
-                    cachewire.check_answer(answer, is_health_check=True, client_digest="", is_copy=False)
-                if isinstance(errand, Attempt | Probe):
+ answer, client_digest=errand.request.holds, is_copy=errand.request.kept)
                     line.finish(answer.request_id)
                     errand.answered(answer)
 
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -1,5 +1,7 @@
 """The lab's model: streams, links, keeps, scripts, the days of a seed, and checkers that fire."""
 
+import sys
+from pathlib import Path
 from typing import Any
 
 import pytest
@@ -7,7 +9,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from hoistplank.interface import Note, Result
+import hoistplank
+from hoistplank.decision.events import CacheStatus, Outcome
+from hoistplank.decision.router import Router
 from hoistplank.lab.backends.virtual import built, digest
 from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.model.cache_storage import Keep
@@ -20,7 +24,7 @@
 from hoistplank.lab.model.streams import Streams
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import S, Shape, sized
-from hoistplank.lab.policies import Make, UnknownPolicy, policy
+from hoistplank.lab.policies import Make, UnknownPolicy, policy, text_of
 from hoistplank.operator_configuration.faults import Faults
 from hoistplank.routing.clock_offset import LogClock
 
@@ -140,6 +144,17 @@
     assert len(checked(rows, SMALL)) == 2 and not checked(script(drawn("any", 4, 6.0)), SMALL)
 
 
+def test_an_older_text_decides_by_its_own_files_and_leaves_todays_in_place() -> None:
+    root, now = Path(hoistplank.__file__).parents[1], sys.modules["hoistplank.decision.router"]
+    text = drawn("crash+herd", 4, 6.0)
+    world = built(SMALL, 4, policy("text-0000", {"0000": root}), script(text))
+    world.run()
+    assert text_of(root, "0000") is not Router and sys.modules["hoistplank.decision.router"] is now
+    assert digest(world) == digest(played("module", text, 4))
+    with pytest.raises(UnknownPolicy, match="no hoistplank/decision"):
+        text_of(root / "tests", "0001")
+
+
 def test_an_unknown_policy_or_day_names_what_there_is() -> None:
     with pytest.raises(UnknownPolicy, match="without-silence"):
         policy("modul")
@@ -217,7 +232,7 @@
     world.agenda.run(20_000)
     parent.stop()
     world.agenda.run(3 * S)
-    assert [row[0] for row in told.ends] == [Result.ERROR] and not host.fills and host.filling == 0
+    assert [row[0] for row in told.ends] == [Outcome.ERROR] and not host.fills and host.filling == 0
 
 
 def test_requests_join_a_fill_unless_it_began_before_what_they_may_get() -> None:
@@ -227,7 +242,7 @@
     world.agenda.run(30_000)
     late = asked(world, host, "x", join=True, oldest_us=1)
     world.agenda.run(3 * S)
-    assert [told.ends[0][0] for told in (first, second, late)] == [Result.SUCCEEDED] * 3
+    assert [told.ends[0][0] for told in (first, second, late)] == [Outcome.SUCCEEDED] * 3
     assert host.joined == 1 and host.filled == 2
 
 
@@ -246,7 +261,7 @@
     probed = asked(world, host, "0" * 16, source=host.uid)
     world.agenda.run(20 * S)
     assert host.fell >= 1 and all(len(one.ends) == 1 for one in (*told, probed))
-    assert {one.ends[0][0] for one in told} >= {Result.BROKEN, Result.NO_CONNECTION}
+    assert {one.ends[0][0] for one in told} >= {Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED}
 
 
 class Nowhere:
@@ -333,9 +348,9 @@
     world.agenda.run(SMALL.classes[0].fresh_us * 9 // 10)
     plain = asked(world, host, "x")
     world.agenda.run(world.agenda.now + S)
-    assert plain.ends[0][1] == Note.HIT and host.filled == 1
+    assert plain.ends[0][1] == CacheStatus.HIT and host.filled == 1
     renewed = asked(world, host, "x", renew=True)
     world.agenda.run(world.agenda.now + S)
-    assert renewed.ends[0][1] == Note.HIT and host.filled == 2
+    assert renewed.ends[0][1] == CacheStatus.HIT and host.filled == 2
     born = host.keep.look(("x", 0))
     assert born is not None and born.born > renewed.ends[0][2]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -186,7 +186,7 @@
             assert (await other.answer())[1] == 502 and len(box.seen) == 1
             owner = dispatcher.service.owner
             await until(lambda: not owner.requests)  # the attempt's time is over
-            assert not owner.router.attempts and not owner.router.ledger
+            assert not owner.router.in_flight and not owner.router.requests
             other.send(3, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
             assert (await other.answer())[1] == 200
 
--- a/tests/test_xds_ranking.py
+++ b/tests/test_xds_ranking.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hoistplank.choice import Router
+from hoistplank.decision.events import Endpoint, EndpointListForm, EndpointsUpdated
+from hoistplank.decision.router import Router
 from hoistplank.fakes.first_choice import first_choice
-from hoistplank.interface import HostEntry
 from hoistplank.xds.ranking_cache import Firsts, key_of, order
 from tests.helpers import configuration
 from tests.xds_rig import ABOVE, S
@@ -20,8 +20,8 @@
     site, chance = configuration(tmp_path).site, Random(3)
     weights = {f"box-{n}": 100.0 for n in range(30)}
     router, now = Router(site, 1), 100 * S
-    entries = [HostEntry(uid, "z1", "box", 0, units, 0, "up") for uid, units in weights.items()]
-    router.hosts_listed(now, "whole", [*entries, *ABOVE])
+    entries = [Endpoint(uid, "z1", "box", 0, units, 0, "up") for uid, units in weights.items()]
+    router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*entries, *ABOVE]))
     for n in range(300):
         object_key, part = f"{chance.getrandbits(64):016x}", chance.randrange(4)
         assert (
