--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -27,7 +27,7 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.frontend import Front, Make, Refused, Session
 from hoistplank.routing.router_task import Owner
-from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.tls import TlsConnection
 
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -19,7 +19,7 @@
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.routing.router_task import Owner, Told
-from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 
 log = structlog.get_logger()
 KEPT_CHANGES = 64  # the last changes, for the control front
@@ -85,7 +85,9 @@
         watch = self.owner.watch
         assert watch is not None
         held = sum(self.descriptors.held.values())
-        watch.resources(now, resident_share(self.configuration.memory_mb), held / max(1, self.descriptors.total_limit))
+        watch.resources(
+            now, resident_share(self.configuration.memory_mb), held / max(1, self.descriptors.total_limit)
+        )
         change = self.ladder.step(now, self.gauges.readings(now))
         if change is not None:
             self._changed(change)
--- a/hoistplank/lab/scale/role_cache_host.py
+++ b/hoistplank/lab/scale/role_cache_host.py
@@ -12,7 +12,7 @@
 from hoistplank.lab.scale.log_process import Usage
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, awaited, kept_bytes_of
-from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.pool import MIN_CONNECTIONS_PER_HOST, Pool, PoolSettings
 from hoistplank.transport.pooled_connection import PooledConnection
 from hoistplank.transport.pooled_request import RequestFailure
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -20,7 +20,7 @@
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.frontend import Authorizer, Front
 from hoistplank.routing.router_task import Closed, Closing, Owner
-from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.pool import Pool, PoolSettings
 
--- a/hoistplank/routing/cache_host_reader.py
+++ b/hoistplank/routing/cache_host_reader.py
@@ -23,7 +23,8 @@
                 errand = line.in_flight.get(answer.request_id)
                 if isinstance(errand, Attempt):
                     cachewire.check_answer(
- answer, client_digest=errand.request.holds, is_copy=errand.request.kept)
+                        answer, client_digest=errand.request.holds, is_copy=errand.request.kept
+                    )
                     line.finish(answer.request_id)
                     errand.answered(answer)
 
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -301,7 +301,12 @@
         is_ready: Callable[[], bool],
         authorizer: Authorizer | None = None,
     ) -> None:
-        self.owner, self.descriptors, self.is_ready, self.authorizer = owner, descriptors, is_ready, authorizer
+        self.owner, self.descriptors, self.is_ready, self.authorizer = (
+            owner,
+            descriptors,
+            is_ready,
+            authorizer,
+        )
         self.most_wait_us = site.rules.max_retry_after_us if site.rules.may_send_retry_after else 0
         self.classes = {traffic_class.name: traffic_class for traffic_class in site.traffic_classes}
         self.scripts = {f"{PATH}{name}".encode(): name for name in self.classes}
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -291,7 +291,9 @@
     def _give_up(self, now: int, attempt: Attempt, written: str, unwritten: str) -> None:
         if not attempt.over:
             line = attempt.line
-            sent = line is not None and line.cancel(attempt.id, cachewire.encode_drop(attempt.id), attempt.began)
+            sent = line is not None and line.cancel(
+                attempt.id, cachewire.encode_drop(attempt.id), attempt.began
+            )
             self._ended(now, Ended(attempt, written if sent else unwritten, None))
 
     def _ended(self, now: int, event: Ended) -> None:
@@ -433,7 +435,9 @@
         attempt = request.attempts.get(action.attempt) if request else None
         if attempt is not None and not attempt.over:
             line = attempt.line
-            sent = line is not None and line.cancel(attempt.id, cachewire.encode_drop(attempt.id), attempt.began)
+            sent = line is not None and line.cancel(
+                attempt.id, cachewire.encode_drop(attempt.id), attempt.began
+            )
             self.tell(Ended(attempt, "withdrawn" if sent else "withheld", None))
 
     def _set_timer(self, now: int, action: SetTimer) -> None:
