--- a/hoistplank/decision/feedback.py
+++ b/hoistplank/decision/feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches: told to the parts that keep it."""
+"""The end of an attempt: what the parts learn from it."""
 
 from __future__ import annotations
 
--- a/hoistplank/decision/parts.py
+++ b/hoistplank/decision/parts.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartTypes:
-    """What the replaceable parts are made by; a laboratory replaces one to see what a defence is worth."""
+    """What the replaceable parts are made by; a laboratory replaces one to see what a defence gains."""
 
     slow_start: Callable[[RouterSettings, HostTable, tuple[TrafficClassState, ...]], SlowStart] = SlowStart
     health: Callable[[HostTable, SlowStart], HealthTracker] = HealthTracker
--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -79,8 +79,8 @@
         state = request.class_state
         weight = max(LEAST_PRIORITY_WEIGHT, state.traffic_class.priority_weight)
         in_time = state.in_time_share + LEAST_IN_TIME_SHARE
-        worth = weight * in_time * (REPEAT_WEIGHT if request.is_repeat else 1.0)
-        return (request.sending_time_us() + state.fill_excess_us) / worth
+        weight_in_time = weight * in_time * (REPEAT_WEIGHT if request.is_repeat else 1.0)
+        return (request.sending_time_us() + state.fill_excess_us) / weight_in_time
 
     def place(self, now_us: int, request: Request) -> Placed:
         """An attempt for the request, or whether it is held or given up."""
--- a/hoistplank/decision/requests.py
+++ b/hoistplank/decision/requests.py
@@ -21,7 +21,7 @@
 
 
 class TrafficClassState:
-    """The running figures of a traffic class: its mean sending time, and how its fills fare lately."""
+    """The running figures of a traffic class: its mean sending time, and how its fills have fared."""
 
     __slots__ = ("fill_excess_us", "fills_in_flight", "in_time_share", "sending_time_us", "traffic_class")
 
--- a/hoistplank/decision/settings.py
+++ b/hoistplank/decision/settings.py
@@ -24,8 +24,8 @@
     """The figures of one traffic class.
 
     The latency objective of a request is `latency_objective_us` and `objective_stretch` times its sending
-    time. `priority_weight`: what one of its requests is worth against others. `stale_window_us`: for how long
-    past `fresh_us` a copy may be served stale, at `stale_value_share` of the worth of a fresh one.
+    time. `priority_weight`: how much one of its requests counts against others. `stale_window_us`: for how
+    long past `fresh_us` a copy may be served stale, at `stale_value_share` of the value of a fresh one.
     """
 
     name: str
--- a/hoistplank/decision/slow_start.py
+++ b/hoistplank/decision/slow_start.py
@@ -100,12 +100,13 @@
     def _quotas(self, budget_us: float, rule: WarmUpRule) -> float:
         """Among how many dispatchers the budget is split.
 
-        Where an even quota holds no transfer of the dearest class, as many have one as there are transfers.
+        Where an even quota holds no transfer of the class with the longest sending time, as many dispatchers
+        have a quota as there are transfers.
         """
-        dearest_us = max(
+        longest_us = max(
             0.0 if state.traffic_class.uncached else state.sending_time_us for state in self.class_states
         )
-        return min(rule.sharers, budget_us // max(1.0, dearest_us))
+        return min(rule.sharers, budget_us // max(1.0, longest_us))
 
     def _rank_among_sharers(self, host: Host) -> float:
         """This dispatcher's place among those that share the host, from 0 to 1, evenly spread."""
