--- a/hoistplank/authorization/sections.py
+++ b/hoistplank/authorization/sections.py
@@ -3,24 +3,22 @@
 from __future__ import annotations
 
 from hoistplank.authorization.authorizer import ANYONE
-from hoistplank.operator_configuration.faults import Fault
-from hoistplank.operator_configuration.schema import (
+from hoistplank.operator_configuration.errors import Diagnostic
+from hoistplank.operator_configuration.schema import Field, FormSchema, Section
+from hoistplank.operator_configuration.syntax import Atom
+from hoistplank.operator_configuration.values import (
     ADDRESS,
     NAME,
     TEXT,
-    Field,
-    Kind,
-    Section,
-    Shape,
+    ValueType,
+    duration,
+    integer,
     matching,
     number,
     one_of,
     rate,
     size,
-    span,
-    whole,
 )
-from hoistplank.operator_configuration.text import Atom
 
 RIGHTS = ("read", "book", "purge", "operate")
 
@@ -36,37 +34,37 @@
     return found
 
 
-GROUPS = Kind("a group from 0 to 255 or a span of them, as 0-31", _groups)
+GROUPS = ValueType("a group from 0 to 255 or a span of them, as 0-31", _groups)
 # A pattern is exact, or ends in one '*' that stands for any rest.
 PATTERN = matching(r"[^*\s]{1,200}\*?", "a name, or the start of one followed by '*'")
 PREFIX = matching(r"[0-9a-f]{1,16}", "1 to 16 small hex digits")
 CLASS_NAME = matching(r"[A-Za-z0-9_.-]{1,60}", "the name of a traffic class")
 
-ISSUER = Shape(
+ISSUER = FormSchema(
     (
-        Field("keys", TEXT, needed=True, doc="the file with its key set (JWKS)"),
-        Field("audience", TEXT, needed=True, doc="what its tokens must be made for"),
+        Field("keys", TEXT, required=True, doc="the file with its key set (JWKS)"),
+        Field("audience", TEXT, required=True, doc="what its tokens must be made for"),
     ),
     title=TEXT,
 )
 
-TOKENS = Shape(
+TOKENS = FormSchema(
     (
-        Field("issuer", ISSUER, many=True, doc="who signs tokens"),
-        Field("skew", span("0ms", "5min"), 30_000_000, doc="how far clocks may differ"),
-        Field("longest", span("1s", "30d"), 86_400_000_000, doc="the furthest expiry that is taken"),
+        Field("issuer", ISSUER, repeated=True, doc="who signs tokens"),
+        Field("skew", duration("0ms", "5min"), 30_000_000, doc="how far clocks may differ"),
+        Field("longest", duration("1s", "30d"), 86_400_000_000, doc="the furthest expiry that is taken"),
         Field("size", size(256, 16_384), 4_096, doc="bytes of a token at most"),
-        Field("kept", whole(16, 1_000_000), 20_000, doc="checked tokens that are remembered"),
+        Field("kept", integer(16, 1_000_000), 20_000, doc="checked tokens that are remembered"),
         Field("checks", rate(), 600.0, doc="signatures checked a second, over all"),
         Field("checks-each", rate(), 60.0, doc="signatures checked a second for one source"),
     )
 )
 
-TLS = Shape(
+TLS = FormSchema(
     (
-        Field("listen", ADDRESS, needed=True, doc="where callers connect with TLS"),
-        Field("certificate", TEXT, needed=True, doc="the server's chain, PEM"),
-        Field("key", TEXT, needed=True, doc="the server's private key, PEM, mode 0600"),
+        Field("listen", ADDRESS, required=True, doc="where callers connect with TLS"),
+        Field("certificate", TEXT, required=True, doc="the server's chain, PEM"),
+        Field("key", TEXT, required=True, doc="the server's private key, PEM, mode 0600"),
         Field("client-ca", TEXT, doc="who signs client certificates, PEM; absent: none are asked for"),
         Field("require-certificate", one_of("yes", "no"), "no", doc="whether a caller must show one"),
         Field("crl", TEXT, doc="revoked client certificates, PEM, signed by the client CA"),
@@ -74,45 +72,51 @@
             "expired-crl", one_of("refuse", "keep"), "refuse", doc="what a list past its next update means"
         ),
         Field("oldest", one_of("tls1.2", "tls1.3"), "tls1.3", doc="the oldest version that is spoken"),
-        Field("handshakes", whole(1, 1_000), 64, doc="handshakes that may run at once"),
-        Field("handshake-time", span("50ms", "10s"), 2_000_000, doc="how long one may take"),
+        Field("handshakes", integer(1, 1_000), 64, doc="handshakes that may run at once"),
+        Field("handshake-time", duration("50ms", "10s"), 2_000_000, doc="how long one may take"),
     )
 )
 
-CONTROL = Shape(
+CONTROL = FormSchema(
     (
-        Field("listen", ADDRESS, needed=True, doc="where operators connect, over mutual TLS"),
+        Field("listen", ADDRESS, required=True, doc="where operators connect, over mutual TLS"),
         Field("body", size(64, 65_536), 4_096, doc="bytes of a request's body at most"),
-        Field("connections", whole(1, 64), 8, doc="operators' connections at once"),
+        Field("connections", integer(1, 64), 8, doc="operators' connections at once"),
     )
 )
 
-TENANT = Shape(
+TENANT = FormSchema(
     (
         Field(
             "subjects",
-            Shape(
-                (Field("names", PATTERN, many=True, needed=True, doc="whom its issuer names"),), title=TEXT
+            FormSchema(
+                (Field("names", PATTERN, repeated=True, required=True, doc="whom its issuer names"),),
+                title=TEXT,
             ),
-            many=True,
+            repeated=True,
             doc="an issuer and the subjects that are this tenant's",
         ),
-        Field("names", PATTERN, many=True, doc="names in certificates: uri:… or dns:…"),
-        Field("tracks", CLASS_NAME, many=True, doc="the traffic classes it may use; absent: all"),
-        Field("groups", GROUPS, many=True, doc="the groups of objects it owns; absent: all"),
-        Field("rights", one_of(*RIGHTS), many=True, needed=True, doc="what it may do"),
+        Field("names", PATTERN, repeated=True, doc="names in certificates: uri:… or dns:…"),
+        Field("tracks", CLASS_NAME, repeated=True, doc="the traffic classes it may use; absent: all"),
+        Field("groups", GROUPS, repeated=True, doc="the groups of objects it owns; absent: all"),
+        Field("rights", one_of(*RIGHTS), repeated=True, required=True, doc="what it may do"),
         Field("weight", number(0.01, 1_000), 1.0, doc="its share beside the others' while the core is full"),
         Field("rate", rate(), doc="requests a second; absent: no limit"),
-        Field("burst", whole(1, 1_000_000), doc="requests at once above the rate; absent: those of a second"),
-        Field("open-visits", whole(1, 1_000_000), doc="requests open at once; absent: no limit"),
         Field(
-            "operation-keys", PREFIX, many=True, doc="the first digits of its operation keys, its own alone"
+            "burst", integer(1, 1_000_000), doc="requests at once above the rate; absent: those of a second"
+        ),
+        Field("open-visits", integer(1, 1_000_000), doc="requests open at once; absent: no limit"),
+        Field(
+            "operation-keys",
+            PREFIX,
+            repeated=True,
+            doc="the first digits of its operation keys, its own alone",
         ),
     ),
     title=NAME,
 )
 
-CALLERS = Shape(
+CALLERS = FormSchema(
     (
         Field(
             "strangers",
@@ -124,46 +128,56 @@
         Field("tls", TLS, doc="the listener with TLS"),
         Field("control", CONTROL, doc="the operators' front"),
         Field("revoked", TEXT, doc="the file of what was revoked, JSON lines"),
-        Field("look-every", span("50ms", "1s"), 250_000, doc="how often the files are looked at for changes"),
-        Field("tenant", TENANT, many=True, doc="one member operator"),
+        Field(
+            "look-every", duration("50ms", "1s"), 250_000, doc="how often the files are looked at for changes"
+        ),
+        Field("tenant", TENANT, repeated=True, doc="one member operator"),
     )
 )
 
 
-def checked(section: Section, faults: list[Fault]) -> None:
+def checked(section: Section, faults: list[Diagnostic]) -> None:
     """What one form alone can't show: names given twice, and forms that need each other."""
     issuers: dict[str, Section] = {}
     for issuer in section["tokens"]["issuer"]:
         if issuer.title in issuers:
-            faults.append(Fault(issuer.places[""], f"the issuer '{issuer.title}' a second time", "it once"))
+            faults.append(
+                Diagnostic(issuer.locations[""], f"the issuer '{issuer.title}' a second time", "it once")
+            )
         issuers[issuer.title] = issuer
     names: set[str] = set()
     owners: dict[tuple[str, str], str] = {}
     prefixes: list[tuple[str, str]] = []
     for tenant in section["tenant"]:
         if tenant.title in names:
-            faults.append(Fault(tenant.places[""], f"the tenant '{tenant.title}' a second time", "it once"))
+            faults.append(
+                Diagnostic(tenant.locations[""], f"the tenant '{tenant.title}' a second time", "it once")
+            )
         names.add(tenant.title)
         for row in tenant["subjects"]:
             if row.title not in issuers:
                 expected = "one that (tokens …) names: " + (
                     ", ".join(f"'{i}'" for i in issuers) or "there is none"
                 )
-                faults.append(Fault(row.places[""], f"the issuer '{row.title}'", expected))
+                faults.append(Diagnostic(row.locations[""], f"the issuer '{row.title}'", expected))
             for name in row["names"]:
-                _own(owners, (row.title, name), tenant, row.at("names"), faults)
+                _own(owners, (row.title, name), tenant, row.location_of("names"), faults)
         for name in tenant["names"]:
             if not name.startswith(("uri:", "dns:")):
                 faults.append(
-                    Fault(tenant.at("names"), f"the name '{name}'", "one that begins with 'uri:' or 'dns:'")
+                    Diagnostic(
+                        tenant.location_of("names"),
+                        f"the name '{name}'",
+                        "one that begins with 'uri:' or 'dns:'",
+                    )
                 )
-            _own(owners, ("", name), tenant, tenant.at("names"), faults)
+            _own(owners, ("", name), tenant, tenant.location_of("names"), faults)
         for prefix in tenant["operation-keys"]:
             for other, owner in prefixes:
                 if owner != tenant.title and (other.startswith(prefix) or prefix.startswith(other)):
                     faults.append(
-                        Fault(
-                            tenant.at("operation-keys"),
+                        Diagnostic(
+                            tenant.location_of("operation-keys"),
                             f"'{prefix}', which overlaps '{other}' of '{owner}'",
                             "digits that no other tenant's keys begin with",
                         )
@@ -171,8 +185,8 @@
             prefixes.append((prefix, tenant.title))
     if section["strangers"] == "anyone" and ANYONE not in names:
         faults.append(
-            Fault(
-                section.at("strangers"),
+            Diagnostic(
+                section.location_of("strangers"),
                 "'anyone' without a tenant of that name",
                 f"'(tenant {ANYONE} …)' with what they may do",
             )
@@ -180,12 +194,14 @@
     tls = section["tls"]
     if tls is not None and tls["client-ca"] is None:
         for name in ("crl", "require-certificate"):
-            if name in tls.places and tls[name] != "no":
-                faults.append(Fault(tls.at(name), f"'{name}' without 'client-ca'", "both or neither"))
+            if name in tls.locations and tls[name] != "no":
+                faults.append(
+                    Diagnostic(tls.location_of(name), f"'{name}' without 'client-ca'", "both or neither")
+                )
     if section["control"] is not None and (tls is None or tls["client-ca"] is None):
         faults.append(
-            Fault(
-                section.at("control"),
+            Diagnostic(
+                section.location_of("control"),
                 "'control' without '(tls …)' that has a 'client-ca'",
                 "both: operators are known by certificates",
             )
@@ -197,13 +213,15 @@
     name: tuple[str, str],
     tenant: Section,
     place: object,
-    faults: list[Fault],
+    faults: list[Diagnostic],
 ) -> None:
     """Danger: a name of two tenants would give one the rights of the other, by the order of the file."""
     owner = owners.setdefault(name, tenant.title)
     if owner != tenant.title:
         faults.append(
-            Fault(
-                tenant.places[""], f"'{name[1]}', which is the tenant '{owner}''s too", "a name of one tenant"
+            Diagnostic(
+                tenant.locations[""],
+                f"'{name[1]}', which is the tenant '{owner}''s too",
+                "a name of one tenant",
             )
         )
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -21,7 +21,7 @@
 from hoistplank.authorization.revocations import BadRevocation, Revocation
 from hoistplank.authorization.token_cache import Issuer, KeySet
 from hoistplank.interface import IDEMPOTENT, Site
-from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.clock import Clock
@@ -72,7 +72,7 @@
 
 
 class CallersService:
-    """One for the program. Raises Faults where the files that the section names can't be used."""
+    """One for the program. Raises ConfigurationError where the files that the section names can't be used."""
 
     def __init__(self, section: Section, file: str, site: Site, clock: Clock | None = None) -> None:
         self.section, self.file, self.site, self.clock = section, file, site, clock or Clock()
@@ -94,7 +94,7 @@
         self.handshakes = {"done": 0, "failed": 0, "given up": 0, "refused": 0}
         self._asked, self._warned_at = asyncio.Event(), 0
         self.sources = self._sources(section)
-        faults: list[Fault] = []
+        faults: list[Diagnostic] = []
         for source in self.sources:
             try:
                 source.seen = source.stamp()
@@ -102,7 +102,7 @@
             except (BadFile, BadRevocation) as wrong:
                 faults.append(self._fault(section, source, wrong))
         if faults:
-            raise Faults(faults)
+            raise ConfigurationError(faults)
 
     def _path(self, text: str) -> Path:
         return self.folder / text
@@ -112,13 +112,13 @@
         return {row.title: Issuer(row.title, row["audience"]) for row in section["tokens"]["issuer"]}
 
     @staticmethod
-    def _fault(section: Section, source: Source, wrong: Exception) -> Fault:
+    def _fault(section: Section, source: Source, wrong: Exception) -> Diagnostic:
         kind, _, title = source.name.partition(" of ")
-        place = section.at("tls" if kind == "certificates" else "revoked")
+        place = section.location_of("tls" if kind == "certificates" else "revoked")
         for row in section["tokens"]["issuer"]:
             if kind == "keys" and row.title == title:
-                place = row.at("keys")
-        return Fault(place, str(wrong), f"{source.name} that can be used")
+                place = row.location_of("keys")
+        return Diagnostic(place, str(wrong), f"{source.name} that can be used")
 
     def _sources(self, section: Section) -> list[Source]:
         found = []
@@ -233,13 +233,15 @@
                 log.warning("runs out", what=what, until=certificates.until_text(until), expired=now >= until)
 
     def prepared(self, section: Section) -> Callable[[], None]:
-        """All that another section names, read and checked; raises Faults; what is returned takes it up at
-        once."""
+        """All that another section names, read and checked; raises ConfigurationError; what is
+        returned takes it up at once."""
         for form in ("tls", "control"):
             # Danger: parts that serve a listener would find its figures gone.
             if (self.section[form] is None) != (section[form] is None):
                 found = f"'({form} …)' that comes or goes while the program runs"
-                raise Faults([Fault(section.at(form), found, "it as it was at the start")])
+                raise ConfigurationError(
+                    [Diagnostic(section.location_of(form), found, "it as it was at the start")]
+                )
         fresh = CallersService(section, self.file, self.site, self.clock)
 
         def take() -> None:
--- a/hoistplank/cli/keys.py
+++ b/hoistplank/cli/keys.py
@@ -14,9 +14,9 @@
 from hoistplank.authorization.key_lifecycle import BadMove
 from hoistplank.authorization.keyfiles import BadFile, Ring
 from hoistplank.authorization.revocations import KINDS, BadRevocation, Revocation
-from hoistplank.operator_configuration.faults import Place
-from hoistplank.operator_configuration.schema import span
-from hoistplank.operator_configuration.text import Atom
+from hoistplank.operator_configuration.errors import SourceLocation
+from hoistplank.operator_configuration.syntax import Atom
+from hoistplank.operator_configuration.values import duration
 
 FOLDER = click.option(
     "--ring",
@@ -126,11 +126,11 @@
 @FOLDER
 def make_token(issuer: str, audience: str, subject: str, lasts: str, jti: str, folder: Path) -> None:
     """Make a token, signed by the ring's signing key; it is the only line on standard output."""
-    kind = span("1s", "30d")
+    kind = duration("1s", "30d")
     try:
-        life_us: int = kind.make(Atom(lasts, False, Place("--for", 1, 1)))
+        life_us: int = kind.parse(Atom(lasts, False, SourceLocation("--for", 1, 1)))
     except ValueError:
-        return _fail(ValueError(f"--for: '{lasts}', expected {kind.wants}"))
+        return _fail(ValueError(f"--for: '{lasts}', expected {kind.expected}"))
     now = _now()
     claims = {
         "iss": issuer,
--- a/hoistplank/cli/lab.py
+++ b/hoistplank/cli/lab.py
@@ -16,7 +16,7 @@
 
 from hoistplank.cli.main import fail
 from hoistplank.cli.scale import scale
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -53,7 +53,9 @@
     click.echo(f"policies: {', '.join(names())}, text-REVISION")
     click.echo("faults:")
     for name, words in KINDS.items():
-        told = " ".join(word if isinstance(word, str) else f"<{word.wants.split(',')[0]}>" for word in words)
+        told = " ".join(
+            word if isinstance(word, str) else f"<{word.expected.split(',')[0]}>" for word in words
+        )
         click.echo(f"  ({name} {told})")
 
 
@@ -82,7 +84,7 @@
         drive = "sockets" if sockets else "virtual"
         cell = Cell(Path(name).stem, text, size, seed, policy, seconds, 20.0, share, 20, 3, drive)
         found = play(Job(cell))
-    except (OSError, ValueError, Faults, UnknownPolicy) as wrong:
+    except (OSError, ValueError, ConfigurationError, UnknownPolicy) as wrong:
         return fail(str(wrong))
     except (TooLate, RuntimeError) as wrong:
         raise click.ClickException(str(wrong)) from None
@@ -116,7 +118,7 @@
         experiment = read(Path(file).read_bytes(), file)
     except OSError as wrong:
         return fail(f"{file}: can't be read ({wrong.strerror})")
-    except Faults as wrong:
+    except ConfigurationError as wrong:
         return fail(str(wrong))
     folder = Path(out) if out else Path("lab-results") / experiment.name
     columns = (TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed}/{task.total}"))
@@ -247,7 +249,7 @@
         chosen = runner.scenes(paths, only)
         for name in policies:
             policy(name)
-    except (Faults, UnknownPolicy) as wrong:
+    except (ConfigurationError, UnknownPolicy) as wrong:
         return fail(str(wrong))
     drives = ["processes", "virtual"] if drive == "both" else [drive]
     if not any(one in scene.drives for scene, _ in chosen for one in drives):
--- a/hoistplank/cli/main.py
+++ b/hoistplank/cli/main.py
@@ -118,14 +118,14 @@
 
     Exit code 0: it can be used. 2: it can't. The files that it names are not opened.
     """
-    from hoistplank.operator_configuration.faults import Faults
+    from hoistplank.operator_configuration.errors import ConfigurationError
     from hoistplank.program.sections import load
 
     try:
         load(file)
-    except Faults as wrong:
-        for fault in wrong.faults:
-            place = fault.place
+    except ConfigurationError as wrong:
+        for fault in wrong.diagnostics:
+            place = fault.location
             row: dict[str, Any] = {
                 "file": place.file,
                 "line": place.line,
@@ -144,17 +144,17 @@
 @click.option("--stdout", "out", is_flag=True, help="Write to standard output and leave the file as it is.")
 def fmt(file: str, only: bool, out: bool) -> None:
     """Write an operator's FILE in its one layout; comments stay where they are."""
-    from hoistplank.operator_configuration.faults import Fault
-    from hoistplank.operator_configuration.layout import written
-    from hoistplank.operator_configuration.text import parse
+    from hoistplank.operator_configuration.errors import ConfigurationError
+    from hoistplank.operator_configuration.formatter import format_document
+    from hoistplank.operator_configuration.parser import parse
 
     path = Path(file)
     try:
         data = path.read_bytes()
-        text = written(parse(data, file)).encode()
+        text = format_document(parse(data, file)).encode()
     except OSError as wrong:
         return fail(f"{file}: can't be read ({wrong.strerror})")
-    except Fault as wrong:
+    except ConfigurationError as wrong:
         return fail(str(wrong))
     if out:
         click.echo(text.decode(), nl=False)
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -15,7 +15,7 @@
 from hoistplank.degradation.signals import Gauges, Watch
 from hoistplank.degradation.state_machine import FULL, Change, Ladder
 from hoistplank.interface import Reduced
-from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.routing.router_task import Owner, Told
@@ -32,14 +32,14 @@
 
 
 def built(section: Section, configuration: Configuration) -> tuple[Ladder, Gauges, Reduced]:
-    """The ladder, the gauges and what holds at full service; raises Faults."""
-    faults: list[Fault] = []
+    """The ladder, the gauges and what holds at full service; raises ConfigurationError."""
+    faults: list[Diagnostic] = []
     classes = {row.name: row.semantics for row in configuration.site.traffic_classes}
     sections.classes_known(section, classes, faults)
     made = sections.levels(section, faults)
     ages = sections.ages(section, faults)
     if faults:
-        raise Faults(faults)
+        raise ConfigurationError(faults)
     return Ladder(made, section["calm"]), Gauges(ages), Reduced(retry_share=section["retries"])
 
 
@@ -176,8 +176,8 @@
         return f"{what} {level}".strip()
 
     def prepared(self, section: Section) -> Callable[[], None]:
-        """Another file's levels, checked; raises Faults; the call returned takes them up, keeping the level
-        in force where one of its name is still there."""
+        """Another file's levels, checked; raises ConfigurationError; the call returned takes them up,
+        keeping the level in force where one of its name is still there."""
         ladder, gauges, base = built(section, self.configuration)
 
         def take() -> None:
--- a/hoistplank/distribution/sections.py
+++ b/hoistplank/distribution/sections.py
@@ -4,48 +4,49 @@
 
 from hoistplank.distribution.follower_state import SILENCE_US
 from hoistplank.distribution.messages import NAME_PATTERN
-from hoistplank.operator_configuration.faults import Fault
-from hoistplank.operator_configuration.schema import ADDRESS, Field, Section, Shape, matching, span
+from hoistplank.operator_configuration.errors import Diagnostic
+from hoistplank.operator_configuration.schema import Field, FormSchema, Section
+from hoistplank.operator_configuration.values import ADDRESS, duration, matching
 
 MOST_REPLICAS = 5
 
 NAME = matching(NAME_PATTERN, "a name of letters, digits and '._:/-', at most 120")
 REGION = matching(r"[A-Za-z0-9._:/-]{1,120}", "a region's name of letters, digits and '._:/-'")
 
-REPLICA = Shape(
+REPLICA = FormSchema(
     (
-        Field("endpoint", ADDRESS, needed=True, doc="where it listens"),
+        Field("endpoint", ADDRESS, required=True, doc="where it listens"),
         Field("region", REGION, "", doc="the region that it stands in"),
     ),
     title=NAME,
 )
 
-DISTRIBUTION = Shape(
+DISTRIBUTION = FormSchema(
     (
         Field("name", NAME, doc="this dispatcher, in the fleet; absent: the configuration's name"),
         Field("region", REGION, "", doc="this dispatcher's region: replicas of it are followed first"),
         Field(
             "silence",
-            span("3s", "7s"),
+            duration("3s", "7s"),
             SILENCE_US,
             doc="after how long without a word from any replica the list counts as stale",
         ),
-        Field("replica", REPLICA, many=True, doc="a control replica, up to 5 of them"),
+        Field("replica", REPLICA, repeated=True, doc="a control replica, up to 5 of them"),
     )
 )
 
 
-def checked(section: Section, faults: list[Fault]) -> None:
+def checked(section: Section, faults: list[Diagnostic]) -> None:
     """What the shapes alone can't say."""
     names: set[str] = set()
     for replica in section["replica"]:
         if replica.title in names:
             faults.append(
-                Fault(replica.places[""], f"the replica '{replica.title}' a second time", "it once")
+                Diagnostic(replica.locations[""], f"the replica '{replica.title}' a second time", "it once")
             )
         names.add(replica.title)
     if not names:
-        faults.append(Fault(section.place, "no 'replica'", f"from 1 to {MOST_REPLICAS} of them"))
+        faults.append(Diagnostic(section.location, "no 'replica'", f"from 1 to {MOST_REPLICAS} of them"))
     elif len(section["replica"]) > MOST_REPLICAS:
-        place = section["replica"][MOST_REPLICAS].place
-        faults.append(Fault(place, f"{len(section['replica'])} replicas", f"{MOST_REPLICAS} at most"))
+        place = section["replica"][MOST_REPLICAS].location
+        faults.append(Diagnostic(place, f"{len(section['replica'])} replicas", f"{MOST_REPLICAS} at most"))
--- a/hoistplank/lab/backends/degradation_controller.py
+++ b/hoistplank/lab/backends/degradation_controller.py
@@ -11,7 +11,7 @@
 from hoistplank.degradation.signals import Gauges, Watch
 from hoistplank.degradation.state_machine import Change, Ladder, Level
 from hoistplank.interface import Reduced
-from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.program.sections import understood
 
 
@@ -31,16 +31,18 @@
 
 
 def plan(text: str, classes: dict[str, str], admission: bool = True) -> Plan:
-    """A plan from the text of a `(levels …)` form, as the operator's file has it; raises Faults.
+    """A plan from the text of a `(levels …)` form, as the operator's file has it; raises ConfigurationError.
     `traffic classes`: name -> semantics, of the world's settings."""
     section = understood(text.encode(), "levels")["levels"]
     if section is None:
-        raise Faults([Fault(understood(b"", "levels").place, "no '(levels …)'", "the form of the levels")])
-    faults: list[Fault] = []
+        raise ConfigurationError(
+            [Diagnostic(understood(b"", "levels").location, "no '(levels …)'", "the form of the levels")]
+        )
+    faults: list[Diagnostic] = []
     sections.classes_known(section, classes, faults)
     made, ages = sections.levels(section, faults), sections.ages(section, faults)
     if faults:
-        raise Faults(faults)
+        raise ConfigurationError(faults)
     bounds = sections.bounds(section, 4_000) if admission else None
     base = Reduced(retry_share=section["retries"])
     return Plan(made, section["calm"], ages, bounds, section["every"], base)
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -12,25 +12,27 @@
 from hoistplank.lab.model.world_settings import Shape, sized
 from hoistplank.lab.policies import names
 from hoistplank.operator_configuration import schema
-from hoistplank.operator_configuration.faults import Fault, Faults, Place
-from hoistplank.operator_configuration.schema import Field, matching, nearest, number, one_of, whole
-from hoistplank.operator_configuration.text import Form, parse
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
+from hoistplank.operator_configuration.parser import parse
+from hoistplank.operator_configuration.schema import Field, suggestion
+from hoistplank.operator_configuration.syntax import Form
+from hoistplank.operator_configuration.values import integer, matching, number, one_of
 
 LAYOUT = 2  # of a cell's result; another one is not mixed with it
 POLICY = matching(r"[a-z][a-z-]{0,30}|text-[0-9a-fA-F]{4,40}", "a policy, or text-REVISION")
 DAY = matching(r"[a-z][a-z+-]{0,60}", "a day's name, or several joined by '+'")
-EXPERIMENT = schema.Shape(
+EXPERIMENT = schema.FormSchema(
     (
-        Field("days", DAY, many=True, doc="days by name"),
-        Field("sizes", whole(1, 20_000), [12], many=True, doc="cache hosts in all"),
-        Field("seeds", whole(0, 1_000_000), [1, 2, 3], many=True, doc="each is a world of its own"),
-        Field("policies", POLICY, ["module", "hash"], many=True, doc="who decides"),
+        Field("days", DAY, repeated=True, doc="days by name"),
+        Field("sizes", integer(1, 20_000), [12], repeated=True, doc="cache hosts in all"),
+        Field("seeds", integer(0, 1_000_000), [1, 2, 3], repeated=True, doc="each is a world of its own"),
+        Field("policies", POLICY, ["module", "hash"], repeated=True, doc="who decides"),
         Field("seconds", number(1, 3_600), 20.0, doc="of a day"),
         Field("warm", number(0, 600), 6.0, doc="seconds before the day, not counted, in which caches fill"),
         Field("rate-per-host", number(0.1, 10_000), 20.0, doc="first parts a second for each cache host"),
         Field("load", number(0.05, 5), 0.75, doc="of what links can carry"),
-        Field("location", whole(1, 1_000), 20, doc="cache hosts of one location at most"),
-        Field("dispatchers", whole(1, 100), 3, doc="of each location"),
+        Field("location", integer(1, 1_000), 20, doc="cache hosts of one location at most"),
+        Field("dispatchers", integer(1, 100), 3, doc="of each location"),
         Field("drive", one_of("virtual", "sockets"), "virtual", doc="virtual time, or real processes"),
     ),
     title=matching(r"[a-z][a-z0-9-]{0,39}", "a name of small letters, digits and '-'"),
@@ -75,17 +77,14 @@
 
 
 def read(data: bytes, file: str) -> Experiment:
-    """The experiment of a file. Raises `Faults` with all that is wrong, each with its place."""
-    try:
-        forms = parse(data, file).forms
-    except Fault as wrong:
-        raise Faults([wrong]) from None
-    faults: list[Fault] = []
+    """The experiment of a file. Raises `ConfigurationError` with all that is wrong, each with its place."""
+    forms = parse(data, file).forms
+    faults: list[Diagnostic] = []
     if len(forms) != 1 or forms[0].name != "experiment":
-        place = forms[0].place if forms else Place(file, 1, 1)
-        raise Faults(
+        place = forms[0].location if forms else SourceLocation(file, 1, 1)
+        raise ConfigurationError(
             [
-                Fault(
+                Diagnostic(
                     place,
                     f"{len(forms)} forms" if len(forms) != 1 else str(forms[0]),
                     "one '(experiment NAME …)'",
@@ -95,46 +94,54 @@
     form = forms[0]
     scripts = [item for item in form.items if isinstance(item, Form) and item.name == "script"]
     rest = tuple(item for item in form.items[1:] if item not in scripts)
-    section = schema.read(EXPERIMENT, rest, form.place, faults)
+    section = schema.read_form(EXPERIMENT, rest, form.location, faults)
     own = _scripts(scripts, faults)
     days = [day for day in section["days"] or [] if day is not None]
     for day in days:
         for name in day.split("+"):
             if name not in DAYS and day not in ("calm", "any"):
                 faults.append(
-                    Fault(
-                        section.at("days"), f"the unknown day '{name}'", nearest(name, [*DAYS, "calm", "any"])
+                    Diagnostic(
+                        section.location_of("days"),
+                        f"the unknown day '{name}'",
+                        suggestion(name, [*DAYS, "calm", "any"]),
                     )
                 )
     for name in section["policies"] or []:
         if name is not None and not name.startswith("text-") and name not in names():
             faults.append(
-                Fault(section.at("policies"), f"the unknown policy '{name}'", nearest(name, names()))
+                Diagnostic(
+                    section.location_of("policies"), f"the unknown policy '{name}'", suggestion(name, names())
+                )
             )
     if section["drive"] == "sockets" and section["policies"] != ["module"]:
         faults.append(
-            Fault(section.at("policies"), "other policies than 'module' on sockets", "'(policies module)'")
+            Diagnostic(
+                section.location_of("policies"),
+                "other policies than 'module' on sockets",
+                "'(policies module)'",
+            )
         )
     if not days and not own:
-        faults.append(Fault(form.place, "neither 'days' nor a 'script'", "at least one day to play"))
+        faults.append(Diagnostic(form.location, "neither 'days' nor a 'script'", "at least one day to play"))
     if faults:
-        raise Faults(faults)
-    return Experiment(section.title, tuple(_cells(section, days, own, form.place)))
+        raise ConfigurationError(faults)
+    return Experiment(section.title, tuple(_cells(section, days, own, form.location)))
 
 
-def _scripts(forms: list[Form], faults: list[Fault]) -> dict[str, str]:
+def _scripts(forms: list[Form], faults: list[Diagnostic]) -> dict[str, str]:
     found = {}
     for form in forms:
         title = form.items[1] if len(form.items) > 1 else None
         if title is None or isinstance(title, Form):
-            faults.append(Fault(form.place, "a script without a name", "'(script NAME (at …) …)'"))
+            faults.append(Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'"))
             continue
-        found[title.text] = "\n".join(row.written() for row in events(form.items[2:], form.place, faults))
+        found[title.text] = "\n".join(row.written() for row in events(form.items[2:], form.location, faults))
     return found
 
 
-def _cells(section: Any, days: list[str], own: dict[str, str], place: Place) -> list[Cell]:
-    cells, wrong = [], list[Fault]()
+def _cells(section: Any, days: list[str], own: dict[str, str], place: SourceLocation) -> list[Cell]:
+    cells, wrong = [], list[Diagnostic]()
     for size in section["sizes"]:
         for day in [*days, *own]:
             for seed in section["seeds"]:
@@ -157,9 +164,9 @@
                         )
                     )
                 wrong += [
-                    Fault(place, problem, f"what a world of {size} cache hosts has")
+                    Diagnostic(place, problem, f"what a world of {size} cache hosts has")
                     for problem in checked(script(text), cells[-1].shape())
                 ]
     if wrong:
-        raise Faults(wrong)
+        raise ConfigurationError(wrong)
     return cells
--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -9,7 +9,7 @@
 from hoistplank.lab.model.faults import Event, Troubles
 from hoistplank.lab.model.world import Move, Seat, World
 from hoistplank.lab.model.world_settings import HUB
-from hoistplank.operator_configuration.schema import Kind
+from hoistplank.operator_configuration.values import ValueType
 
 Direction = tuple[str, bool]  # a path's name, and whether it is the direction back to the near party
 
@@ -39,7 +39,7 @@
         super().__init__(world, rows)
         self.hands, self.metrics = hands, metrics
 
-    def _struck(self, kind: Kind, value: Any) -> Any:
+    def _struck(self, kind: ValueType, value: Any) -> Any:
         return self._who(value) if kind is WHO else super()._struck(kind, value)
 
     def _who(self, text: str) -> list[Seat]:
--- a/hoistplank/lab/fleet/runner.py
+++ b/hoistplank/lab/fleet/runner.py
@@ -18,7 +18,7 @@
 
 from hoistplank.lab.fleet.scene import Scene, read
 from hoistplank.lab.fleet.worker import BROKE, DONE, VOID, Job
-from hoistplank.operator_configuration.faults import Fault, Faults, Place
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
 
 TRIES = 3  # of a run that was void
 PREFIX = "hoistplank-fleet-"
@@ -27,26 +27,33 @@
 
 
 def scenes(paths: Iterable[str], only: str = "") -> list[tuple[Scene, Path]]:
-    """The scenes of files and folders, with the folder each lies in. Raises Faults, for all that is wrong.
+    """The scenes of files and folders, with the folder each lies in. Raises ConfigurationError, for all that
+    is wrong.
 
     In a folder, the operator's files that its scenes name are no scenes.
     """
     found: list[tuple[Scene, Path]] = []
-    faults: list[Fault] = []
-    wrongs: dict[Path, list[Fault]] = {}
+    faults: list[Diagnostic] = []
+    wrongs: dict[Path, list[Diagnostic]] = {}
     for path in map(Path, paths):
         files = sorted(path.glob("*.sexp")) if path.is_dir() else [path]
         if not files:
-            faults.append(Fault(Place(str(path), 1, 1), "a folder without scenes", "files '*.sexp'"))
+            faults.append(
+                Diagnostic(SourceLocation(str(path), 1, 1), "a folder without scenes", "files '*.sexp'")
+            )
         for file in files:
             try:
                 scene = read(file.read_bytes(), str(file))
             except OSError as wrong:
                 faults.append(
-                    Fault(Place(str(file), 1, 1), f"a file that can't be read ({wrong.strerror})", "a scene")
+                    Diagnostic(
+                        SourceLocation(str(file), 1, 1),
+                        f"a file that can't be read ({wrong.strerror})",
+                        "a scene",
+                    )
                 )
-            except Faults as wrong:
-                wrongs[file] = wrong.faults
+            except ConfigurationError as wrong:
+                wrongs[file] = wrong.diagnostics
             else:
                 found.append((scene, file.parent))
     named = {beside / file for scene, beside in found for file in scene.files()}
@@ -54,9 +61,11 @@
     names = [scene.name for scene, _ in found]
     if only and only not in names and not faults:
         wants = "one of " + ", ".join(names)
-        faults.append(Fault(Place(str(next(iter(paths), "")), 1, 1), f"no scene '{only}'", wants))
+        faults.append(
+            Diagnostic(SourceLocation(str(next(iter(paths), "")), 1, 1), f"no scene '{only}'", wants)
+        )
     if faults:
-        raise Faults(faults)
+        raise ConfigurationError(faults)
     return [pair for pair in found if not only or pair[0].name == only]
 
 
--- a/hoistplank/lab/fleet/scene.py
+++ b/hoistplank/lab/fleet/scene.py
@@ -19,21 +19,20 @@
 from hoistplank.lab.model.faults import SHARE, SPAN, STEP, TARGET, TIMES, Event, checked, events
 from hoistplank.lab.model.world_settings import S, Shape, sized
 from hoistplank.operator_configuration import schema
-from hoistplank.operator_configuration.faults import Fault, Faults, Place
-from hoistplank.operator_configuration.schema import (
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
+from hoistplank.operator_configuration.parser import parse
+from hoistplank.operator_configuration.schema import Field, Section, suggestion
+from hoistplank.operator_configuration.syntax import Atom, Form
+from hoistplank.operator_configuration.values import (
     NAME,
     TEXT,
-    Field,
-    Kind,
-    Section,
+    ValueType,
+    duration,
+    integer,
     matching,
-    nearest,
     number,
     one_of,
-    span,
-    whole,
 )
-from hoistplank.operator_configuration.text import Atom, Form, parse
 
 WHO = matching(
     r"(dispatchers(:[01](\.\d{1,4})?)?|z\d{1,4}|d\d{1,4})",
@@ -95,21 +94,27 @@
 }
 LOCAL = ("earned", "link")  # measures that may be of one location
 CAUSES = (BACK, OFF, GONE, LEFT, "served late", "served old", "client gave up")
-ATOM = Kind("a measure, a place, above or below, a value, as 'earned z1 above 0.8'", lambda atom: atom)
-SCENE = schema.Shape(
+ATOM = ValueType("a measure, a place, above or below, a value, as 'earned z1 above 0.8'", lambda atom: atom)
+SCENE = schema.FormSchema(
     (
         Field("doc", TEXT, "", doc="what it shows"),
-        Field("locations", whole(1, 30), 3),
-        Field("dispatchers", whole(1, 40), 3, doc="of each location"),
-        Field("caches", whole(1, 200), 4, doc="of each location"),
-        Field("parents", whole(1, 60), 4, doc="in all; the first half is hub h0, the rest h1"),
+        Field("locations", integer(1, 30), 3),
+        Field("dispatchers", integer(1, 40), 3, doc="of each location"),
+        Field("caches", integer(1, 200), 4, doc="of each location"),
+        Field("parents", integer(1, 60), 4, doc="in all; the first half is hub h0, the rest h1"),
         Field("rate", number(1, 2_000), 30.0, doc="first parts a second of each location"),
         Field("load", number(0.05, 5), 0.4, doc="of what links can carry"),
-        Field("seconds", span("1s", "600s"), 8 * S),
-        Field("warm", span("0ms", "600s"), 3 * S, doc="before the first second; not counted"),
-        Field("drives", one_of("processes", "virtual"), ["processes", "virtual"], many=True),
+        Field("seconds", duration("1s", "600s"), 8 * S),
+        Field("warm", duration("0ms", "600s"), 3 * S, doc="before the first second; not counted"),
+        Field("drives", one_of("processes", "virtual"), ["processes", "virtual"], repeated=True),
         Field("operator", TEXT, None, doc="the dispatchers' operator's file, beside the scene"),
-        Field("expect", ATOM, many=True, each=True, doc="MEASURE [PLACE] above|below VALUE [from T to T]"),
+        Field(
+            "expect",
+            ATOM,
+            repeated=True,
+            list_per_form=True,
+            doc="MEASURE [PLACE] above|below VALUE [from T to T]",
+        ),
     ),
     title=NAME,
 )
@@ -170,8 +175,10 @@
         )
 
     def rows(self) -> list[Event]:
-        faults: list[Fault] = []
-        return events(parse(self.script.encode(), self.name).forms, Place(self.name, 1, 1), faults, KINDS)
+        faults: list[Diagnostic] = []
+        return events(
+            parse(self.script.encode(), self.name).forms, SourceLocation(self.name, 1, 1), faults, KINDS
+        )
 
     def files(self) -> list[str]:
         """The operator's files that it names, beside its own."""
@@ -188,26 +195,26 @@
 
 
 def _seconds(atom: Atom) -> int:
-    return 0 if atom.text == "0s" else int(SPAN.make(atom))
+    return 0 if atom.text == "0s" else int(SPAN.parse(atom))
 
 
-def _bound(atoms: list[Atom], place: Place, faults: list[Fault]) -> Bound | None:
+def _bound(atoms: list[Atom], place: SourceLocation, faults: list[Diagnostic]) -> Bound | None:
     words = [atom.text for atom in atoms]
     wants = "MEASURE [PLACE] above|below VALUE [from T to T]"
     if not words or words[0] not in MEASURES:
         found = f"the unknown measure '{words[0][:40]}'" if words else "nothing"
         faults.append(
-            Fault(
-                atoms[0].place if atoms else place,
+            Diagnostic(
+                atoms[0].location if atoms else place,
                 found,
-                nearest(words[0] if words else "", sorted(MEASURES)),
+                suggestion(words[0] if words else "", sorted(MEASURES)),
             )
         )
         return None
     at = next((n for n, word in enumerate(words) if word in ("above", "below")), 0)
     rest = words[at + 2 :]
     if at not in (1, 2) or len(words) < at + 2 or len(rest) not in (0, 4):
-        faults.append(Fault(atoms[0].place, " ".join(words)[:80], wants))
+        faults.append(Diagnostic(atoms[0].location, " ".join(words)[:80], wants))
         return None
     low = high = 0
     try:
@@ -219,31 +226,30 @@
             if high <= low:
                 raise ValueError
     except ValueError:
-        faults.append(Fault(atoms[at].place, " ".join(words[at:])[:80], "above|below VALUE [from T to T]"))
+        faults.append(
+            Diagnostic(atoms[at].location, " ".join(words[at:])[:80], "above|below VALUE [from T to T]")
+        )
         return None
     return Bound(words[0], words[1] if at == 2 else "", words[at] == "above", value, low, high)
 
 
 def read(data: bytes, file: str) -> Scene:
-    """The scene of a file. Raises `Faults` with all that is wrong, each with its place: what can't be met in
-    the fleet that the scene asks for as well."""
-    try:
-        forms = parse(data, file).forms
-    except Fault as wrong:
-        raise Faults([wrong]) from None
+    """The scene of a file. Raises `ConfigurationError` with all that is wrong, each with its place: what
+    can't be met in the fleet that the scene asks for as well."""
+    forms = parse(data, file).forms
     if len(forms) != 1 or forms[0].name != "scene":
-        place = forms[0].place if forms else Place(file, 1, 1)
+        place = forms[0].location if forms else SourceLocation(file, 1, 1)
         found = str(forms[0]) if len(forms) == 1 else f"{len(forms)} forms"
-        raise Faults([Fault(place, found, "one '(scene NAME …)'")])
-    faults: list[Fault] = []
+        raise ConfigurationError([Diagnostic(place, found, "one '(scene NAME …)'")])
+    faults: list[Diagnostic] = []
     form = forms[0]
     scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
     rest = tuple(item for item in form.items[1:] if item not in scripts)
-    section = schema.read(SCENE, rest, form.place, faults)
-    rows = events(scripts, form.place, faults, KINDS)
-    bounds = [_bound(atoms, section.at("expect"), faults) for atoms in section["expect"]]
+    section = schema.read_form(SCENE, rest, form.location, faults)
+    rows = events(scripts, form.location, faults, KINDS)
+    bounds = [_bound(atoms, section.location_of("expect"), faults) for atoms in section["expect"]]
     if faults:
-        raise Faults(sorted(faults, key=lambda fault: fault.place))
+        raise ConfigurationError(sorted(faults, key=lambda fault: fault.location))
     scene = Scene(
         section.title,
         section["doc"],
@@ -260,25 +266,31 @@
         "\n".join(row.written() for row in rows),
         tuple(bound for bound in bounds if bound is not None),
     )
-    unmet = [Fault(_place(scripts, n, form.place), found, wants) for n, found, wants in _unmet(scene, rows)]
-    if "virtual" in scene.drives and "drives" in section.places:
+    unmet = [
+        Diagnostic(_place(scripts, n, form.location), found, wants) for n, found, wants in _unmet(scene, rows)
+    ]
+    if "virtual" in scene.drives and "drives" in section.locations:
         unmet += [
-            Fault(section.at("drives"), f"'virtual' beside '({row.text})'", "processes: only they have it")
+            Diagnostic(
+                section.location_of("drives"),
+                f"'virtual' beside '({row.text})'",
+                "processes: only they have it",
+            )
             for row in rows
             if row.kind in OF_PROCESSES
         ]
     unmet += _unmeant(scene, section)
     if unmet:
-        raise Faults(unmet)
+        raise ConfigurationError(unmet)
     if any(row.kind in OF_PROCESSES for row in rows):
         scene = msgspec.structs.replace(scene, drives=("processes",))
     return scene
 
 
-def _place(scripts: tuple[Form, ...], n: int, other: Place) -> Place:
+def _place(scripts: tuple[Form, ...], n: int, other: SourceLocation) -> SourceLocation:
     """Of the nth fault in the order of their times, as near as the forms tell it."""
     inner = [(_when(form), item) for form in scripts for item in form.items[2:]]
-    found = [(when, item.place) for when, item in inner if isinstance(item, Form)]
+    found = [(when, item.location) for when, item in inner if isinstance(item, Form)]
     ordered = [place for _, place in sorted(found, key=lambda pair: pair[0])]
     return ordered[n] if n < len(ordered) else other
 
@@ -288,9 +300,9 @@
     return _seconds(head) if isinstance(head, Atom) else 0
 
 
-def _unmeant(scene: Scene, section: Section) -> list[Fault]:
+def _unmeant(scene: Scene, section: Section) -> list[Diagnostic]:
     """Bounds that this fleet can't be held to."""
-    places, faults = [f"z{n}" for n in range(scene.locations)], list[Fault]()
+    places, faults = [f"z{n}" for n in range(scene.locations)], list[Diagnostic]()
     for bound in scene.bounds:
         wants = ""
         if bound.high > scene.seconds * S:
@@ -303,7 +315,7 @@
             wants = f"a location of {', '.join(places)}" if bound.measure in LOCAL else "no place"
             wants = "" if not bound.place else wants
         if wants:
-            faults.append(Fault(section.at("expect"), f"'{bound}'", wants))
+            faults.append(Diagnostic(section.location_of("expect"), f"'{bound}'", wants))
     return faults
 
 
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -19,16 +19,18 @@
 from hoistplank.lab.model.streams import Stream, Streams
 from hoistplank.lab.model.world import Seat, World
 from hoistplank.lab.model.world_settings import HUB, Shape
-from hoistplank.operator_configuration.faults import Fault, Faults, Place
-from hoistplank.operator_configuration.schema import Kind, matching, nearest, number, span, whole
-from hoistplank.operator_configuration.text import Atom, Form, parse, quote
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
+from hoistplank.operator_configuration.parser import parse
+from hoistplank.operator_configuration.schema import suggestion
+from hoistplank.operator_configuration.syntax import Atom, Form, quote
+from hoistplank.operator_configuration.values import ValueType, duration, integer, matching, number
 
 TARGET = matching(
     r"(origin|caches|parents|z\d{1,4}|cell-\d{1,6}|[cp]\d[\w-]{0,12})(:[01](\.\d{1,4})?)?",
     "a target: origin, caches, parents, z0, cell-0 or a host, with a share as 'caches:0.2'",
 )
 WORD = matching(r"[a-z][a-z0-9-]{0,30}", "a name of small letters, digits and '-'")
-SHARE, SPAN, COUNT = number(0, 1), span("1ms", "1h"), whole(0, 1_000_000)
+SHARE, SPAN, COUNT = number(0, 1), duration("1ms", "1h"), integer(0, 1_000_000)
 
 
 def _times(atom: Atom) -> float:
@@ -39,14 +41,14 @@
 
 def _step(atom: Atom) -> int:
     sign, text = (-1, atom.text[1:]) if atom.text.startswith("-") else (1, atom.text)
-    return sign * int(SPAN.make(Atom(text, atom.quoted, atom.place)))
+    return sign * int(SPAN.parse(Atom(text, atom.quoted, atom.location)))
 
 
-TIMES = Kind("a multiple above 0, as 4x", _times)
-STEP = Kind("a time with its unit, '-' before it if it goes back, as -2s", _step)
+TIMES = ValueType("a multiple above 0, as 4x", _times)
+STEP = ValueType("a time with its unit, '-' before it if it goes back, as -2s", _step)
 
 # The words of each fault: a text stands for itself, a kind for a value.
-KINDS: dict[str, tuple[str | Kind, ...]] = {
+KINDS: dict[str, tuple[str | ValueType, ...]] = {
     "drain": (TARGET, "for", SPAN),  # told as draining, then up again: the same process
     "deploy": (TARGET, "batch", SHARE, "drain", SPAN),  # batch by batch: drained, ended, started cold
     "vanish": (TARGET, "for", SPAN, "noticed", SPAN),  # its machine is silent; comes back cold
@@ -99,39 +101,45 @@
         return f"(at {self.at}us ({self.text}))" if self.at else f"(at 0s ({self.text}))"
 
 
-Kinds = dict[str, tuple[str | Kind, ...]]
+Kinds = dict[str, tuple[str | ValueType, ...]]
 
 
-def _event(at: int, form: Form, faults: list[Fault], kinds: Kinds) -> Event | None:
+def _event(at: int, form: Form, faults: list[Diagnostic], kinds: Kinds) -> Event | None:
     words = kinds.get(form.name)
     if words is None:
         faults.append(
-            Fault(form.place, f"the unknown fault '{form.name[:40]}'", nearest(form.name, list(kinds)))
+            Diagnostic(
+                form.location, f"the unknown fault '{form.name[:40]}'", suggestion(form.name, list(kinds))
+            )
         )
         return None
     items, values = form.items[1:], []
     shown = " ".join(word if isinstance(word, str) else "…" for word in words)
     if len(items) != len(words):
-        faults.append(Fault(form.place, f"{len(items)} words for '{form.name}'", f"'({form.name} {shown})'"))
+        faults.append(
+            Diagnostic(form.location, f"{len(items)} words for '{form.name}'", f"'({form.name} {shown})'")
+        )
         return None
     for item, word in zip(items, words, strict=True):
         if not isinstance(item, Atom):
-            faults.append(Fault(item.place, str(item), word if isinstance(word, str) else word.wants))
+            faults.append(
+                Diagnostic(item.location, str(item), word if isinstance(word, str) else word.expected)
+            )
         elif isinstance(word, str):
             if item.text != word:
-                faults.append(Fault(item.place, str(item), f"the word '{word}'"))
+                faults.append(Diagnostic(item.location, str(item), f"the word '{word}'"))
         else:
             try:
-                values.append(word.make(item))
+                values.append(word.parse(item))
             except ValueError:
-                faults.append(Fault(item.place, str(item), word.wants))
+                faults.append(Diagnostic(item.location, str(item), word.expected))
     atoms = [item for item in form.items if isinstance(item, Atom)]
     text = " ".join(quote(atom.text) if atom.quoted else atom.text for atom in atoms)
     return Event(at, form.name, tuple(values), text)
 
 
 def events(
-    forms: tuple[Atom | Form, ...], place: Place, faults: list[Fault], kinds: Kinds = KINDS
+    forms: tuple[Atom | Form, ...], place: SourceLocation, faults: list[Diagnostic], kinds: Kinds = KINDS
 ) -> list[Event]:
     """The `(at …)` forms of a script, in the order of their times; what is wrong is added to `faults`.
     `kinds`: the faults that it may hold, and their words.
@@ -139,21 +147,23 @@
     found: list[Event] = []
     for form in forms:
         if not isinstance(form, Form) or form.name != "at":
-            faults.append(Fault(form.place, str(form), "'(at TIME (FAULT …))'"))
+            faults.append(Diagnostic(form.location, str(form), "'(at TIME (FAULT …))'"))
             continue
         head = form.items[1] if len(form.items) > 1 else None
         try:
             at = (
                 0
                 if isinstance(head, Atom) and head.text == "0s"
-                else SPAN.make(head)
+                else SPAN.parse(head)
                 if isinstance(head, Atom)
                 else -1
             )
         except ValueError:
             at = -1
         if at < 0:
-            faults.append(Fault(head.place if head else form.place, str(head or "nothing"), SPAN.wants))
+            faults.append(
+                Diagnostic(head.location if head else form.location, str(head or "nothing"), SPAN.expected)
+            )
             continue
         for inner in form.items[2:]:
             if isinstance(inner, Form):
@@ -161,20 +171,17 @@
                 if event is not None:
                     found.append(event)
             else:
-                faults.append(Fault(inner.place, str(inner), "a fault '(slow origin 4x for 10s)'"))
+                faults.append(Diagnostic(inner.location, str(inner), "a fault '(slow origin 4x for 10s)'"))
     return sorted(found, key=lambda event: event.at)
 
 
 def script(text: str, file: str = "script") -> list[Event]:
-    """A script by itself. Raises `Faults` with all that is wrong."""
-    try:
-        forms = parse(text.encode(), file).forms
-    except Fault as wrong:
-        raise Faults([wrong]) from None
-    faults: list[Fault] = []
-    found = events(forms, Place(file, 1, 1), faults)
+    """A script by itself. Raises `ConfigurationError` with all that is wrong."""
+    forms = parse(text.encode(), file).forms
+    faults: list[Diagnostic] = []
+    found = events(forms, SourceLocation(file, 1, 1), faults)
     if faults:
-        raise Faults(faults)
+        raise ConfigurationError(faults)
     return found
 
 
@@ -197,7 +204,7 @@
             struck = tuple(self._struck(kind, value) for kind, value in pairs)
             self.agenda.at(start + row.at, self._strike, row, struck)
 
-    def _struck(self, kind: Kind, value: Any) -> Any:
+    def _struck(self, kind: ValueType, value: Any) -> Any:
         """What a word of a fault stands for in this world."""
         return self._targets(value) if kind is TARGET else value
 
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -14,7 +14,7 @@
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.lab.scale.hollow import HollowOwner, Position, Source
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.program.sections import understood
 
 _checks: dict[Version, asyncio.Task[None]] = {}  # of this process
@@ -44,7 +44,7 @@
             checking = _checks[version] = asyncio.create_task(_check(version, text))
         try:
             await asyncio.shield(checking)
-        except Faults as wrong:
+        except ConfigurationError as wrong:
             raise ConfigurationRefused(str(wrong)) from None
         return lambda: self._take_up(version)
 
--- a/hoistplank/lab/scale/scene.py
+++ b/hoistplank/lab/scale/scene.py
@@ -7,19 +7,20 @@
 from hoistplank.lab.model.faults import COUNT, SHARE, SPAN, TIMES, Event, Kinds, events
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.operator_configuration import schema
-from hoistplank.operator_configuration.faults import Fault, Faults, Place
-from hoistplank.operator_configuration.schema import (
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
+from hoistplank.operator_configuration.parser import parse
+from hoistplank.operator_configuration.schema import Field
+from hoistplank.operator_configuration.syntax import Form
+from hoistplank.operator_configuration.values import (
     NAME,
     TEXT,
-    Field,
+    duration,
+    integer,
     matching,
     number,
     rate,
     size,
-    span,
-    whole,
 )
-from hoistplank.operator_configuration.text import Form, parse
 
 S = 1_000_000
 LEAST_SLACK_US = 2 * S  # a scene goes on for so long after its last fault has ended
@@ -37,30 +38,30 @@
     "stall": ("for", SPAN),  # one dispatcher stands still and reads nothing
 }
 
-SCENE = schema.Shape(
+SCENE = schema.FormSchema(
     (
         Field("doc", TEXT, "", doc="what it shows"),
-        Field("dispatchers", whole(2, 2_000), needed=True, doc="in all"),
-        Field("sites", whole(1, 200), 1, doc="dispatchers are dealt to them in turn"),
-        Field("zones", whole(1, 100), 1, doc="sites are dealt to them in turn"),
-        Field("regions", whole(1, 50), 1, doc="zones are dealt to them in turn"),
-        Field("hosts", whole(1, 2_000), 180, doc="cache hosts"),
-        Field("processes", whole(1, 16), 4, doc="that the hollow dispatchers share"),
-        Field("seconds", span("1s", "1h"), 60 * S),
-        Field("warm", span("100ms", "60s"), 3 * S, doc="before the first event"),
+        Field("dispatchers", integer(2, 2_000), required=True, doc="in all"),
+        Field("sites", integer(1, 200), 1, doc="dispatchers are dealt to them in turn"),
+        Field("zones", integer(1, 100), 1, doc="sites are dealt to them in turn"),
+        Field("regions", integer(1, 50), 1, doc="zones are dealt to them in turn"),
+        Field("hosts", integer(1, 2_000), 180, doc="cache hosts"),
+        Field("processes", integer(1, 16), 4, doc="that the hollow dispatchers share"),
+        Field("seconds", duration("1s", "1h"), 60 * S),
+        Field("warm", duration("100ms", "60s"), 3 * S, doc="before the first event"),
         Field("purges", rate(1_000), 3.9, doc="a second"),
-        Field("objects", whole(1, 10_000_000), 1_000_000, doc="from which purges draw"),
+        Field("objects", integer(1, 10_000_000), 1_000_000, doc="from which purges draw"),
         Field("zipf", number(1.01, 5), 1.2, doc="exponent of the popularity of what is purged"),
-        Field("change-every", span("100ms", "1h"), 60 * S, doc="one configuration change"),
+        Field("change-every", duration("100ms", "1h"), 60 * S, doc="one configuration change"),
         Field("host-restarts", number(0, 100_000), 130.0, doc="a day"),
         Field("host-pace", number(0.01, 10_000), 100.0, doc="at so many times the day's pace"),
-        Field("lifetime", span("1s", "30d"), 300 * S, doc="of a copy: how long a purge is kept in mind"),
-        Field("purge-within", span("1ms", "1h"), 7 * S, doc="budget: to the last reachable dispatcher"),
-        Field("change-within", span("1ms", "1h"), 15 * S, doc="budget: to the last reachable dispatcher"),
-        Field("return-within", span("1ms", "1h"), 15 * S, doc="budget: until one that is back has all"),
+        Field("lifetime", duration("1s", "30d"), 300 * S, doc="of a copy: how long a purge is kept in mind"),
+        Field("purge-within", duration("1ms", "1h"), 7 * S, doc="budget: to the last reachable dispatcher"),
+        Field("change-within", duration("1ms", "1h"), 15 * S, doc="budget: to the last reachable dispatcher"),
+        Field("return-within", duration("1ms", "1h"), 15 * S, doc="budget: until one that is back has all"),
         Field("core", number(0.0001, 1), 0.016, doc="budget: of a core, for control at a dispatcher"),
         Field("memory", size(1_024, 1 << 40), 32 << 20, doc="budget: for control at a dispatcher"),
-        Field("bytes", whole(1, 1_000_000_000), 19_000, doc="budget: a second, control at a dispatcher"),
+        Field("bytes", integer(1, 1_000_000_000), 19_000, doc="budget: a second, control at a dispatcher"),
     ),
     title=NAME,
 )
@@ -101,27 +102,24 @@
 
 
 def read(data: bytes, file: str) -> Scene:
-    """The scene of a file. Raises `Faults` with all that is wrong, each with its place."""
-    try:
-        forms = parse(data, file).forms
-    except Fault as wrong:
-        raise Faults([wrong]) from None
+    """The scene of a file. Raises `ConfigurationError` with all that is wrong, each with its place."""
+    forms = parse(data, file).forms
     if len(forms) != 1 or forms[0].name != "scale":
-        place = forms[0].place if forms else Place(file, 1, 1)
+        place = forms[0].location if forms else SourceLocation(file, 1, 1)
         found = str(forms[0]) if len(forms) == 1 else f"{len(forms)} forms"
-        raise Faults([Fault(place, found, "one '(scale NAME …)'")])
-    form, faults = forms[0], list[Fault]()
+        raise ConfigurationError([Diagnostic(place, found, "one '(scale NAME …)'")])
+    form, faults = forms[0], list[Diagnostic]()
     scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
     rest = tuple(item for item in form.items[1:] if item not in scripts)
-    section = schema.read(SCENE, rest, form.place, faults)
-    rows = events(scripts, form.place, faults, KINDS)
+    section = schema.read_form(SCENE, rest, form.location, faults)
+    rows = events(scripts, form.location, faults, KINDS)
     if faults:
-        raise Faults(sorted(faults, key=lambda fault: fault.place))
+        raise ConfigurationError(sorted(faults, key=lambda fault: fault.location))
     scene = _scene(section, rows)
-    unmet = [Fault(_place(scripts, n, form.place), found, wants) for n, found, wants in _unmet(scene)]
+    unmet = [Diagnostic(_place(scripts, n, form.location), found, wants) for n, found, wants in _unmet(scene)]
     unmet += _sizes(scene, section)
     if unmet:
-        raise Faults(sorted(unmet, key=lambda fault: fault.place))
+        raise ConfigurationError(sorted(unmet, key=lambda fault: fault.location))
     return scene
 
 
@@ -160,11 +158,11 @@
     return int(fault.values[spans.index(SPAN)]) if SPAN in spans else 0
 
 
-def _place(scripts: tuple[Form, ...], n: int, other: Place) -> Place:
+def _place(scripts: tuple[Form, ...], n: int, other: SourceLocation) -> SourceLocation:
     """Of the nth fault in the order of times; forms of one time keep their order."""
     inner = [(script.items[1], item) for script in scripts for item in script.items[2:]]
-    timed = [(0 if str(head) == "'0s'" else SPAN.make(head), item) for head, item in inner]  # type: ignore[arg-type]
-    ordered = [item.place for _, item in sorted(timed, key=lambda pair: pair[0])]
+    timed = [(0 if str(head) == "'0s'" else SPAN.parse(head), item) for head, item in inner]  # type: ignore[arg-type]
+    ordered = [item.location for _, item in sorted(timed, key=lambda pair: pair[0])]
     return ordered[n] if n < len(ordered) else other
 
 
@@ -187,9 +185,9 @@
     return found
 
 
-def _sizes(scene: Scene, section: schema.Section) -> list[Fault]:
+def _sizes(scene: Scene, section: schema.Section) -> list[Diagnostic]:
     """Sizes that don't fit each other."""
-    fleet, faults = scene.fleet, list[Fault]()
+    fleet, faults = scene.fleet, list[Diagnostic]()
     for name, many, of, most in (
         ("sites", fleet.sites, "dispatchers", fleet.dispatchers),
         ("zones", fleet.zones, "sites", fleet.sites),
@@ -197,5 +195,7 @@
         ("processes", scene.processes, "dispatchers", fleet.dispatchers - 1),
     ):
         if many > most:
-            faults.append(Fault(section.at(name), f"{many} {name}", f"at most {most}, as many as {of}"))
+            faults.append(
+                Diagnostic(section.location_of(name), f"{many} {name}", f"at most {most}, as many as {of}")
+            )
     return faults
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -15,7 +15,7 @@
 
 from hoistplank.membership import list_staleness
 from hoistplank.membership.host_registry import TOLD, Roster
-from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Event, Fleet, Target, address
@@ -77,8 +77,8 @@
 
 
 class MembershipService:
-    """One for the program. Raises Faults where its own name can't be reached; a folder that fails costs
-    freshness."""
+    """One for the program. Raises ConfigurationError where its own name can't be reached; a folder that
+    fails costs freshness."""
 
     def __init__(
         self, section: Section, file: str, configuration: Configuration, clock: Clock | None = None
@@ -126,10 +126,10 @@
             self.roster.keep(now, seeds, now, History(), self._useful)
         zones = {row.zone for row in (entry.host for entry in self.roster.rows.values())}
         if section["seed"] and self.state is None and configuration.site.zone not in zones:
-            raise Faults(
+            raise ConfigurationError(
                 [
-                    Fault(
-                        section.at("seed"),
+                    Diagnostic(
+                        section.location_of("seed"),
                         f"no seed of this dispatcher's location '{configuration.site.zone}'",
                         "one at least",
                     )
--- a/hoistplank/operator_configuration/__init__.py
+++ b/hoistplank/operator_configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file: S-expressions read into places, checked against one schema, formatted."""
+"""The operator's file: S-expressions with source locations, schemas that check them, and the formatter."""
--- a/hoistplank/program/extensions.py
+++ b/hoistplank/program/extensions.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
 from hoistplank.program.service import Addition
@@ -68,7 +68,7 @@
         against what runs and returns the call that takes it up."""
         try:
             section = _understood(data, name)
-        except Faults as wrong:
+        except ConfigurationError as wrong:
             raise BadConfiguration(str(wrong)) from None
 
         def check() -> Callable[[], None]:
@@ -86,7 +86,9 @@
         """A section that replicas handed on, with the form that only this dispatcher's own file may hold."""
         if section[LOCAL] is not None:
             found = f"'({LOCAL} …)' in a configuration that is handed on"
-            raise Faults([Fault(section.at(LOCAL), found, "it in each dispatcher's own file alone")])
+            raise ConfigurationError(
+                [Diagnostic(section.location_of(LOCAL), found, "it in each dispatcher's own file alone")]
+            )
         section.values[LOCAL] = self.section[LOCAL]
         return section
 
@@ -96,7 +98,7 @@
             for form in MAIN:
                 if (self.section[form] is None) != (section[form] is None):
                     raise BadConfiguration(
-                        f"{section.at(form)}: '({form} …)' can't come or go while the program runs"
+                        f"{section.location_of(form)}: '({form} …)' can't come or go while the program runs"
                     )
             take_up, take_levels = None, None
             if self.authorizer is not None:
@@ -104,7 +106,7 @@
                 take_up = self.authorizer.prepared(section["callers"])
             if self.levels is not None:
                 take_levels = self.levels.prepared(section["levels"])
-        except Faults as wrong:
+        except ConfigurationError as wrong:
             raise BadConfiguration(str(wrong)) from None
 
         def take() -> None:
@@ -131,8 +133,8 @@
 def _classes_known(callers: Section, configuration: Configuration) -> None:
     known = {traffic_class.name for traffic_class in configuration.site.traffic_classes}
     faults = [
-        Fault(
-            tenant.at("tracks"),
+        Diagnostic(
+            tenant.location_of("tracks"),
             f"the traffic class '{class_name}'",
             "one of the settings': " + ", ".join(sorted(known)),
         )
@@ -141,7 +143,7 @@
         if class_name not in known
     ]
     if faults:
-        raise Faults(faults)
+        raise ConfigurationError(faults)
 
 
 def added(file: str, configuration: Configuration) -> Added:
@@ -152,5 +154,5 @@
         raise BadConfiguration(
             f"{file}: needs '{wrong.name}': pip install -r requirements-service.txt"
         ) from None
-    except Faults as wrong:
+    except ConfigurationError as wrong:
         raise BadConfiguration(str(wrong)) from None
--- a/hoistplank/program/sections.py
+++ b/hoistplank/program/sections.py
@@ -8,13 +8,16 @@
 from hoistplank.degradation import sections as levels
 from hoistplank.distribution import sections as distribution
 from hoistplank.membership import sections as membership
-from hoistplank.operator_configuration.faults import Fault, Faults, Place
-from hoistplank.operator_configuration.schema import Field, Section, Shape, one_of, read
-from hoistplank.operator_configuration.text import parse
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
+from hoistplank.operator_configuration.parser import parse
+from hoistplank.operator_configuration.schema import Field, FormSchema, Section, read_form
+from hoistplank.operator_configuration.values import one_of
 
-LOG = Shape((Field("format", one_of("lines", "json"), "lines", doc="lines for people or JSON for programs"),))
+LOG = FormSchema(
+    (Field("format", one_of("lines", "json"), "lines", doc="lines for people or JSON for programs"),)
+)
 
-FILE = Shape(
+FILE = FormSchema(
     (
         Field("log", LOG, default=True, doc="how the log is written"),
         Field("callers", callers.CALLERS, doc="who may call: tokens, certificates, tenants"),
@@ -32,27 +35,30 @@
 
 
 def load(path: str) -> Section:
-    """Reads and checks a file; raises Faults with all that is wrong, each with its place."""
+    """Reads and checks a file; raises ConfigurationError with all that is wrong, each with its place."""
     try:
         data = Path(path).read_bytes()
     except OSError as wrong:
-        raise Faults(
-            [Fault(Place(path, 1, 1), f"a file that can't be read ({wrong.strerror})", "the operator's file")]
+        raise ConfigurationError(
+            [
+                Diagnostic(
+                    SourceLocation(path, 1, 1),
+                    f"a file that can't be read ({wrong.strerror})",
+                    "the operator's file",
+                )
+            ]
         ) from None
     return understood(data, path)
 
 
 def understood(data: bytes, path: str) -> Section:
-    """The bytes of a file as checked sections; raises Faults."""
-    try:
-        text = parse(data, path)
-    except Fault as wrong:
-        raise Faults([wrong]) from None
-    faults: list[Fault] = []
-    section = read(FILE, text.forms, Place(path, 1, 1), faults)
+    """The bytes of a file as checked sections; raises ConfigurationError."""
+    text = parse(data, path)
+    faults: list[Diagnostic] = []
+    section = read_form(FILE, text.forms, SourceLocation(path, 1, 1), faults)
     for name, check in CHECKS.items():
         if not faults and section[name] is not None:
             check(section[name], faults)
     if faults:
-        raise Faults(sorted(faults, key=lambda fault: fault.place))
+        raise ConfigurationError(sorted(faults, key=lambda fault: fault.location))
     return section
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -24,7 +24,7 @@
 from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.wire import CacheHost, Client, connected
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.program.sections import load
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
@@ -227,7 +227,7 @@
 ) -> None:
     Known(tmp_path)
     change(tmp_path)
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         CallersService(
             load(str(tmp_path / "op.sexp"))["callers"],
             str(tmp_path / "op.sexp"),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,7 +35,7 @@
 from hoistplank.lab.fleet.worker import Job, told
 from hoistplank.lab.model.world_settings import S
 from hoistplank.lab.policies import policy
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 
 ROOT = Path(__file__).resolve().parents[1]
 SCENES = ROOT / "deploy" / "fleet"
@@ -357,9 +357,9 @@
     text: str, tmp_path: Path
 ) -> None:
     place, found, wants = BROKEN_SCENES[text]
-    with pytest.raises(Faults) as told:
+    with pytest.raises(ConfigurationError) as told:
         read(text.encode(), "s")
-    first = str(told.value.faults[0])
+    first = str(told.value.diagnostics[0])
     assert first.startswith(place) and found in first and wants in first, first
     file = tmp_path / "s.sexp"
     file.write_text(text)
@@ -372,9 +372,9 @@
     assert len(found) >= 12 and len({scene.name for scene, _ in found}) == len(found)
     for scene, _ in found:
         assert scene.doc and all(row.at + lasts(row) <= (scene.seconds + 2) * S for row in scene.rows())
-    with pytest.raises(Faults, match="no scene 'none'"):
+    with pytest.raises(ConfigurationError, match="no scene 'none'"):
         runner.scenes([str(SCENES)], "none")
-    with pytest.raises(Faults, match="can't be read"):
+    with pytest.raises(ConfigurationError, match="can't be read"):
         runner.scenes([str(SCENES / "none.sexp")])
 
 
@@ -501,7 +501,7 @@
     log = (kept / "s-1" / "dispatcher-0.log").read_text().splitlines()
     assert not log[0].startswith("{") and log[-1].startswith("{")
     (tmp_path / "plain.sexp").rename(tmp_path / "other.sexp")
-    with pytest.raises(Faults, match="other.sexp"):
+    with pytest.raises(ConfigurationError, match="other.sexp"):
         runner.scenes([str(tmp_path)])
 
 
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -21,7 +21,7 @@
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import S, Shape, sized
 from hoistplank.lab.policies import Make, UnknownPolicy, policy
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.routing.clock_offset import LogClock
 
 SMALL = sized(6, 2, 1, 60.0, seconds=6.0)
@@ -129,7 +129,7 @@
     ],
 )
 def test_a_script_says_what_is_wrong_and_where(text: str, found: str, expected: str) -> None:
-    with pytest.raises(Faults) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         script(text, "day.sexp")
     line = str(wrong.value).splitlines()[0]
     assert line.startswith("day.sexp:1:") and found in line and expected in line.split("expected")[1]
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -27,7 +27,7 @@
 from hoistplank.lab.load.wire import Answers, Template
 from hoistplank.lab.statistics import difference, of_way, ranks, spearman
 from hoistplank.lab.worker import Job, play
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.protocol import fastcgi
 
 TEXT = b"""(experiment small
@@ -190,7 +190,7 @@
     ],
 )
 def test_an_experiment_says_what_is_wrong_and_where(text: str, line: int, found: str, expected: str) -> None:
-    with pytest.raises(Faults) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read(text.encode(), "x.sexp")
     said = str(wrong.value).splitlines()[0]
     assert said.startswith(f"x.sexp:{line}:") and found in said and expected in said.split("expected")[1]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -9,9 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.operator_configuration.faults import Fault, Faults
-from hoistplank.operator_configuration.layout import written
-from hoistplank.operator_configuration.text import Atom, Form, parse
+from hoistplank.operator_configuration.errors import ConfigurationError
+from hoistplank.operator_configuration.formatter import format_document
+from hoistplank.operator_configuration.parser import parse
+from hoistplank.operator_configuration.syntax import Atom, Form
 from hoistplank.program.sections import understood
 
 BROKEN = sorted((Path(__file__).parent / "broken").glob("*.sexp"))
@@ -19,20 +20,20 @@
 
 @pytest.mark.parametrize("file", BROKEN, ids=lambda file: file.stem)
 def test_a_broken_file_has_one_message_with_its_place(file: Path) -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         understood(file.read_bytes(), "op")
-    assert len(caught.value.faults) == 1, str(caught.value)
+    assert len(caught.value.diagnostics) == 1, str(caught.value)
     assert str(caught.value).startswith("op:" + file.with_suffix(".told").read_text().strip())
 
 
 def test_all_faults_are_told_in_the_file_s_order() -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         understood(b"(callers (tenant A (rights reed)) (tokens (skew 9)))", "op")
-    assert [fault.place.column for fault in caught.value.faults] == [18, 28, 49]
+    assert [fault.location.column for fault in caught.value.diagnostics] == [18, 28, 49]
 
 
 def test_bytes_that_are_no_text_are_told_by_their_place() -> None:
-    with pytest.raises(Faults, match="op:2:3: the byte 0xff, expected UTF-8"):
+    with pytest.raises(ConfigurationError, match="op:2:3: the byte 0xff, expected UTF-8"):
         understood(b"(a)\n  \xff", "op")
 
 
@@ -61,8 +62,8 @@
         escaped = char == "\\" and not escaped
         pieces.append(gaps[len(pieces) % len(gaps)] if char == " " and not inside else char)
     source = "".join(pieces)
-    once = written(parse(source.encode(), "op"))
-    assert written(parse(once.encode(), "op")) == once
+    once = format_document(parse(source.encode(), "op"))
+    assert format_document(parse(once.encode(), "op")) == once
     before, after = parse(source.encode(), "op"), parse(once.encode(), "op")
     assert [flat(form) for form in before.forms] == [flat(form) for form in after.forms]
     assert [comment.text for comment in before.comments] == [comment.text for comment in after.comments]
@@ -71,7 +72,7 @@
 @given(st.one_of(st.binary(max_size=200), st.text(alphabet='(")\\; a1\n', max_size=80).map(str.encode)))
 def test_any_bytes_are_read_or_named(data: bytes) -> None:
     try:
-        written(parse(data, "op"))
+        format_document(parse(data, "op"))
         understood(data, "op")
-    except (Fault, Faults) as wrong:
+    except ConfigurationError as wrong:
         assert str(wrong).startswith("op:")
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -39,7 +39,7 @@
 from hoistplank.lab.scale.run_verdict import OF_TIME, judged
 from hoistplank.lab.scale.scene import KINDS, S, Scene, read
 from hoistplank.lab.scale.scene_schedule import BATCH_US, Change, HostStep, Purge, schedule
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.protocol import changelog
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -93,11 +93,11 @@
     ],
 )
 def test_mistakes_in_scenes_are_told_with_their_place(text: str, line: int, column: int, wanted: str) -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read(text.encode(), "s.sexp")
-    told = [fault for fault in caught.value.faults if wanted in fault.expected]
-    assert told, [str(fault) for fault in caught.value.faults]
-    assert (told[0].place.line, told[0].place.column) == (line, column)
+    told = [fault for fault in caught.value.diagnostics if wanted in fault.expected]
+    assert told, [str(fault) for fault in caught.value.diagnostics]
+    assert (told[0].location.line, told[0].location.column) == (line, column)
 
 
 # What is told, and when.
