--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -23,7 +23,10 @@
 import uvloop
 
 from benchmarks.verdict import verdict
-from hoistplank.authorization.keyfiles import Ring, append_revocation, private_key
+from hoistplank.authorization.key_lifecycle import KeyEvent
+from hoistplank.authorization.key_ring import KeyRing
+from hoistplank.authorization.private_keys import parse_pem
+from hoistplank.authorization.revocation_files import append_revocation
 from hoistplank.authorization.revocations import Revocation
 from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text
 from hoistplank.fakes.deployment import Deployment, free_port
@@ -45,13 +48,13 @@
     """A deployment whose dispatcher knows its callers; keys are changed by the operators' own code."""
 
     def __init__(self, folder: Path, callers: bool = True, tokens: str = "", **words: Any) -> None:
-        self.authority, self.ring = Authority(folder), Ring(folder / "ring")
+        self.authority, self.ring = Authority(folder), KeyRing(folder / "ring")
         self.tls = free_port()
         (folder / "revoked.jsonl").touch()
         self.signers: dict[str, Signer] = {}
         self.made("k0")
-        self.ring.move("k0", "publish", 0)
-        self.ring.move("k0", "sign", 0)
+        self.ring.apply("k0", KeyEvent.PUBLISH, 0)
+        self.ring.apply("k0", KeyEvent.SIGN, 0)
         file = folder / "op.sexp"
         file.write_text(
             operator_text(self.tls, free_port(), tenants=TENANTS, tokens=tokens, keys="ring/ring.json")
@@ -62,11 +65,11 @@
         """Another private key in the ring, known to nobody yet."""
         self.ring.make(kid, "EdDSA", time.time_ns() // 1000)
         file = self.ring.folder / f"{kid}.pem"
-        self.signers[kid] = Signer(kid, key=private_key(file, file.read_bytes()))
+        self.signers[kid] = Signer(kid, key=parse_pem(file, file.read_bytes()))
         return self.signers[kid]
 
     def move(self, kid: str, event: str) -> None:
-        self.ring.move(kid, event, time.time_ns() // 1000)
+        self.ring.apply(kid, KeyEvent(event), time.time_ns() // 1000)
 
     def cpu_ns(self) -> int:
         """Time on a core of all the dispatcher's threads so far."""
@@ -523,17 +526,17 @@
     from joserfc import jwt
     from joserfc.jwk import OKPKey
 
-    from hoistplank.authorization import jws
-    from hoistplank.authorization.keyfiles import parse_keys
+    from hoistplank.authorization.jws import parse_token
+    from hoistplank.authorization.key_set_files import parse_key_set
 
     signer = Signer("k0")
     token = signer.token("coast-1")
-    key = parse_keys(Path("ring.json"), json.dumps({"keys": [signer.jwk()]}).encode()).keys["k0"]
+    key = parse_key_set(Path("ring.json"), json.dumps({"keys": [signer.jwk()]}).encode()).keys["k0"]
     other = OKPKey.import_key({name: signer.jwk()[name] for name in ("kty", "crv", "x")})
 
     def own() -> None:
-        claims = jws.parse(token, 4_096)
-        assert key.check(claims.signed, claims.signature)
+        claims = parse_token(token, 4_096)
+        assert key.verify(claims.signed, claims.signature)
 
     def timed(call: Any) -> float:
         began = time.perf_counter()
--- /dev/null
+++ b/hoistplank/authorization/admin_connection.py
@@ -0,0 +1,103 @@
+"""One connection of an operator: bytes to requests, answered one after another."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections import deque
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
+
+import msgspec
+
+from hoistplank.authorization.admin_messages import AdminResponse, refusal
+from hoistplank.authorization.http import BadRequestError, HttpRequest, HttpRequestParser, encode_response
+from hoistplank.authorization.identity import CertificateIdentity
+from hoistplank.authorization.tls_connections import TlsConnections
+
+MAX_INPUT_BYTES, MAX_OUTPUT_BYTES = 65_536, 1_048_576  # buffered of a connection
+IDLE_TIMEOUT_S = 10.0  # a connection on which nothing comes for so long ends
+
+Respond = Callable[[CertificateIdentity | None, HttpRequest], Awaitable[AdminResponse]]
+
+
+class AdminConnectionOwner(NamedTuple):
+    """Who answers the requests of a connection, and who is told of its end."""
+
+    respond: Respond
+    on_end: Callable[[AdminConnection], None]
+
+
+class AdminConnection:
+    """Reads, answers and ends one connection; its tasks are its own."""
+
+    def __init__(
+        self, owner: AdminConnectionOwner, tls: TlsConnections, sock: socket.socket, max_body: int
+    ) -> None:
+        self._owner = owner
+        self.identity: CertificateIdentity | None = None
+        self._parser = HttpRequestParser(max_body)
+        self._requests: deque[HttpRequest] = deque()
+        self._worker: asyncio.Task[None] | None = None
+        self._draining = False  # no further request after those that came
+        self._broken = False  # what came can't be read
+        make = tls.factory(self._verified, lambda: None)
+        self.connection = make(sock, self._consume, MAX_INPUT_BYTES, MAX_OUTPUT_BYTES)
+        loop = asyncio.get_running_loop()
+        self._opened_s = loop.time()
+        self._task = loop.create_task(self.connection.run(), name="control connection")
+        self._task.add_done_callback(self._ended)
+
+    def expired(self, now_s: float, handshake_timeout_s: float) -> bool:
+        """Whether its handshake takes too long, or nothing came for too long."""
+        anonymous = self.identity is None and now_s - self._opened_s > handshake_timeout_s
+        return anonymous or now_s - self.connection.heard_at > IDLE_TIMEOUT_S
+
+    def drain(self) -> None:
+        """Ends, once what came is answered."""
+        self._draining = True
+        if self._worker is None:
+            self.connection.finish()
+
+    def _verified(self, identity: CertificateIdentity | None) -> None:
+        self.identity = identity
+
+    def _consume(self, buffer: bytearray, start: int, end: int) -> int:
+        if self._broken:
+            return end  # the rest of what can't be used, from the same read
+        try:
+            self._requests.extend(self._parser.feed(bytes(buffer[start:end])))
+        except BadRequestError as error:
+            self._send(refusal(error.status, str(error)), keep_alive=False)
+            self._broken = True
+            self.connection.deafen()
+            return end
+        if self._requests and self._worker is None:
+            self._worker = asyncio.get_running_loop().create_task(self._work(), name="control requests")
+        return end
+
+    async def _work(self) -> None:
+        """One after another: answers come in the order of their requests."""
+        try:
+            while self._requests and not self.connection.closing:
+                request = self._requests.popleft()
+                response = await self._owner.respond(self.identity, request)
+                self._parser.unanswered -= 1
+                self._send(response, keep_alive=request.keep_alive and not self._draining)
+        finally:
+            self._worker = None
+
+    def _send(self, response: AdminResponse, *, keep_alive: bool) -> None:
+        body = msgspec.json.encode(response.body) + b"\n"
+        self.connection.send(
+            encode_response(
+                response.status, body, keep_alive=keep_alive, retry_after_us=response.retry_after_us
+            )
+        )
+        if not keep_alive:
+            self.connection.finish(IDLE_TIMEOUT_S)
+
+    def _ended(self, _task: asyncio.Task[BaseException | None]) -> None:
+        if self._worker is not None:
+            self._worker.cancel()
+        self._owner.on_end(self)
--- a/hoistplank/authorization/certificates.py
+++ b/hoistplank/authorization/certificates.py
@@ -5,7 +5,8 @@
 
 import os
 import ssl
-from collections.abc import Iterable
+from collections.abc import Iterator
+from contextlib import contextmanager
 from dataclasses import dataclass
 from datetime import UTC, datetime
 from pathlib import Path
@@ -14,145 +15,205 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519, rsa
 
-from hoistplank.authorization.authorizer import Identity
-from hoistplank.authorization.keyfiles import BadFile, private_key, read_bytes
+from hoistplank.authorization import private_keys
+from hoistplank.authorization.credential_files import CredentialFileError, read_file
+from hoistplank.authorization.errors import AuthorizationError
+from hoistplank.authorization.identity import CertificateIdentity
 from hoistplank.authorization.revocations import SERIAL, Revocation
 
-VERSIONS = {"tls1.2": ssl.TLSVersion.TLSv1_2, "tls1.3": ssl.TLSVersion.TLSv1_3}
+TLS_VERSIONS = {"tls1.2": ssl.TLSVersion.TLSv1_2, "tls1.3": ssl.TLSVersion.TLSv1_3}
+CRL_END = b"-----END X509 CRL-----"
+MAX_NAMES = 32  # of a certificate's subject alternative names, the first
+FAR_FUTURE_US = 1 << 62
+
+
+class CertificateRejectedError(AuthorizationError):
+    """A client certificate that a handshake has proven is not accepted; the text says why."""
+
+
+@dataclass(frozen=True, slots=True)
+class TlsFiles:
+    """The files of a listener and how it uses them; `min_version` is a key of TLS_VERSIONS."""
+
+    certificate: Path
+    key: Path
+    client_ca: Path | None
+    revocation_list: Path | None
+    require_certificate: bool
+    min_version: str
+
+    def paths(self) -> tuple[Path, ...]:
+        """All files that are read."""
+        named = (self.certificate, self.key, self.client_ca, self.revocation_list)
+        return tuple(path for path in named if path is not None)
 
 
 @dataclass(frozen=True, slots=True)
-class Tls:
-    """What new connections are served with. `crl_until_us` is the earliest next update of the lists, 0
-    without one."""
+class RevocationLists:
+    """What the lists of the client CAs revoke; `next_update_us` is the earliest of theirs, 0 without a
+    list."""
+
+    revocations: tuple[Revocation, ...] = ()
+    next_update_us: int = 0
+
+
+NO_REVOCATION_LISTS = RevocationLists()
+
+
+@dataclass(frozen=True, slots=True)
+class TlsState:
+    """What new connections are served with."""
 
     context: ssl.SSLContext
-    server_until_us: int
-    crl_rows: tuple[Revocation, ...] = ()
-    crl_until_us: int = 0
+    certificate_expires_us: int
+    revocation_lists: RevocationLists = NO_REVOCATION_LISTS
 
 
-def _us(moment: datetime) -> int:
+def _microseconds(moment: datetime) -> int:
     return int(moment.timestamp() * 1e6)
 
 
-def _chain(path: Path, data: bytes) -> list[x509.Certificate]:
+def _parse_chain(path: Path, data: bytes) -> list[x509.Certificate]:
     try:
         return x509.load_pem_x509_certificates(data)
     except ValueError:
-        raise BadFile(f"{path}: holds no certificates in PEM") from None
+        raise CredentialFileError(f"{path}: holds no certificates in PEM") from None
 
 
-def _held(data: bytes) -> str:
-    """Danger: between the check of a file and the library's own reading it may be changed. The library reads
-    from
-    memory the very bytes that were checked."""
+@contextmanager
+def _in_memory(data: bytes) -> Iterator[str]:
+    """A path under which the library finds these bytes.
+
+    Danger: between the check of a file and the library's own reading it may be changed. The library reads
+    from memory the very bytes that were checked.
+    """
     file = os.memfd_create("checked", os.MFD_CLOEXEC)
-    os.write(file, data)
-    return f"/proc/self/fd/{file}"
-
-
-def _closed(paths: Iterable[str]) -> None:
-    for path in paths:
-        os.close(int(path.rpartition("/")[2]))
-
-
-def server(
-    certificate: Path,
-    key: Path,
-    client_ca: Path | None,
-    required: bool,
-    oldest: str,
-    crl: Path | None,
-    now: int,
-) -> Tls:
-    """Reads and checks all files of a listener; raises BadFile."""
-    chain_pem, key_pem = read_bytes(certificate), read_bytes(key, private=True)
-    chain = _chain(certificate, chain_pem)
-    private = private_key(key, key_pem)
+    try:
+        os.write(file, data)
+        yield f"/proc/self/fd/{file}"
+    finally:
+        os.close(file)
+
+
+def load_tls(files: TlsFiles, now: int) -> TlsState:
+    """Reads and checks all files of a listener; raises CredentialFileError."""
+    chain_pem, key_pem = read_file(files.certificate), read_file(files.key, private=True)
+    certificate = _parse_chain(files.certificate, chain_pem)[0]
+    _check_key(files, certificate, key_pem)
+    expires_us = _microseconds(certificate.not_valid_after_utc)
+    if expires_us <= now:
+        raise CredentialFileError(
+            f"{files.certificate}: expired at {certificate.not_valid_after_utc:%Y-%m-%dT%H:%M:%SZ}"
+        )
+    context = _server_context(files, chain_pem, key_pem)
+    if files.client_ca is None:
+        return TlsState(context, expires_us)
+    authorities = _trust_client_ca(context, files.client_ca, required=files.require_certificate)
+    if files.revocation_list is None:
+        return TlsState(context, expires_us)
+    return TlsState(context, expires_us, _load_revocation_lists(files.revocation_list, authorities, now))
+
+
+def _check_key(files: TlsFiles, certificate: x509.Certificate, key_pem: bytes) -> None:
+    private = private_keys.parse_pem(files.key, key_pem)
     form = (serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
-    if chain[0].public_key().public_bytes(*form) != private.public_key().public_bytes(*form):
-        raise BadFile(f"{key}: is not the key of the first certificate in {certificate}")
-    if _us(chain[0].not_valid_after_utc) <= now:
-        raise BadFile(f"{certificate}: expired at {chain[0].not_valid_after_utc:%Y-%m-%dT%H:%M:%SZ}")
+    if certificate.public_key().public_bytes(*form) != private.public_key().public_bytes(*form):
+        raise CredentialFileError(
+            f"{files.key}: is not the key of the first certificate in {files.certificate}"
+        )
+
+
+def _server_context(files: TlsFiles, chain_pem: bytes, key_pem: bytes) -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.minimum_version = VERSIONS[oldest]
+    context.minimum_version = TLS_VERSIONS[files.min_version]
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_TICKET | ssl.OP_NO_COMPRESSION
     # Danger: a resumed session would bring back what a certificate said before it was revoked.
     context.num_tickets = 0  # type: ignore[attr-defined]  # missing in the stubs
-    held = [_held(chain_pem), _held(key_pem)]
-    try:
-        context.load_cert_chain(*held)
-    except ssl.SSLError as wrong:
-        raise BadFile(f"{certificate}: can't be used ({wrong.reason})") from None
-    finally:
-        _closed(held)
-    rows: tuple[Revocation, ...] = ()
-    until = 0
-    if client_ca is not None:
-        ca_pem = read_bytes(client_ca)
-        authorities = _chain(client_ca, ca_pem)
-        context.verify_mode = ssl.CERT_REQUIRED if required else ssl.CERT_OPTIONAL
+    with _in_memory(chain_pem) as chain_path, _in_memory(key_pem) as key_path:
         try:
-            context.load_verify_locations(cadata=ca_pem.decode("ascii", "replace"))
-        except ssl.SSLError as wrong:
-            raise BadFile(f"{client_ca}: can't be used ({wrong.reason})") from None
-        if crl is not None:
-            rows, until = _lists(crl, authorities, now)
-    return Tls(context, _us(chain[0].not_valid_after_utc), rows, until)
-
-
-def _signed(found: x509.CertificateRevocationList, by: x509.Certificate) -> bool:
-    key = by.public_key()
-    return isinstance(key, ed25519.Ed25519PublicKey | ec.EllipticCurvePublicKey | rsa.RSAPublicKey) and bool(
-        found.is_signature_valid(key)
-    )
+            context.load_cert_chain(chain_path, key_path)
+        except ssl.SSLError as error:
+            raise CredentialFileError(f"{files.certificate}: can't be used ({error.reason})") from None
+    return context
+
+
+def _trust_client_ca(context: ssl.SSLContext, path: Path, *, required: bool) -> list[x509.Certificate]:
+    """Has a context ask for client certificates; returns the authorities that sign them."""
+    pem = read_file(path)
+    authorities = _parse_chain(path, pem)
+    context.verify_mode = ssl.CERT_REQUIRED if required else ssl.CERT_OPTIONAL
+    try:
+        context.load_verify_locations(cadata=pem.decode("ascii", "replace"))
+    except ssl.SSLError as error:
+        raise CredentialFileError(f"{path}: can't be used ({error.reason})") from None
+    return authorities
 
 
-def _lists(path: Path, authorities: list[x509.Certificate], now: int) -> tuple[tuple[Revocation, ...], int]:
-    blocks = read_bytes(path).split(b"-----END X509 CRL-----")[:-1]
-    rows: list[Revocation] = []
-    until = 1 << 62
+def _is_signed_by(revocation_list: x509.CertificateRevocationList, authority: x509.Certificate) -> bool:
+    key = authority.public_key()
+    if not isinstance(key, ed25519.Ed25519PublicKey | ec.EllipticCurvePublicKey | rsa.RSAPublicKey):
+        return False
+    return bool(revocation_list.is_signature_valid(key))
+
+
+def _load_revocation_lists(path: Path, authorities: list[x509.Certificate], now: int) -> RevocationLists:
+    blocks = read_file(path).split(CRL_END)[:-1]
     if not blocks:
-        raise BadFile(f"{path}: holds no revocation list in PEM")
+        raise CredentialFileError(f"{path}: holds no revocation list in PEM")
+    revocations: list[Revocation] = []
+    next_update_us = FAR_FUTURE_US
     for block in blocks:
-        try:
-            found = x509.load_pem_x509_crl(block + b"-----END X509 CRL-----\n")
-        except ValueError:
-            raise BadFile(f"{path}: holds a revocation list that can't be read") from None
-        signer = next(
-            (ca for ca in authorities if ca.subject == found.issuer and _signed(found, ca)),
-            None,
-        )
-        if signer is None:
-            raise BadFile(f"{path}: a revocation list is signed by none of the client CAs")
-        if found.next_update_utc is None:
-            raise BadFile(f"{path}: a revocation list has no next update (RFC 5280 section 5.1.2.5)")
-        if _us(found.next_update_utc) <= now:
-            raise BadFile(f"{path}: a revocation list expired at {found.next_update_utc:%Y-%m-%dT%H:%M:%SZ}")
-        until = min(until, _us(found.next_update_utc))
-        issuer = found.issuer.rfc4514_string()
-        rows += [Revocation(SERIAL, issuer, f"{row.serial_number:x}") for row in found]
-    return tuple(rows), until
-
-
-def identity(der: bytes) -> Identity:
-    """Who a proven certificate names: the URIs and DNS names of its subject alternative name (RFC 5280
+        revocation_list, update_us = _parse_revocation_list(path, block + CRL_END + b"\n", authorities, now)
+        next_update_us = min(next_update_us, update_us)
+        issuer = revocation_list.issuer.rfc4514_string()
+        revocations += [Revocation(SERIAL, issuer, f"{row.serial_number:x}") for row in revocation_list]
+    return RevocationLists(tuple(revocations), next_update_us)
+
+
+def _parse_revocation_list(
+    path: Path, pem: bytes, authorities: list[x509.Certificate], now: int
+) -> tuple[x509.CertificateRevocationList, int]:
+    """A list that one of the authorities signed, and its next update."""
+    try:
+        revocation_list = x509.load_pem_x509_crl(pem)
+    except ValueError:
+        raise CredentialFileError(f"{path}: holds a revocation list that can't be read") from None
+    if not any(
+        authority.subject == revocation_list.issuer and _is_signed_by(revocation_list, authority)
+        for authority in authorities
+    ):
+        raise CredentialFileError(f"{path}: a revocation list is signed by none of the client CAs")
+    next_update = revocation_list.next_update_utc
+    if next_update is None:
+        raise CredentialFileError(f"{path}: a revocation list has no next update (RFC 5280 section 5.1.2.5)")
+    if _microseconds(next_update) <= now:
+        raise CredentialFileError(f"{path}: a revocation list expired at {next_update:%Y-%m-%dT%H:%M:%SZ}")
+    return revocation_list, _microseconds(next_update)
+
+
+def identity_of(der: bytes) -> CertificateIdentity:
+    """Whom a proven certificate names: the URIs and DNS names of its subject alternative name (RFC 5280
     section 4.2.1.6).
 
-    Raises BadFile where it can't be read; a certificate without such names is an identity without any.
+    Raises CertificateRejectedError where it can't be read; a certificate without such names is an identity
+    without any.
     """
     try:
-        found = x509.load_der_x509_certificate(der)
-        names = found.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
-        listed = [f"uri:{name}" for name in names.get_values_for_type(x509.UniformResourceIdentifier)]
-        listed += [f"dns:{name.lower()}" for name in names.get_values_for_type(x509.DNSName)]
+        certificate = x509.load_der_x509_certificate(der)
+        extension = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
+        names = [f"uri:{name}" for name in extension.get_values_for_type(x509.UniformResourceIdentifier)]
+        names += [f"dns:{name.lower()}" for name in extension.get_values_for_type(x509.DNSName)]
     except x509.ExtensionNotFound:
-        listed = []
-    except (ValueError, TypeError) as wrong:
-        raise BadFile(f"a client certificate can't be read ({type(wrong).__name__})") from None
-    return Identity(found.issuer.rfc4514_string(), f"{found.serial_number:x}", tuple(listed[:32]))
+        names = []
+    except (ValueError, TypeError) as error:
+        raise CertificateRejectedError(
+            f"a client certificate can't be read ({type(error).__name__})"
+        ) from None
+    return CertificateIdentity(
+        certificate.issuer.rfc4514_string(), f"{certificate.serial_number:x}", tuple(names[:MAX_NAMES])
+    )
 
 
-def until_text(until_us: int) -> str:
-    return datetime.fromtimestamp(until_us / 1e6, UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
+def format_time(time_us: int) -> str:
+    """A time as logs show it, in UTC."""
+    return datetime.fromtimestamp(time_us / 1e6, UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
--- /dev/null
+++ b/hoistplank/authorization/credential_loader.py
@@ -0,0 +1,166 @@
+"""Reads the key sets, revocations and certificates that the operator's file names, and follows their
+changes."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+from pathlib import Path
+
+import structlog
+
+from hoistplank.authorization import certificates
+from hoistplank.authorization.authenticator import Authenticator
+from hoistplank.authorization.certificates import TlsFiles, TlsState
+from hoistplank.authorization.credential_sources import Apply, CredentialSource, Scan
+from hoistplank.authorization.errors import AuthorizationError
+from hoistplank.authorization.key_set_files import load_key_set
+from hoistplank.authorization.key_sets import KeySet
+from hoistplank.authorization.revocation_files import load_revocations
+from hoistplank.authorization.revocations import Revocation
+from hoistplank.authorization.tls_connections import TlsConnections
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
+from hoistplank.operator_configuration.schema import Section
+from hoistplank.routing.clock import Clock
+
+log = structlog.get_logger()
+
+# The sources of revocations, as messages name them.
+REVOCATION_FILE, REVOCATION_LIST = "file", "revocation list"
+
+
+class CredentialLoader:
+    """The sources of one section, and what takes up their contents.
+
+    `on_change` is called after a change of revocations or certificates that was found by `poll`.
+    """
+
+    def __init__(
+        self,
+        section: Section,
+        folder: Path,
+        authenticator: Authenticator,
+        tls: TlsConnections,
+        clock: Clock,
+        on_change: Callable[[], None],
+    ) -> None:
+        self.folder, self.authenticator, self.tls = folder, authenticator, tls
+        self.clock, self.on_change = clock, on_change
+        self.polling = False  # whether changes are logged and told: not while the program starts
+        self.use_section(section)
+
+    def use_section(self, section: Section) -> None:
+        """Other files from now on; nothing is read yet."""
+        sources = [self._key_set_source(row) for row in section["tokens"]["issuer"]]
+        if section["revoked"] is not None:
+            sources.append(self._revocation_source(section))
+        if section["tls"] is not None:
+            sources.append(self._certificate_source(section))
+        self.sources: list[CredentialSource] = sources
+        self._sources_of_issuers = {
+            row.title: source for row, source in zip(section["tokens"]["issuer"], sources, strict=False)
+        }
+
+    def load_all(self, now: int) -> None:
+        """Reads all sources at the start; raises ConfigurationError for those that can't be used."""
+        diagnostics = []
+        for source in self.sources:
+            try:
+                source.load(now)
+            except AuthorizationError as error:
+                diagnostics.append(Diagnostic(source.location, str(error), f"{source.name} that can be used"))
+        if diagnostics:
+            raise ConfigurationError(diagnostics)
+
+    async def poll(self) -> None:
+        """Looks at all sources once and takes up what changed.
+
+        Danger: a folder that hangs or is full of faults must cost a log line, never a request: a thread
+        looks.
+        """
+        began_us = self.clock.now()
+        sources = list(self.sources)
+        scans = await asyncio.to_thread(_scan_all, sources)
+        for source, scan in zip(sources, scans, strict=True):
+            if source in self.sources:  # a reload may have replaced it meanwhile
+                self._accept(source, scan, began_us)
+        self._record_reading(began_us)
+
+    def _accept(self, source: CredentialSource, scan: Scan, read_us: int) -> None:
+        error = source.accept(scan, read_us)
+        if error is not None:
+            # Danger: a key file that is half written, gone or of another kind would leave nobody known.
+            log.error("can't be used, what is in force stays", what=source.name, wrong=str(error))
+
+    def _record_reading(self, read_us: int) -> None:
+        """Read or unchanged, a key set was looked at: a key that is still not in it is unknown."""
+        issuers = {}
+        for name, issuer in self.authenticator.issuers.items():
+            source = self._sources_of_issuers.get(name)
+            usable = source is not None and not source.failed
+            issuers[name] = issuer.with_read_time(read_us) if usable else issuer
+        self.authenticator.replace_issuers(issuers)
+
+    def _key_set_source(self, issuer: Section) -> CredentialSource:
+        path, name = self.folder / issuer["keys"], str(issuer.title)
+
+        def read() -> Apply:
+            return partial(self._apply_key_set, name, load_key_set(path))
+
+        return CredentialSource(f"keys of {name}", issuer.location_of("keys"), (path,), read)
+
+    def _apply_key_set(self, name: str, key_set: KeySet, read_us: int) -> None:
+        issuer = self.authenticator.issuers[name]
+        renewed = issuer.with_key_set(key_set, read_us)
+        self.authenticator.replace_issuers(self.authenticator.issuers | {name: renewed})
+        if self.polling and renewed.generation != issuer.generation:
+            log.info("key set", issuer=name, generation=renewed.generation, keys=sorted(renewed.keys))
+
+    def _revocation_source(self, section: Section) -> CredentialSource:
+        path = self.folder / section["revoked"]
+
+        def read() -> Apply:
+            return partial(self._apply_revocations, load_revocations(path))
+
+        return CredentialSource("revocations", section.location_of("revoked"), (path,), read)
+
+    def _apply_revocations(self, revocations: list[Revocation], read_us: int) -> None:
+        in_force = self.authenticator.revocations
+        before = in_force.generation
+        in_force.replace(REVOCATION_FILE, revocations, read_us)
+        if self.polling and in_force.generation != before:
+            log.info("revocations", generation=in_force.generation, rows=len(revocations))
+            self.on_change()
+
+    def _certificate_source(self, section: Section) -> CredentialSource:
+        form = section["tls"]
+        files = TlsFiles(
+            certificate=self.folder / form["certificate"],
+            key=self.folder / form["key"],
+            client_ca=self.folder / form["client-ca"] if form["client-ca"] else None,
+            revocation_list=self.folder / form["crl"] if form["crl"] else None,
+            require_certificate=form["require-certificate"] == "yes",
+            min_version=form["oldest"],
+        )
+
+        def read() -> Apply:
+            return partial(self._apply_certificates, certificates.load_tls(files, self.clock.now()))
+
+        return CredentialSource("certificates", section.location_of("tls"), files.paths(), read)
+
+    def _apply_certificates(self, state: TlsState, read_us: int) -> None:
+        self.tls.state = state
+        lists, in_force = state.revocation_lists, self.authenticator.revocations
+        in_force.replace(REVOCATION_LIST, list(lists.revocations), read_us)
+        if not self.polling:
+            return
+        words = {"until": certificates.format_time(state.certificate_expires_us)}
+        if lists.next_update_us:
+            words["crl_until"] = certificates.format_time(lists.next_update_us)
+        log.info("certificates", revoked=len(lists.revocations), generation=in_force.generation, **words)
+        self.on_change()
+
+
+def _scan_all(sources: list[CredentialSource]) -> list[Scan]:
+    return [source.scan() for source in sources]
--- a/hoistplank/authorization/key_lifecycle.py
+++ b/hoistplank/authorization/key_lifecycle.py
@@ -1,80 +1,105 @@
-"""Keys of an issuer through their lives, as one table: state and event to state. No I/O, no clock.
+"""The life of an issuer's keys, as one table: state and event to state. No I/O, no clock.
 
     made --publish--> published --sign--> signing --(another signs)--> verifying --retire--> retired
 
 `published`: in the key set, so that everyone who checks tokens has it before the first one is signed.
-`verifying`: signs no
-more, its tokens stand until they expire. A key set may hold only one `signing` key.
+`verifying`: signs no more, its tokens stand until they expire. A key set may hold only one `signing` key.
 """
 
 from __future__ import annotations
 
+import enum
 from dataclasses import dataclass, replace
 
-MADE, PUBLISHED, SIGNING, VERIFYING, RETIRED = "made", "published", "signing", "verifying", "retired"
-STATES = (MADE, PUBLISHED, SIGNING, VERIFYING, RETIRED)
-
-# What is not here can't be done. `yield` is what a signing key does when another takes its place.
-MOVES = {
-    (MADE, "publish"): PUBLISHED,
-    (PUBLISHED, "sign"): SIGNING,
-    (VERIFYING, "sign"): SIGNING,  # back to the last key, where the new one was a mistake
-    (SIGNING, "yield"): VERIFYING,
-    (MADE, "retire"): RETIRED,
-    (PUBLISHED, "retire"): RETIRED,
-    (VERIFYING, "retire"): RETIRED,
+from hoistplank.authorization.errors import AuthorizationError
+
+
+class KeyState(enum.StrEnum):
+    """As key sets spell it in a key's `state`."""
+
+    MADE = "made"
+    PUBLISHED = "published"
+    SIGNING = "signing"
+    VERIFYING = "verifying"
+    RETIRED = "retired"
+
+
+class KeyEvent(enum.StrEnum):
+    """What happens to a key; YIELD to the signing key when another takes its place."""
+
+    PUBLISH = "publish"
+    SIGN = "sign"
+    YIELD = "yield"
+    RETIRE = "retire"
+
+
+# What is not here can't be done.
+TRANSITIONS = {
+    (KeyState.MADE, KeyEvent.PUBLISH): KeyState.PUBLISHED,
+    (KeyState.PUBLISHED, KeyEvent.SIGN): KeyState.SIGNING,
+    # Back to the last key, where the new one was a mistake.
+    (KeyState.VERIFYING, KeyEvent.SIGN): KeyState.SIGNING,
+    (KeyState.SIGNING, KeyEvent.YIELD): KeyState.VERIFYING,
+    (KeyState.MADE, KeyEvent.RETIRE): KeyState.RETIRED,
+    (KeyState.PUBLISHED, KeyEvent.RETIRE): KeyState.RETIRED,
+    (KeyState.VERIFYING, KeyEvent.RETIRE): KeyState.RETIRED,
 }
 # Danger: one that checks tokens later than the signer changes keys would refuse good ones: a published key's
 # signature stands from its publication, whatever is believed of who signs.
-ACCEPTED = (PUBLISHED, SIGNING, VERIFYING)
+ACCEPTED_STATES = frozenset((KeyState.PUBLISHED, KeyState.SIGNING, KeyState.VERIFYING))
 
 
-class BadMove(Exception):
+class KeyTransitionError(AuthorizationError):
     """A change that a key's state does not allow; its text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class KeyEntry:
     """A key in a ring: `since_us` is when it came into its state."""
 
     kid: str
-    state: str
+    state: KeyState
     since_us: int
 
 
-def moved(ring: tuple[Entry, ...], kid: str, event: str, now: int) -> tuple[Entry, ...]:
-    """The ring after an operator's event on one key; raises BadMove."""
+def transition(ring: tuple[KeyEntry, ...], kid: str, event: KeyEvent, now: int) -> tuple[KeyEntry, ...]:
+    """The ring after an operator's event on one key; raises KeyTransitionError."""
     entry = next((entry for entry in ring if entry.kid == kid), None)
     if entry is None:
-        raise BadMove(f"no key is called '{kid}'")
-    state = MOVES.get((entry.state, event))
+        raise KeyTransitionError(f"no key is called '{kid}'")
+    state = TRANSITIONS.get((entry.state, event))
     if state is None:
-        able = sorted({word for was, word in MOVES if was == entry.state and word != "yield"})
-        hint = f"it can {' or '.join(able)}" if able else "nothing more can be done with it"
-        if entry.state == SIGNING and event == "retire":
-            hint = "let another key sign first"
-        raise BadMove(f"key '{kid}' is {entry.state}: {hint}")
-    out = []
+        raise KeyTransitionError(f"key '{kid}' is {entry.state}: {_hint(entry.state, event)}")
+    after = []
     for other in ring:
         if other is entry:
-            out.append(replace(other, state=state, since_us=now))
-        elif state == SIGNING and other.state == SIGNING:
-            out.append(replace(other, state=MOVES[SIGNING, "yield"], since_us=now))
+            after.append(replace(other, state=state, since_us=now))
+        elif state is KeyState.SIGNING and other.state is KeyState.SIGNING:
+            yielded = TRANSITIONS[KeyState.SIGNING, KeyEvent.YIELD]
+            after.append(replace(other, state=yielded, since_us=now))
         else:
-            out.append(other)
-    return tuple(out)
+            after.append(other)
+    return tuple(after)
+
+
+def _hint(state: KeyState, event: KeyEvent) -> str:
+    """What can be done with a key instead."""
+    if state is KeyState.SIGNING and event is KeyEvent.RETIRE:
+        return "let another key sign first"
+    possible = sorted(way for was, way in TRANSITIONS if was is state and way is not KeyEvent.YIELD)
+    return f"it can {' or '.join(possible)}" if possible else "nothing more can be done with it"
 
 
-def added(ring: tuple[Entry, ...], kid: str, now: int) -> tuple[Entry, ...]:
-    """The ring with a new key; raises BadMove where the name is taken."""
+def add_key(ring: tuple[KeyEntry, ...], kid: str, now: int) -> tuple[KeyEntry, ...]:
+    """The ring with a new key; raises KeyTransitionError where the name is taken."""
     if any(entry.kid == kid for entry in ring):
-        raise BadMove(f"a key is already called '{kid}'")
-    return (*ring, Entry(kid, MADE, now))
+        raise KeyTransitionError(f"a key is already called '{kid}'")
+    return (*ring, KeyEntry(kid, KeyState.MADE, now))
 
 
-def signer(ring: tuple[Entry, ...]) -> str:
-    """The key that signs; raises BadMove where there is none."""
+def signing_key(ring: tuple[KeyEntry, ...]) -> str:
+    """The name of the key that signs; raises KeyTransitionError where there is none."""
     for entry in ring:
-        if entry.state == SIGNING:
+        if entry.state is KeyState.SIGNING:
             return entry.kid
-    raise BadMove("no key is signing")
+    raise KeyTransitionError("no key is signing")
--- a/hoistplank/authorization/permissions.py
+++ b/hoistplank/authorization/permissions.py
@@ -1,6 +1,7 @@
 """Tenants and what they may do, compiled once from the operator's file. No I/O, no clock.
 
-`Tenants` is swapped whole at a reload; a request in hand keeps the tenant that it was taken for.
+`TenantDirectory` is swapped whole at a reload; a request in progress keeps the tenant that it was admitted
+for.
 """
 
 from __future__ import annotations
@@ -9,39 +10,43 @@
 from dataclasses import dataclass
 
 READ, BOOK, PURGE, OPERATE = 1, 2, 4, 8
-BITS = {"read": READ, "book": BOOK, "purge": PURGE, "operate": OPERATE}
+RIGHT_BITS = {"read": READ, "book": BOOK, "purge": PURGE, "operate": OPERATE}
 ALL_GROUPS = (1 << 256) - 1
+WILDCARD = "*"
+TWO_TENANTS = "two tenants"  # why a certificate says nothing for its holder
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant. `groups` has a bit a group; `traffic classes` None is all; rates are requests a second, 0
-    for no limit."""
+    """One tenant. `rights` and `groups` are bit sets; `class_names` None is all traffic classes; `rate` is
+    requests a second and `max_open` requests at once, 0 for no limit; `key_prefixes` are beginnings of
+    operation keys that are its own alone."""
 
     name: str
     rights: int
-    classes: frozenset[str] | None = None
+    class_names: frozenset[str] | None = None
     groups: int = ALL_GROUPS
     weight: float = 1.0
     rate: float = 0.0
     burst: int = 0
-    most_open: int = 0
-    prefixes: tuple[str, ...] = ()
+    max_open: int = 0
+    key_prefixes: tuple[str, ...] = ()
 
     def owns(self, group: int) -> bool:
+        """Whether a purge group is this tenant's."""
         return bool(self.groups >> group & 1)
 
-    def refuses(self, right: int, class_name: str, group: int) -> str:
-        """Why this tenant may not do that, or nothing."""
+    def denial_reason(self, right: int, class_name: str, group: int) -> str:
+        """Why this tenant may not do that, or an empty string."""
         if not self.rights & right:
             return "right"
-        if self.classes is not None and class_name not in self.classes:
+        if self.class_names is not None and class_name not in self.class_names:
             return "track"
         return "" if self.groups >> group & 1 else "group"
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class NameBinding:
     """A name that belongs to a tenant: of an issuer's subjects, or (issuer '') of certificates; may end in
     '*'."""
 
@@ -50,63 +55,69 @@
     tenant: str
 
 
-class Names:
-    """Names to tenants: an exact one first, else the longest beginning that fits.
+class NameIndex:
+    """Names to tenants: an exact one first, else the longest prefix that fits.
 
-    One step for each length of a beginning that is in use, whatever the number of tenants.
+    One step for each length of a prefix that is in use, whatever the number of tenants.
     """
 
-    def __init__(self, claims: Iterable[Claim]) -> None:
+    def __init__(self, bindings: Iterable[NameBinding]) -> None:
         self._exact: dict[tuple[str, str], str] = {}
-        self._starts: dict[tuple[str, str], str] = {}
-        for claim in claims:
-            table = self._starts if claim.pattern.endswith("*") else self._exact
-            table[claim.issuer, claim.pattern.rstrip("*")] = claim.tenant
-        self._lengths = sorted({len(start) for _, start in self._starts}, reverse=True)
+        self._prefixes: dict[tuple[str, str], str] = {}
+        for binding in bindings:
+            table = self._prefixes if binding.pattern.endswith(WILDCARD) else self._exact
+            table[binding.issuer, binding.pattern.rstrip(WILDCARD)] = binding.tenant
+        self._lengths = sorted({len(prefix) for _, prefix in self._prefixes}, reverse=True)
 
     def tenant(self, issuer: str, name: str) -> str:
-        """The tenant's name, or nothing."""
-        found = self._exact.get((issuer, name))
-        if found is not None:
-            return found
+        """The tenant's name, or an empty string."""
+        exact = self._exact.get((issuer, name))
+        if exact is not None:
+            return exact
         for length in self._lengths:
             if length <= len(name):
-                found = self._starts.get((issuer, name[:length]))
-                if found is not None:
-                    return found
+                tenant = self._prefixes.get((issuer, name[:length]))
+                if tenant is not None:
+                    return tenant
         return ""
 
 
-class Tenants:
+class TenantDirectory:
     """All tenants of one generation of the operator's file."""
 
-    def __init__(self, rows: Iterable[Tenant], claims: Iterable[Claim], generation: int = 1) -> None:
-        self.rows = {row.name: row for row in rows}
-        self.names = Names(claims)
+    def __init__(
+        self, tenants: Iterable[Tenant], bindings: Iterable[NameBinding], generation: int = 1
+    ) -> None:
+        self.by_name = {tenant.name: tenant for tenant in tenants}
+        self.names = NameIndex(bindings)
         self.generation = generation
-        # The owner of each beginning of operation keys, by its length; sound since no two tenants' overlap.
-        self._keys = {prefix: row.name for row in self.rows.values() for prefix in row.prefixes}
-        self._lengths = sorted({len(prefix) for prefix in self._keys})
+        # The owner of each prefix of operation keys, by its length; sound since no two tenants' overlap.
+        self._key_owners = {
+            prefix: tenant.name for tenant in self.by_name.values() for prefix in tenant.key_prefixes
+        }
+        self._key_prefix_lengths = sorted({len(prefix) for prefix in self._key_owners})
 
     def of_subject(self, issuer: str, subject: str) -> Tenant | None:
-        return self.rows.get(self.names.tenant(issuer, subject))
+        """The tenant of a token's subject."""
+        return self.by_name.get(self.names.tenant(issuer, subject))
 
-    def of_names(self, names: Iterable[str]) -> tuple[Tenant | None, str]:
-        """The one tenant of a certificate's names and the name that says so; none where they say two.
+    def of_certificate(self, names: Iterable[str]) -> tuple[Tenant | None, str]:
+        """The one tenant of a certificate's names and the name that says so; none, with the reason, where
+        they say no tenant or two.
 
         Danger: a certificate with names of two tenants would let its holder choose whose rights it uses.
         """
         found = {tenant: name for name in names if (tenant := self.names.tenant("", name))}
         if len(found) != 1:
-            return None, "two tenants" if found else "no tenant"
+            return None, TWO_TENANTS if found else "no tenant"
         ((tenant, name),) = found.items()
-        return self.rows.get(tenant), name
+        return self.by_name.get(tenant), name
 
-    def key_owner(self, key: str) -> str:
-        """The tenant to whom keys with this beginning belong, or nothing."""
-        low = key.lower()
-        for length in self._lengths:
-            owner = self._keys.get(low[:length])
+    def key_owner(self, operation_key: str) -> str:
+        """The tenant that alone may use operation keys with this beginning, or an empty string."""
+        lower = operation_key.lower()
+        for length in self._key_prefix_lengths:
+            owner = self._key_owners.get(lower[:length])
             if owner is not None:
                 return owner
         return ""
--- a/hoistplank/authorization/revocations.py
+++ b/hoistplank/authorization/revocations.py
@@ -5,25 +5,27 @@
 import re
 from dataclasses import dataclass
 
+from hoistplank.authorization.errors import AuthorizationError
+
 KEY, SUBJECT, TOKEN, SERIAL, NAME = "key", "subject", "jti", "serial", "name"
 KINDS = (KEY, SUBJECT, TOKEN, SERIAL, NAME)
-MOST = 100_000
-HEX = re.compile(r"[0-9a-f]{1,40}").fullmatch
+MAX_REVOCATIONS = 100_000  # from one source
+MAX_VALUE_LENGTH = 200
+MAX_ISSUER_LENGTH = 1_000
+SERIAL_DIGITS = re.compile(r"[0-9a-f]{1,40}").fullmatch
 
 
-class BadRevocation(Exception):
-    """A line that can't be used; its text says why."""
+class InvalidRevocationError(AuthorizationError):
+    """A revocation that can't be used; its text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Revocation:
-    """One thing that no longer stands.
+    """One key, subject, token or certificate that is no longer accepted.
 
     `issuer` is the token's issuer for key, subject and jti; for a certificate's serial (hex) its issuer (RFC
-    4514), or
-    nothing for that serial of any; nothing for a certificate's name. Past `until_us` (0: never) it may be
-    forgotten, since
-    what it struck has expired by itself.
+    4514), or empty for that serial of any; empty for a certificate's name. Past `until_us` (0: never) it may
+    be forgotten, since what it revoked has expired by itself.
     """
 
     kind: str
@@ -33,54 +35,62 @@
 
     def __post_init__(self) -> None:
         if self.kind not in KINDS:
-            raise BadRevocation(f"kind '{self.kind[:20]}' is none of {', '.join(KINDS)}")
-        if not 1 <= len(self.value) <= 200 or len(self.issuer) > 1_000:
-            raise BadRevocation("a value is to have 1 to 200 characters, an issuer 1,000 at most")
+            raise InvalidRevocationError(f"kind '{self.kind[:20]}' is none of {', '.join(KINDS)}")
+        if not 1 <= len(self.value) <= MAX_VALUE_LENGTH or len(self.issuer) > MAX_ISSUER_LENGTH:
+            raise InvalidRevocationError("a value is to have 1 to 200 characters, an issuer 1,000 at most")
         if self.kind in (KEY, SUBJECT, TOKEN) and not self.issuer:
-            raise BadRevocation(f"a {self.kind} is revoked with its issuer")
+            raise InvalidRevocationError(f"a {self.kind} is revoked with its issuer")
         if self.kind == NAME and self.issuer:
-            raise BadRevocation("a certificate's name is revoked without an issuer")
-        if self.kind == SERIAL and not HEX(self.value):
-            raise BadRevocation("a serial is written in up to 40 small hex digits, without leading zeros")
+            raise InvalidRevocationError("a certificate's name is revoked without an issuer")
+        if self.kind == SERIAL and not SERIAL_DIGITS(self.value):
+            raise InvalidRevocationError(
+                "a serial is written in up to 40 small hex digits, without leading zeros"
+            )
 
 
-class Revoked:
-    """The set in force: from the operators' file, from the control front, and serials from revocation
-    lists."""
+class RevocationSet:
+    """The revocations in force: from the operators' file, from the admin server, and serials from revocation
+    lists. `generation` grows with each change."""
 
     def __init__(self) -> None:
-        self._sources: dict[str, frozenset[tuple[str, str, str]]] = {}
+        self._by_source: dict[str, frozenset[tuple[str, str, str]]] = {}
         self._all: frozenset[tuple[str, str, str]] = frozenset()
         self.generation = 0
 
-    def renew(self, source: str, rows: list[Revocation], now: int) -> None:
-        """All that one source says from now on; what is past its time is left out."""
-        live = [row for row in rows if not row.until_us or row.until_us > now]
-        if len(live) > MOST:
-            raise BadRevocation(f"{len(live)} revocations, at most {MOST}")
-        self._put(source, frozenset((row.kind, row.issuer, row.value) for row in live))
-
-    def add(self, source: str, row: Revocation) -> None:
-        held = self._sources.get(source, frozenset())
-        if len(held) >= MOST:
-            raise BadRevocation(f"over {MOST} revocations from {source}")
-        self._put(source, held | {(row.kind, row.issuer, row.value)})
+    def __len__(self) -> int:
+        return len(self._all)
 
-    def replace(self, source: str, other: Revoked) -> None:
+    def replace(self, source: str, revocations: list[Revocation], now: int) -> None:
+        """All that one source says from now on; what is past its time is left out. Raises
+        InvalidRevocationError where there are too many."""
+        current = [row for row in revocations if not row.until_us or row.until_us > now]
+        if len(current) > MAX_REVOCATIONS:
+            raise InvalidRevocationError(f"{len(current)} revocations, at most {MAX_REVOCATIONS}")
+        self._put(source, frozenset((row.kind, row.issuer, row.value) for row in current))
+
+    def add(self, source: str, revocation: Revocation) -> None:
+        """One more from a source. Raises InvalidRevocationError where there are too many."""
+        held = self.entries(source)
+        if len(held) >= MAX_REVOCATIONS:
+            raise InvalidRevocationError(f"over {MAX_REVOCATIONS} revocations from {source}")
+        self._put(source, held | {(revocation.kind, revocation.issuer, revocation.value)})
+
+    def copy_source(self, source: str, other: RevocationSet) -> None:
         """What another set holds from that source, in place of what this one does."""
-        self._put(source, other._sources.get(source, frozenset()))
+        self._put(source, other.entries(source))
 
-    def _put(self, source: str, rows: frozenset[tuple[str, str, str]]) -> None:
-        if self._sources.get(source) != rows:
-            self._sources[source] = rows
-            self._all = frozenset().union(*self._sources.values())
-            self.generation += 1
+    def entries(self, source: str) -> frozenset[tuple[str, str, str]]:
+        """What one source revoked, as kind, issuer and value."""
+        return self._by_source.get(source, frozenset())
 
-    def __len__(self) -> int:
-        return len(self._all)
+    def _put(self, source: str, entries: frozenset[tuple[str, str, str]]) -> None:
+        if self._by_source.get(source) != entries:
+            self._by_source[source] = entries
+            self._all = frozenset().union(*self._by_source.values())
+            self.generation += 1
 
-    def strikes_token(self, issuer: str, kid: str, subject: str, jti: str) -> str:
-        """Which of a token's parts is revoked, or nothing."""
+    def revoked_part_of_token(self, issuer: str, kid: str, subject: str, jti: str) -> str:
+        """Which of a token's parts is revoked, or an empty string."""
         held = self._all
         if not held:
             return ""
@@ -90,8 +100,8 @@
             return "subject"
         return "jti" if jti and (TOKEN, issuer, jti) in held else ""
 
-    def strikes_certificate(self, issuer: str, serial: str, names: tuple[str, ...]) -> str:
-        """Which of a certificate's parts is revoked, or nothing."""
+    def revoked_part_of_certificate(self, issuer: str, serial: str, names: tuple[str, ...]) -> str:
+        """Which of a certificate's parts is revoked, or an empty string."""
         held = self._all
         if not held:
             return ""
--- a/hoistplank/authorization/sections.py
+++ b/hoistplank/authorization/sections.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
-from hoistplank.authorization.authorizer import ANYONE
+from typing import NamedTuple
+
+from hoistplank.authorization.permissions import RIGHT_BITS
+from hoistplank.authorization.policy import ANONYMOUS_TENANT
 from hoistplank.operator_configuration.errors import Diagnostic
-from hoistplank.operator_configuration.schema import Field, FormSchema, Section
+from hoistplank.operator_configuration.schema import TITLE, Field, FormSchema, Section
 from hoistplank.operator_configuration.syntax import Atom
 from hoistplank.operator_configuration.values import (
     ADDRESS,
@@ -20,21 +23,22 @@
     size,
 )
 
-RIGHTS = ("read", "book", "purge", "operate")
+CERTIFICATE_NAME_KINDS = ("uri:", "dns:")
+MAX_GROUP = 255
 
 
-def _groups(atom: Atom) -> range:
+def _parse_groups(atom: Atom) -> range:
     """`17` or `0-31`: groups of objects, from 0 to 255."""
     first, dash, last = atom.text.partition("-")
     if atom.quoted or not first.isdecimal() or not (last.isdecimal() if dash else not last):
         raise ValueError
     found = range(int(first[:4]), int((last or first)[:4]) + 1)
-    if not found or found[-1] > 255:
+    if not found or found[-1] > MAX_GROUP:
         raise ValueError
     return found
 
 
-GROUPS = ValueType("a group from 0 to 255 or a span of them, as 0-31", _groups)
+GROUPS = ValueType("a group from 0 to 255 or a span of them, as 0-31", _parse_groups)
 # A pattern is exact, or ends in one '*' that stands for any rest.
 PATTERN = matching(r"[^*\s]{1,200}\*?", "a name, or the start of one followed by '*'")
 PREFIX = matching(r"[0-9a-f]{1,16}", "1 to 16 small hex digits")
@@ -99,7 +103,7 @@
         Field("names", PATTERN, repeated=True, doc="names in certificates: uri:… or dns:…"),
         Field("tracks", CLASS_NAME, repeated=True, doc="the traffic classes it may use; absent: all"),
         Field("groups", GROUPS, repeated=True, doc="the groups of objects it owns; absent: all"),
-        Field("rights", one_of(*RIGHTS), repeated=True, required=True, doc="what it may do"),
+        Field("rights", one_of(*RIGHT_BITS), repeated=True, required=True, doc="what it may do"),
         Field("weight", number(0.01, 1_000), 1.0, doc="its share beside the others' while the core is full"),
         Field("rate", rate(), doc="requests a second; absent: no limit"),
         Field(
@@ -136,70 +140,119 @@
 )
 
 
-def checked(section: Section, faults: list[Diagnostic]) -> None:
+class BoundName(NamedTuple):
+    """A name of an issuer's subjects, or (issuer '') of certificates."""
+
+    issuer: str
+    name: str
+
+
+class KeyPrefix(NamedTuple):
+    """A beginning of operation keys and the tenant whose it is."""
+
+    prefix: str
+    tenant: str
+
+
+def check_section(section: Section, diagnostics: list[Diagnostic]) -> None:
     """What one form alone can't show: names given twice, and forms that need each other."""
-    issuers: dict[str, Section] = {}
-    for issuer in section["tokens"]["issuer"]:
-        if issuer.title in issuers:
-            faults.append(
-                Diagnostic(issuer.locations[""], f"the issuer '{issuer.title}' a second time", "it once")
+    issuers = _check_issuers(section, diagnostics)
+    names = _check_tenant_names(section, diagnostics)
+    owners: dict[BoundName, str] = {}
+    prefixes: list[KeyPrefix] = []
+    for tenant in section["tenant"]:
+        _check_subjects(tenant, issuers, owners, diagnostics)
+        _check_certificate_names(tenant, owners, diagnostics)
+        _check_key_prefixes(tenant, prefixes, diagnostics)
+    if section["strangers"] == ANONYMOUS_TENANT and ANONYMOUS_TENANT not in names:
+        diagnostics.append(
+            Diagnostic(
+                section.location_of("strangers"),
+                "'anyone' without a tenant of that name",
+                f"'(tenant {ANONYMOUS_TENANT} …)' with what they may do",
             )
-        issuers[issuer.title] = issuer
+        )
+    _check_client_ca(section, diagnostics)
+
+
+def _check_issuers(section: Section, diagnostics: list[Diagnostic]) -> list[str]:
+    """The names of the issuers, each of which may stand once."""
+    names: list[str] = []
+    for issuer in section["tokens"]["issuer"]:
+        if issuer.title in names:
+            found = f"the issuer '{issuer.title}' a second time"
+            diagnostics.append(Diagnostic(issuer.locations[TITLE], found, "it once"))
+        else:
+            names.append(issuer.title)
+    return names
+
+
+def _check_tenant_names(section: Section, diagnostics: list[Diagnostic]) -> set[str]:
+    """The names of the tenants, each of which may stand once."""
     names: set[str] = set()
-    owners: dict[tuple[str, str], str] = {}
-    prefixes: list[tuple[str, str]] = []
     for tenant in section["tenant"]:
         if tenant.title in names:
-            faults.append(
-                Diagnostic(tenant.locations[""], f"the tenant '{tenant.title}' a second time", "it once")
-            )
+            found = f"the tenant '{tenant.title}' a second time"
+            diagnostics.append(Diagnostic(tenant.locations[TITLE], found, "it once"))
         names.add(tenant.title)
-        for row in tenant["subjects"]:
-            if row.title not in issuers:
-                expected = "one that (tokens …) names: " + (
-                    ", ".join(f"'{i}'" for i in issuers) or "there is none"
+    return names
+
+
+def _check_subjects(
+    tenant: Section, issuers: list[str], owners: dict[BoundName, str], diagnostics: list[Diagnostic]
+) -> None:
+    """Subjects are of an issuer that is there, and of one tenant."""
+    for subjects in tenant["subjects"]:
+        if subjects.title not in issuers:
+            known = ", ".join(f"'{name}'" for name in issuers) or "there is none"
+            diagnostics.append(
+                Diagnostic(
+                    subjects.locations[TITLE],
+                    f"the issuer '{subjects.title}'",
+                    f"one that (tokens …) names: {known}",
                 )
-                faults.append(Diagnostic(row.locations[""], f"the issuer '{row.title}'", expected))
-            for name in row["names"]:
-                _own(owners, (row.title, name), tenant, row.location_of("names"), faults)
-        for name in tenant["names"]:
-            if not name.startswith(("uri:", "dns:")):
-                faults.append(
+            )
+        for name in subjects["names"]:
+            _check_owner(owners, BoundName(subjects.title, name), tenant, diagnostics)
+
+
+def _check_certificate_names(
+    tenant: Section, owners: dict[BoundName, str], diagnostics: list[Diagnostic]
+) -> None:
+    """Names in certificates say of which kind they are, and are of one tenant."""
+    for name in tenant["names"]:
+        if not name.startswith(CERTIFICATE_NAME_KINDS):
+            location = tenant.location_of("names")
+            expected = "one that begins with 'uri:' or 'dns:'"
+            diagnostics.append(Diagnostic(location, f"the name '{name}'", expected))
+        _check_owner(owners, BoundName("", name), tenant, diagnostics)
+
+
+def _check_key_prefixes(tenant: Section, prefixes: list[KeyPrefix], diagnostics: list[Diagnostic]) -> None:
+    """No two tenants' beginnings of operation keys overlap; adds this tenant's to `prefixes`."""
+    for prefix in tenant["operation-keys"]:
+        for other, owner in prefixes:
+            if owner != tenant.title and (other.startswith(prefix) or prefix.startswith(other)):
+                diagnostics.append(
                     Diagnostic(
-                        tenant.location_of("names"),
-                        f"the name '{name}'",
-                        "one that begins with 'uri:' or 'dns:'",
+                        tenant.location_of("operation-keys"),
+                        f"'{prefix}', which overlaps '{other}' of '{owner}'",
+                        "digits that no other tenant's keys begin with",
                     )
                 )
-            _own(owners, ("", name), tenant, tenant.location_of("names"), faults)
-        for prefix in tenant["operation-keys"]:
-            for other, owner in prefixes:
-                if owner != tenant.title and (other.startswith(prefix) or prefix.startswith(other)):
-                    faults.append(
-                        Diagnostic(
-                            tenant.location_of("operation-keys"),
-                            f"'{prefix}', which overlaps '{other}' of '{owner}'",
-                            "digits that no other tenant's keys begin with",
-                        )
-                    )
-            prefixes.append((prefix, tenant.title))
-    if section["strangers"] == "anyone" and ANYONE not in names:
-        faults.append(
-            Diagnostic(
-                section.location_of("strangers"),
-                "'anyone' without a tenant of that name",
-                f"'(tenant {ANYONE} …)' with what they may do",
-            )
-        )
+        prefixes.append(KeyPrefix(prefix, tenant.title))
+
+
+def _check_client_ca(section: Section, diagnostics: list[Diagnostic]) -> None:
+    """Forms that need client certificates stand beside the authority that signs them."""
     tls = section["tls"]
     if tls is not None and tls["client-ca"] is None:
         for name in ("crl", "require-certificate"):
             if name in tls.locations and tls[name] != "no":
-                faults.append(
-                    Diagnostic(tls.location_of(name), f"'{name}' without 'client-ca'", "both or neither")
-                )
+                location = tls.location_of(name)
+                diagnostics.append(Diagnostic(location, f"'{name}' without 'client-ca'", "both or neither"))
     if section["control"] is not None and (tls is None or tls["client-ca"] is None):
-        faults.append(
+        diagnostics.append(
             Diagnostic(
                 section.location_of("control"),
                 "'control' without '(tls …)' that has a 'client-ca'",
@@ -208,20 +261,11 @@
         )
 
 
-def _own(
-    owners: dict[tuple[str, str], str],
-    name: tuple[str, str],
-    tenant: Section,
-    place: object,
-    faults: list[Diagnostic],
+def _check_owner(
+    owners: dict[BoundName, str], name: BoundName, tenant: Section, diagnostics: list[Diagnostic]
 ) -> None:
     """Danger: a name of two tenants would give one the rights of the other, by the order of the file."""
     owner = owners.setdefault(name, tenant.title)
     if owner != tenant.title:
-        faults.append(
-            Diagnostic(
-                tenant.locations[""],
-                f"'{name[1]}', which is the tenant '{owner}''s too",
-                "a name of one tenant",
-            )
-        )
+        found = f"'{name.name}', which is the tenant '{owner}''s too"
+        diagnostics.append(Diagnostic(tenant.locations[TITLE], found, "a name of one tenant"))
--- /dev/null
+++ b/hoistplank/authorization/tls_connections.py
@@ -0,0 +1,55 @@
+"""Connections with TLS whose client certificates are checked against what is revoked."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from hoistplank.authorization import certificates
+from hoistplank.authorization.authorizer import Authorizer
+from hoistplank.authorization.certificates import CertificateRejectedError, TlsState
+from hoistplank.authorization.identity import CertificateIdentity
+from hoistplank.operator_configuration.schema import Section
+from hoistplank.routing.clock import Clock
+from hoistplank.routing.frontend import Make
+from hoistplank.transport.tls import TlsConnection
+
+OnVerified = Callable[[CertificateIdentity | None], None]
+OnRejected = Callable[[], None]
+
+
+class TlsConnections:
+    """Makes connections of the state in force. `section` is the form `(tls …)`, None without one."""
+
+    def __init__(self, section: Section | None, authorizer: Authorizer, clock: Clock) -> None:
+        self.section, self.authorizer, self.clock = section, authorizer, clock
+        self.state: TlsState | None = None
+
+    def factory(self, on_verified: OnVerified, on_rejected: OnRejected) -> Make:
+        """Makes a connection that calls `on_verified` with who is there once its handshake has proven it
+        (None: no certificate was shown), or `on_rejected` where the certificate is not accepted."""
+        assert self.state is not None
+
+        def handshake_done(der: bytes | None) -> None:
+            try:
+                on_verified(self._identity(der))
+            except CertificateRejectedError:
+                on_rejected()
+                raise
+
+        return partial(TlsConnection, context=self.state.context, shaken=handshake_done)
+
+    def _identity(self, der: bytes | None) -> CertificateIdentity | None:
+        """Raises CertificateRejectedError where a certificate is not accepted, though its chain is."""
+        if der is None:
+            return None
+        assert self.state is not None and self.section is not None
+        expires_us = self.state.revocation_lists.next_update_us
+        if expires_us and self.clock.now() >= expires_us and self.section["expired-crl"] == "refuse":
+            # Danger: nobody says any more which certificates were revoked since.
+            raise CertificateRejectedError("the revocation list has expired")
+        identity = certificates.identity_of(der)
+        rejection = self.authorizer.check_certificate(identity)
+        if rejection is not None:
+            raise CertificateRejectedError(rejection.reason)
+        return identity
--- /dev/null
+++ b/hoistplank/authorization/tls_listener.py
@@ -0,0 +1,89 @@
+"""The TLS listener of clients: bounds how many handshakes run at once, and for how long."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Coroutine
+from typing import Any
+
+import msgspec
+
+from hoistplank.authorization.identity import CertificateIdentity
+from hoistplank.authorization.tls_connections import TlsConnections
+from hoistplank.operator_configuration.schema import Section
+from hoistplank.routing.frontend import Front, Session
+from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.listener import Listener
+
+ANONYMOUS_PREFIX = "tls "  # before the address of a client that showed no certificate
+CHECK_INTERVAL_S = 0.05
+
+
+class HandshakeCounts(msgspec.Struct):
+    """How handshakes ended, since the start."""
+
+    completed: int = msgspec.field(name="done", default=0)
+    failed: int = 0
+    abandoned: int = msgspec.field(name="given up", default=0)
+    rejected: int = msgspec.field(name="refused", default=0)
+
+
+class TlsListener:
+    """Hands sessions to the frontend; `pending` are those whose handshake runs, oldest first, with the
+    loop's time at which it began."""
+
+    def __init__(self, section: Section, tls: TlsConnections, front: Front, ledger: Ledger) -> None:
+        self.section, self.tls, self.front = section, tls, front
+        self.pending: dict[Session, float] = {}
+        self.counts = HandshakeCounts()
+        self._listener = Listener(section["listen"], ledger, self._accept)
+
+    def parts(self) -> list[tuple[str, Coroutine[Any, Any, None]]]:
+        """Its tasks, by name."""
+        return [("tls listener", self._listener.run()), ("handshakes", self._limit_handshakes())]
+
+    def close(self) -> None:
+        """Closes connections whose handshake is not done."""
+        for session in list(self.pending):
+            session.connection.close()
+
+    def _accept(self, sock: socket.socket, peer: str) -> None:
+        session: Session | None = None
+
+        def verified(identity: CertificateIdentity | None) -> None:
+            assert session is not None
+            session.identity = identity
+            session.peer = peer if identity is not None else ANONYMOUS_PREFIX + peer
+            self.counts.completed += 1
+            self.pending.pop(session, None)
+
+        def rejected() -> None:
+            assert session is not None
+            self.counts.rejected += 1
+            self.pending.pop(session, None)
+
+        while len(self.pending) >= self.section["handshakes"]:
+            # Danger: half-open handshakes hold every place. The oldest yields: a usual one needs some ms of
+            # it.
+            self._abandon(next(iter(self.pending)))
+        session = self.front.greet(sock, peer, self.tls.factory(verified, rejected))
+        self.pending[session] = asyncio.get_running_loop().time()
+
+    def _abandon(self, session: Session) -> None:
+        del self.pending[session]
+        self.counts.abandoned += 1
+        session.connection.close()
+
+    async def _limit_handshakes(self) -> None:
+        """Ends those that take too long."""
+        loop = asyncio.get_running_loop()
+        while True:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            max_s = self.section["handshake-time"] / 1e6
+            for session, began in list(self.pending.items()):
+                if session.connection.closing:
+                    del self.pending[session]
+                    self.counts.failed += 1
+                elif loop.time() - began > max_s:
+                    self._abandon(session)
--- /dev/null
+++ b/hoistplank/authorization/token_bucket.py
@@ -0,0 +1,40 @@
+"""A token bucket. No I/O, no clock: `now` is whole microseconds that never run back."""
+
+from __future__ import annotations
+
+
+class TokenBucket:
+    """`rate` tokens a second, `burst` at most at once."""
+
+    __slots__ = ("_updated_us", "burst", "rate", "tokens")
+
+    def __init__(self, rate: float, burst: float, now: int) -> None:
+        self.rate, self.burst, self.tokens, self._updated_us = rate, burst, burst, now
+
+    def _refill(self, now: int) -> None:
+        if now > self._updated_us:
+            self.tokens = min(self.burst, self.tokens + (now - self._updated_us) * self.rate / 1e6)
+            self._updated_us = now
+
+    def take(self, now: int) -> int:
+        """Takes a token, if there is one: 0; else how long until there is, in microseconds."""
+        self._refill(now)
+        if self.tokens >= 1.0:
+            self.tokens -= 1.0
+            return 0
+        return int((1.0 - self.tokens) / self.rate * 1e6) + 1
+
+    def give_back(self) -> None:
+        """Returns a token that was taken and not used."""
+        self.tokens += 1.0
+
+    def available(self, now: int) -> float:
+        """How many tokens there are."""
+        self._refill(now)
+        return self.tokens
+
+    def reconfigure(self, rate: float, burst: float, now: int) -> None:
+        """Other figures from now on; what has been used up stays used up."""
+        self._refill(now)
+        self.tokens = min(burst, self.tokens + max(0.0, burst - self.burst))
+        self.rate, self.burst = rate, burst
--- a/hoistplank/cli/keys.py
+++ b/hoistplank/cli/keys.py
@@ -10,10 +10,13 @@
 
 import click
 
-from hoistplank.authorization import jws, keyfiles
-from hoistplank.authorization.key_lifecycle import BadMove
-from hoistplank.authorization.keyfiles import BadFile, Ring
-from hoistplank.authorization.revocations import KINDS, BadRevocation, Revocation
+from hoistplank.authorization.credential_files import locked
+from hoistplank.authorization.errors import AuthorizationError
+from hoistplank.authorization.jws import InvalidTokenError, parse_token
+from hoistplank.authorization.key_lifecycle import KeyEvent
+from hoistplank.authorization.key_ring import KeyRing
+from hoistplank.authorization.revocation_files import append_revocation
+from hoistplank.authorization.revocations import KINDS, Revocation
 from hoistplank.operator_configuration.errors import SourceLocation
 from hoistplank.operator_configuration.syntax import Atom
 from hoistplank.operator_configuration.values import duration
@@ -57,18 +60,18 @@
 def make(kid: str, alg: str, folder: Path) -> None:
     """Make a private key called KID; nobody knows of it until it is published."""
     try:
-        with keyfiles.locked(folder):
-            Ring(folder).make(kid, alg, _now())
-    except (BadFile, BadMove, OSError) as wrong:
+        with locked(folder):
+            KeyRing(folder).make(kid, alg, _now())
+    except (AuthorizationError, OSError) as wrong:
         return _fail(wrong)
     click.echo(f"made {kid}")
 
 
-def _move(folder: Path, kid: str, event: str) -> None:
+def _move(folder: Path, kid: str, event: KeyEvent) -> None:
     try:
-        with keyfiles.locked(folder):
-            state = Ring(folder).move(kid, event, _now())
-    except (BadFile, BadMove, OSError) as wrong:
+        with locked(folder):
+            state = KeyRing(folder).apply(kid, event, _now())
+    except (AuthorizationError, OSError) as wrong:
         return _fail(wrong)
     click.echo(f"{kid} is {state}")
 
@@ -78,7 +81,7 @@
 @FOLDER
 def publish(kid: str, folder: Path) -> None:
     """Put KID into the key set, so that everyone has it before the first token is signed with it."""
-    _move(folder, kid, "publish")
+    _move(folder, kid, KeyEvent.PUBLISH)
 
 
 @keys.command(name="sign-with")
@@ -86,7 +89,7 @@
 @FOLDER
 def sign_with(kid: str, folder: Path) -> None:
     """Sign new tokens with KID; the key that signed until now goes on verifying."""
-    _move(folder, kid, "sign")
+    _move(folder, kid, KeyEvent.SIGN)
 
 
 @keys.command()
@@ -94,7 +97,7 @@
 @FOLDER
 def retire(kid: str, folder: Path) -> None:
     """Have KID's tokens refused from now on, and its private half removed."""
-    _move(folder, kid, "retire")
+    _move(folder, kid, KeyEvent.RETIRE)
 
 
 @keys.command(name="list")
@@ -103,8 +106,8 @@
 def listed(folder: Path, as_json: bool) -> None:
     """List the ring's keys and their states."""
     try:
-        entries = Ring(folder).entries()
-    except BadFile as wrong:
+        entries = KeyRing(folder).entries()
+    except AuthorizationError as wrong:
         return _fail(wrong)
     for entry in entries:
         since = datetime.fromtimestamp(entry.since_us / 1e6, UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
@@ -141,8 +144,8 @@
         **({"jti": jti} if jti else {}),
     }
     try:
-        click.echo(Ring(folder).token(claims))
-    except (BadFile, BadMove) as wrong:
+        click.echo(KeyRing(folder).sign_token(claims))
+    except AuthorizationError as wrong:
         _fail(wrong)
 
 
@@ -155,9 +158,9 @@
     """
     text = sys.stdin.read(65_536).strip()
     try:
-        found = jws.parse(text.removeprefix("Bearer "), 16_384)
-    except jws.BadToken as wrong:
-        return _fail(ValueError(f"the token can't be used: {wrong.cause}"))
+        found = parse_token(text.removeprefix("Bearer "), 16_384)
+    except InvalidTokenError as wrong:
+        return _fail(ValueError(f"the token can't be used: {wrong.reason}"))
     left_s = (found.expires_us - _now()) // 1_000_000
     row = {
         "alg": found.algorithm,
@@ -183,7 +186,7 @@
     """Revoke a key, subject, jti, serial or name: dispatchers that read FILE refuse it within a second."""
     until = _now() + days * 86_400_000_000 if days else 0
     try:
-        keyfiles.append_revocation(file, Revocation(kind, issuer, value, until))
-    except (BadFile, BadRevocation, OSError) as wrong:
+        append_revocation(file, Revocation(kind, issuer, value, until))
+    except (AuthorizationError, OSError) as wrong:
         return _fail(wrong)
     click.echo(f"revoked {kind} {value}")
--- a/hoistplank/program/extensions.py
+++ b/hoistplank/program/extensions.py
@@ -12,7 +12,7 @@
 from hoistplank.program.service import Addition
 
 if TYPE_CHECKING:
-    from hoistplank.authorization.service import CallersService
+    from hoistplank.authorization.service import AuthorizationService
     from hoistplank.degradation.service import LevelsService
 
 MAIN = ("callers", "membership", "levels", "distribution")
@@ -25,7 +25,7 @@
     def __init__(self, file: str, configuration: Configuration, section: Section) -> None:
         self.file, self.configuration, self.section = file, configuration, section
         self.form: str = section["log"]["format"]
-        self.authorizer: CallersService | None = None
+        self.authorizer: AuthorizationService | None = None
         self.each: list[Addition] = []
         self.levels: LevelsService | None = None
         self.distributed: bytes | None = None  # the configuration in force that replicas handed on
@@ -36,10 +36,10 @@
             # First of all: it takes the place of the change log's watch, which others look at.
             self.each.append(DistributionService(section["distribution"], configuration, self.read_text))
         if section["callers"] is not None:
-            from hoistplank.authorization.service import CallersService
+            from hoistplank.authorization.service import AuthorizationService
 
             _classes_known(section["callers"], configuration)
-            self.authorizer = CallersService(section["callers"], file, configuration.site)
+            self.authorizer = AuthorizationService(section["callers"], file, configuration.site)
             self.each.append(self.authorizer)
         if section["membership"] is not None:
             from hoistplank.membership.service import MembershipService
@@ -103,7 +103,7 @@
             take_up, take_levels = None, None
             if self.authorizer is not None:
                 _classes_known(section["callers"], self.configuration)
-                take_up = self.authorizer.prepared(section["callers"])
+                take_up = self.authorizer.prepare_reload(section["callers"])
             if self.levels is not None:
                 take_levels = self.levels.prepared(section["levels"])
         except ConfigurationError as wrong:
--- a/hoistplank/program/sections.py
+++ b/hoistplank/program/sections.py
@@ -27,7 +27,7 @@
     )
 )
 CHECKS = {
-    "callers": callers.checked,
+    "callers": callers.check_section,
     "membership": membership.checked,
     "levels": levels.checked,
     "distribution": distribution.checked,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -16,24 +16,43 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.authorization import jws, key_lifecycle
-from hoistplank.authorization.authorizer import Caller, Gate, Identity, Refusal, Terms
-from hoistplank.authorization.jws import BadToken
-from hoistplank.authorization.keyfiles import _eddsa, _es256
-from hoistplank.authorization.limits import Accounts, Bucket, Checks, level, room
-from hoistplank.authorization.permissions import BITS, Claim, Names, Tenant, Tenants
-from hoistplank.authorization.revocations import BadRevocation, Revocation, Revoked
-from hoistplank.authorization.token_cache import Issuer, Key, KeySet
+from hoistplank.authorization.authorizer import Authorizer, ClassRules
+from hoistplank.authorization.fair_share import Demand, TenantLimiter, TenantQuota, open_limit, water_level
+from hoistplank.authorization.identity import Caller, CertificateIdentity, Credentials
+from hoistplank.authorization.jws import InvalidTokenError, parse_token
+from hoistplank.authorization.key_lifecycle import (
+    KeyEntry,
+    KeyEvent,
+    KeyTransitionError,
+    add_key,
+    transition,
+)
+from hoistplank.authorization.key_set_files import eddsa_verifier, es256_verifier
+from hoistplank.authorization.key_sets import Issuer, KeySet, VerificationKey
+from hoistplank.authorization.permissions import (
+    BOOK,
+    READ,
+    RIGHT_BITS,
+    NameBinding,
+    NameIndex,
+    Tenant,
+    TenantDirectory,
+)
+from hoistplank.authorization.policy import AuthenticationPolicy
+from hoistplank.authorization.rejection import Rejection
+from hoistplank.authorization.revocations import InvalidRevocationError, Revocation, RevocationSet
+from hoistplank.authorization.signature_budget import SignatureBudget
+from hoistplank.authorization.token_bucket import TokenBucket
 from hoistplank.fakes.certificate_authority import Signer, b64
 
 ISS, S = "https://id.example", 1_000_000
 OLD, NEW, ES = Signer("k1"), Signer("k2"), Signer("k3", "ES256")
 
 
-def key(signer: Signer, name: str = "") -> Key:
+def key(signer: Signer, name: str = "") -> VerificationKey:
     public: Any = signer.key.public_key()
-    check = _eddsa(public) if signer.algorithm == "EdDSA" else _es256(public)
-    return Key(name or signer.kid, signer.algorithm, signer.jwk()["x"], check)
+    verify = eddsa_verifier(public) if signer.algorithm == "EdDSA" else es256_verifier(public)
+    return VerificationKey(name or signer.kid, signer.algorithm, signer.jwk()["x"], verify)
 
 
 def now_us() -> int:
@@ -41,31 +60,32 @@
 
 
 class Scene:
-    """A gate with two members; `ask` is one request."""
+    """An authorizer with three tenants; `ask` is one request."""
 
-    def __init__(self, *signers: Signer, **terms: Any) -> None:
-        rights = BITS["read"] | BITS["book"] | BITS["purge"]
-        self.rows = [
-            Tenant("coast", rights, groups=0xFF, prefixes=("c0",)),
+    def __init__(self, *signers: Signer, **policy: Any) -> None:
+        rights = RIGHT_BITS["read"] | RIGHT_BITS["book"] | RIGHT_BITS["purge"]
+        self.tenants = [
+            Tenant("coast", rights, groups=0xFF, key_prefixes=("c0",)),
             Tenant("inland", rights, groups=0xFF00),
-            Tenant("looks", BITS["read"], frozenset({"page"})),
+            Tenant("looks", RIGHT_BITS["read"], frozenset({"page"})),
         ]
-        self.claims = [
-            Claim(ISS, "coast-*", "coast"),
-            Claim(ISS, "inland-*", "inland"),
-            Claim(ISS, "looks", "looks"),
-            Claim("", "uri:coast", "coast"),
-            Claim("", "uri:inland", "inland"),
+        self.bindings = [
+            NameBinding(ISS, "coast-*", "coast"),
+            NameBinding(ISS, "inland-*", "inland"),
+            NameBinding(ISS, "looks", "looks"),
+            NameBinding("", "uri:coast", "coast"),
+            NameBinding("", "uri:inland", "inland"),
         ]
         self.asked_keys, self.now = 0, now_us()
         keys = {signer.kid: key(signer) for signer in signers or (OLD, NEW, ES)}
-        self.gate = Gate(
-            Tenants(self.rows, self.claims),
+        self.authorizer = Authorizer(
+            TenantDirectory(self.tenants, self.bindings),
             {ISS: Issuer(ISS, "hoistplank", KeySet(keys), 1, 0)},
-            Terms(**terms),
+            AuthenticationPolicy(**policy),
             self.now,
             self._ask,
         )
+        self.authenticator = self.authorizer.authenticator
 
     def _ask(self) -> None:
         self.asked_keys += 1
@@ -73,25 +93,28 @@
     def ask(
         self,
         token: str = "",
-        identity: Identity | None = None,
+        identity: CertificateIdentity | None = None,
         group: int = 1,
         op: str = "",
         class_name: str = "page",
         room: int = 0,
         source: str = "s",
-    ) -> Caller | Refusal:
+    ) -> Caller | Rejection:
         held = f"Bearer {token}" if token else ""
         request = SimpleNamespace(class_name=class_name, object_key="aa" * 8, group=group, key=op)
-        return self.gate.admit(self.now, identity, held, source, request, bool(op), 6 * S, room)
+        credentials, rules = Credentials(identity, held, source), ClassRules(BOOK if op else READ, 6 * S)
+        return self.authorizer.admit(self.now, credentials, request, rules, room)
 
     def keys(self, *signers: Signer) -> None:
-        held = self.gate.issuers[ISS]
-        self.gate.renew_issuers({ISS: held.renewed(KeySet({one.kid: key(one) for one in signers}), self.now)})
+        held = self.authenticator.issuers[ISS]
+        self.authenticator.replace_issuers(
+            {ISS: held.with_key_set(KeySet({one.kid: key(one) for one in signers}), self.now)}
+        )
 
 
-def cause(found: Caller | Refusal) -> tuple[int, str]:
-    assert isinstance(found, Refusal), found
-    return found.status, found.cause
+def cause(found: Caller | Rejection) -> tuple[int, str]:
+    assert isinstance(found, Rejection), found
+    return found.status, found.reason
 
 
 def numbered() -> Callable[[str], str]:
@@ -103,14 +126,14 @@
 @pytest.mark.parametrize("signer", [OLD, ES], ids=["EdDSA", "ES256"])
 def test_a_good_token_is_let_in_and_checked_once(signer: Signer) -> None:
     scene, checks = Scene(), list[bytes]()
-    held = scene.gate.issuers[ISS].keys[signer.kid]
+    held = scene.authenticator.issuers[ISS].keys[signer.kid]
 
     def spied(signed: bytes, signature: bytes) -> bool:
         checks.append(signature)
-        return held.check(signed, signature)
+        return held.verify(signed, signature)
 
-    keys = {signer.kid: replace(held, check=spied)}
-    scene.gate.renew_issuers({ISS: Issuer(ISS, "hoistplank", KeySet(keys), 1, 0)})
+    keys = {signer.kid: replace(held, verify=spied)}
+    scene.authenticator.replace_issuers({ISS: Issuer(ISS, "hoistplank", KeySet(keys), 1, 0)})
     token = signer.token("coast-7")
     for _ in range(3):
         found = scene.ask(token)
@@ -168,7 +191,7 @@
 def test_a_token_that_does_not_stand_is_refused_by_name(token: str, told: str) -> None:
     scene = Scene()
     assert cause(scene.ask(token)) == (401, told)
-    assert not scene.gate.accounts.total and not scene.asked_keys
+    assert not scene.authorizer.limiter.total_open and not scene.asked_keys
 
 
 def test_one_token_has_one_spelling() -> None:
@@ -201,16 +224,16 @@
 )
 def test_any_text_is_a_token_or_named(text: str) -> None:
     try:
-        jws.parse(text, 4_096)
-    except BadToken as wrong:
-        assert wrong.cause
+        parse_token(text, 4_096)
+    except InvalidTokenError as wrong:
+        assert wrong.reason
 
 
 def test_a_token_dies_with_its_expiry_its_key_and_its_revocation() -> None:
     scene = Scene()
     short, tokens = OLD.token("coast-1", lasts_s=60), [OLD.token("coast-1", jti=f"j{n}") for n in range(3)]
     assert all(isinstance(scene.ask(token), Caller) for token in [short, *tokens])
-    scene.gate.revoked.renew("file", [Revocation("jti", ISS, "j0")], scene.now)
+    scene.authenticator.revocations.replace("file", [Revocation("jti", ISS, "j0")], scene.now)
     assert cause(scene.ask(tokens[0])) == (401, "revoked jti")
     scene.now += 100 * S
     assert cause(scene.ask(short)) == (401, "token expired")
@@ -239,11 +262,13 @@
     scene = Scene()
     found = scene.ask(OLD.token("coast-1"))
     assert isinstance(found, Caller)
-    scene.gate.renew(Tenants(scene.rows[1:], scene.claims[1:]), Terms(), scene.now)
-    assert found.tenant.name == "coast" and scene.gate.accounts.total == 1
+    scene.authorizer.configure(
+        TenantDirectory(scene.tenants[1:], scene.bindings[1:]), AuthenticationPolicy(), scene.now
+    )
+    assert found.tenant.name == "coast" and scene.authorizer.limiter.total_open == 1
     assert cause(scene.ask(OLD.token("coast-1"))) == (403, "no tenant")
-    scene.gate.accounts.give(found.tenant.name)
-    assert scene.gate.accounts.total == 0 and "coast" not in scene.gate.accounts.rows
+    scene.authorizer.release(found)
+    assert scene.authorizer.limiter.total_open == 0 and "coast" not in scene.authorizer.limiter.usage
 
 
 def test_rights_classs_and_groups() -> None:
@@ -253,7 +278,7 @@
     assert cause(scene.ask(looks, class_name="video")) == (403, "track")
     assert cause(scene.ask(OLD.token("nobody"))) == (403, "no tenant")
     assert cause(scene.ask()) == (401, "no credentials")
-    assert isinstance(Scene(strangers=True).ask(), Refusal)  # no tenant of that name: still nobody
+    assert isinstance(Scene(allow_anonymous=True).ask(), Rejection)  # no tenant of that name: still nobody
 
 
 def test_an_operation_key_belongs_to_one_tenant() -> None:
@@ -265,8 +290,8 @@
     found = scene.ask(two, op="ab" * 16, group=9)
     assert (
         cause(found) == (429, "operation key in use")
-        and isinstance(found, Refusal)
-        and found.wait_us == 6 * S
+        and isinstance(found, Rejection)
+        and found.retry_after_us == 6 * S
     )
     scene.now += 6 * S + 1
     assert isinstance(scene.ask(two, op="ab" * 16, group=9), Caller)
@@ -276,31 +301,33 @@
 def test_certificates_and_tokens_together() -> None:
     scene = Scene()
     coast, both = (
-        Identity("CN=ca", "1f", ("uri:coast",)),
-        Identity("CN=ca", "20", ("uri:coast", "uri:inland")),
+        CertificateIdentity("CN=ca", "1f", ("uri:coast",)),
+        CertificateIdentity("CN=ca", "20", ("uri:coast", "uri:inland")),
     )
     assert isinstance(scene.ask(identity=coast), Caller)
     assert cause(scene.ask(identity=both)) == (401, "two tenants")
     assert isinstance(scene.ask(OLD.token("coast-1"), coast), Caller)
     assert cause(scene.ask(OLD.token("inland-1"), coast, group=9)) == (403, "token of another tenant")
-    web = Identity("CN=ca", "21", ("dns:front",))  # a web server of nobody's hands on the tokens of many
+    web = CertificateIdentity(
+        "CN=ca", "21", ("dns:front",)
+    )  # a web server of nobody's hands on the tokens of many
     assert isinstance(scene.ask(OLD.token("inland-1"), web, group=9), Caller)
     assert cause(scene.ask(identity=web)) == (401, "no tenant")
-    scene.gate.revoked.renew("crl", [Revocation("serial", "CN=other", "1f")], scene.now)
+    scene.authenticator.revocations.replace("crl", [Revocation("serial", "CN=other", "1f")], scene.now)
     assert isinstance(scene.ask(identity=coast), Caller)  # that serial of another CA
-    scene.gate.revoked.renew("crl", [Revocation("serial", "CN=ca", "1f")], scene.now)
+    scene.authenticator.revocations.replace("crl", [Revocation("serial", "CN=ca", "1f")], scene.now)
     assert cause(scene.ask(identity=coast)) == (401, "revoked serial")
 
 
 def test_a_flood_of_wrong_tokens_has_a_budget_and_pushes_nobody_out() -> None:
-    scene = Scene(checks=100.0, checks_each=50.0, kept=50)
+    scene = Scene(signature_checks=100.0, signature_checks_per_source=50.0, token_cache_size=50)
     good = OLD.token("coast-1")
     assert isinstance(scene.ask(good, source="web"), Caller)
     wrong = OLD.token("coast-1")[:-8]
     told = [cause(scene.ask(f"{wrong}{n:07d}A", source=f"bad{n % 3}"))[1] for n in range(2_000)]
     assert set(told) == {"token signature", "checks"} and told.count("token signature") < 100
     assert isinstance(scene.ask(good, source="web"), Caller)
-    assert len(scene.gate.proofs.rows) <= 50
+    assert len(scene.authenticator.token_cache) <= 50
     # Whoever has shown a good token has a part of the budget that strangers can't use up.
     assert isinstance(scene.ask(OLD.token("coast-2"), source="web"), Caller)
 
@@ -308,8 +335,8 @@
 def test_an_issuer_of_another_audience_proves_its_tokens_anew() -> None:
     scene, token = Scene(), OLD.token("coast-1")
     assert isinstance(scene.ask(token), Caller)
-    held = scene.gate.issuers[ISS]
-    scene.gate.renew_issuers({ISS: held.renewed(KeySet({"k1": key(OLD)}), scene.now, "else")})
+    held = scene.authenticator.issuers[ISS]
+    scene.authenticator.replace_issuers({ISS: held.with_key_set(KeySet({"k1": key(OLD)}), scene.now, "else")})
     assert cause(scene.ask(token)) == (401, "token aud")
 
 
@@ -323,17 +350,13 @@
     )
 )
 def test_a_ring_holds_one_signer_and_nothing_comes_back(steps: list[tuple[str, str]]) -> None:
-    held: tuple[key_lifecycle.Entry, ...] = ()
+    held: tuple[KeyEntry, ...] = ()
     model: dict[str, str] = {}
     for at, (kid, event) in enumerate(steps):
         try:
-            held = (
-                key_lifecycle.added(held, kid, at)
-                if event == "make"
-                else key_lifecycle.moved(held, kid, event, at)
-            )
+            held = add_key(held, kid, at) if event == "make" else transition(held, kid, KeyEvent(event), at)
             done = True
-        except key_lifecycle.BadMove:
+        except KeyTransitionError:
             done = False
         was = model.get(kid)
         able = {
@@ -367,7 +390,7 @@
     st.text("ab", max_size=6),
 )
 def test_names_go_to_the_exact_or_the_longest_beginning(patterns: list[str], name: str) -> None:
-    names = Names([Claim("i", pattern, f"t{pattern}") for pattern in patterns])
+    names = NameIndex([NameBinding("i", pattern, f"t{pattern}") for pattern in patterns])
     fits = [p for p in patterns if p == name or (p.endswith("*") and name.startswith(p[:-1]))]
     want = f"t{name}" if name in patterns else f"t{max(fits, key=len)}" if fits else ""
     assert names.tenant("i", name) == want and names.tenant("j", name) == ""
@@ -377,7 +400,7 @@
     st.floats(1, 1_000), st.lists(st.tuples(st.floats(0, 500), st.floats(0.1, 10)), min_size=1, max_size=9)
 )
 def test_the_level_gives_weighted_max_min_shares(space: float, wants: list[tuple[float, float]]) -> None:
-    height = level(space, wants)
+    height = water_level(space, [Demand(*want) for want in wants])
     got = [min(want, weight * height) for want, weight in wants]
     assert sum(got) <= space * 1.000001
     if sum(want for want, _ in wants) <= space:
@@ -394,22 +417,23 @@
 
 
 def test_a_herd_of_one_tenant_leaves_the_others_their_places() -> None:
-    accounts, chance, now = Accounts(), Random(5), 0
-    accounts.renew({"herd": (0.0, 0, 0, 1.0), "a": (0.0, 0, 0, 1.0), "b": (0.0, 0, 0, 2.0)}, now)
+    limiter, chance, now = TenantLimiter(), Random(5), 0
+    weights = {"herd": 1.0, "a": 1.0, "b": 2.0}
+    limiter.configure({name: TenantQuota(0.0, 0, 0, weight) for name, weight in weights.items()}, now)
     ends: list[tuple[int, str]] = []
     asked, got = {"herd": 0, "a": 0, "b": 0}, {"herd": 0, "a": 0, "b": 0}
     for _ in range(60_000):
         now += 500
         for at, name in [row for row in ends if row[0] <= now]:
-            accounts.give(name)
+            limiter.release(name)
             ends.remove((at, name))
         name = chance.choices(["herd", "a", "b"], [90, 5, 5])[0]
         asked[name] += 1
-        cause, _ = accounts.take(name, now, room(60, accounts.total, 0))
-        if not cause:
+        rejection = limiter.acquire(name, now, open_limit(60, limiter.total_open, 0))
+        if rejection is None:
             got[name] += 1
             ends.append((now + chance.randrange(50_000, 150_000), name))
-        assert accounts.total <= 60
+        assert limiter.total_open <= 60
     assert all(got[name] >= 0.99 * asked[name] for name in "ab")  # each wants 10 places of its 15 and 30
     assert got["herd"] > 0.75 * (18_000 - got["a"] - got["b"])  # what is left is the herd's
 
@@ -424,40 +448,42 @@
     )
 )
 def test_accounts_against_a_plain_count(steps: list[tuple[str, int]]) -> None:
-    accounts, now, limits = Accounts(), 0, {"a": (5.0, 3, 4, 1.0), "b": (0.0, 0, 6, 2.0)}
-    accounts.renew(limits, now)
+    limiter, now = TenantLimiter(), 0
+    limits = {"a": TenantQuota(5.0, 3, 4, 1.0), "b": TenantQuota(0.0, 0, 6, 2.0)}
+    limiter.configure(limits, now)
     model, tokens, at = {"a": 0, "b": 0}, 3.0, 0
     for step, gap in steps:
         now += gap
         what, _, name = step.partition(" ")
-        if what == "take" and name in accounts.rows and name in accounts.known:
+        if what == "take" and name in limiter.usage and name in limiter.configured:
             tokens, at = min(3.0, tokens + (now - at) * 5e-6), now
-            full = model[name] >= limits[name][2]
-            want = "open requests" if full else "rate" if name == "a" and tokens < 0.9999999 else ""
+            full = model[name] >= limits[name].max_open
+            want = "open visits" if full else "rate" if name == "a" and tokens < 0.9999999 else ""
             if abs(tokens - 1.0) > 1e-6 or name == "b":
-                found, wait = accounts.take(name, now, 0)
-                assert found == want and (wait > 0) == bool(found)
-                if not found:
+                found = limiter.acquire(name, now, 0)
+                assert (found.reason if found else "") == want
+                assert found is None or found.retry_after_us > 0
+                if found is None:
                     model[name] += 1
                     tokens -= name == "a"
         elif what == "give" and model[name]:
-            accounts.give(name)
+            limiter.release(name)
             model[name] -= 1
         elif what in ("drop", "back"):
-            accounts.renew(limits if what == "back" else {"a": limits["a"]}, now)
-        assert accounts.total == sum(model.values())
-        assert all(row.open == model[n] for n, row in accounts.rows.items())
-        assert ("b" in accounts.rows) == ("b" in accounts.known or model["b"] > 0)
+            limiter.configure(limits if what == "back" else {"a": limits["a"]}, now)
+        assert limiter.total_open == sum(model.values())
+        assert all(row.open == model[n] for n, row in limiter.usage.items())
+        assert ("b" in limiter.usage) == ("b" in limiter.configured or model["b"] > 0)
 
 
 def test_buckets_and_checks_know_no_time_that_runs_back() -> None:
-    bucket = Bucket(10.0, 2.0, 5 * S)
+    bucket = TokenBucket(10.0, 2.0, 5 * S)
     assert [bucket.take(5 * S) for _ in range(3)] == [0, 0, 100_001]
     assert bucket.take(0) > 0 and bucket.take(5 * S + 200_000) == 0
-    checks = Checks(8.0, 4.0, 0, most_sources=2)
+    checks = SignatureBudget(8.0, 4.0, 0, max_sources=2)
     for n in range(50):
         checks.take(f"s{n}", n)
-    assert len(checks.sources) == 2
+    assert checks.source_count == 2
 
 
 @pytest.mark.parametrize(
@@ -472,15 +498,15 @@
     ],
 )
 def test_a_revocation_that_says_nothing_is_refused(words: tuple[str, str, str]) -> None:
-    with pytest.raises(BadRevocation):
+    with pytest.raises(InvalidRevocationError):
         Revocation(*words)
 
 
 def test_revocations_past_their_time_are_let_go() -> None:
-    held = Revoked()
-    held.renew("file", [Revocation("key", "i", "k", 10), Revocation("subject", "i", "s")], 11)
-    assert len(held) == 1 and held.strikes_token("i", "k", "t", "") == ""
-    assert held.strikes_token("i", "k", "s", "") == "subject"
+    held = RevocationSet()
+    held.replace("file", [Revocation("key", "i", "k", 10), Revocation("subject", "i", "s")], 11)
+    assert len(held) == 1 and held.revoked_part_of_token("i", "k", "t", "") == ""
+    assert held.revoked_part_of_token("i", "k", "s", "") == "subject"
     before = held.generation
-    held.renew("file", [Revocation("subject", "i", "s")], 12)
+    held.replace("file", [Revocation("subject", "i", "s")], 12)
     assert held.generation == before
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -19,8 +19,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.authorization.http import BadRequest, Reader
-from hoistplank.authorization.service import CallersService
+from hoistplank.authorization.http import BadRequestError, HttpRequestParser
+from hoistplank.authorization.service import AuthorizationService
 from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.wire import CacheHost, Client, connected
@@ -28,6 +28,7 @@
 from hoistplank.program.sections import load
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
+from hoistplank.routing.frontend import Session
 from hoistplank.routing.router_task import Purged
 from tests.helpers import Running, configuration, until
 
@@ -104,6 +105,11 @@
         told = dict(line.split(": ", 1) for line in head.decode().splitlines() if ": " in line)
         return status, told.get("X-Refusal", "")
 
+    def handshakes(self) -> dict[Session, float]:
+        """The sessions whose handshake runs, with the loop's time at its beginning."""
+        assert self.callers.tls_listener is not None
+        return self.callers.tls_listener.pending
+
     async def secure(self, certificate: Path | None = None, **words: Any) -> Client:
         context = self.authority.context(certificate)
         for name, value in words.items():
@@ -132,9 +138,9 @@
             assert await place.ask(OLD.token("coast-1"), group=40) == (403, "group")
             assert await place.ask("rubbish") == (401, "token form")
             assert await place.ask(NEW.token("coast-1", header={"alg": "none"})) == (401, "token alg")
-            assert place.box.seen == [] and place.callers.gate.accounts.total == 0
+            assert place.box.seen == [] and place.callers.authorizer.limiter.total_open == 0
             assert await place.ask(OLD.token("coast-1")) == (200, "")
-            assert len(place.box.seen) == 1 and place.callers.gate.accounts.total == 0
+            assert len(place.box.seen) == 1 and place.callers.authorizer.limiter.total_open == 0
 
     run(scene())
 
@@ -167,14 +173,18 @@
             told = await place.ask(NEW.token("coast-1"))
             assert told == (503, "key not known yet")
             write_keys(tmp_path / "ring.json", OLD.jwk("verifying"), NEW.jwk())
-            await until(lambda: "k2" in place.callers.gate.issuers["https://id.example"].keys)
+            await until(
+                lambda: "k2" in place.callers.authorizer.authenticator.issuers["https://id.example"].keys
+            )
             assert await place.ask(NEW.token("coast-1")) == (200, "")
             assert await place.ask(OLD.token("coast-2")) == (200, "")
             write_keys(tmp_path / "ring.json", OLD.jwk("retired"), NEW.jwk())
-            await until(lambda: "k1" not in place.callers.gate.issuers["https://id.example"].keys)
+            await until(
+                lambda: "k1" not in place.callers.authorizer.authenticator.issuers["https://id.example"].keys
+            )
             assert await place.ask(OLD.token("coast-2")) == (401, "token key")
             # The first request is still out: its key's end does not strike it.
-            assert place.callers.gate.accounts.total == 1
+            assert place.callers.authorizer.limiter.total_open == 1
             released.set()
             number, status, _, _ = await client.answer()
             assert (number, status) == (9, 200)
@@ -194,14 +204,14 @@
             spoils["two alike"] = lambda: write_keys(file, row, row)
             spoils["private"] = lambda: write_keys(file, row | {"d": "A"})
             spoils[spoil]()
-            await until(lambda: any(source.bad for source in place.callers.sources))
+            await until(lambda: any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(OLD.token("coast-1")) == (200, "")
             assert await place.ask(NEW.token("coast-1")) == (503, "key not known yet")
             place.running.service.renewed.set()  # a reload with it changes nothing either
             await asyncio.sleep(0.05)
             assert await place.ask(OLD.token("coast-3")) == (200, "")
             write_keys(file, OLD.jwk(), NEW.jwk())
-            await until(lambda: not any(source.bad for source in place.callers.sources))
+            await until(lambda: not any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(NEW.token("coast-1")) == (200, "")
 
     run(scene())
@@ -228,7 +238,7 @@
     Known(tmp_path)
     change(tmp_path)
     with pytest.raises(ConfigurationError) as caught:
-        CallersService(
+        AuthorizationService(
             load(str(tmp_path / "op.sexp"))["callers"],
             str(tmp_path / "op.sexp"),
             configuration(tmp_path).site,
@@ -248,12 +258,12 @@
             assert await place.ask(OLD.token("inland-1"), client, 40) == (403, "token of another tenant")
             assert await place.ask(client=await place.secure(both)) == (401, "two tenants")
             assert await place.ask(OLD.token("coast-1"), await place.secure()) == (200, "")
-            before = place.callers.tls
+            before = place.callers.tls.state
             place.authority.server()
-            await until(lambda: place.callers.tls is not before)
+            await until(lambda: place.callers.tls.state is not before)
             assert await place.ask(client=client) == (200, "")  # the kept connection goes on
             assert await place.ask(client=await place.secure(coast)) == (200, "")
-            assert place.callers.shaking == {}
+            assert place.handshakes() == {}
 
     run(scene())
 
@@ -344,12 +354,12 @@
             client = await place.secure(leaf)
             assert await place.ask(client=client) == (200, "")
             place.authority.crl([], lasts_s=-5)  # an expired one is not taken up: the one in force stays
-            await until(lambda: any(source.bad for source in place.callers.sources))
+            await until(lambda: any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(client=await place.secure(leaf)) == (200, "")
             # Long enough to be taken up on a machine that has other work, too.
             place.authority.crl([], lasts_s=4)
             ends = time.monotonic() + 4.1
-            await until(lambda: not any(source.bad for source in place.callers.sources))
+            await until(lambda: not any(source.failed for source in place.callers.loader.sources))
             await asyncio.sleep(ends - time.monotonic())
             assert await place.ask(client=client) == (200, "")
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
@@ -371,11 +381,11 @@
             rest = [await asyncio.open_connection("127.0.0.1", place.tls) for _ in range(20)]
             for _, writer in rest[10:]:
                 writer.write(b"\x16\x03\x01\x02")
-            await until(lambda: place.callers.handshakes["given up"] == 16)
-            assert len(place.callers.shaking) == 4
+            await until(lambda: place.callers.handshakes.abandoned == 16)
+            assert len(place.handshakes()) == 4
             assert await place.ask(OLD.token("coast-1"), await place.secure()) == (200, "")
             began = time.monotonic()
-            await until(lambda: not place.callers.shaking)
+            await until(lambda: not place.handshakes())
             assert time.monotonic() - began < 2.5
             for nonsense in (
                 b"GET / HTTP/1.1\r\n\r\n",
@@ -473,8 +483,16 @@
             assert {"tenant": "coast", "cause": "group", "count": 1} in told["refusals"]
             status, told = await place.http(coast, "GET", "/v1/tenants")
             assert [row["name"] for row in told["tenants"]] == ["coast"]
-            assert len((await place.http(staff, "GET", "/v1/limits"))[1]["limits"]) == 3
-            assert (await place.http(staff, "GET", "/v1/keys"))[1]["issuers"][0]["keys"] == ["k1"]
+            assert list(told["tenants"][0]) == ["name", "rights", "tracks", "groups", "taken"]
+            _, told = await place.http(staff, "GET", "/v1/limits")
+            assert len(told["limits"]) == 3 and list(told) == ["limits", "open"]
+            assert list(told["limits"][0]) == ["tenant", "weight", "rate", "left", "open", "open_visits"]
+            _, told = await place.http(staff, "GET", "/v1/keys")
+            assert told["issuers"][0]["keys"] == ["k1"]
+            assert list(told) == ["issuers", "revocations", "handshakes"]
+            assert list(told["handshakes"]) == ["done", "failed", "given up", "refused"]
+            _, told = await place.http(staff, "GET", "/v1/levels")
+            assert told == {"level": "full", "levels": None}
             # A revoked operator: its connection ends, and so does its next handshake.
             await place.http(staff, "POST", "/v1/revoke", {"kind": "name", "value": "uri:hoistplank:coast"})
             with pytest.raises((OSError, IndexError)):
@@ -503,10 +521,10 @@
     )
 )
 def test_any_bytes_on_the_control_front_are_requests_or_named(parts: list[bytes]) -> None:
-    reader = Reader(200)
+    parser = HttpRequestParser(200)
     try:
         for part in parts:
-            for request in reader.feed(part):
+            for request in parser.feed(part):
                 assert len(request.body) <= 200
-    except BadRequest as wrong:
+    except BadRequestError as wrong:
         assert 400 <= wrong.status <= 431
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,7 +13,7 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from hoistplank.authorization.jws import parse
+from hoistplank.authorization.jws import parse_token
 from hoistplank.cli.main import main
 from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, pem, write_keys
 from hoistplank.fakes.deployment import free_port, settings
@@ -73,7 +73,7 @@
         ring,
     ]
     token = call(*words).stdout.strip()
-    assert parse(token, 4_096).kid == "old"
+    assert parse_token(token, 4_096).kid == "old"
     assert call(*words[:-4], "--for", "15", "--ring", ring).exit_code == 2
     for words_, code in (
         (["retire", "old"], 2),
@@ -109,22 +109,23 @@
     set."""
     ring, chance = tmp_path / "ring", Random(3)
     code = (
-        "import sys; from pathlib import Path; from hoistplank.authorization.keyfiles import Ring\n"
-        "ring = Ring(Path(sys.argv[1])); n = int(sys.argv[2])\n"
+        "import sys; from pathlib import Path; from hoistplank.authorization.key_ring import KeyRing\n"
+        "from hoistplank.authorization.key_lifecycle import KeyEvent\n"
+        "ring = KeyRing(Path(sys.argv[1])); n = int(sys.argv[2])\n"
         "while True:\n"
-        "    n += 1; kid = f'k{n}'; ring.make(kid, 'EdDSA', n); ring.move(kid, 'publish', n)\n"
-        "    ring.move(kid, 'sign', n)\n"
+        "    n += 1; kid = f'k{n}'; ring.make(kid, 'EdDSA', n); ring.apply(kid, KeyEvent.PUBLISH, n)\n"
+        "    ring.apply(kid, KeyEvent.SIGN, n)\n"
     )
-    from hoistplank.authorization.keyfiles import Ring
+    from hoistplank.authorization.key_ring import KeyRing
 
     for turn in range(6):
         child = subprocess.Popen([sys.executable, "-c", code, str(ring), str(turn * 1_000)])
         time.sleep(0.6 + chance.random() / 4)
         child.kill()
         child.wait()
-        entries = Ring(ring).entries()  # raises where anything is not whole
-        assert [entry.state for entry in entries].count("signing") <= 1
-    assert any(entry.state == "signing" for entry in Ring(ring).entries())
+        entries = KeyRing(ring).entries()  # raises where anything is not whole
+        assert sum(entry.state == "signing" for entry in entries) <= 1
+    assert any(entry.state == "signing" for entry in KeyRing(ring).entries())
 
 
 def test_no_secret_reaches_a_line() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -3,6 +3,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -12,8 +13,9 @@
 from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.operator_configuration.formatter import format_document
 from hoistplank.operator_configuration.parser import parse
+from hoistplank.operator_configuration.schema import FormSchema
 from hoistplank.operator_configuration.syntax import Atom, Form
-from hoistplank.program.sections import understood
+from hoistplank.program.sections import FILE, understood
 
 BROKEN = sorted((Path(__file__).parent / "broken").glob("*.sexp"))
 
@@ -26,6 +28,20 @@
     assert str(caught.value).startswith("op:" + file.with_suffix(".told").read_text().strip())
 
 
+def fields(schema: FormSchema) -> Iterator[str]:
+    """The names of all fields of a form, and of the forms inside it."""
+    for field in schema.fields:
+        yield field.name
+        if isinstance(field.type, FormSchema):
+            yield from fields(field.type)
+
+
+def test_the_page_names_every_form() -> None:
+    page = (Path(__file__).parents[1] / "docs" / "configuration.md").read_text()
+    table = page[page.index("# The operator's file") :]
+    assert [name for name in fields(FILE) if f"`{name}" not in table and f"({name} " not in table] == []
+
+
 def test_all_faults_are_told_in_the_file_s_order() -> None:
     with pytest.raises(ConfigurationError) as caught:
         understood(b"(callers (tenant A (rights reed)) (tokens (skew 9)))", "op")
