--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -4,17 +4,25 @@
 
 import asyncio
 import contextlib
-import json
 import os
 import signal
 import sys
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
+from hoistplank.cli.control_dump import dump
 from hoistplank.cli.distribution import replica, status
-from hoistplank.cli.main import fail
+from hoistplank.cli.failure import fail
+
+if TYPE_CHECKING:
+    import grpc
+
+    from hoistplank.program.configuration import Configuration
+    from hoistplank.xds.control import Control
+
+LOOPBACK = ("127.", "localhost:", "[::1]:")
 
 
 @click.group()
@@ -25,18 +33,20 @@
 
 control.add_command(replica)
 control.add_command(status)
+control.add_command(dump)
 
 
-def _credentials(certificate: str | None, key: str | None, clients: str | None) -> Any:
+def _credentials(
+    certificate: str | None, key: str | None, client_ca: str | None
+) -> grpc.ServerCredentials | None:
     import grpc
 
-    if not (certificate or key or clients):
+    if not (certificate or key or client_ca):
         return None
-    if not (certificate and key and clients):
+    if not (certificate and key and client_ca):
         fail("--certificate, --key and --client-ca go together: followers show certificates")
-    assert certificate and key and clients
-    rows = [(Path(key).read_bytes(), Path(certificate).read_bytes())]
-    return grpc.ssl_server_credentials(rows, Path(clients).read_bytes(), require_client_auth=True)
+    pairs = [(Path(key).read_bytes(), Path(certificate).read_bytes())]
+    return grpc.ssl_server_credentials(pairs, Path(client_ca).read_bytes(), require_client_auth=True)
 
 
 @control.command()
@@ -60,104 +70,52 @@
     """
     from hoistplank.program.configuration import BadConfiguration, read
     from hoistplank.program.logging_setup import open_log
-    from hoistplank.xds.control import Control
 
     try:
         configuration = read({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
         credentials = _credentials(certificate, key, client_ca)
-    except (BadConfiguration, OSError) as wrong:
-        return fail(str(wrong))
-    if credentials is None and not listen.startswith(("127.", "localhost:", "[::1]:")):
-        return fail(f"--listen {listen}: without certificates only a loopback address is served")
+    except (BadConfiguration, OSError) as error:
+        fail(str(error))
+    if credentials is None and not listen.startswith(LOOPBACK):
+        fail(f"--listen {listen}: without certificates only a loopback address is served")
     open_log(configuration.name, os.environ.get("HOISTPLANK_LOG", "lines"))
-
-    async def serve() -> None:
-        import structlog
-
-        log, made, ended = structlog.get_logger(), Control(configuration), asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, ended.set)
-        port = await made.serve(listen)
-        log.info("control service", listen=listen, port=port, hosts=len(made.resources.hosts))
-        running = asyncio.create_task(made.run(), name="control")
-        while not ended.is_set() and not running.done():
-            with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(look_every):
-                    await ended.wait()
-            rows = made.hub.look()
-            behind = sum(kind["behind"] for row in rows for kind in row["types"].values())
-            log.info(
-                "followers",
-                count=len(rows),
-                behind=behind,
-                refused=sum(r["refused"] for r in rows),
-                **made.hub.counts,
-            )
-        running.cancel()
-        await asyncio.gather(running, return_exceptions=True)
-        await made.close()
-
     try:
-        asyncio.run(serve())
-    except OSError as wrong:
-        print(f"hoistplank: can't listen on {listen}: {wrong}", file=sys.stderr)
+        asyncio.run(_serve(configuration, listen, look_every))
+    except OSError as error:
+        click.echo(f"hoistplank: can't listen on {listen}: {error}", err=True)
         sys.exit(1)
 
 
-async def _told(address: str, zone: str) -> dict[str, Any]:
-    """What a follower of all clusters, or of one location's, is told first. Raises TimeoutError and
-    grpc.RpcError."""
-    import grpc
-    from envoy.config.cluster.v3 import cluster_pb2
-    from envoy.config.endpoint.v3 import endpoint_pb2
-    from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
-    from envoy.service.runtime.v3 import rtds_pb2
-    from google.protobuf.json_format import MessageToDict
-
-    from hoistplank.xds.resources import CLUSTER, ENDPOINT, PURGES, RUNTIME
-
-    out: asyncio.Queue[Any] = asyncio.Queue()
-    found: dict[str, Any] = {}
-
-    async def requests() -> Any:
-        while True:
-            yield await out.get()
-
-    def ask(kind: str, names: list[str]) -> None:
-        node = {"id": "hoistplank-control-dump"}
-        out.put_nowait(discovery_pb2.DiscoveryRequest(node=node, type_url=kind, resource_names=names))
-
-    def take(kind: str, values: list[bytes]) -> None:
-        if kind == CLUSTER:
-            names = sorted(cluster_pb2.Cluster.FromString(value).name for value in values)
-            found["clusters"] = [name for name in names if not zone or name == f"caches-{zone}"]
-            ask(ENDPOINT, found["clusters"])
-        elif kind == ENDPOINT:
-            rows = [endpoint_pb2.ClusterLoadAssignment.FromString(value) for value in values]
-            found["endpoints"] = {row.cluster_name: MessageToDict(row)["endpoints"] for row in rows}
-        elif kind == RUNTIME:
-            found["purges"] = MessageToDict(rtds_pb2.Runtime.FromString(values[0]).layer)
-
-    async with grpc.aio.insecure_channel(address) as way, asyncio.timeout(5):
-        call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(way).StreamAggregatedResources(requests())
-        ask(CLUSTER, [])
-        ask(RUNTIME, [PURGES])
-        async for response in call:
-            take(response.type_url, [resource.value for resource in response.resources])
-            if len(found) == 3 or found.get("clusters") == []:
-                break
-    return found
-
+async def _serve(configuration: Configuration, listen: str, look_every_s: float) -> None:
+    import structlog
 
-@control.command()
-@click.argument("address")
-@click.option("--zone", default="", help="Show this location's cache hosts only.")
-def dump(address: str, zone: str) -> None:
-    """What the control service at ADDRESS tells a follower: clusters, hosts, purges, as JSON."""
-    import grpc
+    from hoistplank.xds.control import Control
 
-    try:
-        click.echo(json.dumps(asyncio.run(_told(address, zone)), indent=1, sort_keys=True))
-    except (grpc.RpcError, TimeoutError) as wrong:
-        print(f"hoistplank: no answer from {address}: {type(wrong).__name__}", file=sys.stderr)
-        sys.exit(1)
+    service, ended = Control(configuration), asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(number, ended.set)
+    port = await service.serve(listen)
+    log = structlog.get_logger()
+    log.info("control service", listen=listen, port=port, hosts=len(service.resources.hosts))
+    running = asyncio.create_task(service.run(), name="control")
+    while not ended.is_set() and not running.done():
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(look_every_s):
+                await ended.wait()
+        _log_followers(service)
+    running.cancel()
+    await asyncio.gather(running, return_exceptions=True)
+    await service.close()
+
+
+def _log_followers(service: Control) -> None:
+    import structlog
+
+    rows = service.hub.look()
+    structlog.get_logger().info(
+        "followers",
+        count=len(rows),
+        behind=sum(kind["behind"] for row in rows for kind in row["types"].values()),
+        refused=sum(row["refused"] for row in rows),
+        **service.hub.counts,
+    )
--- a/hoistplank/cli/demo.py
+++ b/hoistplank/cli/demo.py
@@ -3,75 +3,149 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
-import secrets
-import ssl
+import sys
 import tempfile
 import time
 from collections import Counter
 from pathlib import Path
 from random import Random
-from typing import TextIO
 
 import click
+import msgspec
 from hdrh.histogram import HdrHistogram
 
+from hoistplank.fakes.cache_host import Server
 from hoistplank.fakes.deployment import Deployment
-from hoistplank.fakes.wire import Client, connected
+from hoistplank.fakes.wire import Client
 
 RATE = 120.0  # requests a second: a small part of what a core carries
-THINGS = 300
-
-
-async def _play(place: Deployment, seconds: float, seed: int) -> dict[str, object]:
-    chance, began = Random(seed), time.monotonic()
-    times, statuses, out = HdrHistogram(1, 60_000_000, 3), Counter[int](), dict[int, float]()
-    clients = [await place.client() for _ in range(4)]
-
-    async def read(client: Client) -> None:
+OBJECTS = 300
+CONNECTIONS = 4
+BOOKING_EVERY = 30  # requests
+REQUEST_NUMBERS = 60_000  # of FastCGI, used in turn
+LAST_ANSWERS_S = 3.0  # for answers after the last request
+DRAIN_NOTICE_S = 0.25  # after which a draining host must get nothing more
+OK = 200
+MAX_LATENCY_US = 60_000_000
+
+
+class DemoResult(msgspec.Struct):
+    """What came of all requests; the names are those that the command prints."""
+
+    sent: int = msgspec.field(name="visits")
+    answered: int
+    served: int
+    by_server: dict[str, int] = msgspec.field(name="from")
+    by_cache_status: dict[str, int] = msgspec.field(name="how")
+    latency_ms: dict[str, float] = msgspec.field(name="ms")
+    drained: str
+    after_drain: int = msgspec.field(name="to it 250 ms after the drain")
+
+    def good(self) -> bool:
+        """Whether all requests were served, and none by the drained host after it was told."""
+        return self.served == self.sent and self.after_drain == 0
+
+
+class DemoRun:
+    """Sends requests to a deployment for some seconds, and drains a cache host halfway."""
+
+    def __init__(self, deployment: Deployment, seconds: float, seed: int) -> None:
+        self.deployment, self.seconds = deployment, seconds
+        self.random = Random(seed)
+        self.latencies_us = HdrHistogram(1, MAX_LATENCY_US, 3)
+        self.statuses = Counter[int]()
+        self.sent_at_s: dict[int, float] = {}  # by request number, of those without an answer
+        self.drained: Server = deployment.caches[0]
+        self.drained_at = 0.0  # Unix time
+        self.all_answered = asyncio.Event()
+
+    async def run(self) -> DemoResult:
+        """Sends, waits for the last answers and sums up."""
+        clients = [await self.deployment.client() for _ in range(CONNECTIONS)]
+        readers = [asyncio.create_task(self._read(client), name="reader") for client in clients]
+        try:
+            sent = await self._send_all(clients)
+            if self.sent_at_s:
+                with contextlib.suppress(TimeoutError):
+                    await asyncio.wait_for(self.all_answered.wait(), LAST_ANSWERS_S)
+        finally:
+            for reader in readers:
+                reader.cancel()
+            await asyncio.gather(*readers, return_exceptions=True)
+            for client in clients:
+                client.writer.close()
+        return self._result(sent)
+
+    async def _read(self, client: Client) -> None:
         while True:
             number, status, _, _ = await client.answer()
-            times.record_value(max(1, int((time.monotonic() - out.pop(number)) * 1e6)))
-            statuses[status] += 1
-
-    readers = [asyncio.create_task(read(client), name="reader") for client in clients]
-    drained, number = place.caches[0], 0
-    drained_at = 0.0
-    try:
-        while (now := time.monotonic() - began) < seconds:
-            if not drained_at and now > seconds / 2:
-                place.set_state(drained, "draining")
-                drained_at = time.time()
-            number += 1
-            books = number % 30 == 0
-            # Few objects are wanted often, most seldom.
-            object_key = f"{int(THINGS * chance.random() ** 3):016x}"
-            fields = {"HTTP_X_SUBJECT": object_key, "HTTP_X_CORRELATION_ID": f"{number:016x}"}
-            if books:
-                fields["HTTP_X_OPERATION_KEY"] = f"{chance.getrandbits(128):032x}"
-            out[number % 60_000 + 1] = time.monotonic()
-            clients[number % 4].send(number % 60_000 + 1, "booking" if books else "page", fields)
-            await asyncio.sleep(max(0.0, number / RATE - (time.monotonic() - began)))
-        until = time.monotonic() + 3
-        while out and time.monotonic() < until:
-            await asyncio.sleep(0.01)
-    finally:
-        for task in readers:
-            task.cancel()
-        await asyncio.gather(*readers, return_exceptions=True)
-        for client in clients:
-            client.writer.close()
-    notes = Counter(note for server in place.servers for _, _, note in server.seen)
-    return {
-        "visits": number,
-        "answered": sum(statuses.values()),
-        "served": statuses[200],
-        "from": {server.uid: len(server.seen) for server in place.servers},
-        "how": dict(notes),
-        "ms": {f"p{q:g}": round(times.get_value_at_percentile(q) / 1e3, 1) for q in (50, 99)},
-        "drained": drained.uid,
-        "to it 250 ms after the drain": sum(at > drained_at + 0.25 for at, _, _ in drained.seen),
-    }
+            elapsed_us = int((time.monotonic() - self.sent_at_s.pop(number)) * 1e6)
+            self.latencies_us.record_value(max(1, elapsed_us))
+            self.statuses[status] += 1
+            if not self.sent_at_s:
+                self.all_answered.set()
+
+    async def _send_all(self, clients: list[Client]) -> int:
+        """Sends at an even pace; returns how many."""
+        began, sent = time.monotonic(), 0
+        while (elapsed := time.monotonic() - began) < self.seconds:
+            if not self.drained_at and elapsed > self.seconds / 2:
+                self.deployment.set_state(self.drained, "draining")
+                self.drained_at = time.time()
+            sent += 1
+            self._send(clients[sent % CONNECTIONS], sent)
+            await asyncio.sleep(max(0.0, sent / RATE - (time.monotonic() - began)))
+        return sent
+
+    def _send(self, client: Client, index: int) -> None:
+        # Few objects are wanted often, most seldom.
+        object_key = f"{int(OBJECTS * self.random.random() ** 3):016x}"
+        fields = {"HTTP_X_SUBJECT": object_key, "HTTP_X_CORRELATION_ID": f"{index:016x}"}
+        is_booking = index % BOOKING_EVERY == 0
+        if is_booking:
+            fields["HTTP_X_OPERATION_KEY"] = f"{self.random.getrandbits(128):032x}"
+        number = index % REQUEST_NUMBERS + 1
+        self.sent_at_s[number] = time.monotonic()
+        self.all_answered.clear()
+        client.send(number, "booking" if is_booking else "page", fields)
+
+    def _result(self, sent: int) -> DemoResult:
+        servers = self.deployment.servers
+        percentiles = {f"p{q:g}": self.latencies_us.get_value_at_percentile(q) for q in (50, 99)}
+        deadline = self.drained_at + DRAIN_NOTICE_S
+        return DemoResult(
+            sent=sent,
+            answered=sum(self.statuses.values()),
+            served=self.statuses[OK],
+            by_server={server.uid: len(server.seen) for server in servers},
+            by_cache_status=dict(Counter(note for server in servers for _, _, note in server.seen)),
+            latency_ms={name: round(value / 1e3, 1) for name, value in percentiles.items()},
+            drained=self.drained.uid,
+            after_drain=sum(at > deadline for at, _, _ in self.drained.seen),
+        )
+
+
+def _describe(deployment: Deployment) -> None:
+    click.echo(f"dispatcher at 127.0.0.1:{deployment.address[1]}, log at 127.0.0.1:{deployment.log_port}")
+    for server in deployment.servers:
+        click.echo(f"  {server.uid:<10} {server.kind:<7} 127.0.0.1:{server.port}")
+
+
+async def _play(seconds: float, seed: int, *, stay: bool, describe: bool) -> DemoResult:
+    with tempfile.TemporaryDirectory() as folder:
+        async with Deployment(Path(folder)) as deployment:
+            if describe:
+                _describe(deployment)
+            result = await DemoRun(deployment, seconds, seed).run()
+            if stay:
+                click.echo(
+                    f"still up, with {deployment.configuration}; send a request from another shell:\n"
+                    f"  hoistplank request 127.0.0.1:{deployment.address[1]} page\nCtrl-C ends it"
+                )
+                await asyncio.Event().wait()
+            return result
 
 
 @click.command()
@@ -85,85 +159,14 @@
 
     Exit code 1 if a request was not served, or the drained host got one too late.
     """
-
-    async def scene() -> dict[str, object]:
-        with tempfile.TemporaryDirectory() as folder:
-            async with Deployment(Path(folder)) as place:
-                if not as_json:
-                    click.echo(
-                        f"dispatcher at 127.0.0.1:{place.address[1]}, log at 127.0.0.1:{place.log_port}"
-                    )
-                    for server in place.servers:
-                        click.echo(f"  {server.uid:<10} {server.kind:<7} 127.0.0.1:{server.port}")
-                told = await _play(place, seconds, seed)
-                if stay:
-                    click.echo(
-                        f"still up, with {place.configuration}; send a request from another shell:\n"
-                        f"  hoistplank request 127.0.0.1:{place.address[1]} page\nCtrl-C ends it"
-                    )
-                    await asyncio.Event().wait()
-                return told
-
     try:
-        told = asyncio.run(scene())
+        result = asyncio.run(_play(seconds, seed, stay=stay, describe=not as_json))
     except KeyboardInterrupt:
         return
-    good = told["served"] == told["visits"] and told["to it 250 ms after the drain"] == 0
+    rows = msgspec.to_builtins(result)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(rows))
     else:
-        for name, value in told.items():
+        for name, value in rows.items():
             click.echo(f"{name:>30}: {value}")
-    raise SystemExit(0 if good else 1)
-
-
-@click.command("visit")
-@click.argument("address")
-@click.argument("class_name", metavar="CLASS")
-@click.option("--object", "object_key", default=f"{7:016x}", show_default=True, help="16 hex digits.")
-@click.option("--group", type=click.IntRange(0, 255), default=0, show_default=True)
-@click.option("--key", default="", help="The operation key of a booking, 32 hex digits.")
-@click.option("--token-file", type=click.File("r"), help="The caller's token; - for standard input.")
-@click.option("--ca", type=click.Path(exists=True), help="Speak TLS, and trust this CA (PEM).")
-@click.option(
-    "--cert", type=click.Path(exists=True), help="The client's certificate and key in one file (PEM)."
-)
-def request(
-    address: str,
-    class_name: str,
-    object_key: str,
-    group: int,
-    key: str,
-    token_file: TextIO | None,
-    ca: str | None,
-    cert: str | None,
-) -> None:
-    """Send one request to a dispatcher at ADDRESS and tell the answer. Exit code 1: it was not served."""
-    fields = {
-        "HTTP_X_SUBJECT": object_key,
-        "HTTP_X_TAG": str(group),
-        "HTTP_X_CORRELATION_ID": secrets.token_hex(8),
-    }
-    if key:
-        fields["HTTP_X_OPERATION_KEY"] = key
-    if token_file is not None:
-        fields["HTTP_AUTHORIZATION"] = f"Bearer {token_file.read().strip()}"
-    context = ssl.create_default_context(cafile=ca) if ca else None
-    if context is not None and cert:
-        context.load_cert_chain(cert)
-    host, _, port = address.rpartition(":")
-
-    async def scene() -> tuple[int, int, bytes, bytes]:
-        client = await connected((host, int(port)), context)
-        client.send(1, class_name, fields)
-        return await asyncio.wait_for(client.answer(), 5)
-
-    try:
-        _, status, head, body = asyncio.run(scene())
-    except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError) as wrong:
-        raise click.ClickException(
-            f"no answer from {address}: {str(wrong) or type(wrong).__name__}"
-        ) from None
-    click.echo(head.decode("latin-1").replace("\r\n", "\n"))
-    click.echo(f"{len(body)} bytes")
-    raise SystemExit(0 if status == 200 else 1)
+    sys.exit(0 if result.good() else 1)
--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -6,13 +6,13 @@
 import os
 import signal
 import sys
-from typing import NamedTuple, NoReturn
+from typing import NamedTuple
 
 import click
 import msgspec
 import uvloop
 
-from hoistplank.cli.main import fail
+from hoistplank.cli.failure import fail
 from hoistplank.distribution.assignment import Replica as ReplicaAddress
 from hoistplank.distribution.messages import VersionFields
 from hoistplank.distribution.replica import Replica, ReplicaSettings
@@ -29,22 +29,17 @@
 MOST_NAMED = 20  # missing dispatchers that a person is told by name
 
 
-def _refuse(message: str) -> NoReturn:
-    fail(message)
-    raise AssertionError("fail() ends the program")
-
-
 def _address(option: str, text: str) -> tuple[str, int]:
     try:
         return read_address(text)
     except BadBytes as wrong:
-        _refuse(f"{option} {text}: {wrong}")
+        fail(f"{option} {text}: {wrong}")
 
 
 def _peer(text: str) -> ReplicaAddress:
     name, equals, endpoint = text.partition("=")
     if not equals or not name:
-        _refuse(f"--peer {text}: is not NAME=HOST:PORT")
+        fail(f"--peer {text}: is not NAME=HOST:PORT")
     return ReplicaAddress(name, "", _address("--peer", endpoint))
 
 
@@ -53,7 +48,7 @@
         return None
     epoch, slash, number = text.partition("/")
     if not slash or not epoch.isdecimal() or not number.isdecimal():
-        _refuse(f"--version {text}: is not EPOCH/NUMBER")
+        fail(f"--version {text}: is not EPOCH/NUMBER")
     return Version(int(epoch), int(number))
 
 
@@ -73,13 +68,13 @@
     from hoistplank.program.logging_setup import open_log
 
     if not listen.startswith(LOOPBACK):
-        _refuse(f"--listen {listen}: without certificates only a loopback address is served")
+        fail(f"--listen {listen}: without certificates only a loopback address is served")
     if len(peers) >= MOST_REPLICAS:
-        _refuse(f"--peer: {len(peers)} peers, {MOST_REPLICAS - 1} at most")
+        fail(f"--peer: {len(peers)} peers, {MOST_REPLICAS - 1} at most")
     try:
         configuration = read({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
     except BadConfiguration as wrong:
-        _refuse(str(wrong))
+        fail(str(wrong))
     settings = ReplicaSettings(
         name=name,
         listen=_address("--listen", listen),
--- /dev/null
+++ b/hoistplank/cli/lab_load.py
@@ -0,0 +1,157 @@
+"""`hoistplank lab load`: the load tool, against a dispatcher on loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any, TextIO, TypedDict, Unpack
+
+import click
+from rich.table import Table
+
+from hoistplank.cli.failure import fail
+from hoistplank.cli.lab_output import ROUNDED_COUNT, Row, progress_bar, table_console
+
+if TYPE_CHECKING:
+    from hoistplank.lab.load.plan import Mix, Step
+
+VOID = 3  # exit code
+QUANTILES = (50, 90, 99, 99.9, 100)
+
+
+class LoadOptions(TypedDict):
+    """The options of the command, by the names that click hands them over with."""
+
+    steps: str
+    classes: str
+    processes: int
+    connections: int
+    fresh: float
+    objects: int
+    zipf: float
+    groups: int
+    deadline_ms: int
+    tokens: TextIO | None
+    ca: str | None
+    cert: str | None
+    late_ms: float
+    seed: int
+    out: str | None
+    as_json: bool
+
+
+@click.command()
+@click.argument("address")
+@click.option("--plan", "steps", default="10s:100", show_default=True, help="As '10s:500 5s:500-2000'.")
+@click.option(
+    "--tracks",
+    "classes",
+    default="page=1",
+    show_default=True,
+    help="As 'page=9 booking=1!'.",
+)
+@click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True)
+@click.option("--connections", type=click.IntRange(1, 1_000), default=4, show_default=True, help="A process.")
+@click.option(
+    "--fresh", type=click.FloatRange(0, 1), default=0.0, help="Share of requests on new connections."
+)
+@click.option("--objects", type=click.IntRange(1, 10_000_000), default=1_000, show_default=True)
+@click.option("--zipf", type=click.FloatRange(0, 3), default=1.0, show_default=True)
+@click.option("--groups", type=click.IntRange(1, 255), default=1, show_default=True, help="Tenants' groups.")
+@click.option("--deadline-ms", type=click.IntRange(1, 600_000), default=1_500, show_default=True)
+@click.option("--tokens", type=click.File("r"), help="A token a line, for the groups in turn.")
+@click.option("--ca", type=click.Path(exists=True), help="Speak TLS, and trust this CA (PEM).")
+@click.option("--cert", type=click.Path(exists=True), help="Own certificate and key (PEM).")
+@click.option(
+    "--late-ms",
+    type=click.FloatRange(0.1),
+    default=5.0,
+    show_default=True,
+    help="Voids a run (p99).",
+)
+@click.option("--seed", type=int, default=1, show_default=True)
+@click.option("--out", type=click.Path(), help="The raw result with its histograms, as JSON.")
+@click.option("--json", "as_json", is_flag=True)
+def load(address: str, **options: Unpack[LoadOptions]) -> None:
+    """Load the dispatcher at ADDRESS on loopback, in an open loop.
+
+    Plan: steps and ramps, SECONDS:RATE or SECONDS:RATE-RATE. Traffic classes: weights, '!' for an operation
+    key each. Exit code 1: not all were answered; 3: void, the tool itself was late.
+    """
+    from hoistplank.lab.load.plan import BadPlan, mixes, plan
+
+    host, _, port = address.rpartition(":")
+    if not host.startswith("127.") or not port.isdecimal():
+        fail(f"'{address}', expected an address of this machine with a port, as 127.0.0.1:9000")
+    try:
+        steps, mix = plan(options["steps"]), mixes(options["classes"])
+    except BadPlan as error:
+        fail(str(error))
+    result = _play((host, int(port)), steps, mix, options)
+    if options["out"]:
+        Path(options["out"]).write_text(json.dumps(result))
+    shown = {name: value for name, value in result.items() if name != "histograms"}
+    if options["as_json"]:
+        click.echo(json.dumps(shown))
+    else:
+        _print_result(shown)
+    if result["void"]:
+        click.echo(f"void: the tool itself was late ({result['late_ms']['p99']} ms at p99)", err=True)
+        sys.exit(VOID)
+    sys.exit(0 if result["counts"].get("answered") == result["counts"]["sent"] else 1)
+
+
+def _play(
+    address: tuple[str, int], steps: tuple[Step, ...], mix: tuple[Mix, ...], options: LoadOptions
+) -> Row:
+    """Runs the load and shows its progress."""
+    from hoistplank.lab.load import crew
+
+    processes = options["processes"]
+    sent = [0] * processes
+    with progress_bar(ROUNDED_COUNT) as progress:
+        task = progress.add_task("visits", total=sum(step.requests() for step in steps))
+
+        def report_part(part: int, row: Row) -> None:
+            sent[part] = row["sent"]
+            progress.update(task, completed=sum(sent))
+
+        job = _job_fields(options)
+        work = crew.load(address, steps, mix, processes, report_part, late_ms=options["late_ms"], **job)
+        try:
+            return asyncio.run(work)
+        except crew.NoLoad as error:
+            raise click.ClickException(str(error)) from None
+
+
+def _job_fields(options: LoadOptions) -> dict[str, Any]:
+    """Those fields of the tool's job that are the same in all its processes."""
+    tokens = options["tokens"]
+    return {
+        "connections": options["connections"],
+        "fresh_share": options["fresh"],
+        "objects": options["objects"],
+        "zipf": options["zipf"],
+        "groups": options["groups"],
+        "deadline_ms": options["deadline_ms"],
+        "tokens": tokens.read().split() if tokens else [],
+        "ca": options["ca"] or "",
+        "certificate": options["cert"] or "",
+        "seed": options["seed"],
+    }
+
+
+def _print_result(result: Row) -> None:
+    table = Table(
+        title=f"{result['rate']:g} requests a second over {result['seconds']:g} s; ms from when each was due"
+    )
+    for word in ("track", "statuses", "p50", "p90", "p99", "p99.9", "most"):
+        table.add_column(word, justify="left" if word in ("track", "statuses") else "right")
+    rows = [(name, row["statuses"], row["ms"]) for name, row in result["tracks"].items()]
+    for name, statuses, times in [*rows, ("(own lateness)", {}, result["late_ms"])]:
+        counts = ", ".join(f"{count} x {status}" for status, count in sorted(statuses.items()))
+        table.add_row(name, counts, *(f"{times.get(f'p{q:g}', 0):.1f}" for q in QUANTILES))
+    table_console().print(table)
+    click.echo("  ".join(f"{name}: {count}" for name, count in result["counts"].items() if count))
--- /dev/null
+++ b/hoistplank/cli/lab_output.py
@@ -0,0 +1,44 @@
+"""What the commands of the laboratory have in common: progress, tables and results that were read."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import Any
+
+from rich.console import Console
+from rich.progress import BarColumn, Progress, ProgressColumn, TextColumn, TimeElapsedColumn
+
+from hoistplank.cli.failure import fail
+
+ROOT = Path(__file__).resolve().parents[2]  # of the repository
+TABLE_WIDTH = 110
+COUNT = "{task.completed}/{task.total}"
+ROUNDED_COUNT = "{task.completed:.0f}/{task.total:.0f}"
+
+Row = dict[str, Any]  # one result, as its file holds it
+
+
+@contextmanager
+def progress_bar(count: str = COUNT) -> Iterator[Progress]:
+    """A bar on standard error, gone at the end."""
+    columns: tuple[ProgressColumn, ...] = (TextColumn("{task.description}"), BarColumn(), TextColumn(count))
+    console = Console(stderr=True)
+    with Progress(*columns, TimeElapsedColumn(), console=console, transient=True) as progress:
+        yield progress
+
+
+def table_console() -> Console:
+    """Where tables are printed."""
+    return Console(width=TABLE_WIDTH)
+
+
+def load_rows(path: str) -> list[Row]:
+    """The results of a file or folder; ends the command where they can't be read."""
+    from hoistplank.lab.results import BadResults, load
+
+    try:
+        return load(Path(path))
+    except BadResults as error:
+        fail(str(error))
--- /dev/null
+++ b/hoistplank/cli/lab_profile.py
@@ -0,0 +1,33 @@
+"""`hoistplank lab profile`: where a request's CPU goes."""
+
+from __future__ import annotations
+
+import json
+
+import click
+
+
+@click.command()
+@click.option("--rate", type=click.FloatRange(1, 100_000), default=400, show_default=True)
+@click.option("--seconds", type=click.FloatRange(1, 600), default=10, show_default=True)
+@click.option(
+    "--fresh", type=click.FloatRange(0, 1), default=0.0, help="Share of requests on new connections."
+)
+@click.option("--json", "as_json", is_flag=True)
+def profile(rate: float, seconds: float, fresh: float, as_json: bool) -> None:
+    """Where a request's CPU goes by layer, of a dispatcher that is started for it with small stand-ins."""
+    from hoistplank.lab.load.crew import NoLoad
+    from hoistplank.lab.profile import run as profiled
+
+    try:
+        found = profiled(rate, seconds, fresh)
+    except (NoLoad, RuntimeError) as error:
+        raise click.ClickException(str(error)) from None
+    if as_json:
+        click.echo(json.dumps(found))
+        return
+    click.echo(
+        f"{found['cpu_us_a_visit']} us of CPU a request at {rate:g} a second, {fresh:.0%} on new connections"
+    )
+    for name, share in found["shares"].items():
+        click.echo(f"  {share:6.1%}  {name}")
--- /dev/null
+++ b/hoistplank/cli/operator_file.py
@@ -0,0 +1,71 @@
+"""`hoistplank check` and `hoistplank fmt`: the operator's file."""
+
+from __future__ import annotations
+
+import json
+import os
+import sys
+from pathlib import Path
+
+import click
+
+from hoistplank.cli.failure import UNUSABLE_INPUT, fail
+
+
+@click.command()
+@click.argument("file", type=click.Path())
+@click.option("--json", "as_json", is_flag=True, help="Faults as JSON, an object a line.")
+def check(file: str, as_json: bool) -> None:
+    """Check an operator's FILE; each fault is told with its line, its column and what was expected.
+
+    Exit code 0: it can be used. 2: it can't. The files that it names are not opened.
+    """
+    from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
+    from hoistplank.program.sections import load
+
+    def as_line(diagnostic: Diagnostic) -> str:
+        location, found, expected = diagnostic
+        row = {**location._asdict(), "found": found, "expected": expected}
+        return json.dumps(row) if as_json else str(diagnostic)
+
+    try:
+        load(file)
+    except ConfigurationError as error:
+        for diagnostic in error.diagnostics:
+            click.echo(as_line(diagnostic), err=not as_json)
+        sys.exit(UNUSABLE_INPUT)
+    click.echo(json.dumps({"file": file, "good": True}) if as_json else f"{file}: good")
+
+
+@click.command()
+@click.argument("file", type=click.Path())
+@click.option("--check", "only", is_flag=True, help="Change nothing; exit code 1 if the file would change.")
+@click.option("--stdout", "out", is_flag=True, help="Write to standard output and leave the file as it is.")
+def fmt(file: str, only: bool, out: bool) -> None:
+    """Write an operator's FILE in its one layout; comments stay where they are."""
+    from hoistplank.operator_configuration.errors import ConfigurationError
+    from hoistplank.operator_configuration.formatter import format_document
+    from hoistplank.operator_configuration.parser import parse
+
+    path = Path(file)
+    try:
+        data = path.read_bytes()
+        formatted = format_document(parse(data, file)).encode()
+    except OSError as error:
+        fail(f"{file}: can't be read ({error.strerror})")
+    except ConfigurationError as error:
+        fail(str(error))
+    if out:
+        click.echo(formatted.decode(), nl=False)
+    elif only:
+        sys.exit(int(formatted != data))
+    elif formatted != data:
+        _replace(path, formatted)
+
+
+def _replace(path: Path, data: bytes) -> None:
+    """Danger: cut off in the middle of writing, half of the operator's file would be gone."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
+    temporary.write_bytes(data)
+    temporary.chmod(path.stat().st_mode & 0o777)
+    temporary.replace(path)
--- /dev/null
+++ b/hoistplank/cli/request.py
@@ -0,0 +1,78 @@
+"""`hoistplank request` (also `visit`): sends one request to a dispatcher."""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+import ssl
+import sys
+from typing import TextIO
+
+import click
+
+from hoistplank.fakes.wire import connected
+
+TIMEOUT_S = 5
+OK = 200
+
+
+@click.command("request")
+@click.argument("address")
+@click.argument("class_name", metavar="CLASS")
+@click.option("--object", "object_key", default=f"{7:016x}", show_default=True, help="16 hex digits.")
+@click.option("--group", type=click.IntRange(0, 255), default=0, show_default=True)
+@click.option("--key", default="", help="The operation key of a booking, 32 hex digits.")
+@click.option("--token-file", type=click.File("r"), help="The caller's token; - for standard input.")
+@click.option("--ca", type=click.Path(exists=True), help="Speak TLS, and trust this CA (PEM).")
+@click.option(
+    "--cert", type=click.Path(exists=True), help="The client's certificate and key in one file (PEM)."
+)
+def request(  # noqa: PLR0913 (one parameter an option)
+    address: str,
+    class_name: str,
+    object_key: str,
+    group: int,
+    key: str,
+    token_file: TextIO | None,
+    ca: str | None,
+    cert: str | None,
+) -> None:
+    """Send one request to a dispatcher at ADDRESS and tell the answer. Exit code 1: it was not served."""
+    fields = {
+        "HTTP_X_SUBJECT": object_key,
+        "HTTP_X_TAG": str(group),
+        "HTTP_X_CORRELATION_ID": secrets.token_hex(8),
+    }
+    if key:
+        fields["HTTP_X_OPERATION_KEY"] = key
+    if token_file is not None:
+        fields["HTTP_AUTHORIZATION"] = f"Bearer {token_file.read().strip()}"
+    try:
+        status, head, body = asyncio.run(_send(address, class_name, fields, _tls_context(ca, cert)))
+    except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError) as error:
+        raise click.ClickException(
+            f"no answer from {address}: {str(error) or type(error).__name__}"
+        ) from None
+    click.echo(head.decode("latin-1").replace("\r\n", "\n"))
+    click.echo(f"{len(body)} bytes")
+    sys.exit(0 if status == OK else 1)
+
+
+def _tls_context(ca: str | None, certificate: str | None) -> ssl.SSLContext | None:
+    if not ca:
+        return None
+    context = ssl.create_default_context(cafile=ca)
+    if certificate:
+        context.load_cert_chain(certificate)
+    return context
+
+
+async def _send(
+    address: str, class_name: str, fields: dict[str, str], context: ssl.SSLContext | None
+) -> tuple[int, bytes, bytes]:
+    """The status, the head and the body of the answer."""
+    host, _, port = address.rpartition(":")
+    client = await connected((host, int(port)), context)
+    client.send(1, class_name, fields)
+    _, status, head, body = await asyncio.wait_for(client.answer(), TIMEOUT_S)
+    return status, head, body
--- a/hoistplank/cli/scale.py
+++ b/hoistplank/cli/scale.py
@@ -12,7 +12,8 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from hoistplank.cli.main import EXTRAS, fail
+from hoistplank.cli.failure import fail
+from hoistplank.cli.lazy import CONTROL_EXTRA
 
 if TYPE_CHECKING:
     from hoistplank.lab.scale.measurements import Measurement
@@ -48,7 +49,7 @@
     try:
         from hoistplank.xds import follower, resources, service
     except ModuleNotFoundError as error:
-        raise click.ClickException(f"the control service needs '{error.name}': {EXTRAS['control']}") from None
+        raise click.ClickException(f"the control service needs '{error.name}': {CONTROL_EXTRA}") from None
     from hoistplank.lab.scale.role_control_service import ControlParts
 
     parts = ControlParts(
@@ -63,7 +64,7 @@
     effort = QUICK if quick else WHOLE
     chosen = titled(steps(parts, effort), only)
     if not chosen:
-        return fail(f"no step's title holds '{only}'")
+        fail(f"no step's title holds '{only}'")
     began_at = datetime.now(UTC).strftime("%Y-%m-%dT%H:%MZ")
     form = "quick" if quick else "whole"
     info = RunInfo(f"slopes {began_at}", revision(ROOT), platform.platform(), form)
@@ -90,7 +91,6 @@
         found = read_folder(folder)
     except BadMeasurements as error:
         fail(str(error))
-        return []
     if not found:
         fail(f"{folder}: no results; 'hoistplank lab scale slopes --out {folder / SLOPES_FILE}' makes them")
     return found
@@ -117,9 +117,9 @@
         before = page.read_text()
         after = rewritten(before, found)
     except OSError as error:
-        return fail(f"{page}: can't be read ({error.strerror})")
+        fail(f"{page}: can't be read ({error.strerror})")
     except (BadPage, ValueError) as error:
-        return fail(f"{page.name}: {error}")
+        fail(f"{page.name}: {error}")
     if check:
         if before != after:
             click.echo(f"{page.name} differs from its results: run 'hoistplank lab scale table'", err=True)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -261,7 +261,7 @@
     told = without(lacks, "--help")
     assert told.returncode == 0, told.stderr
     rows = {line.split()[0]: line for line in told.stdout.split("Commands:")[1].splitlines() if line.strip()}
-    assert {"check", "control", "demo", "lab", "run", "visit"} <= set(rows)
+    assert {"check", "control", "demo", "lab", "request", "run", "visit"} <= set(rows)
     assert sorted(name for name, line in rows.items() if "needs '" in line) == noted
     for name in noted:
         called = without(lacks, name, "--anything")
@@ -269,6 +269,13 @@
         assert "pip install -r requirements-" in called.stderr
 
 
+def test_visit_is_another_name_of_request() -> None:
+    assert "Error: no answer from" in call("visit", "127.0.0.1:1", "page").output
+    request_help, visit_help = call("request", "--help").output, call("visit", "--help").output
+    assert "Send one request" in request_help
+    assert request_help.replace(" request ", " visit ", 1) == visit_help
+
+
 def test_the_bare_install_says_what_the_command_line_needs() -> None:
     told = without(["click", *SERVICE, *LAB, *XDS], "--help")
     assert told.returncode == 1 and "Traceback" not in told.stderr
