--- a/hoistplank/authorization/admin_server.py
+++ b/hoistplank/authorization/admin_server.py
@@ -9,8 +9,8 @@
 
 from hoistplank.authorization.admin_connection import AdminConnection, AdminConnectionOwner
 from hoistplank.authorization.admin_routes import AdminRoutes, AuthorizationControl
+from hoistplank.authorization.settings import AdminSettings
 from hoistplank.authorization.tls_connections import TlsConnections
-from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.router_task import Owner
 from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
@@ -28,18 +28,17 @@
 class AuthorizationServer(AuthorizationControl, Protocol):
     """What the server uses of the authorization service, which stands above it."""
 
-    section: Section
     tls: TlsConnections
 
 
 class AdminServer:
-    """Owns the operators' connections; `section` is the form `(control …)` of the start."""
+    """Owns the operators' connections; `settings` are those of the start."""
 
-    def __init__(self, service: AuthorizationServer, section: Section, dispatcher: Dispatcher) -> None:
-        self.service, self.section, self.dispatcher = service, section, dispatcher
+    def __init__(self, service: AuthorizationServer, settings: AdminSettings, dispatcher: Dispatcher) -> None:
+        self.service, self.settings, self.dispatcher = service, settings, dispatcher
         self.routes = AdminRoutes(service, dispatcher)
         self.connections: dict[AdminConnection, None] = {}
-        self._listener = Listener(section["listen"], dispatcher.ledger, self._accept)
+        self._listener = Listener(settings.listen, dispatcher.ledger, self._accept)
 
     def parts(self) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Its tasks, by name."""
@@ -53,12 +52,12 @@
                 connection.drain()
 
     def _accept(self, sock: socket.socket, _peer: str) -> None:
-        if len(self.connections) >= self.section["connections"]:
+        if len(self.connections) >= self.settings.max_connections:
             # Danger: operators' connections count against the clients' descriptors. The one silent for
             # longest goes.
             min(self.connections, key=lambda one: one.connection.heard_at).connection.close()
         owner = AdminConnectionOwner(self.routes.respond, self._connection_ended)
-        connection = AdminConnection(owner, self.service.tls, sock, self.section["body"])
+        connection = AdminConnection(owner, self.service.tls, sock, self.settings.max_body_bytes)
         self.connections[connection] = None
 
     def _connection_ended(self, connection: AdminConnection) -> None:
@@ -70,9 +69,10 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
-            handshake_timeout_s = self.service.section["tls"]["handshake-time"] / 1e6
+            tls = self.service.tls.settings
+            assert tls is not None  # the schema has no admin server without TLS
             for connection in list(self.connections):
-                if connection.expired(loop.time(), handshake_timeout_s):
+                if connection.expired(loop.time(), tls.handshake_timeout_s):
                     connection.connection.close()
                 else:
                     connection.connection.trim()
--- a/hoistplank/authorization/authenticator.py
+++ b/hoistplank/authorization/authenticator.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 
 from hoistplank.authorization import jws
 from hoistplank.authorization.identity import Caller, CertificateIdentity, Credentials
@@ -24,7 +24,8 @@
 from hoistplank.authorization.signature_budget import SignatureBudget
 from hoistplank.authorization.token_cache import TokenCache, Verdict, VerifiedToken, verify
 
-# For a token whose key may be on its way: the key set is read again within this time.
+# For a token whose key may be on its way: the key sets are read again within this time
+# (`service.MAX_POLL_INTERVAL_S`).
 UNKNOWN_KEY_RETRY_US = 300_000
 MAX_RECENT_FIELDS = 512
 
@@ -50,10 +51,7 @@
 
 
 class Authenticator:
-    """Knows tenants, issuers, revocations and the tokens that were checked.
-
-    `request_key_refresh` is called when a token names a key that no set holds yet.
-    """
+    """Knows tenants, issuers, revocations and the tokens that were checked."""
 
     def __init__(
         self,
@@ -61,13 +59,11 @@
         issuers: Mapping[str, Issuer],
         policy: AuthenticationPolicy,
         now: int,
-        request_key_refresh: Callable[[], None] = lambda: None,
     ) -> None:
         self.tenants, self.issuers, self.policy = tenants, dict(issuers), policy
         self.revocations = RevocationSet()
         self.token_cache = TokenCache(policy.token_cache_size)
-        self._request_key_refresh = request_key_refresh
-        self._unknown_keys = UnknownKeys()
+        self.unknown_keys = UnknownKeys()
         self._signature_budget = _budget(policy, now)
         self._epoch = 0
         # What came a moment ago comes again: a look-up by the field itself saves its digest, a third of the
@@ -89,7 +85,7 @@
             self._epoch += 1
         self.issuers = dict(issuers)
         for issuer in issuers.values():
-            self._unknown_keys.forget_known(issuer)
+            self.unknown_keys.forget_known(issuer)
 
     @property
     def epoch(self) -> int:
@@ -248,9 +244,8 @@
         issuer = self.issuers[claims.issuer]
         key = issuer.keys.get(claims.kid)
         if key is None:
-            if self._unknown_keys.is_final(issuer, claims.kid, now):
+            if self.unknown_keys.is_final(issuer, claims.kid, now):
                 return UNKNOWN_KEY
-            self._request_key_refresh()
             return KEY_NOT_KNOWN_YET
         if key.algorithm != claims.algorithm:
             return _invalid_token("alg")
--- a/hoistplank/authorization/authorizer.py
+++ b/hoistplank/authorization/authorizer.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from typing import NamedTuple, Protocol
 
 from hoistplank.authorization.authenticator import Authenticator
@@ -62,10 +62,7 @@
 
 
 class Authorizer:
-    """Admits requests; holds the state of authentication, limits and operation keys.
-
-    `request_key_refresh` is called when a token names a key that no set holds yet.
-    """
+    """Admits requests; holds the state of authentication, limits and operation keys."""
 
     def __init__(
         self,
@@ -73,9 +70,8 @@
         issuers: Mapping[str, Issuer],
         policy: AuthenticationPolicy,
         now: int,
-        request_key_refresh: Callable[[], None] = lambda: None,
     ) -> None:
-        self.authenticator = Authenticator(tenants, issuers, policy, now, request_key_refresh)
+        self.authenticator = Authenticator(tenants, issuers, policy, now)
         self.limiter = TenantLimiter()
         self.rejections: dict[RejectionCount, int] = {}
         self.records_groups = False  # whether an object's group is asked for: where there is an admin server
--- a/hoistplank/authorization/credential_loader.py
+++ b/hoistplank/authorization/credential_loader.py
@@ -6,22 +6,26 @@
 import asyncio
 from collections.abc import Callable
 from functools import partial
-from pathlib import Path
 
 import structlog
 
 from hoistplank.authorization import certificates
 from hoistplank.authorization.authenticator import Authenticator
-from hoistplank.authorization.certificates import TlsFiles, TlsState
+from hoistplank.authorization.certificates import TlsState
 from hoistplank.authorization.credential_sources import Apply, CredentialSource, Scan
 from hoistplank.authorization.errors import AuthorizationError
 from hoistplank.authorization.key_set_files import load_key_set
 from hoistplank.authorization.key_sets import KeySet
 from hoistplank.authorization.revocation_files import load_revocations
 from hoistplank.authorization.revocations import Revocation
+from hoistplank.authorization.settings import (
+    AuthorizationSettings,
+    IssuerSettings,
+    RevocationFileSettings,
+    TlsSettings,
+)
 from hoistplank.authorization.tls_connections import TlsConnections
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
-from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.clock import Clock
 
 log = structlog.get_logger()
@@ -31,36 +35,33 @@
 
 
 class CredentialLoader:
-    """The sources of one section, and what takes up their contents.
+    """The sources of one generation of settings, and what takes up their contents.
 
     `on_change` is called after a change of revocations or certificates that was found by `poll`.
     """
 
     def __init__(
         self,
-        section: Section,
-        folder: Path,
+        settings: AuthorizationSettings,
         authenticator: Authenticator,
         tls: TlsConnections,
         clock: Clock,
         on_change: Callable[[], None],
     ) -> None:
-        self.folder, self.authenticator, self.tls = folder, authenticator, tls
+        self.authenticator, self.tls = authenticator, tls
         self.clock, self.on_change = clock, on_change
         self.polling = False  # whether changes are logged and told: not while the program starts
-        self.use_section(section)
+        self.use_settings(settings)
 
-    def use_section(self, section: Section) -> None:
+    def use_settings(self, settings: AuthorizationSettings) -> None:
         """Other files from now on; nothing is read yet."""
-        sources = [self._key_set_source(row) for row in section["tokens"]["issuer"]]
-        if section["revoked"] is not None:
-            sources.append(self._revocation_source(section))
-        if section["tls"] is not None:
-            sources.append(self._certificate_source(section))
-        self.sources: list[CredentialSource] = sources
-        self._sources_of_issuers = {
-            row.title: source for row, source in zip(section["tokens"]["issuer"], sources, strict=False)
-        }
+        key_sets = {issuer.name: self._key_set_source(issuer) for issuer in settings.issuers}
+        sources = list(key_sets.values())
+        if settings.revocation_file is not None:
+            sources.append(self._revocation_source(settings.revocation_file))
+        if settings.tls is not None:
+            sources.append(self._certificate_source(settings.tls))
+        self.sources, self._key_set_sources = sources, key_sets
 
     def load_all(self, now: int) -> None:
         """Reads all sources at the start; raises ConfigurationError for those that can't be used."""
@@ -97,18 +98,18 @@
         """Read or unchanged, a key set was looked at: a key that is still not in it is unknown."""
         issuers = {}
         for name, issuer in self.authenticator.issuers.items():
-            source = self._sources_of_issuers.get(name)
+            source = self._key_set_sources.get(name)
             usable = source is not None and not source.failed
             issuers[name] = issuer.with_read_time(read_us) if usable else issuer
         self.authenticator.replace_issuers(issuers)
 
-    def _key_set_source(self, issuer: Section) -> CredentialSource:
-        path, name = self.folder / issuer["keys"], str(issuer.title)
+    def _key_set_source(self, issuer: IssuerSettings) -> CredentialSource:
+        path, name = issuer.key_set_file, issuer.name
 
         def read() -> Apply:
             return partial(self._apply_key_set, name, load_key_set(path))
 
-        return CredentialSource(f"keys of {name}", issuer.location_of("keys"), (path,), read)
+        return CredentialSource(f"keys of {name}", issuer.location, (path,), read)
 
     def _apply_key_set(self, name: str, key_set: KeySet, read_us: int) -> None:
         issuer = self.authenticator.issuers[name]
@@ -117,13 +118,11 @@
         if self.polling and renewed.generation != issuer.generation:
             log.info("key set", issuer=name, generation=renewed.generation, keys=sorted(renewed.keys))
 
-    def _revocation_source(self, section: Section) -> CredentialSource:
-        path = self.folder / section["revoked"]
-
+    def _revocation_source(self, file: RevocationFileSettings) -> CredentialSource:
         def read() -> Apply:
-            return partial(self._apply_revocations, load_revocations(path))
+            return partial(self._apply_revocations, load_revocations(file.path))
 
-        return CredentialSource("revocations", section.location_of("revoked"), (path,), read)
+        return CredentialSource("revocations", file.location, (file.path,), read)
 
     def _apply_revocations(self, revocations: list[Revocation], read_us: int) -> None:
         in_force = self.authenticator.revocations
@@ -133,21 +132,11 @@
             log.info("revocations", generation=in_force.generation, rows=len(revocations))
             self.on_change()
 
-    def _certificate_source(self, section: Section) -> CredentialSource:
-        form = section["tls"]
-        files = TlsFiles(
-            certificate=self.folder / form["certificate"],
-            key=self.folder / form["key"],
-            client_ca=self.folder / form["client-ca"] if form["client-ca"] else None,
-            revocation_list=self.folder / form["crl"] if form["crl"] else None,
-            require_certificate=form["require-certificate"] == "yes",
-            min_version=form["oldest"],
-        )
-
+    def _certificate_source(self, tls: TlsSettings) -> CredentialSource:
         def read() -> Apply:
-            return partial(self._apply_certificates, certificates.load_tls(files, self.clock.now()))
+            return partial(self._apply_certificates, certificates.load_tls(tls.files, self.clock.now()))
 
-        return CredentialSource("certificates", section.location_of("tls"), files.paths(), read)
+        return CredentialSource("certificates", tls.location, tls.files.paths(), read)
 
     def _apply_certificates(self, state: TlsState, read_us: int) -> None:
         self.tls.state = state
--- a/hoistplank/authorization/key_sets.py
+++ b/hoistplank/authorization/key_sets.py
@@ -79,6 +79,9 @@
     def __init__(self) -> None:
         self._first_seen_us: OrderedDict[tuple[str, str], int] = OrderedDict()
 
+    def __len__(self) -> int:
+        return len(self._first_seen_us)
+
     def is_final(self, issuer: Issuer, kid: str, now: int) -> bool:
         """Whether the set was read since the key was first asked for, or says itself that the key is
         retired."""
--- a/hoistplank/authorization/policy_compiler.py
+++ b/hoistplank/authorization/policy_compiler.py
@@ -1,8 +1,10 @@
-"""Compiles the operator's sections into tenants and the authentication policy. No I/O, no clock."""
+"""Compiles the operator's sections into settings: the one place that knows both. No I/O, no clock."""
 
 from __future__ import annotations
 
-from hoistplank.authorization.key_sets import Issuer
+from pathlib import Path
+
+from hoistplank.authorization.certificates import TlsFiles
 from hoistplank.authorization.permissions import (
     ALL_GROUPS,
     RIGHT_BITS,
@@ -11,11 +13,36 @@
     TenantDirectory,
 )
 from hoistplank.authorization.policy import ANONYMOUS_TENANT, AuthenticationPolicy
+from hoistplank.authorization.settings import (
+    AdminSettings,
+    AuthorizationSettings,
+    IssuerSettings,
+    RevocationFileSettings,
+    TlsSettings,
+)
 from hoistplank.operator_configuration.schema import Section
 
+MICROSECONDS = 1e6
 
-def compile_tenants(section: Section, generation: int) -> TenantDirectory:
-    """All tenants of `(callers …)`."""
+
+def compile_settings(section: Section, folder: Path, generation: int) -> AuthorizationSettings:
+    """The settings of `(callers …)`. Paths are taken from the folder."""
+    revoked = section["revoked"]
+    return AuthorizationSettings(
+        tenants=_tenants(section, generation),
+        policy=_policy(section),
+        issuers=tuple(_issuer(row, folder) for row in section["tokens"]["issuer"]),
+        revocation_file=None
+        if revoked is None
+        else RevocationFileSettings(folder / revoked, section.location_of("revoked")),
+        poll_interval_s=section["look-every"] / MICROSECONDS,
+        tls=None if section["tls"] is None else _tls(section["tls"], folder),
+        admin=None if section["control"] is None else _admin(section["control"]),
+        location=section.location,
+    )
+
+
+def _tenants(section: Section, generation: int) -> TenantDirectory:
     tenants = [_tenant(form) for form in section["tenant"]]
     bindings = [binding for form in section["tenant"] for binding in _bindings(form)]
     return TenantDirectory(tenants, bindings, generation)
@@ -52,8 +79,7 @@
     return subjects + certificates
 
 
-def compile_policy(section: Section) -> AuthenticationPolicy:
-    """The figures of `(tokens …)`, and whether callers may show nothing."""
+def _policy(section: Section) -> AuthenticationPolicy:
     tokens = section["tokens"]
     return AuthenticationPolicy(
         allow_anonymous=section["strangers"] == ANONYMOUS_TENANT,
@@ -66,6 +92,33 @@
     )
 
 
-def compile_issuers(section: Section) -> dict[str, Issuer]:
-    """The issuers of `(tokens …)` by name, without their keys."""
-    return {row.title: Issuer(row.title, row["audience"]) for row in section["tokens"]["issuer"]}
+def _issuer(form: Section, folder: Path) -> IssuerSettings:
+    return IssuerSettings(form.title, form["audience"], folder / form["keys"], form.location_of("keys"))
+
+
+def _tls(form: Section, folder: Path) -> TlsSettings:
+    files = TlsFiles(
+        certificate=folder / form["certificate"],
+        key=folder / form["key"],
+        client_ca=folder / form["client-ca"] if form["client-ca"] else None,
+        revocation_list=folder / form["crl"] if form["crl"] else None,
+        require_certificate=form["require-certificate"] == "yes",
+        min_version=form["oldest"],
+    )
+    return TlsSettings(
+        listen=form["listen"],
+        files=files,
+        rejects_when_list_expired=form["expired-crl"] == "refuse",
+        max_handshakes=form["handshakes"],
+        handshake_timeout_s=form["handshake-time"] / MICROSECONDS,
+        location=form.location,
+    )
+
+
+def _admin(form: Section) -> AdminSettings:
+    return AdminSettings(
+        listen=form["listen"],
+        max_body_bytes=form["body"],
+        max_connections=form["connections"],
+        location=form.location,
+    )
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -10,17 +10,19 @@
 
 import structlog
 
-from hoistplank.authorization import policy_compiler
 from hoistplank.authorization.authorizer import Authorizer, ClassRules
 from hoistplank.authorization.credential_files import CredentialFileError
 from hoistplank.authorization.credential_loader import REVOCATION_FILE, REVOCATION_LIST, CredentialLoader
 from hoistplank.authorization.expiry_warnings import ExpiryWarnings
 from hoistplank.authorization.fair_share import open_limit
 from hoistplank.authorization.identity import Caller, CertificateIdentity, Credentials
+from hoistplank.authorization.key_sets import Issuer
 from hoistplank.authorization.permissions import BOOK, READ
+from hoistplank.authorization.policy_compiler import compile_settings
 from hoistplank.authorization.rejection import Rejection
 from hoistplank.authorization.revocation_files import append_revocation
 from hoistplank.authorization.revocations import Revocation
+from hoistplank.authorization.settings import AdminSettings, AuthorizationSettings, TlsSettings
 from hoistplank.authorization.tls_connections import TlsConnections
 from hoistplank.authorization.tls_listener import ANONYMOUS_PREFIX, HandshakeCounts, TlsListener
 from hoistplank.interface import IDEMPOTENT, Site
@@ -34,10 +36,11 @@
 
 log = structlog.get_logger()
 
+ListenerSettings = TlsSettings | AdminSettings
+
 ADMIN_SERVER = "control front"  # the source of revocations that operators make there, as messages name it
 # Of the files: soon enough for a token whose key is on its way (`authenticator.UNKNOWN_KEY_RETRY_US`).
 MAX_POLL_INTERVAL_S = 0.25
-LISTENERS = ("tls", "control")  # the forms whose listener can't come, go or move while the program runs
 
 
 class Dispatcher(Protocol):
@@ -58,33 +61,37 @@
     }
 
 
+def _listeners(
+    before: AuthorizationSettings, after: AuthorizationSettings
+) -> tuple[tuple[str, ListenerSettings | None, ListenerSettings | None], ...]:
+    """The forms whose listener can't come, go or move while the program runs, in two generations."""
+    return ("tls", before.tls, after.tls), ("control", before.admin, after.admin)
+
+
+def _issuers(settings: AuthorizationSettings) -> dict[str, Issuer]:
+    """The issuers by name, without their keys."""
+    return {issuer.name: Issuer(issuer.name, issuer.audience) for issuer in settings.issuers}
+
+
 class AuthorizationService:
     """One for the program. Raises ConfigurationError where the files that the section names can't be
     used."""
 
     def __init__(self, section: Section, file: str, site: Site, clock: Clock | None = None) -> None:
-        self.section, self.file, self.site, self.clock = section, file, site, clock or Clock()
-        self.folder = Path(file).parent  # the files that it names stand beside it
+        self.file, self.site, self.clock = file, site, clock or Clock()
         self.generation = 1
+        # The files that it names stand beside it.
+        self.settings = compile_settings(section, Path(file).parent, self.generation)
         self.dispatcher: Dispatcher | None = None
         self.tls_listener: TlsListener | None = None
         self._class_rules = _class_rules(site)
         self._expiry_warnings = ExpiryWarnings()
         now = self.clock.now()
-        self.authorizer = Authorizer(
-            policy_compiler.compile_tenants(section, self.generation),
-            policy_compiler.compile_issuers(section),
-            policy_compiler.compile_policy(section),
-            now,
-        )
-        self.tls = TlsConnections(section["tls"], self.authorizer, self.clock)
+        settings = self.settings
+        self.authorizer = Authorizer(settings.tenants, _issuers(settings), settings.policy, now)
+        self.tls = TlsConnections(settings.tls, self.authorizer, self.clock)
         self.loader = CredentialLoader(
-            section,
-            self.folder,
-            self.authorizer.authenticator,
-            self.tls,
-            self.clock,
-            self.disconnect_revoked,
+            settings, self.authorizer.authenticator, self.tls, self.clock, self.disconnect_revoked
         )
         self.loader.load_all(now)
 
@@ -119,23 +126,21 @@
         self.dispatcher, self.owner = dispatcher, dispatcher.owner
         self.loader.polling = True
         parts: list[tuple[str, Coroutine[Any, Any, None]]] = [("callers' files", self._watch_files())]
-        if self.section["tls"] is not None:
-            self.tls_listener = TlsListener(
-                self.section["tls"], self.tls, dispatcher.front, dispatcher.ledger
-            )
+        if self.settings.tls is not None:
+            self.tls_listener = TlsListener(self.settings.tls, self.tls, dispatcher.front, dispatcher.ledger)
             parts += self.tls_listener.parts()
-        if self.section["control"] is not None:
+        if self.settings.admin is not None:
             from hoistplank.authorization.admin_server import AdminServer
 
             self.authorizer.records_groups = True
-            self.admin_server = AdminServer(self, self.section["control"], dispatcher)
+            self.admin_server = AdminServer(self, self.settings.admin, dispatcher)
             parts += self.admin_server.parts()
         self._log_state()
         return parts
 
     async def _watch_files(self) -> None:
         while True:
-            await asyncio.sleep(min(MAX_POLL_INTERVAL_S, self.section["look-every"] / 1e6))
+            await asyncio.sleep(min(MAX_POLL_INTERVAL_S, self.settings.poll_interval_s))
             await self.loader.poll()
             self._expiry_warnings.check(self.tls.state, self.clock.now())
 
@@ -164,41 +169,35 @@
     def prepare_reload(self, section: Section) -> Callable[[], None]:
         """All that another section names, read and checked; raises ConfigurationError; what is returned
         takes it up at once."""
-        for form in LISTENERS:
+        fresh_settings = compile_settings(section, Path(self.file).parent, self.generation)
+        for form, before, after in _listeners(self.settings, fresh_settings):
             # Danger: parts that serve a listener would find its figures gone.
-            if (self.section[form] is None) != (section[form] is None):
+            if (before is None) != (after is None):
                 found = f"'({form} …)' that comes or goes while the program runs"
                 location = section.location_of(form)
                 raise ConfigurationError([Diagnostic(location, found, "it as it was at the start")])
         fresh = AuthorizationService(section, self.file, self.site, self.clock)
-        return lambda: self._take_over(fresh)
+        return lambda: self._take_over(section, fresh)
 
-    def _take_over(self, fresh: AuthorizationService) -> None:
-        now, section = self.clock.now(), fresh.section
+    def _take_over(self, section: Section, fresh: AuthorizationService) -> None:
+        now = self.clock.now()
         self.generation += 1
-        for form in LISTENERS:
-            old, new = self.section[form], section[form]
-            if (old and old["listen"]) != (new and new["listen"]):
+        before = self.settings
+        settings = compile_settings(section, Path(self.file).parent, self.generation)
+        for form, old, new in _listeners(before, settings):
+            if old is not None and new is not None and old.listen != new.listen:
                 log.warning("can't change while running", key=f"callers {form} listen")
-        self._use_section(section)
+        self.settings, self.tls.settings = settings, settings.tls
+        if self.tls_listener is not None and settings.tls is not None:
+            self.tls_listener.settings = settings.tls
+        self.loader.use_settings(settings)
         for source, read in zip(self.loader.sources, fresh.loader.sources, strict=True):
             source.last_seen = read.last_seen
-        self.authorizer.configure(
-            policy_compiler.compile_tenants(section, self.generation),
-            policy_compiler.compile_policy(section),
-            now,
-        )
+        self.authorizer.configure(settings.tenants, settings.policy, now)
         self._take_over_credentials(fresh, now)
         self._log_state()
         self.disconnect_revoked()
 
-    def _use_section(self, section: Section) -> None:
-        self.section = section
-        self.tls.section = section["tls"]
-        if self.tls_listener is not None:
-            self.tls_listener.section = section["tls"]
-        self.loader.use_section(section)
-
     def _take_over_credentials(self, fresh: AuthorizationService, now: int) -> None:
         current, read = self.authorizer.authenticator, fresh.authorizer.authenticator
         issuers = {}
@@ -226,7 +225,7 @@
                 continue
             if self.authorizer.check_certificate(identity) is not None:
                 session.leave()
-        if self.section["control"] is not None:
+        if self.settings.admin is not None:
             self.admin_server.disconnect_revoked()
 
     def revoke(self, revocation: Revocation) -> None:
@@ -240,11 +239,11 @@
     async def persist(self, revocation: Revocation) -> str:
         """Writes a revocation into the operators' file, for all that read it; returns why that failed, or
         an empty string."""
-        if self.section["revoked"] is None:
+        file = self.settings.revocation_file
+        if file is None:
             return "no file is named: it is gone with this process"
-        path = self.folder / self.section["revoked"]
         try:
-            await asyncio.to_thread(append_revocation, path, revocation)
+            await asyncio.to_thread(append_revocation, file.path, revocation)
         except CredentialFileError as error:
             log.error("revocation not kept", wrong=str(error))  # noqa: TRY400 (the text says all)
             return "the file can't be written: it is gone with this process"
--- a/hoistplank/authorization/tls_connections.py
+++ b/hoistplank/authorization/tls_connections.py
@@ -9,7 +9,7 @@
 from hoistplank.authorization.authorizer import Authorizer
 from hoistplank.authorization.certificates import CertificateRejectedError, TlsState
 from hoistplank.authorization.identity import CertificateIdentity
-from hoistplank.operator_configuration.schema import Section
+from hoistplank.authorization.settings import TlsSettings
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.frontend import Make
 from hoistplank.transport.tls import TlsConnection
@@ -19,10 +19,10 @@
 
 
 class TlsConnections:
-    """Makes connections of the state in force. `section` is the form `(tls …)`, None without one."""
+    """Makes connections of the state in force. `settings` None: there is no listener with TLS."""
 
-    def __init__(self, section: Section | None, authorizer: Authorizer, clock: Clock) -> None:
-        self.section, self.authorizer, self.clock = section, authorizer, clock
+    def __init__(self, settings: TlsSettings | None, authorizer: Authorizer, clock: Clock) -> None:
+        self.settings, self.authorizer, self.clock = settings, authorizer, clock
         self.state: TlsState | None = None
 
     def factory(self, on_verified: OnVerified, on_rejected: OnRejected) -> Make:
@@ -43,9 +43,10 @@
         """Raises CertificateRejectedError where a certificate is not accepted, though its chain is."""
         if der is None:
             return None
-        assert self.state is not None and self.section is not None
+        assert self.state is not None and self.settings is not None
         expires_us = self.state.revocation_lists.next_update_us
-        if expires_us and self.clock.now() >= expires_us and self.section["expired-crl"] == "refuse":
+        expired = bool(expires_us) and self.clock.now() >= expires_us
+        if expired and self.settings.rejects_when_list_expired:
             # Danger: nobody says any more which certificates were revoked since.
             raise CertificateRejectedError("the revocation list has expired")
         identity = certificates.identity_of(der)
--- a/hoistplank/authorization/tls_listener.py
+++ b/hoistplank/authorization/tls_listener.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from hoistplank.authorization.identity import CertificateIdentity
+from hoistplank.authorization.settings import TlsSettings
 from hoistplank.authorization.tls_connections import TlsConnections
-from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.frontend import Front, Session
 from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
@@ -33,11 +33,11 @@
     """Hands sessions to the frontend; `pending` are those whose handshake runs, oldest first, with the
     loop's time at which it began."""
 
-    def __init__(self, section: Section, tls: TlsConnections, front: Front, ledger: Ledger) -> None:
-        self.section, self.tls, self.front = section, tls, front
+    def __init__(self, settings: TlsSettings, tls: TlsConnections, front: Front, ledger: Ledger) -> None:
+        self.settings, self.tls, self.front = settings, tls, front
         self.pending: dict[Session, float] = {}
         self.counts = HandshakeCounts()
-        self._listener = Listener(section["listen"], ledger, self._accept)
+        self._listener = Listener(settings.listen, ledger, self._accept)
 
     def parts(self) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Its tasks, by name."""
@@ -63,7 +63,7 @@
             self.counts.rejected += 1
             self.pending.pop(session, None)
 
-        while len(self.pending) >= self.section["handshakes"]:
+        while len(self.pending) >= self.settings.max_handshakes:
             # Danger: half-open handshakes hold every place. The oldest yields: a usual one needs some ms of
             # it.
             self._abandon(next(iter(self.pending)))
@@ -80,10 +80,9 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            max_s = self.section["handshake-time"] / 1e6
             for session, began in list(self.pending.items()):
                 if session.connection.closing:
                     del self.pending[session]
                     self.counts.failed += 1
-                elif loop.time() - began > max_s:
+                elif loop.time() - began > self.settings.handshake_timeout_s:
                     self._abandon(session)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -76,20 +76,16 @@
             NameBinding("", "uri:coast", "coast"),
             NameBinding("", "uri:inland", "inland"),
         ]
-        self.asked_keys, self.now = 0, now_us()
+        self.now = now_us()
         keys = {signer.kid: key(signer) for signer in signers or (OLD, NEW, ES)}
         self.authorizer = Authorizer(
             TenantDirectory(self.tenants, self.bindings),
             {ISS: Issuer(ISS, "hoistplank", KeySet(keys), 1, 0)},
             AuthenticationPolicy(**policy),
             self.now,
-            self._ask,
         )
         self.authenticator = self.authorizer.authenticator
 
-    def _ask(self) -> None:
-        self.asked_keys += 1
-
     def ask(
         self,
         token: str = "",
@@ -191,7 +187,7 @@
 def test_a_token_that_does_not_stand_is_refused_by_name(token: str, told: str) -> None:
     scene = Scene()
     assert cause(scene.ask(token)) == (401, told)
-    assert not scene.authorizer.limiter.total_open and not scene.asked_keys
+    assert not scene.authorizer.limiter.total_open and not scene.authenticator.unknown_keys
 
 
 def test_one_token_has_one_spelling() -> None:
@@ -249,13 +245,14 @@
 def test_a_key_on_its_way_is_waited_for_and_one_that_never_comes_is_refused() -> None:
     scene = Scene(OLD)
     token = NEW.token("coast-1")
-    assert cause(scene.ask(token)) == (503, "key not known yet") and scene.asked_keys == 1
+    assert cause(scene.ask(token)) == (503, "key not known yet")
+    assert len(scene.authenticator.unknown_keys) == 1
     scene.now += S
     scene.keys(OLD)  # read once more, and still not there
     assert cause(scene.ask(token)) == (401, "token key")
     scene.now += S
     scene.keys(OLD, NEW)
-    assert isinstance(scene.ask(token), Caller)
+    assert isinstance(scene.ask(token), Caller) and not scene.authenticator.unknown_keys
 
 
 def test_a_request_in_hand_keeps_its_caller_when_its_tenant_goes() -> None:
