--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -25,7 +25,7 @@
 from hoistplank.authorization.settings import AdminSettings, AuthorizationSettings, TlsSettings
 from hoistplank.authorization.tls_connections import TlsConnections
 from hoistplank.authorization.tls_listener import ANONYMOUS_PREFIX, HandshakeCounts, TlsListener
-from hoistplank.interface import IDEMPOTENT, Site
+from hoistplank.decision.settings import IDEMPOTENT, RouterSettings
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.attempts import Request
@@ -51,11 +51,11 @@
     ledger: Ledger
 
 
-def _class_rules(site: Site) -> dict[str, ClassRules]:
+def _class_rules(site: RouterSettings) -> dict[str, ClassRules]:
     return {
         row.name: ClassRules(
             right=READ if row.semantics == IDEMPOTENT else BOOK,
-            key_hold_us=row.deadline_us + row.dedup_window_us,
+            key_hold_us=row.deadline_us + row.deduplication_window_us,
         )
         for row in site.traffic_classes
     }
@@ -77,7 +77,7 @@
     """One for the program. Raises ConfigurationError where the files that the section names can't be
     used."""
 
-    def __init__(self, section: Section, file: str, site: Site, clock: Clock | None = None) -> None:
+    def __init__(self, section: Section, file: str, site: RouterSettings, clock: Clock | None = None) -> None:
         self.file, self.site, self.clock = file, site, clock or Clock()
         self.generation = 1
         # The files that it names stand beside it.
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -7,8 +7,10 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
+from hoistplank.decision.actions import SendAttempt
 from hoistplank.fakes.settings import listing
 from hoistplank.fakes.wire import CacheHost, Client
 from hoistplank.protocol import fastcgi
@@ -139,13 +141,12 @@
             client = await dispatcher.connect()
             if what == "window over":
                 # As a repeat whose time in which it would be dropped ends while its connection comes up.
-                plain = owner._act["attempt"]
+                plain = owner._act[SendAttempt]
 
-                def attempt(now: int, decision: Any) -> None:
-                    decision.begin_by_us = now + 1
-                    plain(now, decision)
+                def attempt(now: int, action: SendAttempt) -> None:
+                    plain(now, msgspec.structs.replace(action, start_by_us=now + 1))
 
-                owner._act["attempt"] = attempt
+                owner._act[SendAttempt] = attempt
                 client.send(1, "booking", KEY)
             else:
                 client.send(1, "page", {"HTTP_X_DEADLINE_MS": "600"})
@@ -188,7 +189,7 @@
             dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
             owner = dispatcher.service.owner
             began = asyncio.get_running_loop().time()
-            await until(lambda: not owner.requests and not owner.router.attempts)
+            await until(lambda: not owner.requests and not owner.router.in_flight)
             assert asyncio.get_running_loop().time() - began < 0.5  # well before its time is over
 
     run(scene())
