--- a/hoistplank/authorization/admin_connection.py
+++ b/hoistplank/authorization/admin_connection.py
@@ -51,13 +51,13 @@
     def expired(self, now_s: float, handshake_timeout_s: float) -> bool:
         """Whether its handshake takes too long, or nothing came for too long."""
         anonymous = self.identity is None and now_s - self._opened_s > handshake_timeout_s
-        return anonymous or now_s - self.connection.heard_at > IDLE_TIMEOUT_S
+        return anonymous or now_s - self.connection.last_read_at > IDLE_TIMEOUT_S
 
     def drain(self) -> None:
         """Ends, once what came is answered."""
         self._draining = True
         if self._worker is None:
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def _verified(self, identity: CertificateIdentity | None) -> None:
         self.identity = identity
@@ -70,7 +70,7 @@
         except BadRequestError as error:
             self._send(refusal(error.status, str(error)), keep_alive=False)
             self._broken = True
-            self.connection.deafen()
+            self.connection.stop_reading()
             return end
         if self._requests and self._worker is None:
             self._worker = asyncio.get_running_loop().create_task(self._work(), name="control requests")
@@ -79,7 +79,7 @@
     async def _work(self) -> None:
         """One after another: answers come in the order of their requests."""
         try:
-            while self._requests and not self.connection.closing:
+            while self._requests and not self.connection.is_closed:
                 request = self._requests.popleft()
                 response = await self._owner.respond(self.identity, request)
                 self._parser.unanswered -= 1
@@ -95,7 +95,7 @@
             )
         )
         if not keep_alive:
-            self.connection.finish(IDLE_TIMEOUT_S)
+            self.connection.close_gracefully(IDLE_TIMEOUT_S)
 
     def _ended(self, _task: asyncio.Task[BaseException | None]) -> None:
         if self._worker is not None:
--- a/hoistplank/authorization/admin_server.py
+++ b/hoistplank/authorization/admin_server.py
@@ -12,7 +12,7 @@
 from hoistplank.authorization.settings import AdminSettings
 from hoistplank.authorization.tls_connections import TlsConnections
 from hoistplank.routing.router_task import Owner
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 
 SWEEP_INTERVAL_S = 0.25
@@ -22,7 +22,7 @@
     """What the server uses of the program that it is part of."""
 
     owner: Owner
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
 class AuthorizationServer(AuthorizationControl, Protocol):
@@ -38,7 +38,7 @@
         self.service, self.settings, self.dispatcher = service, settings, dispatcher
         self.routes = AdminRoutes(service, dispatcher)
         self.connections: dict[AdminConnection, None] = {}
-        self._listener = Listener(settings.listen, dispatcher.ledger, self._accept)
+        self._listener = Listener(settings.listen, dispatcher.descriptors, self._accept)
 
     def parts(self) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Its tasks, by name."""
@@ -55,14 +55,14 @@
         if len(self.connections) >= self.settings.max_connections:
             # Danger: operators' connections count against the clients' descriptors. The one silent for
             # longest goes.
-            min(self.connections, key=lambda one: one.connection.heard_at).connection.close()
+            min(self.connections, key=lambda one: one.connection.last_read_at).connection.close()
         owner = AdminConnectionOwner(self.routes.respond, self._connection_ended)
         connection = AdminConnection(owner, self.service.tls, sock, self.settings.max_body_bytes)
         self.connections[connection] = None
 
     def _connection_ended(self, connection: AdminConnection) -> None:
         self.connections.pop(connection, None)
-        self.dispatcher.ledger.give("client")
+        self.dispatcher.descriptors.release(ConnectionKind.CLIENT)
 
     async def _sweep(self) -> None:
         """Closes connections that expired, and has the others give memory back."""
@@ -75,4 +75,4 @@
                 if connection.expired(loop.time(), tls.handshake_timeout_s):
                     connection.connection.close()
                 else:
-                    connection.connection.trim()
+                    connection.connection.release_buffer()
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -32,7 +32,7 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.frontend import Front, Refused
 from hoistplank.routing.router_task import Owner
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 
 log = structlog.get_logger()
 
@@ -48,7 +48,7 @@
 
     owner: Owner
     front: Front
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
 def _class_rules(site: RouterSettings) -> dict[str, ClassRules]:
@@ -127,7 +127,9 @@
         self.loader.polling = True
         parts: list[tuple[str, Coroutine[Any, Any, None]]] = [("callers' files", self._watch_files())]
         if self.settings.tls is not None:
-            self.tls_listener = TlsListener(self.settings.tls, self.tls, dispatcher.front, dispatcher.ledger)
+            self.tls_listener = TlsListener(
+                self.settings.tls, self.tls, dispatcher.front, dispatcher.descriptors
+            )
             parts += self.tls_listener.parts()
         if self.settings.admin is not None:
             from hoistplank.authorization.admin_server import AdminServer
--- a/hoistplank/authorization/tls_connections.py
+++ b/hoistplank/authorization/tls_connections.py
@@ -37,7 +37,7 @@
                 on_rejected()
                 raise
 
-        return partial(TlsConnection, context=self.state.context, shaken=handshake_done)
+        return partial(TlsConnection, context=self.state.context, on_handshake=handshake_done)
 
     def _identity(self, der: bytes | None) -> CertificateIdentity | None:
         """Raises CertificateRejectedError where a certificate is not accepted, though its chain is."""
--- a/hoistplank/authorization/tls_listener.py
+++ b/hoistplank/authorization/tls_listener.py
@@ -13,7 +13,7 @@
 from hoistplank.authorization.settings import TlsSettings
 from hoistplank.authorization.tls_connections import TlsConnections
 from hoistplank.routing.frontend import Front, Session
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 
 ANONYMOUS_PREFIX = "tls "  # before the address of a client that showed no certificate
@@ -33,11 +33,13 @@
     """Hands sessions to the frontend; `pending` are those whose handshake runs, oldest first, with the
     loop's time at which it began."""
 
-    def __init__(self, settings: TlsSettings, tls: TlsConnections, front: Front, ledger: Ledger) -> None:
+    def __init__(
+        self, settings: TlsSettings, tls: TlsConnections, front: Front, descriptors: DescriptorBudget
+    ) -> None:
         self.settings, self.tls, self.front = settings, tls, front
         self.pending: dict[Session, float] = {}
         self.counts = HandshakeCounts()
-        self._listener = Listener(settings.listen, ledger, self._accept)
+        self._listener = Listener(settings.listen, descriptors, self._accept)
 
     def parts(self) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Its tasks, by name."""
@@ -81,7 +83,7 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             for session, began in list(self.pending.items()):
-                if session.connection.closing:
+                if session.connection.is_closed:
                     del self.pending[session]
                     self.counts.failed += 1
                 elif loop.time() - began > self.settings.handshake_timeout_s:
--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -20,8 +20,8 @@
 from hoistplank.distribution.status import ChangeRow, MissingRow, StatusAnswer
 from hoistplank.distribution.status_client import ask
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.changelog import address as read_address
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import parse_address
+from hoistplank.protocol.errors import ProtocolError
 
 LOOPBACK = ("127.", "localhost:", "[::1]:")
 # What a copy from before a purge may outlive it by, beside the floors: clocks and paths between replicas.
@@ -31,8 +31,8 @@
 
 def _address(option: str, text: str) -> tuple[str, int]:
     try:
-        return read_address(text)
-    except BadBytes as wrong:
+        return parse_address(text)
+    except ProtocolError as wrong:
         fail(f"{option} {text}: {wrong}")
 
 
@@ -125,7 +125,7 @@
     async def one(endpoint: str) -> Asked:
         try:
             return Asked(endpoint, await ask(_address("--replica", endpoint), version), "")
-        except (OSError, BadBytes) as wrong:
+        except (OSError, ProtocolError) as wrong:
             return Asked(endpoint, None, str(wrong) or type(wrong).__name__)
 
     return await asyncio.gather(*map(one, endpoints))
--- a/hoistplank/program/configuration.py
+++ b/hoistplank/program/configuration.py
@@ -15,8 +15,8 @@
 from msgspec import Meta
 
 from hoistplank.decision.settings import RouterSettings
-from hoistplank.protocol.changelog import Known, address, check
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Snapshot, check_event, parse_address
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.settings_reader import FactError, Fields, flat, site
 
 Count = Annotated[int, Meta(ge=1)]
@@ -41,7 +41,7 @@
     settings: dict[str, Any]
     seed: str = "0"
     limits: Limits = Limits()
-    known: Known = Known()
+    known: Snapshot = Snapshot()
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: Known
+    known: Snapshot
     site: RouterSettings
     open_cap: int
     streams: int
@@ -65,8 +65,8 @@
 
 def _address(key: str, text: str) -> tuple[str, int]:
     try:
-        return address(text)
-    except BadBytes as wrong:
+        return parse_address(text)
+    except ProtocolError as wrong:
         raise BadConfiguration(f"{key}: {wrong}") from None
 
 
@@ -136,8 +136,8 @@
         raise BadConfiguration(f"seed: '{written.seed[:40]}' is no hex number") from None
     try:
         for event in written.known.results:
-            check(event)
-    except BadBytes as wrong:
+            check_event(event)
+    except ProtocolError as wrong:
         raise BadConfiguration(f"known.results: {wrong}") from None
     facts = Fields([])
     facts.pairs = flat(written.settings)
--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -11,7 +11,7 @@
 from hoistplank.protocol import cachewire
 from hoistplank.protocol.cachewire import Answer
 from hoistplank.routing.clock import Clock
-from hoistplank.transport.pool import Line
+from hoistplank.transport.pooled_connection import PooledConnection
 
 # Each way for an attempt to end, and the result that it is told as. The first three and `withheld` prove that
 # it never ran; a break or silence once it was written whole proves nothing. A new connection that is reset
@@ -84,7 +84,7 @@
         self.host, self.source, self.decided = action.host, action.source, now
         self.begin_by = action.start_by_us
         self.began = asyncio.get_running_loop().time()
-        self.line: Line | None = None
+        self.line: PooledConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.over = False
         # Times of the sockets, not of the owner's turns: the loop's lag and a connection's set-up are no part
@@ -106,16 +106,13 @@
             return False
         return self.begun_at - self.decided <= self.owner.stale_us
 
-    def written(self) -> None:
-        """Nothing to do: the line knows it when it is asked."""
-
     def failed(self, how: str) -> None:
         self.ended_at = self.owner.clock.now()
         self.owner.tell(Ended(self, how, None))
 
     def answered(self, answer: Answer) -> None:
         self.ended_at = self.owner.clock.now()
-        self.owner.tell(Ended(self, answer.word, answer))
+        self.owner.tell(Ended(self, answer.status, answer))
 
 
 class Ended(NamedTuple):
@@ -146,4 +143,4 @@
             fields["hints"] = "wait-for"
     if request.holds:
         fields["got"] = request.holds
-    return cachewire.get(request.id, fields, request.body)
+    return cachewire.encode_get(request.id, fields, request.body)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -22,8 +22,8 @@
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import serve
-from hoistplank.protocol.changelog import Event, Fleet, Known, Target
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Event, Fleet, Snapshot, Target
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.router_task import Applied, Listed
 from tests.distribution_rig import EPOCH, Relay, Rig, asked
 from tests.helpers import until
@@ -259,7 +259,7 @@
                 number += 1
                 rig.log.configure(number, "x" * 200_000)
                 await until(lambda: replica.table.in_force(0, at(number)).in_force >= 1)  # noqa: B023
-                most = max(most, *(session.connection.out_bytes for session in replica.sessions.values()))
+                most = max(most, *(session.connection.unsent_bytes for session in replica.sessions.values()))
                 assert number < 200
             assert replica.cut_off == 1 and most <= MOST_WAITING + 210_000
             status = await asked(replica.address)
@@ -405,7 +405,7 @@
             for one in each:
                 await one.stop()
             # A start knows the list that its own configuration names, and nothing of what was purged.
-            known = Known(1, [Event(1, Fleet(1, True, [Target("a", "127.0.0.1:9")]))])
+            known = Snapshot(1, [Event(1, Fleet(1, True, [Target("a", "127.0.0.1:9")]))])
             again = [
                 rig.dispatcher(f"d{number}", incarnation=2, known=known, silence_us=300_000)
                 for number in range(3)
@@ -575,5 +575,5 @@
         start, lines = reader.read(buffer, start, end)
         found += lines
     assert found == [b'{"a":1}', b'{"b":2}'] and start == len(buffer)
-    with pytest.raises(BadBytes, match="longer than 8 bytes"):
+    with pytest.raises(ProtocolError, match="longer than 8 bytes"):
         reader.read(bytearray(b"x" * 9), 0, 9)
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -15,7 +15,7 @@
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import CacheHost, serve
-from hoistplank.protocol.changelog import Event, Fleet, Known
+from hoistplank.protocol.changelog import Event, Fleet, Snapshot
 from hoistplank.routing import endpoint_watcher as watching
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
@@ -68,7 +68,7 @@
             await reader.read()
 
         told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 2)
@@ -94,7 +94,7 @@
 
         told = Told()
         lines = [row(1, whole=True), row(2, state="draining")]
-        known = msgspec.json.decode(b'{"seq":2,"results":[' + b",".join(lines) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":2,"results":[' + b",".join(lines) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 1)
@@ -125,7 +125,7 @@
                 writer.write(number % 1)
                 await asyncio.sleep(0.05)
 
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(Told(), ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.moves > 20)
@@ -152,7 +152,7 @@
             await reader.read()
 
         told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 2)
@@ -177,7 +177,7 @@
             await reader.read()
 
         told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
+        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
         log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last == 2)
@@ -203,7 +203,7 @@
             failed.append(loop.time())
 
         told.tell = tell  # type: ignore[method-assign]
-        log = Listing(told, ("127.0.0.1", port), Known(0, []), Random(1), grace_s=0.25)
+        log = Listing(told, ("127.0.0.1", port), Snapshot(0, []), Random(1), grace_s=0.25)
         task = asyncio.create_task(log.run())
         await until(lambda: len(failed) > 12)
         assert max(later - first for first, later in zip(failed[5:], failed[6:], strict=False)) < 0.25
@@ -226,7 +226,7 @@
                 speaks.set()
                 await asyncio.sleep(0.02)
 
-        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.moves > 0)
         for _ in range(3):
@@ -251,7 +251,7 @@
             writer.write(b"0\n")
             await reader.read()
 
-        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
 
         def none(*words: Any) -> Any:
             if len(failed) < 2:
@@ -275,7 +275,7 @@
     async def scene() -> None:
         log = ChangeLog(epoch=7)
         told = Told()
-        listing_ = Listing(told, ("127.0.0.1", await serve(log.talk)), Known(0, []), Random(1))
+        listing_ = Listing(told, ("127.0.0.1", await serve(log.talk)), Snapshot(0, []), Random(1))
         task = asyncio.create_task(listing_.run())
         log.tell(listing(1, [target("a", "box", 9)], whole=True))
         log.configure(2, "x" * 1_000_000)
