--- a/hoistplank/distribution/dispatcher_session.py
+++ b/hoistplank/distribution/dispatcher_session.py
@@ -87,7 +87,7 @@
         self.phase = SessionPhase.CATCHING_UP
         self._catch_up_version = self.replica.state.version
         self._chunks = deque(_join_to_chunks(self._catch_up_lines()))
-        self.connection.emptied = self._send_next_chunk
+        self.connection.on_all_written = self._send_next_chunk
         self._send_next_chunk()
 
     def _catch_up_lines(self) -> list[bytes]:
@@ -112,7 +112,7 @@
         if self._chunks:
             self.connection.send(self._chunks.popleft())
             return
-        self.connection.emptied = None
+        self.connection.on_all_written = None
         self.replica.queue.finish(self)
         self.sent = self._catch_up_version
         self.start()  # what has arrived in the meantime
@@ -137,7 +137,7 @@
 
     def _send(self, data: bytes) -> None:
         self.connection.send(data)
-        pending = self.connection.out_bytes
+        pending = self.connection.unsent_bytes
         if pending > MAX_PENDING_BYTES + len(data):
             self.replica.count_slow_reader()
             log.warning("dispatcher reads too slowly, connection ended", peer=self.name, waiting=pending)
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -39,11 +39,11 @@
 from hoistplank.distribution.replica_selection import ReplicaSelection
 from hoistplank.distribution.silence import SILENCE_US
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.changelog import Event, Known
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
 from hoistplank.routing.router_task import Applied, Listed
-from hoistplank.transport.connecting import connected
+from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
@@ -69,7 +69,7 @@
         self,
         owner: Hearer,
         settings: FollowerSettings,
-        known: Known,
+        known: Snapshot,
         random: Random,
         grace_s: float = 0.25,
         prepare: PrepareConfiguration = accept_any_configuration,
@@ -140,7 +140,7 @@
         verdict = self.state.receive(self.owner.clock.now(), message)
         if verdict is Verdict.GAP:
             held = self.state.received
-            raise BadBytes(f"event {message.version} after {message.after} does not follow {held}")
+            raise ProtocolError(f"event {message.version} after {message.after} does not follow {held}")
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
@@ -285,7 +285,7 @@
 
 async def _accepts_connections(address: tuple[str, int]) -> bool:
     try:
-        sock = await connected(address, CONNECT_S)
+        sock = await connect(address, CONNECT_S)
     except (OSError, ValueError):
         return False
     sock.close()
--- a/hoistplank/distribution/lines.py
+++ b/hoistplank/distribution/lines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 
 class LineReader:
@@ -13,7 +13,7 @@
         self._searched = 0  # bytes of an incomplete line known to hold no newline
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[bytes]]:
-        """The complete lines between `start` and `end`, and where the remainder begins; raises BadBytes."""
+        """The complete lines in the range, and where the remainder begins; raises ProtocolError."""
         lines = list[bytes]()
         while (stop := buffer.find(b"\n", start + self._searched, end)) >= 0:
             line = bytes(buffer[start:stop]).strip()
@@ -23,5 +23,5 @@
                 lines.append(line)
         self._searched = end - start
         if self._searched > self.max_line_bytes:
-            raise BadBytes(f"a line is longer than {self.max_line_bytes} bytes")
+            raise ProtocolError(f"a line is longer than {self.max_line_bytes} bytes")
         return start, lines
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -11,8 +11,8 @@
 from hoistplank.distribution.messages import Configuration, ReplicatedEvent
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Known
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.router_task import Event as OwnerEvent
@@ -53,7 +53,7 @@
     def __init__(
         self, listener: ChangeLogListener, address: tuple[str, int], random: Random, clock: Clock
     ) -> None:
-        super().__init__(_DiscardingOwner(clock), address, Known(), random)
+        super().__init__(_DiscardingOwner(clock), address, Snapshot(), random)
         self.listener = listener
         self.epoch = 0
         self.last_heard_us = 0  # when an event or a number last arrived in order; 0: never
@@ -88,7 +88,7 @@
         return self._has_number or has_settled
 
     def _consumer(self) -> Consume:
-        reader = changelog.Reader()
+        reader = changelog.ChangeLogReader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             self.check_suspension()
@@ -104,19 +104,19 @@
         return consume
 
     def _check_epoch(self, epoch: int) -> None:
-        """Raises BadBytes if the epoch has changed, so that everything is requested again.
+        """Raises ProtocolError if the epoch has changed, so that everything is requested again.
 
         Danger: a restarted log may be past our number, and would seem to continue from it.
         """
         if epoch == self.epoch:
             return
         if epoch < self.epoch:
-            raise BadBytes(f"the change log is in epoch {epoch}, {self.epoch} is known")
+            raise ProtocolError(f"the change log is in epoch {epoch}, {self.epoch} is known")
         is_restart = self.last > 0
         self.epoch = epoch
         if is_restart:
             self.last, self.behind, self.anew = 0, False, True
-            raise BadBytes(f"the change log began anew in epoch {epoch}: all is asked for")
+            raise ProtocolError(f"the change log began anew in epoch {epoch}: all is asked for")
 
     def _take(self, message: Event | int) -> None:
         moves, was_behind = self.moves, self.behind
@@ -137,7 +137,7 @@
 
     def _replicated(self, event: Event) -> ReplicatedEvent:
         configuration: Configuration | None = None
-        if event.configures:
+        if event.has_configuration:
             try:
                 configuration = _configuration_decoder.decode(event.configuration)
             except msgspec.MsgspecError as error:
--- a/hoistplank/distribution/messages.py
+++ b/hoistplank/distribution/messages.py
@@ -4,7 +4,7 @@
 `after`, the number of the preceding event on this connection. Compaction leaves out numbers, so a follower
 checks `after` against the version it holds instead of counting by one. A line with only `seq` and `epoch` is
 a heartbeat: no event is newer than that number. More than one missing event is sent as a catch-up: a begin
-line, its parts, and an end line. All fields are validated here; invalid input raises BadBytes.
+line, its parts, and an end line. All fields are validated here; invalid input raises ProtocolError.
 
 Attribute names follow the code's terms; the names on the wire are given by `msgspec.field(name=…)`.
 """
@@ -21,7 +21,7 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
 from hoistplank.protocol.changelog import Fleet, Purge
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 
 MAX_CONFIGURATION_BYTES = 1_048_576  # of one configuration's text
 # JSON may escape each byte of a text as six characters.
@@ -176,31 +176,31 @@
 
 
 def read_request(line: bytes) -> ReplicaRequest:
-    """The request in a line from a dispatcher, a peer or an operator; raises BadBytes."""
+    """The request in a line from a dispatcher, a peer or an operator; raises ProtocolError."""
     try:
         request = _request_decoder.decode(line)
     except msgspec.MsgspecError as error:
-        raise BadBytes(f"a request can't be read: {error}") from error
+        raise ProtocolError(f"a request can't be read: {error}") from error
     fields = (request.follow, request.acknowledgement, request.peer_subscription, request.status)
     present = [field for field in fields if field is not None]
     if len(present) != 1:
-        raise BadBytes(
+        raise ProtocolError(
             f"a request holds {len(present)} of 'follow', 'in_force', 'report' and 'status', not one"
         )
     return present[0]
 
 
 def read_replica_line(line: bytes) -> ReplicatedEvent | Redirect:
-    """The event, heartbeat or redirect in a line from a replica; raises BadBytes."""
+    """The event, heartbeat or redirect in a line from a replica; raises ProtocolError."""
     try:
         message = _replica_line_decoder.decode(line)
     except msgspec.MsgspecError as error:
-        raise BadBytes(f"a replica's line can't be read: {error}") from error
+        raise ProtocolError(f"a replica's line can't be read: {error}") from error
     if message.redirect is not None:
         return message.redirect
     if message.seq is None:
-        raise BadBytes("a replica's line has neither 'seq' nor 'redirect'")
-    changelog.check(changelog.Event(message.seq, message.fleet, message.invalidate))
+        raise ProtocolError("a replica's line has neither 'seq' nor 'redirect'")
+    changelog.check_event(changelog.Event(message.seq, message.fleet, message.invalidate))
     return ReplicatedEvent(
         message.seq,
         message.epoch,
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -19,8 +19,8 @@
     RequestLine,
     encode,
 )
-from hoistplank.protocol.errors import BadBytes
-from hoistplank.transport.connecting import connected
+from hoistplank.protocol.errors import ProtocolError
+from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Connection, Consume
 
 log = structlog.get_logger()
@@ -55,7 +55,7 @@
 
     def send_changes(self) -> None:
         """Sends the changed rows; a peer that reads slowly gets the newest of them later."""
-        if self.connection.out_bytes > MAX_PENDING_BYTES:
+        if self.connection.unsent_bytes > MAX_PENDING_BYTES:
             return
         table = self.replica.table
         rows = table.rows_since(self.replica.now(), self._sent_revision)
@@ -65,7 +65,7 @@
 
     def send_keepalive(self) -> None:
         """Tells the peer that this replica is alive."""
-        if self.connection.out_bytes <= MAX_PENDING_BYTES:
+        if self.connection.unsent_bytes <= MAX_PENDING_BYTES:
             self.connection.send(KEEPALIVE)
 
 
@@ -100,7 +100,7 @@
     async def _follow(self) -> BaseException | str:
         """Receives rows on one connection; returns why it ended."""
         try:
-            sock = await connected(self.peer.address, CONNECT_S)
+            sock = await connect(self.peer.address, CONNECT_S)
         except (OSError, ValueError) as error:
             return error
         connection = Connection(sock, self._consumer(), MAX_REQUEST_LINE_BYTES * 2, MAX_PENDING_BYTES)
@@ -117,12 +117,12 @@
     async def _wait_for_end(
         self, connection: Connection, task: asyncio.Task[BaseException | None]
     ) -> BaseException | str:
-        silent_s, heard_at = 0.0, connection.heard_at
+        silent_s, last_read_at = 0.0, connection.last_read_at
         while not task.done():
             await asyncio.wait((task,), timeout=CHECK_INTERVAL_S)
             silent_s += CHECK_INTERVAL_S
-            if connection.heard_at != heard_at:
-                silent_s, heard_at = 0.0, connection.heard_at
+            if connection.last_read_at != last_read_at:
+                silent_s, last_read_at = 0.0, connection.last_read_at
             if silent_s > SILENCE_S:
                 return "it says nothing"
         return task.result() or "closed by the other side"
@@ -145,4 +145,4 @@
     try:
         return _row_decoder.decode(line)
     except msgspec.MsgspecError as error:
-        raise BadBytes(f"a peer's row can't be read: {error}") from error
+        raise ProtocolError(f"a peer's row can't be read: {error}") from error
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -33,11 +33,11 @@
 from hoistplank.distribution.status_report import replica_status
 from hoistplank.distribution.unreadable_changes import UnreadableChanges
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import SILENT_S
 from hoistplank.routing.rate_limited_log import Complaints
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 
 log = structlog.get_logger()
@@ -86,8 +86,8 @@
         self.sessions: dict[str, DispatcherSession] = {}  # by dispatcher
         self.peer_sessions: dict[PeerSession, None] = {}
         soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.ledger = Ledger(min(soft_limit, MAX_DESCRIPTORS))
-        self.listener = Listener(settings.listen, self.ledger, self._connection_accepted)
+        self.descriptors = DescriptorBudget(min(soft_limit, MAX_DESCRIPTORS))
+        self.listener = Listener(settings.listen, self.descriptors, self._connection_accepted)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -168,7 +168,7 @@
     def connection_closed(self, connection: RequestConnection) -> None:
         """Removes a connection that has ended."""
         self.connections.pop(connection, None)
-        self.ledger.give("client")
+        self.descriptors.release(ConnectionKind.CLIENT)
         if connection.peer is not None:
             self.peer_sessions.pop(connection.peer, None)
         session = connection.dispatcher
@@ -194,10 +194,10 @@
         return ""
 
     def accept(self, session: DispatcherSession) -> None:
-        """A dispatcher follows this replica from now on; raises BadBytes if it can't."""
+        """A dispatcher follows this replica from now on; raises ProtocolError if it can't."""
         registration = self.table.register(self.now(), self.name, session.request)
         if registration is not Registration.ACCEPTED:
-            raise BadBytes(f"{session.name} can't follow: {registration.value}")
+            raise ProtocolError(f"{session.name} can't follow: {registration.value}")
         earlier = self.sessions.get(session.name)
         self.sessions[session.name] = session
         if earlier is not None:
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -24,7 +24,7 @@
 )
 from hoistplank.distribution.peer_link import PeerReplica, PeerSession
 from hoistplank.distribution.status import StatusResponse
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.transport.connection import Connection
 
@@ -44,7 +44,7 @@
         """Why the dispatcher is not accepted now; empty if it is."""
 
     def accept(self, session: DispatcherSession) -> None:
-        """The dispatcher follows this replica from now on; raises BadBytes if it can't."""
+        """The dispatcher follows this replica from now on; raises ProtocolError if it can't."""
 
     def acknowledge(self, session: DispatcherSession, acknowledgement: Acknowledgement) -> None:
         """Records what a dispatcher has in force."""
@@ -80,7 +80,7 @@
         elif isinstance(request, Acknowledgement):
             self._acknowledge(request)
         elif self.dispatcher is not None or self.peer is not None:
-            raise BadBytes("a connection says a second time whose it is")
+            raise ProtocolError("a connection says a second time whose it is")
         elif isinstance(request, FollowRequest):
             self._follow(request)
         else:
@@ -91,7 +91,7 @@
         if rejection:
             log.info("dispatcher sent on", peer=request.dispatcher, why=rejection)
             self.connection.send(encode(ReplicaLine(redirect=Redirect(rejection))))
-            self.connection.finish()
+            self.connection.close_gracefully()
             return
         self.dispatcher = DispatcherSession(self.replica, self.connection, request)
         self.replica.accept(self.dispatcher)
@@ -104,14 +104,14 @@
 
     def _acknowledge(self, acknowledgement: Acknowledgement) -> None:
         if self.dispatcher is None:
-            raise BadBytes("an acknowledgement comes before 'follow'")
+            raise ProtocolError("an acknowledgement comes before 'follow'")
         self.replica.acknowledge(self.dispatcher, acknowledgement)
 
     def is_lost(self) -> bool:
         """Whether its other side counts as gone: a machine that is cut off closes no connection."""
-        idle_s = asyncio.get_running_loop().time() - self.connection.heard_at
+        idle_s = asyncio.get_running_loop().time() - self.connection.last_read_at
         is_idle = self.peer is None and idle_s > IDLE_TIMEOUT_S
-        return is_idle or self.connection.is_stuck()
+        return is_idle or self.connection.is_write_stalled()
 
     def close(self) -> None:
         """Ends the connection now."""
