--- a/benchmarks/starters.py
+++ b/benchmarks/starters.py
@@ -1,9 +1,8 @@
 """150 dispatchers that start at once from one old list of 1,000 hosts, all just restarted: scripted clock, no
 sockets.
 
-Each has its own `Roster` and `Router`; what all of them together send to a host, fills at parents counted, is
-held
-against rule 4. Simulated, not measured; part of `make bench-discovery`.
+Each has its own `HostRegistry` and `Router`; what all of them together send to a host, fills at parents
+counted, is held against rule 4. Simulated, not measured; part of `make bench-discovery`.
 """
 
 from __future__ import annotations
@@ -17,7 +16,8 @@
 
 from hoistplank.choice import Router
 from hoistplank.interface import Decision, HostEntry, HouseRules, Note, Result, Site, TrafficClass
-from hoistplank.membership.host_registry import Roster
+from hoistplank.membership.host_registry import HostRegistry
+from hoistplank.membership.host_states import Evidence, HostState
 from hoistplank.store.schemas import PersistedHost, RemovalHistory
 
 S = 1_000_000
@@ -76,15 +76,15 @@
             False,
             1_000,
         )
-        self.router, self.roster = Router(site, number), Roster(Random(number), many)
-        self.roster.keep(
+        self.router, self.registry = Router(site, number), HostRegistry(Random(number), many)
+        self.registry.load_persisted(
             S, hosts, S - int(age_s * S), RemovalHistory(1.0, 1e8, 1), lambda host: host.zone in (zone, "hub")
         )
         self.attempts: dict[tuple[str, int], Decision] = {}
         self.given_up = 0
 
     def list_told(self, now: int) -> None:
-        rows = self.roster.told()
+        rows = self.registry.usable_hosts()
         self.router.hosts_listed(
             now,
             "own",
@@ -158,15 +158,16 @@
         now, _, what, who, more = heapq.heappop(clock)
         one = many[who]
         if what == "feel":
-            for host in one.roster.due(now):
+            for host in one.registry.next_probes(now):
                 out["probes"] += 1
                 mute = host.uid not in there
-                put(now + (400_000 if mute else 5_000), "felt", who, (host.uid, "mute" if mute else "good"))
-            if one.roster.changed:
+                evidence = Evidence.NO_RESPONSE if mute else Evidence.HEALTHY
+                put(now + (400_000 if mute else 5_000), "probed", who, (host.uid, evidence))
+            if one.registry.usable_changed:
                 one.list_told(now)
             put(now + 20_000, "feel", who, None)
-        elif what == "felt":
-            one.roster.felt(now, *more)
+        elif what == "probed":
+            one.registry.probe_completed(now, *more)
         elif what == "visit":
             out["visits"] += 1
             object_key = f"{int(3_000 * chance.random() ** 3):016x}"
@@ -191,17 +192,17 @@
 
 
 def growth() -> dict[str, float]:
-    """Microseconds of a roster's work for each host of its list: read, felt out whole, told."""
+    """Microseconds of a registry's work for each host of its list: read, probed once, handed on."""
     out = {}
     for size in (100, 1_000, 10_000):
         hosts = [PersistedHost(f"h{n}", "", "z", "box", 0, 1.0, 0.0, "ready", 1) for n in range(size)]
         began, now = time.perf_counter(), S
-        roster = Roster(Random(1))
-        roster.keep(now, hosts, S, RemovalHistory())
-        while (rows := roster.due(now)) or roster.counts().get("kept"):
+        registry = HostRegistry(Random(1))
+        registry.load_persisted(now, hosts, S, RemovalHistory())
+        while (rows := registry.next_probes(now)) or registry.count_by_state().get(HostState.PERSISTED):
             for row in rows:
-                roster.felt(now, row.uid, "good")
+                registry.probe_completed(now, row.uid, Evidence.HEALTHY)
             now += 20_000
-        roster.told()
+        registry.usable_hosts()
         out[str(size)] = round((time.perf_counter() - began) / size * 1e6, 1)
     return out
--- a/hoistplank/cli/state.py
+++ b/hoistplank/cli/state.py
@@ -51,8 +51,8 @@
             "age_s": round(age_s),
             "hosts": len(held.hosts),
             "purges": len(held.purges),
-            "gone_a_day": round(list_staleness.rate(held.history) * 86_400, 4),
-            "alive": round(list_staleness.alive(held.history, age_s), 4),
+            "gone_a_day": round(list_staleness.removal_rate(held.history) * 86_400, 4),
+            "alive": round(list_staleness.survival_probability(held.history, age_s), 4),
         }
     click.echo(
         msgspec.json.encode(row).decode() if as_json else "\n".join(f"{k}: {v}" for k, v in row.items())
--- a/hoistplank/membership/__init__.py
+++ b/hoistplank/membership/__init__.py
@@ -1,4 +1,5 @@
-"""Which cache hosts there are while the change log is silent, from which source, and how far it is trusted.
+"""Which cache hosts there are while the change log is silent, from which source, and how far each is trusted.
 
-Decision logic, without I/O or clock: `ages`, `roster`. Carrying out: `service`.
+Decision logic, without I/O or clock: `list_staleness`, `host_states`, `probe_schedule`, `host_registry`.
+Carried out by: `probe`, `fallback`, `list_recorder`, `service`. `docs/discovery.md` is the design note.
 """
--- /dev/null
+++ b/hoistplank/membership/fallback.py
@@ -0,0 +1,142 @@
+"""Serving without the change log: probes the registry's hosts, hands the usable ones to the router task."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from typing import Protocol
+
+import structlog
+
+from hoistplank.interface import Site
+from hoistplank.membership.host_records import to_target
+from hoistplank.membership.host_registry import HostRegistry
+from hoistplank.membership.host_states import USABLE_STATES, Evidence
+from hoistplank.membership.probe import probe
+from hoistplank.routing.attempts import Attempt
+from hoistplank.routing.clock import Clock
+from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.router_task import Listed, Owner
+from hoistplank.store.schemas import PersistedHost
+from hoistplank.transport.descriptor_budget import Ledger
+
+log = structlog.get_logger()
+
+POLL_INTERVAL_S = 0.02
+LOG_INTERVAL_US = 1_000_000
+OWN_LIST = "own"  # the form of a list that no change log vouches for
+# What the end of a request's attempt shows of a host that no log vouches for. Ends that prove nothing are
+# left out.
+EVIDENCE_OF_ENDING = {
+    "served": Evidence.REQUEST_SERVED,
+    "still_good": Evidence.REQUEST_SERVED,
+    "overload": Evidence.REQUEST_FAILED,
+    "crashed": Evidence.REQUEST_FAILED,
+    "late": Evidence.REQUEST_FAILED,
+    "refused": Evidence.NO_RESPONSE,
+    "not up": Evidence.NO_RESPONSE,
+}
+PROBE_RESULTS = (Evidence.HEALTHY, Evidence.DRAINING, Evidence.NO_RESPONSE, Evidence.UNEXPECTED_RESPONSE)
+
+
+class Dispatcher(Protocol):
+    """What membership uses of the program that it is part of."""
+
+    owner: Owner
+    listing: Listing
+    ledger: Ledger
+    provisional: bool
+
+
+async def wait_forever() -> None:
+    """Ends only by being cancelled: a part of the program that ends would end the program."""
+    await asyncio.Event().wait()
+
+
+class DiscoveryFallback:
+    """Runs from the start until the change log is heard and the last probe has ended.
+
+    `patience_us`: how long the change log is waited for before hosts of the registry are used.
+    """
+
+    def __init__(
+        self, registry: HostRegistry, site: Site, clock: Clock, probe_timeout_s: float, patience_us: int
+    ) -> None:
+        self._registry = registry
+        self._site = site
+        self._clock = clock
+        self._probe_timeout_s = probe_timeout_s
+        self._patience_us = patience_us
+        self._probes: set[asyncio.Task[None]] = set()
+        self._probe_ended = asyncio.Event()  # there may be room for the next
+        self._probe_count = 0
+        self._result_counts = dict.fromkeys(PROBE_RESULTS, 0)
+        self._last_logged_us = 0
+
+    async def run(self, dispatcher: Dispatcher) -> None:
+        """Probes until the change log is heard, then waits to be cancelled; ends its probes first."""
+        began_us = self._clock.now()
+        dispatcher.owner.seen_ended = self._attempt_ended
+        try:
+            while not (self._registry.is_log_heard and not self._probes):
+                now = self._clock.now()
+                self._start_probes(dispatcher, now)
+                if now - began_us >= self._patience_us:
+                    self._publish(dispatcher, now)
+                await self._wait_for_probe()
+            await wait_forever()
+        finally:
+            for task in list(self._probes):
+                task.cancel()
+            await asyncio.gather(*self._probes, return_exceptions=True)
+
+    async def _wait_for_probe(self) -> None:
+        self._probe_ended.clear()
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(POLL_INTERVAL_S):
+                await self._probe_ended.wait()
+
+    def _start_probes(self, dispatcher: Dispatcher, now: int) -> None:
+        for host in self._registry.next_probes(now):
+            task = asyncio.create_task(self._probe(dispatcher.ledger, host), name=f"probe {host.uid}")
+            self._probes.add(task)
+            task.add_done_callback(self._probes.discard)
+
+    async def _probe(self, descriptors: Ledger, host: PersistedHost) -> None:
+        evidence = Evidence.NO_RESPONSE
+        has_descriptor = descriptors.take("cache host")
+        try:
+            if has_descriptor:
+                evidence = await probe(host.endpoint, self._probe_timeout_s)
+        finally:
+            if has_descriptor:
+                descriptors.give("cache host")
+            self._probe_count += 1
+            self._result_counts[evidence] += 1
+            self._registry.probe_completed(self._clock.now(), host.uid, evidence)
+            self._probe_ended.set()
+
+    def _publish(self, dispatcher: Dispatcher, now: int) -> None:
+        """Hands the usable hosts to the router task, if they changed and no change log is heard."""
+        if not self._registry.usable_changed or self._registry.is_log_heard:
+            return
+        targets = [to_target(row.host, row.started_us) for row in self._registry.usable_hosts()]
+        dispatcher.owner.tell(Listed(OWN_LIST, targets))
+        dispatcher.provisional |= self._can_serve()
+        if now - self._last_logged_us > LOG_INTERVAL_US:
+            self._last_logged_us = now
+            results = {evidence.value: count for evidence, count in self._result_counts.items()}
+            log.info("own list", **self._registry.count_by_state(), probes=self._probe_count, **results)
+
+    def _can_serve(self) -> bool:
+        """Whether a cache host of this location and a source to fill from are usable."""
+        sources = (self._site.parent_kind, self._site.origin_kind)
+        usable = [entry.host for entry in self._registry.hosts.values() if entry.state in USABLE_STATES]
+        has_cache = any(host.kind not in sources and host.zone == self._site.zone for host in usable)
+        return has_cache and any(host.kind in sources for host in usable)
+
+    def _attempt_ended(self, attempt: Attempt, how: str) -> None:
+        """How requests fare at a host: the only sign of a drain that no log reports."""
+        evidence = EVIDENCE_OF_ENDING.get(how)
+        if evidence is not None:
+            self._registry.record(self._clock.now(), attempt.host, evidence)
--- a/hoistplank/membership/host_registry.py
+++ b/hoistplank/membership/host_registry.py
@@ -1,11 +1,8 @@
-"""The roster: what is known of each cache host, from whom, and what the Router may be told of it. No I/O, no
-clock.
-
-One table says which evidence moves a host from which state to which; it is drawn in `docs/discovery.md`.
-Until the
-change log speaks, the Router is told only of hosts that have answered, each as started at that moment, so
-that it
-counts as cold; once the log speaks, its whole list replaces all else. `now` is whole microseconds.
+"""What is known of each cache host, how far it is trusted, and when it is probed. No I/O, no clock.
+
+`host_states` has the table. Until the change log is heard, only hosts that have answered a probe are usable,
+each as started at that moment, so that it counts as cold; once it is heard, its whole list replaces all else.
+`now` is whole microseconds.
 """
 
 from __future__ import annotations
@@ -13,245 +10,233 @@
 from collections import Counter, deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from heapq import heappop, heappush
 from random import Random
 from typing import NamedTuple
 
 from hoistplank.membership import list_staleness
+from hoistplank.membership.host_states import TRANSITIONS, USABLE_STATES, Evidence, HostState
+from hoistplank.membership.probe_schedule import ProbeSchedule
 from hoistplank.store.schemas import PersistedHost, RemovalHistory
 
-KEPT, TENTATIVE, PROVEN, DOUBTFUL, LISTED, WITHDRAWN = (
-    "kept",
-    "tentative",
-    "proven",
-    "doubtful",
-    "listed",
-    "withdrawn",
-)
-STATES = (KEPT, TENTATIVE, PROVEN, DOUBTFUL, LISTED, WITHDRAWN)
-
-# Evidence: `good` a probe was answered as it should be; `red` it said that it takes nothing new; `mute` no
-# connection
-# or no answer; `stranger` what answered is no cache host; `served` a request was; `failed` too many of its
-# last requests
-# were refused or failed; `spent` no more probes are worth it; `listed` and `unlisted` are the log's words.
-MOVES = {
-    (KEPT, "good"): TENTATIVE,
-    (KEPT, "red"): DOUBTFUL,
-    (KEPT, "mute"): DOUBTFUL,
-    (KEPT, "stranger"): WITHDRAWN,
-    (KEPT, "spent"): WITHDRAWN,
-    (TENTATIVE, "served"): PROVEN,
-    (TENTATIVE, "red"): DOUBTFUL,
-    (TENTATIVE, "mute"): DOUBTFUL,
-    (TENTATIVE, "failed"): DOUBTFUL,
-    (TENTATIVE, "stranger"): WITHDRAWN,
-    (PROVEN, "red"): DOUBTFUL,
-    (PROVEN, "mute"): DOUBTFUL,
-    (PROVEN, "failed"): DOUBTFUL,
-    (PROVEN, "stranger"): WITHDRAWN,
-    (DOUBTFUL, "good"): TENTATIVE,
-    (DOUBTFUL, "stranger"): WITHDRAWN,
-    (DOUBTFUL, "spent"): WITHDRAWN,
-    **{(state, "listed"): LISTED for state in STATES},
-    **{(state, "unlisted"): WITHDRAWN for state in STATES if state != WITHDRAWN},
-}
-TOLD = (TENTATIVE, PROVEN)  # what the Router is told of while the log is silent
-
-FIRST_REST_US, LONGEST_REST_US = 400_000, 10_000_000  # between probes of a host that did not answer
-LOOKS_A_SECOND = 50
-LOOK_AGAIN_US = 2_000_000  # between probes of one that did: a drain or an end that no log tells
-# Of the last requests of a host that is not listed, so many and this share refused or failed: it is as good
-# as drained.
-FAILS_LEAST, FAILS_SHARE, FAILS_KEPT = 6, 0.7, 20
-PROVEN_AFTER = 3
-
-
-class Evidence(NamedTuple):
-    """What the state of a host rests on."""
-
-    what: str
-    at: int
+# The change log's words for a host's own state.
+READY, GONE = "ready", "gone"
+
+# Between probes of a host that did not answer as it should: backoff, with jitter around each pause.
+INITIAL_BACKOFF_US, MAX_BACKOFF_US = 400_000, 10_000_000
+MAX_BACKOFF_DOUBLINGS = 6
+MIN_JITTER = 0.5  # of a pause; it is at most this and 1
+# Between probes of a host that did answer, as a drain or an end may follow that no change log reports; of
+# many hosts each is probed more seldom, so that there are only so many probes a second in all.
+RECHECK_INTERVAL_US = 2_000_000
+RECHECKS_PER_S = 50
+# Of the latest requests of a host that is not listed, so many and this share failed: it is as good as
+# drained.
+RECENT_RESULTS = 20
+MIN_FAILURES, FAILURE_SHARE = 6, 0.7
+PROVEN_AFTER_REQUESTS = 3
+
+
+def _always_relevant(_host: PersistedHost) -> bool:
+    return True
 
 
 @dataclass(slots=True)
-class Entry:
-    """One host of the roster."""
+class RegisteredHost:
+    """One host of the registry."""
 
     host: PersistedHost
-    state: str
-    why: Evidence
-    since: int  # when it came into its state
-    felt_at: int = 0  # when it last answered a probe for the first time: the start that the Router is told
-    mute: int = 0  # probes in a row without an answer
-    due: int = 0  # when it is felt out next; 0: a probe is out, or it is of no use here
-    place: int = 0
-    served: int = 0
-    last: deque[bool] = field(default_factory=lambda: deque(maxlen=FAILS_KEPT))
+    state: HostState
+    first_answered_us: int = 0  # when it became tentative: the start that it is handed on with
+    unanswered_probes: int = 0  # in a row
+    probe_rank: int = 0
+    served_requests: int = 0
+    recent_results: deque[bool] = field(default_factory=lambda: deque(maxlen=RECENT_RESULTS))
+
+    def requests_are_failing(self) -> bool:
+        """Whether enough of its latest requests failed for it to count as drained."""
+        results = self.recent_results
+        return len(results) >= MIN_FAILURES and results.count(False) >= FAILURE_SHARE * len(results)
 
 
-class Told(NamedTuple):
-    """One host as the Router is told of it; `started_us` makes it cold from then on."""
+class UsableHost(NamedTuple):
+    """A host that may be used without the change log; `started_us` makes it cold from then on."""
 
     host: PersistedHost
     started_us: int
 
 
-class Roster:
-    """`dispatchers` start together at worst; `chance` gives each an order of its own to feel hosts out in."""
+class HostRegistry:
+    """All known hosts. `random` gives each dispatcher a probe order of its own; `dispatchers` start together
+    at worst."""
 
-    def __init__(self, chance: Random, dispatchers: int = 1) -> None:
-        self.chance, self.dispatchers = chance, dispatchers
-        self.rows: dict[str, Entry] = {}
-        self._agenda: list[
-            tuple[int, int, str]
-        ] = []  # when, in this dispatcher's own order, whom to feel out
-        self.alive, self.tries, self.live = 1.0, 8, False
-        self.changed = False  # whether the Router is to be told anew
-        self.out = 0  # probes that are under way
-        self.starts: dict[str, int] = {}  # by host: the start that it was told with before the log spoke
+    def __init__(self, random: Random, dispatchers: int = 1) -> None:
+        self.hosts: dict[str, RegisteredHost] = {}
+        self.survival_probability = 1.0
+        self.max_probe_attempts = list_staleness.MAX_ATTEMPTS
+        self.is_log_heard = False  # whether the change log has been heard
+        self.usable_changed = False  # since `usable_hosts` was called last
+        self.carried_starts: dict[str, int] = {}  # by host: its start as used before the change log was heard
+        self._random = random
+        self._dispatchers = dispatchers
+        self._schedule = ProbeSchedule()
+        self._probes_in_flight = 0
 
-    # What is heard.
-
-    def keep(
+    def load_persisted(
         self,
         now: int,
         hosts: Iterable[PersistedHost],
-        heard_us: int,
+        last_contact_us: int,
         history: RemovalHistory,
-        useful: Callable[[PersistedHost], bool] = lambda host: True,
+        is_relevant: Callable[[PersistedHost], bool] = _always_relevant,
     ) -> None:
-        """A list of another time: its hosts may be there. One that was draining then is not felt out at all,
-        nor one
-        that is of no use here (a cache host of another location)."""
-        age_s = max(
-            0.0, (now - heard_us) / 1e6
-        )  # danger: set back, the clock is before the list: it counts as new
-        self.alive = list_staleness.alive(history, age_s)
-        self.tries = list_staleness.tries(self.alive)
+        """Adds the hosts of an earlier list. One that was draining then is left out; one that is not relevant
+        here (a cache host of another location) is never probed."""
+        # Danger: with the clock set back, the list would be from the future: it counts as new.
+        age_s = max(0.0, (now - last_contact_us) / 1e6)
+        self.survival_probability = list_staleness.survival_probability(history, age_s)
+        self.max_probe_attempts = list_staleness.max_probe_attempts(self.survival_probability)
         for host in hosts:
-            if host.uid not in self.rows and host.state == "ready":
-                self.rows[host.uid] = Entry(host, KEPT, Evidence("kept", heard_us), now)
-        order = sorted(uid for uid, entry in self.rows.items() if useful(entry.host))
-        # Danger: dispatchers that start together from one list would all feel out the same hosts first.
-        self.chance.shuffle(order)
-        # Sources first: without one no cache host can fill anything, and bookings have nowhere to go.
-        kinds = Counter(self.rows[uid].host.kind for uid in order)
-        order.sort(key=lambda uid: kinds[self.rows[uid].host.kind])
-        for place, uid in enumerate(order):
-            self.rows[uid].place = place
-            self._plan(self.rows[uid], now)
-
-    def _plan(self, entry: Entry, at: int) -> None:
-        entry.due = at
-        heappush(self._agenda, (at, entry.place, entry.host.uid))
-
-    def note(self, now: int, uid: str, what: str) -> None:
-        """Evidence on a host; what does not fit its state changes nothing."""
-        entry = self.rows.get(uid)
+            if host.uid not in self.hosts and host.state == READY:
+                self.hosts[host.uid] = RegisteredHost(host, HostState.PERSISTED)
+        order = sorted(uid for uid, entry in self.hosts.items() if is_relevant(entry.host))
+        # Danger: dispatchers that start together from one list would all probe the same hosts first.
+        self._random.shuffle(order)
+        # The rarest kinds, the sources, go first: without one no cache host can fill anything, and
+        # non-idempotent requests have nowhere to go.
+        hosts_by_kind = Counter(self.hosts[uid].host.kind for uid in order)
+        order.sort(key=lambda uid: hosts_by_kind[self.hosts[uid].host.kind])
+        for rank, uid in enumerate(order):
+            self.hosts[uid].probe_rank = rank
+            self._schedule_probe(self.hosts[uid], now)
+
+    def next_probes(self, now: int) -> list[PersistedHost]:
+        """The hosts to probe now. Each counts as in flight until `probe_completed`, and is not returned again
+        before."""
+        if self.is_log_heard:
+            return []
+        limit = list_staleness.probe_concurrency(self.survival_probability, self._dispatchers)
+        found = list[PersistedHost]()
+        while self._probes_in_flight < limit:
+            uid = self._schedule.pop_due(now)
+            if uid is None:
+                break
+            entry = self.hosts.get(uid)
+            if entry is not None and entry.state is not HostState.WITHDRAWN:
+                self._probes_in_flight += 1
+                found.append(entry.host)
+        return found
+
+    def probe_completed(self, now: int, uid: str, evidence: Evidence) -> None:
+        """The end of a probe: healthy, draining, no response or an unexpected one."""
+        self._probes_in_flight = max(0, self._probes_in_flight - 1)
+        self.record(now, uid, evidence)
+
+    def record(self, now: int, uid: str, evidence: Evidence) -> None:
+        """Evidence on a host, from a probe or a request; what does not fit its state changes nothing."""
+        entry = self.hosts.get(uid)
         if entry is None:
             return
-        if what == "good":
-            entry.mute = 0
-            # Of many hosts each is looked at more seldom: so many probes a second in all.
-            told = max(LOOK_AGAIN_US, len(self._agenda) * 1_000_000 // LOOKS_A_SECOND)
-            self._plan(entry, now + told)
-        elif what in ("mute", "red"):
-            entry.mute += what == "mute"
-            rest = min(LONGEST_REST_US, FIRST_REST_US * 2 ** min(entry.mute, 6))
-            self._plan(entry, now + int(rest * (0.5 + self.chance.random())))
-            if entry.mute >= self.tries and entry.served == 0:
-                self._move(now, entry, what)
-                what = "spent"
-        elif what == "served":
-            entry.served += 1
-            entry.last.append(True)
-            if entry.served < PROVEN_AFTER:
-                return
-        elif what == "refused":
-            entry.last.append(False)
-            bad = entry.last.count(False)
-            if len(entry.last) < FAILS_LEAST or bad < FAILS_SHARE * len(entry.last):
-                return
-            entry.last.clear()
-            what = "failed"
-            self._plan(entry, now + FIRST_REST_US)
-        self._move(now, entry, what)
-
-    def _move(self, now: int, entry: Entry, what: str) -> None:
-        state = MOVES.get((entry.state, what))
-        if state is None or state == entry.state:
+        match evidence:
+            case Evidence.HEALTHY:
+                self._record_healthy(now, entry)
+            case Evidence.NO_RESPONSE | Evidence.DRAINING:
+                self._record_unavailable(now, entry, evidence)
+            case Evidence.REQUEST_SERVED:
+                self._record_served(now, entry)
+            case Evidence.REQUEST_FAILED:
+                self._record_failed(now, entry)
+            case _:
+                self._transition(now, entry, evidence)
+
+    def _record_healthy(self, now: int, entry: RegisteredHost) -> None:
+        entry.unanswered_probes = 0
+        interval = max(RECHECK_INTERVAL_US, len(self._schedule) * 1_000_000 // RECHECKS_PER_S)
+        self._schedule_probe(entry, now + interval)
+        self._transition(now, entry, Evidence.HEALTHY)
+
+    def _record_unavailable(self, now: int, entry: RegisteredHost, evidence: Evidence) -> None:
+        if evidence is Evidence.NO_RESPONSE:
+            entry.unanswered_probes += 1
+        doublings = min(entry.unanswered_probes, MAX_BACKOFF_DOUBLINGS)
+        backoff = min(MAX_BACKOFF_US, INITIAL_BACKOFF_US * 2**doublings)
+        self._schedule_probe(entry, now + int(backoff * (MIN_JITTER + self._random.random())))
+        self._transition(now, entry, evidence)
+        if entry.unanswered_probes >= self.max_probe_attempts and entry.served_requests == 0:
+            self._transition(now, entry, Evidence.PROBES_EXHAUSTED)
+
+    def _record_served(self, now: int, entry: RegisteredHost) -> None:
+        entry.served_requests += 1
+        entry.recent_results.append(True)
+        if entry.served_requests >= PROVEN_AFTER_REQUESTS:
+            self._transition(now, entry, Evidence.REQUEST_SERVED)
+
+    def _record_failed(self, now: int, entry: RegisteredHost) -> None:
+        entry.recent_results.append(False)
+        if entry.requests_are_failing():
+            entry.recent_results.clear()
+            self._schedule_probe(entry, now + INITIAL_BACKOFF_US)
+            self._transition(now, entry, Evidence.REQUESTS_FAILING)
+
+    def _schedule_probe(self, entry: RegisteredHost, due_us: int) -> None:
+        self._schedule.schedule(entry.host.uid, due_us, entry.probe_rank)
+
+    def _transition(self, now: int, entry: RegisteredHost, evidence: Evidence) -> None:
+        state = TRANSITIONS.get((entry.state, evidence))
+        if state is None or state is entry.state:
             return
-        self.changed |= (state in TOLD) != (entry.state in TOLD)
-        if state == TENTATIVE:
-            entry.felt_at = now
-        entry.state, entry.since, entry.why = state, now, Evidence(what, now)
-
-    def listed(self, now: int, hosts: Iterable[PersistedHost], whole: bool) -> None:
-        """The log speaks: a whole list replaces all else in one step, a change moves those it names."""
-        named = set()
-        if not self.live:
-            self.starts = {uid: entry.felt_at for uid, entry in self.rows.items() if entry.state in TOLD}
-        self.live, self.changed = True, False
+        self.usable_changed |= (state in USABLE_STATES) != (entry.state in USABLE_STATES)
+        if state is HostState.TENTATIVE:
+            entry.first_answered_us = now
+        entry.state = state
+
+    def update_listed(self, now: int, hosts: Iterable[PersistedHost], *, whole: bool) -> None:
+        """The change log's hosts: a whole list replaces all else in one step, a change updates those that it
+        names."""
+        if not self.is_log_heard:
+            self.carried_starts = {uid: entry.first_answered_us for uid, entry in self._usable_entries()}
+        self.is_log_heard = True
+        named = set[str]()
         for host in hosts:
             named.add(host.uid)
-            entry = self.rows.get(host.uid)
-            if host.state == "gone":
-                if entry is not None:
-                    self._move(now, entry, "unlisted")
-            elif entry is None:
-                self.rows[host.uid] = Entry(host, LISTED, Evidence("listed", now), now)
-            else:
-                entry.host = host
-                self._move(now, entry, "listed")
+            self._update_listed_host(now, host)
         if whole:
-            for uid, entry in self.rows.items():
+            for uid, entry in self.hosts.items():
                 if uid not in named:
-                    self._move(now, entry, "unlisted")
-        for uid in [uid for uid, entry in self.rows.items() if entry.state == WITHDRAWN]:
-            del self.rows[uid]
-            self.starts.pop(uid, None)
-
-    # What follows.
-
-    def due(self, now: int) -> list[PersistedHost]:
-        """Whom to feel out now; each counts as under way until `felt`. Never one with a probe out."""
-        if self.live:
-            return []
-        most = list_staleness.wave(self.alive, self.dispatchers)
-        found = []
-        while self.out < most and self._agenda and self._agenda[0][0] <= now:
-            at, _, uid = heappop(self._agenda)
-            entry = self.rows.get(uid)
-            # What was planned anew meanwhile, or is under way, stands in the agenda once more or not at all.
-            if entry is not None and entry.state != WITHDRAWN and entry.due == at:
-                entry.due = 0
-                self.out += 1
-                found.append(entry.host)
-        return found
-
-    def felt(self, now: int, uid: str, what: str) -> None:
-        """A probe's end: good, red, mute or stranger."""
-        self.out = max(0, self.out - 1)
-        self.note(now, uid, what)
-
-    def told(self) -> list[Told]:
-        """All that the Router may know while the log is silent."""
-        self.changed = False
-        return [Told(entry.host, entry.felt_at) for entry in self.rows.values() if entry.state in TOLD]
+                    self._transition(now, entry, Evidence.UNLISTED)
+        for uid in [uid for uid, entry in self.hosts.items() if entry.state is HostState.WITHDRAWN]:
+            del self.hosts[uid]
+            self.carried_starts.pop(uid, None)
+        self.usable_changed = False  # nothing is handed on from here any more: the change log's list is
+
+    def _update_listed_host(self, now: int, host: PersistedHost) -> None:
+        entry = self.hosts.get(host.uid)
+        if host.state == GONE:
+            if entry is not None:
+                self._transition(now, entry, Evidence.UNLISTED)
+        elif entry is None:
+            self.hosts[host.uid] = RegisteredHost(host, HostState.LISTED)
+        else:
+            entry.host = host
+            self._transition(now, entry, Evidence.LISTED)
+
+    def _usable_entries(self) -> list[tuple[str, RegisteredHost]]:
+        return [(uid, entry) for uid, entry in self.hosts.items() if entry.state in USABLE_STATES]
+
+    def usable_hosts(self) -> list[UsableHost]:
+        """All hosts that may be used while the change log is silent."""
+        self.usable_changed = False
+        return [UsableHost(entry.host, entry.first_answered_us) for _, entry in self._usable_entries()]
 
     def start_of(self, uid: str, boot_us: int) -> int:
-        """The start that a listed host goes on with: that of its proof, unless the log knows of a later one.
+        """The start that a listed host goes on with: that of its first answer, unless the change log knows of
+        a later one.
 
-        Danger: with another start the Router would take a host that it has just got to know for a new
-        process, close
-        its connections with requests on them, and begin its cold time anew.
+        Danger: with another start the router would take a host that is in use already for a new process,
+        close its connections with requests on them, and begin its warm-up anew.
         """
-        told = self.starts.get(uid, 0)
-        return boot_us if boot_us >= told else told
-
-    def counts(self) -> dict[str, int]:
-        out = dict.fromkeys(STATES, 0)
-        for entry in self.rows.values():
-            out[entry.state] += 1
-        return {state: count for state, count in out.items() if count}
+        return max(boot_us, self.carried_starts.get(uid, 0))
+
+    def count_by_state(self) -> dict[str, int]:
+        """Hosts in each state that has any, in the order of the states."""
+        counts = Counter(entry.state for entry in self.hosts.values())
+        return {state.value: counts[state] for state in HostState if counts[state]}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,5 @@
-"""Membership: what an old list is worth, whom the Router is told of, and a dispatcher that starts without
-discovery."""
+"""Membership: how far an old list is trusted, which hosts the Router learns of, and a dispatcher that starts
+without discovery."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import CacheHost, serve
 from hoistplank.membership import list_staleness
-from hoistplank.membership.host_registry import MOVES, TOLD, Roster
+from hoistplank.membership.fallback import PROBE_RESULTS
+from hoistplank.membership.host_registry import HostRegistry
+from hoistplank.membership.host_states import TRANSITIONS, USABLE_STATES, Evidence, HostState
 from hoistplank.membership.service import MembershipService
 from hoistplank.program.service import Phase
 from hoistplank.store.folder import StateFolder
@@ -41,15 +43,15 @@
     history, young, old = RemovalHistory(went, spent, 1), min(one, two), max(one, two)
     assert (
         0
-        <= list_staleness.alive(history, old)
-        <= list_staleness.alive(history, young)
+        <= list_staleness.survival_probability(history, old)
+        <= list_staleness.survival_probability(history, young)
         <= 1
-        == list_staleness.alive(history, -5)
+        == list_staleness.survival_probability(history, -5)
     )
     assert (
         2
-        <= list_staleness.tries(list_staleness.alive(history, old))
-        <= list_staleness.tries(list_staleness.alive(history, young))
+        <= list_staleness.max_probe_attempts(list_staleness.survival_probability(history, old))
+        <= list_staleness.max_probe_attempts(list_staleness.survival_probability(history, young))
         <= 8
     )
 
@@ -57,24 +59,24 @@
 def test_the_worth_of_a_list_is_learned_from_its_own_history() -> None:
     week = 7 * 86_400.0
     assert (
-        list_staleness.alive(QUIET, week) > 0.9
-        and list_staleness.alive(ROLLING, 3_600) < 0.75
-        and list_staleness.alive(ROLLING, week) < 1e-9
+        list_staleness.survival_probability(QUIET, week) > 0.9
+        and list_staleness.survival_probability(ROLLING, 3_600) < 0.75
+        and list_staleness.survival_probability(ROLLING, week) < 1e-9
     )
     history = RemovalHistory()
     for hour in range(200):
-        history = list_staleness.watched(history, (hour + 1) * 3_600 * S, 100, 1)
-    assert 0.5 < list_staleness.rate(history) * 100 * 3_600 < 1.5  # one of a hundred an hour
+        history = list_staleness.update_history(history, (hour + 1) * 3_600 * S, 100, 1)
+    assert 0.5 < list_staleness.removal_rate(history) * 100 * 3_600 < 1.5  # one of a hundred an hour
 
 
 class Against(RuleBasedStateMachine):
-    """A roster beside a plain table of its hosts."""
+    """A registry beside a plain table of its hosts."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.roster, self.now, self.model = Roster(Random(1)), S, dict[str, str]()
-        self.roster.keep(self.now, [host(uid) for uid in "abcdef"], 0, RemovalHistory())
-        self.model = dict.fromkeys("abcdef", "kept")
+        self.registry, self.now, self.model = HostRegistry(Random(1)), S, dict[str, HostState]()
+        self.registry.load_persisted(self.now, [host(uid) for uid in "abcdef"], 0, RemovalHistory())
+        self.model = dict.fromkeys("abcdef", HostState.PERSISTED)
         self.out: set[str] = set()
         self.live = False
 
@@ -84,89 +86,101 @@
 
     @rule()
     def feel(self) -> None:
-        for row in self.roster.due(self.now):
-            assert not self.live and row.uid not in self.out and self.model[row.uid] != "withdrawn"
+        for row in self.registry.next_probes(self.now):
+            assert (
+                not self.live and row.uid not in self.out and self.model[row.uid] is not HostState.WITHDRAWN
+            )
             self.out.add(row.uid)
 
-    def _moved(self, uid: str, what: str) -> None:
-        state = MOVES.get((self.model.get(uid, ""), what))
+    def _moved(self, uid: str, evidence: Evidence) -> None:
+        if uid not in self.model:
+            return
+        state = TRANSITIONS.get((self.model[uid], evidence))
         if state is not None:
             self.model[uid] = state
-        if self.live and self.model.get(uid) == "withdrawn":
+        if self.live and self.model[uid] is HostState.WITHDRAWN:
             del self.model[uid]
 
-    @rule(what=st.sampled_from(["good", "red", "mute", "stranger"]), data=st.data())
-    def answer(self, what: str, data: st.DataObject) -> None:
+    @rule(what=st.sampled_from(PROBE_RESULTS), data=st.data())
+    def answer(self, what: Evidence, data: st.DataObject) -> None:
         if self.out:
             uid = data.draw(st.sampled_from(sorted(self.out)))
             self.out.discard(uid)
-            entry = self.roster.rows.get(uid)
+            entry = self.registry.hosts.get(uid)
             spent = (
                 entry is not None
-                and what == "mute"
-                and entry.mute + 1 >= self.roster.tries
-                and not entry.served
+                and what is Evidence.NO_RESPONSE
+                and entry.unanswered_probes + 1 >= self.registry.max_probe_attempts
+                and not entry.served_requests
             )
-            self.roster.felt(self.now, uid, what)
+            self.registry.probe_completed(self.now, uid, what)
             self._moved(uid, what)
             if spent:
-                self._moved(uid, "spent")
+                self._moved(uid, Evidence.PROBES_EXHAUSTED)
 
     @rule(uid=st.sampled_from("abcdef"), times=st.integers(1, 10))
     def serve(self, uid: str, times: int) -> None:
         for _ in range(times):
-            self.roster.note(self.now, uid, "served")
-        entry = self.roster.rows.get(uid)
-        if entry is not None and entry.served >= 3:
-            self._moved(uid, "served")
+            self.registry.record(self.now, uid, Evidence.REQUEST_SERVED)
+        entry = self.registry.hosts.get(uid)
+        if entry is not None and entry.served_requests >= 3:
+            self._moved(uid, Evidence.REQUEST_SERVED)
 
     @rule(uids=st.lists(st.sampled_from("abcdefgh"), unique=True), whole=st.booleans(), gone=st.booleans())
     def log(self, uids: list[str], whole: bool, gone: bool) -> None:
         whole |= not self.live  # its first word is a whole list
         states = ["gone" if gone and n % 2 else "ready" for n in range(len(uids))]
-        self.roster.listed(self.now, [host(u, state=s) for u, s in zip(uids, states, strict=True)], whole)
+        self.registry.update_listed(
+            self.now, [host(u, state=s) for u, s in zip(uids, states, strict=True)], whole=whole
+        )
         self.live = True
         for uid, state in zip(uids, states, strict=True):
             if state == "gone":
                 self.model.pop(uid, None)
             else:
-                self.model[uid] = "listed"
+                self.model[uid] = HostState.LISTED
         if whole:
             self.model = {uid: state for uid, state in self.model.items() if uid in uids}
 
     @invariant()
     def same(self) -> None:
-        assert {uid: entry.state for uid, entry in self.roster.rows.items()} == self.model
+        assert {uid: entry.state for uid, entry in self.registry.hosts.items()} == self.model
 
     @invariant()
     def told_only_what_has_answered(self) -> None:
-        told = self.roster.told()
-        assert {row.host.uid for row in told} == {uid for uid, state in self.model.items() if state in TOLD}
+        told = self.registry.usable_hosts()
+        assert {row.host.uid for row in told} == {
+            uid for uid, state in self.model.items() if state in USABLE_STATES
+        }
         assert all(row.started_us > 0 for row in told)  # each is cold from its proof on
 
 
-TestRoster = Against.TestCase
-TestRoster.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
+TestHostRegistry = Against.TestCase
+TestHostRegistry.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
 
 
 def test_dispatchers_that_start_together_feel_out_different_hosts_first() -> None:
     first = set()
     for seed in range(8):
-        roster = Roster(Random(seed), 8)
-        roster.keep(S, [host(f"h{n:03d}") for n in range(200)], 0, RemovalHistory())
-        first.add(roster.due(S)[0].uid)
+        registry = HostRegistry(Random(seed), 8)
+        registry.load_persisted(S, [host(f"h{n:03d}") for n in range(200)], 0, RemovalHistory())
+        first.add(registry.next_probes(S)[0].uid)
     assert len(first) >= 6
 
 
 def test_a_host_whose_requests_fail_is_rested_and_felt_out_again() -> None:
-    roster = Roster(Random(1))
-    roster.keep(S, [host("a")], 0, QUIET)
-    roster.felt(S, roster.due(S)[0].uid, "good")
-    assert len(roster.told()) == 1
+    registry = HostRegistry(Random(1))
+    registry.load_persisted(S, [host("a")], 0, QUIET)
+    registry.probe_completed(S, registry.next_probes(S)[0].uid, Evidence.HEALTHY)
+    assert len(registry.usable_hosts()) == 1
     for _ in range(6):
-        roster.note(2 * S, "a", "refused")
-    assert roster.changed and roster.told() == [] and roster.counts() == {"doubtful": 1}
-    assert [row.uid for row in roster.due(3 * S)] == ["a"] and roster.due(3 * S) == []
+        registry.record(2 * S, "a", Evidence.REQUEST_FAILED)
+    assert (
+        registry.usable_changed
+        and registry.usable_hosts() == []
+        and registry.count_by_state() == {"doubtful": 1}
+    )
+    assert [row.uid for row in registry.next_probes(3 * S)] == ["a"] and registry.next_probes(3 * S) == []
 
 
 def run(scene: Coroutine[Any, Any, None]) -> None:
@@ -238,14 +252,17 @@
             router = running.service.owner.router
             assert router.blind and set(running.service.owner.posts) == {"a", "o"}
             assert all(since > 0 for since in router.cold_since)  # cold until shown otherwise
-            roster = membership(running).roster
-            assert roster.rows["other"].state == "withdrawn" and roster.rows["red"].state == "doubtful"
-            assert "drained" not in roster.rows
+            registry = membership(running).registry
+            assert (
+                registry.hosts["other"].state is HostState.WITHDRAWN
+                and registry.hosts["red"].state is HostState.SUSPECT
+            )
+            assert "drained" not in registry.hosts
             # The log comes back with a list that shares one host: it replaces all else in one step.
             connections = a.connections
             kept_start = running.service.owner.posts["a"].entry.started_us
             targets = [
-                target("a", "box", int(roster.rows["a"].host.endpoint.split(":")[1])),
+                target("a", "box", int(registry.hosts["a"].host.endpoint.split(":")[1])),
                 target("n", "origin", await serve(new.talk)),
             ]
             running.tell(listing(1, targets, whole=True))
