--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -22,7 +22,7 @@
     import uvloop
 
     from hoistplank.program.configuration import BadConfiguration, read, read_again
-    from hoistplank.program.logging_setup import open_log
+    from hoistplank.program.logging_setup import configure_logging
     from hoistplank.program.service import Additions, Service
 
     additions: Additions | None = None
@@ -39,7 +39,7 @@
     except BadConfiguration as wrong:
         print(f"hoistplank: {wrong}", file=sys.stderr)
         return 2
-    open_log(configuration.name, form)
+    configure_logging(configuration.name, form)
 
     async def serve() -> int:
         return await Service(configuration, lambda: read_again(os.environ), early, additions).run()
--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -59,7 +59,7 @@
     Without --certificate only loopback addresses are served. Exit code 2: what was given can't be used.
     """
     from hoistplank.program.configuration import BadConfiguration, read
-    from hoistplank.program.logging_setup import open_log
+    from hoistplank.program.logging_setup import configure_logging
     from hoistplank.xds.control import Control
 
     try:
@@ -69,7 +69,7 @@
         return fail(str(wrong))
     if credentials is None and not listen.startswith(("127.", "localhost:", "[::1]:")):
         return fail(f"--listen {listen}: without certificates only a loopback address is served")
-    open_log(configuration.name, os.environ.get("HOISTPLANK_LOG", "lines"))
+    configure_logging(configuration.name, os.environ.get("HOISTPLANK_LOG", "lines"))
 
     async def serve() -> None:
         import structlog
--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -70,7 +70,7 @@
     used.
     """
     from hoistplank.program.configuration import BadConfiguration, read
-    from hoistplank.program.logging_setup import open_log
+    from hoistplank.program.logging_setup import configure_logging
 
     if not listen.startswith(LOOPBACK):
         _refuse(f"--listen {listen}: without certificates only a loopback address is served")
@@ -89,7 +89,7 @@
         peers=tuple(map(_peer, peers)),
         seed=configuration.seed,
     )
-    open_log(name, os.environ.get("HOISTPLANK_LOG", "lines"))
+    configure_logging(name, os.environ.get("HOISTPLANK_LOG", "lines"))
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_serve(settings))
--- a/hoistplank/program/logging_setup.py
+++ b/hoistplank/program/logging_setup.py
@@ -1,6 +1,6 @@
 """The log: structlog to standard output, a line an event; nothing is written per request in normal running.
 
-Every line goes through `conceal`, the one place that keeps secrets out: whoever logs need not know what may
+Every line goes through `redact`, the one place that keeps secrets out: whoever logs need not know what may
 hold one.
 """
 
@@ -8,11 +8,11 @@
 
 import re
 from collections.abc import MutableMapping
-from typing import Any
+from typing import Any  # structlog's own type of a line's values, and of its processors
 
 import structlog
 
-WITHHELD = "[withheld]"
+REDACTED = "[withheld]"
 # A signed token, a private key's PEM block, an Authorization field, and the private members of a JWK (RFC
 # 7518).
 SECRETS = re.compile(
@@ -22,47 +22,60 @@
     r"|(?<=\"[dkpq]\":)\s*\"[\w-]{16,}\"",
     re.DOTALL,
 )
-MOST_DEPTH = 6
+SHORTEST_SECRET = 16  # characters; a look at the length is cheaper than the search of a short text
+    16  # characters; most texts are shorter, and a look at the length is cheaper than the search
+)
+MAX_DEPTH = 6  # of containers inside each other; what is deeper is withheld whole
+
+
+def _redact_text(text: str) -> str:
+    return SECRETS.sub(REDACTED, text) if len(text) >= SHORTEST_SECRET else text
 
 
-def _concealed(value: Any, depth: int = 0) -> Any:
+def _redact_value(value: Any, depth: int = 0) -> Any:
     if isinstance(value, str):
-        # Most texts are short words: a look for what every secret has is cheaper than the search.
-        return SECRETS.sub(WITHHELD, value) if len(value) >= 16 else value
+        return _redact_text(value)
     if isinstance(value, bytes | bytearray | memoryview):
         return f"[{len(value)} bytes]"
-    if depth >= MOST_DEPTH:
-        return WITHHELD
+    if depth >= MAX_DEPTH:
+        return REDACTED
     if isinstance(value, dict):
-        return {_concealed(key, depth + 1): _concealed(inner, depth + 1) for key, inner in value.items()}
+        return {
+            _redact_value(key, depth + 1): _redact_value(inner, depth + 1) for key, inner in value.items()
+        }
     if isinstance(value, list | tuple | set | frozenset):
-        return [_concealed(inner, depth + 1) for inner in value]
+        return [_redact_value(inner, depth + 1) for inner in value]
+    return _redact_object(value)
+
+
+def _redact_object(value: Any) -> Any:
     if value is None or isinstance(value, int | float):
         return value
-    return SECRETS.sub(WITHHELD, str(value))
+    return SECRETS.sub(REDACTED, str(value))  # an object's text may hold a secret
 
 
-def conceal(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+def redact(_logger: Any, _method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """A processor of structlog's: the line without tokens, keys and private parts."""
     for name, value in event.items():
-        event[name] = _concealed(value)
+        event[name] = _redact_value(value)
     return event
 
 
-def open_log(name: str, form: str = "lines") -> None:
-    """Lines for people, or JSON for programs, one object a line."""
-    last: list[Any] = [structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "event"])]
-    if form == "json":
-        last = [structlog.processors.JSONRenderer(sort_keys=True)]
+def configure_logging(dispatcher: str, line_format: str = "lines") -> None:
+    """Configures structlog for the process: "lines" for people, or "json" for programs, one object a line.
+    Each line names the dispatcher."""
+    renderer: Any = structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "event"])
+    if line_format == "json":
+        renderer = structlog.processors.JSONRenderer(sort_keys=True)
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            conceal,
-            *last,
+            redact,
+            renderer,
         ],
         logger_factory=structlog.PrintLoggerFactory(),
     )
-    structlog.contextvars.bind_contextvars(dispatcher=name)
+    structlog.contextvars.bind_contextvars(dispatcher=dispatcher)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from hoistplank.cli.main import main
 from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, pem, write_keys
 from hoistplank.fakes.deployment import free_port, settings
-from hoistplank.program.logging_setup import WITHHELD, conceal
+from hoistplank.program.logging_setup import REDACTED, redact
 
 
 def call(*words: str, text: str = "") -> Result:
@@ -131,7 +131,7 @@
     signer = Signer("k1")
     private = pem(signer.key).decode()
     token = signer.token("coast-1")
-    event = conceal(
+    event = redact(
         None,
         "info",
         {
@@ -146,7 +146,7 @@
     )
     text = repr(event)
     assert token.split(".")[2] not in text and private.split("\n")[1] not in text and "x" * 20 not in text
-    assert "A" * 43 not in text and text.count(WITHHELD) == 5 and event["n"] == 5
+    assert "A" * 43 not in text and text.count(REDACTED) == 5 and event["n"] == 5
 
 
 @pytest.mark.parametrize(
