--- a/hoistplank/program/logging_setup.py
+++ b/hoistplank/program/logging_setup.py
@@ -23,8 +23,6 @@
     re.DOTALL,
 )
 SHORTEST_SECRET = 16  # characters; a look at the length is cheaper than the search of a short text
-    16  # characters; most texts are shorter, and a look at the length is cheaper than the search
-)
 MAX_DEPTH = 6  # of containers inside each other; what is deeper is withheld whole
 
 
