--- a/hoistplank/membership/fallback.py
+++ b/hoistplank/membership/fallback.py
@@ -54,7 +54,7 @@
 
 
 class DiscoveryFallback:
-    """Runs from the start until the change log is heard and the last probe has ended.
+    """Runs from the start until the change log has sent its list and the last probe has ended.
 
     `patience_us`: how long the change log is waited for before hosts of the registry are used.
     """
@@ -74,11 +74,11 @@
         self._last_logged_us = 0
 
     async def run(self, dispatcher: Dispatcher) -> None:
-        """Probes until the change log is heard, then waits to be cancelled; ends its probes first."""
+        """Probes until the change log has sent its list, then waits to be cancelled; ends its probes."""
         began_us = self._clock.now()
         dispatcher.owner.seen_ended = self._attempt_ended
         try:
-            while not (self._registry.is_log_heard and not self._probes):
+            while not (self._registry.is_synced and not self._probes):
                 now = self._clock.now()
                 self._start_probes(dispatcher, now)
                 if now - began_us >= self._patience_us:
@@ -117,8 +117,8 @@
             self._probe_ended.set()
 
     def _publish(self, dispatcher: Dispatcher, now: int) -> None:
-        """Hands the usable hosts to the router task, if they changed and no change log is heard."""
-        if not self._registry.usable_changed or self._registry.is_log_heard:
+        """Hands the usable hosts to the router task, if they changed and the change log has sent no list."""
+        if not self._registry.usable_changed or self._registry.is_synced:
             return
         targets = [to_target(row.host, row.started_us) for row in self._registry.usable_hosts()]
         dispatcher.owner.tell(Listed(OWN_LIST, targets))
--- a/hoistplank/membership/host_registry.py
+++ b/hoistplank/membership/host_registry.py
@@ -1,7 +1,7 @@
 """What is known of each cache host, how far it is trusted, and when it is probed. No I/O, no clock.
 
-`host_states` has the table. Until the change log is heard, only hosts that have answered a probe are usable,
-each as started at that moment, so that it counts as cold; once it is heard, its whole list replaces all else.
+`host_states` has the table. Until the change log has sent its list, only hosts that have answered a probe are
+usable, each as started at that moment, so that it counts as cold; then the whole list replaces all else.
 `now` is whole microseconds.
 """
 
@@ -18,7 +18,7 @@
 from hoistplank.membership.probe_schedule import ProbeSchedule
 from hoistplank.store.schemas import PersistedHost, RemovalHistory
 
-# The change log's words for a host's own state.
+# A host's own state, as the change log spells it.
 READY, GONE = "ready", "gone"
 
 # Between probes of a host that did not answer as it should: backoff, with jitter around each pause.
@@ -73,9 +73,9 @@
         self.hosts: dict[str, RegisteredHost] = {}
         self.survival_probability = 1.0
         self.max_probe_attempts = list_staleness.MAX_ATTEMPTS
-        self.is_log_heard = False  # whether the change log has been heard
+        self.is_synced = False  # whether the change log has sent its list
         self.usable_changed = False  # since `usable_hosts` was called last
-        self.carried_starts: dict[str, int] = {}  # by host: its start as used before the change log was heard
+        self.carried_starts: dict[str, int] = {}  # by host: its start as used before the sync
         self._random = random
         self._dispatchers = dispatchers
         self._schedule = ProbeSchedule()
@@ -112,7 +112,7 @@
     def next_probes(self, now: int) -> list[PersistedHost]:
         """The hosts to probe now. Each counts as in flight until `probe_completed`, and is not returned again
         before."""
-        if self.is_log_heard:
+        if self.is_synced:
             return []
         limit = list_staleness.probe_concurrency(self.survival_probability, self._dispatchers)
         found = list[PersistedHost]()
@@ -192,9 +192,9 @@
     def update_listed(self, now: int, hosts: Iterable[PersistedHost], *, whole: bool) -> None:
         """The change log's hosts: a whole list replaces all else in one step, a change updates those that it
         names."""
-        if not self.is_log_heard:
+        if not self.is_synced:
             self.carried_starts = {uid: entry.first_answered_us for uid, entry in self._usable_entries()}
-        self.is_log_heard = True
+        self.is_synced = True
         named = set[str]()
         for host in hosts:
             named.add(host.uid)
--- a/hoistplank/membership/list_recorder.py
+++ b/hoistplank/membership/list_recorder.py
@@ -140,10 +140,10 @@
             self._history = list_staleness.update_history(self._history, now, len(self.current), 0)
             self._writer.add(PersistedChange(now, self._revision, history=self._history))
 
-    def stop(self, *, is_log_heard: bool) -> None:
-        """Writes what is pending, with the last contact where the change log was heard, and ends."""
+    def stop(self, *, is_synced: bool) -> None:
+        """Writes what is pending, with the last contact where there was one, and ends."""
         if self._writer is None:
             return
-        if self.state is not None and is_log_heard:
+        if self.state is not None and is_synced:
             self._writer.add(PersistedChange(self._last_contact_us, self._revision, history=self._history))
         self._writer.stop(STOP_TIMEOUT_S)
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -128,7 +128,7 @@
     def heard(self, event: Event) -> Event:
         """An event of the change log; returns it with the starts that its hosts go on with."""
         now = self._clock.now()
-        is_first_list = event.fleet is not None and not self.registry.is_log_heard
+        is_first_list = event.fleet is not None and not self.registry.is_synced
         hosts = self._recorder.record_event(now, event, is_first_list=is_first_list)
         if event.fleet is None:
             return event
@@ -158,4 +158,4 @@
 
     def close(self) -> None:
         """Writes what is pending."""
-        self._recorder.stop(is_log_heard=self.registry.is_log_heard)
+        self._recorder.stop(is_synced=self.registry.is_synced)
--- a/hoistplank/store/schemas.py
+++ b/hoistplank/store/schemas.py
@@ -59,7 +59,7 @@
 
 
 class PersistedList(msgspec.Struct, frozen=True):
-    """The whole state: the address of its change log, when that was last heard, its revision, the hosts,
+    """The whole state: the address of its change log, when that was last reached, its revision, the hosts,
     their removal history and the latest purges."""
 
     log: str
@@ -72,7 +72,7 @@
 
 class PersistedChange(msgspec.Struct, frozen=True):
     """One change of the state: hosts added or updated, names of removed ones, purges, and that the change
-    log was heard at `last_contact_us`. A revision of 0 or a history of None leaves the one before."""
+    log was reached at `last_contact_us`. A revision of 0 or a history of None leaves the one before."""
 
     last_contact_us: int = msgspec.field(name="heard_us")
     revision: int = msgspec.field(name="rev", default=0)
