--- a/hoistplank/degradation/levels.py
+++ b/hoistplank/degradation/levels.py
@@ -5,8 +5,8 @@
 import enum
 from dataclasses import dataclass, field
 
+from hoistplank.decision.settings import Degradation
 from hoistplank.degradation.conditions import Condition, TransitionReason
-from hoistplank.interface import Reduced
 
 FULL = "full"  # the name of level 0, full service
 
@@ -20,7 +20,7 @@
     enter: tuple[Condition, ...]
     leave: tuple[Condition, ...]
     dwell_us: int
-    effects: Reduced = field(default_factory=Reduced)
+    effects: Degradation = field(default_factory=Degradation)
 
     def __post_init__(self) -> None:
         """Checks the name and that the level can be entered and left."""
--- a/hoistplank/degradation/sections.py
+++ b/hoistplank/degradation/sections.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
+from hoistplank.decision.settings import Degradation
 from hoistplank.degradation.admission import AdmissionSettings
 from hoistplank.degradation.conditions import Condition
 from hoistplank.degradation.levels import FULL, Level
 from hoistplank.degradation.settings import DegradationSettings
 from hoistplank.degradation.signals import SIGNALS, default_half_life_us
-from hoistplank.interface import Reduced
 from hoistplank.operator_configuration.faults import Fault, Faults
 from hoistplank.operator_configuration.schema import (
     NAME,
@@ -163,7 +163,7 @@
         if not enter or not leave or level.title == FULL:
             continue
         retry = level["retries"] if level["retries"] is not None else section["retries"]
-        effects = Reduced(
+        effects = Degradation(
             level.title,
             tuple(sorted(level["turn-back"])),
             tuple(sorted(level["every-part"])),
@@ -261,7 +261,7 @@
         section["calm"],
         ages(section, faults),
         section["every"],
-        Reduced(retry_share=section["retries"]),
+        Degradation(retry_share=section["retries"]),
     )
     if faults:
         raise Faults(faults)
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -84,7 +84,7 @@
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Has the router task observe its signals; returns the tasks to run beside the program's."""
         self._dispatcher = dispatcher
-        utility = {row.name: row.utility for row in self._configuration.site.traffic_classes}
+        utility = {row.name: row.priority_weight for row in self._configuration.site.traffic_classes}
         self._observer = SignalObserver(self._readings, utility)
         self._owner.watch = self._observer
         self._apply_admission_settings()
--- a/hoistplank/degradation/settings.py
+++ b/hoistplank/degradation/settings.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
+from hoistplank.decision.settings import Degradation
 from hoistplank.degradation.levels import Level
 from hoistplank.degradation.readings import SignalReadings
 from hoistplank.degradation.state_machine import DEFAULT_PENALTY_HALF_LIFE_US, LevelStateMachine
-from hoistplank.interface import Reduced
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
     penalty_half_life_us: int = DEFAULT_PENALTY_HALF_LIFE_US
     half_lives_us: dict[str, int] = field(default_factory=dict)
     evaluation_interval_us: int = 100_000
-    base: Reduced = field(default_factory=Reduced)
+    base: Degradation = field(default_factory=Degradation)
 
     def new_state_machine(self) -> LevelStateMachine:
         """A machine of these levels, at full service."""
--- a/hoistplank/degradation/state_machine.py
+++ b/hoistplank/degradation/state_machine.py
@@ -11,12 +11,12 @@
 from dataclasses import replace
 from typing import NamedTuple
 
+from hoistplank.decision.settings import Degradation
 from hoistplank.degradation.conditions import Condition, ConditionTracker, TransitionReason
 from hoistplank.degradation.damping import FlapDamping
 from hoistplank.degradation.errors import ForbiddenLevelError, FullServiceError, UnknownLevelError
 from hoistplank.degradation.levels import FULL, Level, LevelChange, ManualOverride, Trigger
 from hoistplank.degradation.readings import Reading
-from hoistplank.interface import Reduced
 
 DEFAULT_PENALTY_HALF_LIFE_US = 120_000_000
 
@@ -115,7 +115,7 @@
             raise UnknownLevelError(name, self._rank_of)
         return rank
 
-    def effects(self, base: Reduced) -> Reduced:
+    def effects(self, base: Degradation) -> Degradation:
         """Of the level in force and all below it, over `base` (what holds at full service)."""
         combined = base
         for level in self.levels[: self.rank]:
--- a/hoistplank/degradation/status.py
+++ b/hoistplank/degradation/status.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
+from hoistplank.decision.settings import Degradation
 from hoistplank.degradation.admission import AdmissionController
 from hoistplank.degradation.levels import FULL, LevelChange, ManualOverride
 from hoistplank.degradation.readings import Reading
 from hoistplank.degradation.state_machine import LevelStateMachine
-from hoistplank.interface import Reduced
 
 VALUE_DIGITS, PRESSURE_DIGITS = 4, 3
 
@@ -72,7 +72,7 @@
 def degradation_status(
     now: int,
     machine: LevelStateMachine,
-    effects: Reduced,
+    effects: Degradation,
     readings: dict[str, Reading],
     admission: AdmissionController | None,
     changes: Iterable[LevelChange],
@@ -95,13 +95,13 @@
     )
 
 
-def _effects_status(effects: Reduced) -> EffectsStatus:
+def _effects_status(effects: Degradation) -> EffectsStatus:
     return EffectsStatus(
         reject=effects.reject,
         every_part=effects.every_part,
-        old_first=effects.old_first,
+        old_first=effects.stale_first,
         fill_share=effects.fill_share,
-        max_attempts=effects.most_attempts,
+        max_attempts=effects.max_attempts,
         retry_share=effects.retry_share,
     )
 
--- a/hoistplank/lab/backends/degradation_controller.py
+++ b/hoistplank/lab/backends/degradation_controller.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from typing import Any
 
+from hoistplank.decision.settings import Degradation
 from hoistplank.degradation import sections
 from hoistplank.degradation.admission import AdmissionController, AdmissionSettings
 from hoistplank.degradation.levels import FULL, LevelChange
 from hoistplank.degradation.observer import SignalObserver
 from hoistplank.degradation.settings import DegradationSettings
-from hoistplank.interface import Reduced
 from hoistplank.operator_configuration.faults import Fault, Faults
 from hoistplank.program.sections import understood
 
@@ -79,7 +79,7 @@
             limit = self._admission.limit
         self.observer.record_loop(now, lag_us, open_requests / max(1.0, limit))
 
-    def evaluate(self, now: int) -> Reduced | None:
+    def evaluate(self, now: int) -> Degradation | None:
         """Evaluates the levels; the effects in force from now on, where the level changed."""
         if self._machine is None:
             return None
--- a/hoistplank/membership/fallback.py
+++ b/hoistplank/membership/fallback.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from hoistplank.interface import Site
+from hoistplank.decision.settings import RouterSettings
 from hoistplank.membership.host_records import to_target
 from hoistplank.membership.host_registry import HostRegistry
 from hoistplank.membership.host_states import USABLE_STATES, Evidence
@@ -60,7 +60,12 @@
     """
 
     def __init__(
-        self, registry: HostRegistry, site: Site, clock: Clock, probe_timeout_s: float, patience_us: int
+        self,
+        registry: HostRegistry,
+        site: RouterSettings,
+        clock: Clock,
+        probe_timeout_s: float,
+        patience_us: int,
     ) -> None:
         self._registry = registry
         self._site = site
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -64,7 +64,7 @@
         site = configuration.site
         self.registry = HostRegistry(Random(configuration.seed), site.dispatchers)
         folder = Path(file).parent / section["state"] if section["state"] is not None else None
-        purge_retention_us = 2 * site.rules.purge_takes_us + PURGE_MARGIN_US
+        purge_retention_us = 2 * site.rules.purge_delay_us + PURGE_MARGIN_US
         log_address = configuration.written.changelog
         self._recorder = ListRecorder(folder, log_address, purge_retention_us, self._report)
         self._load_hosts()
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -65,7 +65,7 @@
             assert (await mixed.answer())[:2] == (5, 502) and await mixed.reader.read() == b""
             assert (await dispatcher.ask(1, "page"))[0] == 200
             front = dispatcher.service.front
-            await until(lambda: len(front.sessions) == 1 and not dispatcher.service.owner.router.ledger)
+            await until(lambda: len(front.sessions) == 1 and not dispatcher.service.owner.router.requests)
             assert front.held == 0
 
     run(scene())
