--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -32,9 +32,9 @@
         if form not in ("lines", "json"):
             raise BadConfiguration(f"HOISTPLANK_LOG: '{form[:20]}' is neither 'lines' nor 'json'")
         if file := os.environ.get("HOISTPLANK_OPERATOR", ""):
-            from hoistplank.program.extensions import added
+            from hoistplank.program.extensions import load_extensions
 
-            additions = added(file, configuration)
+            additions = load_extensions(file, configuration)
             form = os.environ.get("HOISTPLANK_LOG", additions.form)
     except BadConfiguration as wrong:
         print(f"hoistplank: {wrong}", file=sys.stderr)
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Protocol
 
-import msgspec
 import structlog
 
 from hoistplank.degradation import sections
@@ -18,11 +17,11 @@
 from hoistplank.degradation.levels import LevelChange
 from hoistplank.degradation.observer import SignalObserver
 from hoistplank.degradation.settings import DegradationSettings
-from hoistplank.degradation.status import degradation_status
+from hoistplank.degradation.status import DegradationStatus, degradation_status
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.routing.router_task import Owner, Told
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 
 log = structlog.get_logger()
 
@@ -35,7 +34,7 @@
     """What degradation uses of the program that it is part of."""
 
     owner: Owner
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
 class OverrideAction(enum.StrEnum):
@@ -59,7 +58,7 @@
 
 class DegradationService:
     """Made before anything listens; `attach` sets its task to work beside the program's own. Raises
-    Faults."""
+    ConfigurationError."""
 
     def __init__(self, section: Section, configuration: Configuration) -> None:
         self._configuration = configuration
@@ -104,8 +103,8 @@
     def _evaluate(self, now: int) -> None:
         assert self._dispatcher is not None
         assert self._observer is not None
-        descriptors = self._dispatcher.ledger
-        descriptor_share = sum(descriptors.held.values()) / max(1, descriptors.room)
+        descriptors = self._dispatcher.descriptors
+        descriptor_share = sum(descriptors.held.values()) / max(1, descriptors.total_limit)
         memory_share = resident_share(self._configuration.memory_mb)
         self._observer.record_resources(now, memory_share, descriptor_share)
         change = self.state_machine.evaluate(now, self._readings.all(now))
@@ -130,9 +129,14 @@
     def _hand_on_effects(self) -> None:
         self._owner.tell(Told(self.state_machine.effects(self.settings.base)))
 
-    def status(self, now: int) -> dict[str, Any]:
-        """The report for operators, ready for JSON (`status.DegradationStatus`)."""
-        report = degradation_status(
+    @property
+    def level_name(self) -> str:
+        """The level in force."""
+        return self.state_machine.level_name
+
+    def status(self, now: int) -> DegradationStatus:
+        """The report for operators."""
+        return degradation_status(
             now,
             self.state_machine,
             self.state_machine.effects(self.settings.base),
@@ -140,8 +144,6 @@
             self._dispatcher.owner.admission if self._dispatcher is not None else None,
             self._changes,
         )
-        built: dict[str, Any] = msgspec.to_builtins(report)
-        return built
 
     def override(self, now: int, action: str, level: str, duration_us: int, operator: str) -> str:
         """Carries out an operator's pin, unpin, forbid or allow, for good where the duration is 0; returns
@@ -167,9 +169,9 @@
                 raise UnknownActionError(action, OverrideAction)
         return None
 
-    def prepared(self, section: Section) -> Callable[[], None]:
-        """Another file's section, checked; raises Faults. The call returned takes it up, keeping the level in
-        force where one of its name is still there."""
+    def prepare_reload(self, section: Section) -> Callable[[], None]:
+        """Checks another file's section; raises ConfigurationError. The call returned takes it up, keeping
+        the level in force where one of its name is still there."""
         settings = self._settings_of(section)
         machine = settings.new_state_machine()
 
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -36,11 +36,11 @@
 from hoistplank.distribution.state import ReplicatedState
 from hoistplank.distribution.status import Load, PeerRow, StatusAnswer, UnheardRow, change_row
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import SILENT_S
 from hoistplank.routing.rate_limited_log import Complaints
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 
 log = structlog.get_logger()
@@ -89,8 +89,8 @@
         self.sessions: dict[str, DispatcherSession] = {}
         self.peer_sessions: dict[PeerSession, None] = {}
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.ledger = Ledger(min(soft, MOST_DESCRIPTORS))
-        self.listener = Listener(settings.listen, self.ledger, self._greet)
+        self.descriptors = DescriptorBudget(min(soft, MOST_DESCRIPTORS))
+        self.listener = Listener(settings.listen, self.descriptors, self._greet)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -170,7 +170,7 @@
     def gone(self, connection: RequestConnection) -> None:
         """A connection has ended."""
         self.connections.pop(connection, None)
-        self.ledger.give("client")
+        self.descriptors.release(ConnectionKind.CLIENT)
         if connection.peer is not None:
             self.peer_sessions.pop(connection.peer, None)
         session = connection.dispatcher
@@ -199,7 +199,7 @@
         """A dispatcher follows from now on."""
         life = self.table.followed(self.now(), self.name, session.follow)
         if life is not Life.ACCEPTED:
-            raise BadBytes(f"{session.name} can't follow: {life.value}")
+            raise ProtocolError(f"{session.name} can't follow: {life.value}")
         earlier = self.sessions.get(session.name)
         self.sessions[session.name] = session
         if earlier is not None:
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -23,7 +23,7 @@
 )
 from hoistplank.distribution.peer_link import PeerSession, Reporting
 from hoistplank.distribution.status import StatusAnswer
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.transport.connection import Connection
 
@@ -74,7 +74,7 @@
         elif isinstance(request, InForce):
             self._acknowledged(request)
         elif self.dispatcher is not None or self.peer is not None:
-            raise BadBytes("a connection says a second time whose it is")
+            raise ProtocolError("a connection says a second time whose it is")
         elif isinstance(request, Follow):
             self._followed(request)
         else:
@@ -88,21 +88,21 @@
         if refused:
             log.info("dispatcher sent on", peer=follow.dispatcher, why=refused)
             self.connection.send(encode(ReplicaLine(redirect=Redirect(refused))))
-            self.connection.finish()
+            self.connection.close_gracefully()
             return
         self.dispatcher = DispatcherSession(self.replica, self.connection, follow)
         self.replica.accept(self.dispatcher)
 
     def _acknowledged(self, in_force: InForce) -> None:
         if self.dispatcher is None:
-            raise BadBytes("an acknowledgement comes before 'follow'")
+            raise ProtocolError("an acknowledgement comes before 'follow'")
         self.replica.acknowledged(self.dispatcher, in_force)
 
     def is_lost(self) -> bool:
         """Whether its other side counts as gone: a machine that is cut off closes nothing."""
-        silent_s = asyncio.get_running_loop().time() - self.connection.heard_at
+        silent_s = asyncio.get_running_loop().time() - self.connection.last_read_at
         is_silent = self.peer is None and silent_s > SILENT_CONNECTION_S
-        return is_silent or self.connection.is_stuck()
+        return is_silent or self.connection.is_write_stalled()
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         wrong = None if task.cancelled() else task.result()
--- a/hoistplank/lab/backends/degradation_controller.py
+++ b/hoistplank/lab/backends/degradation_controller.py
@@ -15,8 +15,8 @@
 from hoistplank.degradation.levels import FULL, LevelChange
 from hoistplank.degradation.observer import SignalObserver
 from hoistplank.degradation.settings import DegradationSettings
-from hoistplank.operator_configuration.faults import Fault, Faults
-from hoistplank.program.sections import understood
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
+from hoistplank.program.sections import parse_file
 
 MAX_OPEN_REQUESTS = 4_000
 
@@ -32,11 +32,13 @@
 
 
 def parse_plan(text: str, semantics: dict[str, str]) -> DegradationPlan:
-    """A plan from the text of a section `(levels …)`, as the operator's file has it; raises Faults.
-    `semantics`: of the world's traffic classes, by name."""
-    section = understood(text.encode(), "levels")["levels"]
+    """A plan from the text of a section `(levels …)`, as the operator's file has it. `semantics`: of the
+    world's traffic classes, by name. Raises ConfigurationError."""
+    section = parse_file(text.encode(), "levels")["levels"]
     if section is None:
-        raise Faults([Fault(understood(b"", "levels").place, "no '(levels …)'", "the form of the levels")])
+        location = parse_file(b"", "levels").location
+        found = "no '(levels …)'"
+        raise ConfigurationError([Diagnostic(location, found, "the form of the levels")])
     return DegradationPlan(
         sections.build_settings(section, semantics),
         sections.build_admission_settings(section, MAX_OPEN_REQUESTS),
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -14,14 +14,14 @@
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.lab.scale.hollow import HollowOwner, Position, Source
-from hoistplank.operator_configuration.faults import Faults
-from hoistplank.program.sections import understood
+from hoistplank.operator_configuration.errors import ConfigurationError
+from hoistplank.program.sections import parse_file
 
 _checks: dict[Version, asyncio.Task[None]] = {}  # of this process
 
 
 async def _check(version: Version, text: str) -> None:
-    await asyncio.to_thread(understood, text.encode(), f"configuration {version}")
+    await asyncio.to_thread(parse_file, text.encode(), f"configuration {version}")
 
 
 class ReplicaFollowing:
@@ -44,7 +44,7 @@
             checking = _checks[version] = asyncio.create_task(_check(version, text))
         try:
             await asyncio.shield(checking)
-        except Faults as wrong:
+        except ConfigurationError as wrong:
             raise ConfigurationRefused(str(wrong)) from None
         return lambda: self._take_up(version)
 
--- a/hoistplank/membership/fallback.py
+++ b/hoistplank/membership/fallback.py
@@ -18,7 +18,7 @@
 from hoistplank.routing.endpoint_watcher import Listing
 from hoistplank.routing.router_task import Listed, Owner
 from hoistplank.store.schemas import PersistedHost
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 log = structlog.get_logger()
 
@@ -44,7 +44,7 @@
 
     owner: Owner
     listing: Listing
-    ledger: Ledger
+    descriptors: DescriptorBudget
     provisional: bool
 
 
@@ -103,19 +103,19 @@
 
     def _start_probes(self, dispatcher: Dispatcher, now: int) -> None:
         for host in self._registry.next_probes(now):
-            task = asyncio.create_task(self._probe(dispatcher.ledger, host), name=f"probe {host.uid}")
+            task = asyncio.create_task(self._probe(dispatcher.descriptors, host), name=f"probe {host.uid}")
             self._probes.add(task)
             task.add_done_callback(self._probes.discard)
 
-    async def _probe(self, descriptors: Ledger, host: PersistedHost) -> None:
+    async def _probe(self, descriptors: DescriptorBudget, host: PersistedHost) -> None:
         evidence = Evidence.NO_RESPONSE
-        has_descriptor = descriptors.take("cache host")
+        has_descriptor = descriptors.acquire(ConnectionKind.CACHE_HOST)
         try:
             if has_descriptor:
                 evidence = await probe(host.endpoint, self._probe_timeout_s)
         finally:
             if has_descriptor:
-                descriptors.give("cache host")
+                descriptors.release(ConnectionKind.CACHE_HOST)
             self._probe_count += 1
             self._result_counts[evidence] += 1
             self._registry.probe_completed(self._clock.now(), host.uid, evidence)
--- a/hoistplank/membership/probe.py
+++ b/hoistplank/membership/probe.py
@@ -6,8 +6,8 @@
 import socket
 
 from hoistplank.membership.host_states import Evidence
-from hoistplank.protocol.changelog import address
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import parse_address
+from hoistplank.protocol.errors import ProtocolError
 
 MAX_RESPONSE_BYTES = 256
 REQUEST_ID = b"feel"  # any token: it comes back in the answer
@@ -22,7 +22,7 @@
     try:
         async with asyncio.timeout(timeout_s):
             await _exchange(endpoint, response)
-    except (OSError, ValueError, BadBytes):  # TimeoutError is an OSError
+    except (OSError, ValueError, ProtocolError):  # TimeoutError is an OSError
         return Evidence.UNEXPECTED_RESPONSE if response else Evidence.NO_RESPONSE
     return _evidence(bytes(response))
 
@@ -33,7 +33,7 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     try:
-        await loop.sock_connect(sock, address(endpoint))
+        await loop.sock_connect(sock, parse_address(endpoint))
         await loop.sock_sendall(sock, REQUEST)
         while LINE_END not in response and len(response) < MAX_RESPONSE_BYTES:
             received = await loop.sock_recv(sock, MAX_RESPONSE_BYTES)
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -17,7 +17,7 @@
 from hoistplank.membership.host_records import with_start
 from hoistplank.membership.host_registry import READY, HostRegistry
 from hoistplank.membership.list_recorder import ListRecorder
-from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Event, Fleet
@@ -50,8 +50,8 @@
 
 
 class MembershipService:
-    """One for the program. Raises Faults where the seeds name no host of this location; a folder that fails
-    costs freshness only."""
+    """One for the program. Raises ConfigurationError where the seeds name no host of this location; a folder
+    that fails costs freshness only."""
 
     def __init__(
         self, section: Section, file: str, configuration: Configuration, clock: Clock | None = None
@@ -89,7 +89,8 @@
         zone = self._configuration.site.zone
         if all(seed.zone != zone for seed in seeds):
             found = f"no seed of this dispatcher's location '{zone}'"
-            raise Faults([Fault(self._section.at("seed"), found, "one at least")])
+            location = self._section.location_of("seed")
+            raise ConfigurationError([Diagnostic(location, found, "one at least")])
 
     def _is_relevant(self, host: PersistedHost) -> bool:
         """The router takes cache hosts of its own location alone, and any parent or origin."""
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -34,7 +34,8 @@
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.attempts import ENDINGS, Attempt, Ended, Request, request_message
 from hoistplank.routing.clock import Clock
-from hoistplank.transport.pool import Line, Pool
+from hoistplank.transport.pool import Pool
+from hoistplank.transport.pooled_connection import PooledConnection
 
 log = structlog.get_logger()
 
@@ -294,7 +295,9 @@
     def _give_up(self, now: int, attempt: Attempt, written: str, unwritten: str) -> None:
         if not attempt.over:
             line = attempt.line
-            sent = line is not None and line.give_up(attempt.id, cachewire.drop(attempt.id), attempt.began)
+            sent = line is not None and line.cancel(
+                attempt.id, cachewire.encode_drop(attempt.id), attempt.began
+            )
             self._ended(now, Ended(attempt, written if sent else unwritten, None))
 
     def _ended(self, now: int, event: Ended) -> None:
@@ -318,16 +321,16 @@
             self._over(request, now - request.taken)
             self.counts["succeeded"] += 1
             request.exchange.succeed(answer.body, how == "still_good")
-        report = answer.report(self.report_names) if answer and self.load_reports_in_answers else []
+        report = answer.load_report(self.report_names) if answer and self.load_reports_in_answers else []
         if self.watch is not None and answer is not None:
-            self._watched(now, attempt, answer.note(), took, report)
+            self._watched(now, attempt, answer.cache_status(), took, report)
         ended = AttemptEnded(
             request_id=request.id,
             attempt=attempt.number,
             outcome=result,
             request_closed=request.over,
             took_us=took,
-            cache_status=answer.note() if answer else CacheStatus.UNKNOWN,
+            cache_status=answer.cache_status() if answer else CacheStatus.UNKNOWN,
             load_report=report,
         )
         self.router.handle(now, ended)
@@ -378,7 +381,7 @@
 
     def _retire(self, host: str) -> None:
         if self.pool is not None:
-            self.pool.retire(host)
+            self.pool.drain(host)
 
     def _purged(self, now: int, event: Purged) -> None:
         age_us = max(0, now - event.made_us)
@@ -413,7 +416,7 @@
         attempt.timer = loop.call_later(action.timeout_us / 1e6, self.tell, Late(attempt))
         attempt.line = self._send(action.host, attempt, request_message(request, action))
 
-    def _send(self, host: str, errand: Attempt, data: bytes) -> Line | None:
+    def _send(self, host: str, errand: Attempt, data: bytes) -> PooledConnection | None:
         post = self.posts.get(host)
         line = self.pool.send(host, post.address, errand, data) if self.pool is not None and post else None
         if line is None:
@@ -437,7 +440,9 @@
         attempt = request.attempts.get(action.attempt) if request else None
         if attempt is not None and not attempt.over:
             line = attempt.line
-            sent = line is not None and line.give_up(attempt.id, cachewire.drop(attempt.id), attempt.began)
+            sent = line is not None and line.cancel(
+                attempt.id, cachewire.encode_drop(attempt.id), attempt.began
+            )
             self.tell(Ended(attempt, "withdrawn" if sent else "withheld", None))
 
     def _set_timer(self, now: int, action: SetTimer) -> None:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -9,6 +9,7 @@
 from types import SimpleNamespace
 
 from hoistplank.fakes.wire import CacheHost, Client, serve
+from hoistplank.transport.descriptor_budget import ConnectionKind
 from tests.dispatcher_scene import Calm, run, served, silent
 from tests.helpers import Running, until
 
@@ -35,7 +36,7 @@
         hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
         async with Running(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
             front, stay = dispatcher.service.front, []
-            while len(front.sessions) < dispatcher.service.ledger.most["client"]:
+            while len(front.sessions) < dispatcher.service.descriptors.limits[ConnectionKind.CLIENT]:
                 stay.append(await dispatcher.connect())
                 stay[-1].send(1, "", script="/-/healthy")
                 assert (await stay[-1].answer())[1] == 200
@@ -60,7 +61,7 @@
             front = dispatcher.service.front
             for number, close in enumerate((front.reclaim, front.sweep), 2):
                 for session in front.sessions:
-                    session.connection.heard_at -= 100
+                    session.connection.last_read_at -= 100
                 number_of = dispatcher.client.writer.get_extra_info("socket").fileno()
                 with socket.socket(fileno=os.dup(number_of)) as raw:
                     sent: list[bytes] = []
@@ -81,13 +82,13 @@
         async with Running(
             tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}, limits=limits
         ) as dispatcher:
-            ledger = dispatcher.service.ledger
+            descriptors = dispatcher.service.descriptors
             clients: list[Client] = []
             for number in range(1, 41):  # more than clients may hold
                 clients.append(await dispatcher.connect())
                 clients[-1].send(number, "page", {"HTTP_X_CORRELATION_ID": f"{number + 100:016x}"})
                 assert (await asyncio.wait_for(clients[-1].answer(), 5))[1] == 200
-                assert sum(ledger.held.values()) <= 40
+                assert sum(descriptors.held.values()) <= 40
 
     run(scene())
 
@@ -96,8 +97,8 @@
     async def scene() -> None:
         hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
         async with Calm(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
-            ledger, stay = dispatcher.service.ledger, list[Client]()
-            for number in range(2 * ledger.most["client"]):
+            descriptors, stay = dispatcher.service.descriptors, list[Client]()
+            for number in range(2 * descriptors.limits[ConnectionKind.CLIENT]):
                 stay.append(await dispatcher.connect())
                 stay[-1].send(number + 1, "", script="/-/healthy")
             since = len(dispatcher.since)
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -75,7 +75,7 @@
     def retries(self) -> float:
         """What the levels in force say: a figure to be seen."""
         assert self.dispatcher.additions is not None
-        levels = self.dispatcher.additions.levels
+        levels = self.dispatcher.additions.degradation
         assert isinstance(levels, DegradationService)
         return levels.settings.base.retry_share
 
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -27,7 +27,7 @@
 from hoistplank.lab.load.wire import Answers, Template
 from hoistplank.lab.statistics import difference, of_way, ranks, spearman
 from hoistplank.lab.worker import Job, play
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.protocol import fastcgi
 
 TEXT = b"""(experiment small
@@ -72,12 +72,12 @@
 
 def test_a_request_by_template_is_one_that_the_dispatcher_reads() -> None:
     data = Template("booking", 900, True, "t0ken", {"HTTP_X_TAG": "3"}).encode(513, 0xABC, 7)
-    reader = fastcgi.Reader(8)
+    reader = fastcgi.RequestReader(8)
     buffer = bytearray(data)
     _, found = reader.read(buffer, 0, len(buffer))
-    whole = [event for event in found if isinstance(event, fastcgi.Whole)]
+    whole = [event for event in found if isinstance(event, fastcgi.RequestReceived)]
     assert whole[0].request.number == 513
-    assert whole[0].request.fields() == {
+    assert whole[0].request.parameters() == {
         "SCRIPT_NAME": "/api/v2/booking",
         "HTTP_X_DEADLINE_MS": "900",
         "HTTP_X_TAG": "3",
@@ -90,7 +90,9 @@
 
 def test_answers_are_scanned_however_they_are_cut() -> None:
     body = b"x" * 70_000
-    data = b"".join(fastcgi.answer(n, status, (), body) for n, status in ((1, 200), (2, 503), (900, 502)))
+    data = b"".join(
+        fastcgi.encode_response(n, status, (), body) for n, status in ((1, 200), (2, 503), (900, 502))
+    )
     for seed in range(20):
         chance, scan, at, found = random.Random(seed), Answers(), 0, list[tuple[int, int]]()
         while at < len(data):
@@ -190,7 +192,7 @@
     ],
 )
 def test_an_experiment_says_what_is_wrong_and_where(text: str, line: int, found: str, expected: str) -> None:
-    with pytest.raises(Faults) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read(text.encode(), "x.sexp")
     said = str(wrong.value).splitlines()[0]
     assert said.startswith(f"x.sexp:{line}:") and found in said and expected in said.split("expected")[1]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -82,17 +82,19 @@
             reader, writer = await asyncio.open_connection(*dispatcher.service.listener.sock.getsockname())
             owner.open = 20
             writer.write(
-                fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 0))
-                + fastcgi.record(fastcgi.PARAMS, 1, fastcgi.pair(b"SCRIPT_NAME", b"/api/v2/page"))
+                fastcgi.encode_record(fastcgi.BEGIN_REQUEST, 1, struct.pack(">HB5x", 1, 0))
+                + fastcgi.encode_record(
+                    fastcgi.PARAMS, 1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page")
+                )
             )
             await writer.drain()
             while owner.counts["shed"] < 3:
                 await asyncio.sleep(0.001)
-            writer.write(fastcgi.record(fastcgi.PARAMS, 1) + fastcgi.record(fastcgi.STDIN, 1))
+            writer.write(fastcgi.encode_record(fastcgi.PARAMS, 1) + fastcgi.encode_record(fastcgi.STDIN, 1))
             came = await asyncio.wait_for(reader.read(), 5)
             writer.close()
             owner.open = 0
-            assert b"Status: 503" in came and came.endswith(fastcgi.ended(1))
+            assert b"Status: 503" in came and came.endswith(fastcgi.encode_end_request(1))
 
     run(scene())
 
@@ -178,7 +180,7 @@
             other = await dispatcher.connect()
             other.send(1, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
             assert (await other.answer())[1] == 502 and len(box.seen) == 1
-            dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+            dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             assert (await dispatcher.client.answer())[1] == 0
             other.send(2, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)  # its attempt is still out
             assert (await other.answer())[1] == 502 and len(box.seen) == 1
