--- a/hoistplank/authorization/authenticator.py
+++ b/hoistplank/authorization/authenticator.py
@@ -11,7 +11,7 @@
 from hoistplank.authorization import jws
 from hoistplank.authorization.identity import Caller, CertificateIdentity, Credentials
 from hoistplank.authorization.key_sets import Issuer, UnknownKeys, VerificationKey
-from hoistplank.authorization.permissions import TWO_TENANTS, TenantDirectory
+from hoistplank.authorization.permissions import Ambiguity, TenantDirectory
 from hoistplank.authorization.policy import ANONYMOUS_TENANT, AuthenticationPolicy
 from hoistplank.authorization.rejection import (
     FORBIDDEN,
@@ -30,7 +30,8 @@
 MAX_RECENT_FIELDS = 512
 
 # Of a certificate: a token beside it may still say whose the request is.
-NO_TENANT = Rejection(UNAUTHORIZED, "no tenant")
+NO_TENANT = Rejection(UNAUTHORIZED, Ambiguity.NO_TENANT.value)
+TWO_TENANTS = Rejection(UNAUTHORIZED, Ambiguity.TWO_TENANTS.value)
 NO_TENANT_FOR_SUBJECT = Rejection(FORBIDDEN, "no tenant")
 NO_CREDENTIALS = Rejection(UNAUTHORIZED, "no credentials")
 CONFLICTING_TENANTS = Rejection(FORBIDDEN, "token of another tenant")
@@ -135,10 +136,10 @@
         rejection = self.check_certificate(identity)
         if rejection is not None:
             return rejection
-        tenant, name = self.tenants.of_certificate(identity.names)
-        if tenant is not None:
-            return Caller(tenant, name)
-        return Rejection(UNAUTHORIZED, name) if name == TWO_TENANTS else NO_TENANT
+        match = self.tenants.of_certificate(identity.names)
+        if isinstance(match, Ambiguity):
+            return NO_TENANT if match is Ambiguity.NO_TENANT else TWO_TENANTS
+        return Caller(match.tenant, match.name)
 
     # Tokens.
 
--- a/hoistplank/authorization/permissions.py
+++ b/hoistplank/authorization/permissions.py
@@ -6,14 +6,15 @@
 
 from __future__ import annotations
 
+import enum
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 READ, BOOK, PURGE, OPERATE = 1, 2, 4, 8
 RIGHT_BITS = {"read": READ, "book": BOOK, "purge": PURGE, "operate": OPERATE}
 ALL_GROUPS = (1 << 256) - 1
 WILDCARD = "*"
-TWO_TENANTS = "two tenants"  # why a certificate says nothing for its holder
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,6 +46,20 @@
         return "" if self.groups >> group & 1 else "group"
 
 
+class NamedTenant(NamedTuple):
+    """A tenant, and the name by which it was found."""
+
+    tenant: Tenant
+    name: str
+
+
+class Ambiguity(enum.Enum):
+    """Why a certificate says nothing for its holder; the value is the reason that answers give."""
+
+    NO_TENANT = "no tenant"
+    TWO_TENANTS = "two tenants"
+
+
 @dataclass(frozen=True, slots=True)
 class NameBinding:
     """A name that belongs to a tenant: of an issuer's subjects, or (issuer '') of certificates; may end in
@@ -101,17 +116,17 @@
         """The tenant of a token's subject."""
         return self.by_name.get(self.names.tenant(issuer, subject))
 
-    def of_certificate(self, names: Iterable[str]) -> tuple[Tenant | None, str]:
-        """The one tenant of a certificate's names and the name that says so; none, with the reason, where
-        they say no tenant or two.
+    def of_certificate(self, names: Iterable[str]) -> NamedTenant | Ambiguity:
+        """The one tenant of a certificate's names and the name that says so, or why there is none.
 
         Danger: a certificate with names of two tenants would let its holder choose whose rights it uses.
         """
         found = {tenant: name for name in names if (tenant := self.names.tenant("", name))}
         if len(found) != 1:
-            return None, TWO_TENANTS if found else "no tenant"
-        ((tenant, name),) = found.items()
-        return self.by_name.get(tenant), name
+            return Ambiguity.TWO_TENANTS if found else Ambiguity.NO_TENANT
+        ((tenant_name, name),) = found.items()
+        tenant = self.by_name.get(tenant_name)
+        return NamedTenant(tenant, name) if tenant is not None else Ambiguity.NO_TENANT
 
     def key_owner(self, operation_key: str) -> str:
         """The tenant that alone may use operation keys with this beginning, or an empty string."""
