--- a/hoistplank/authorization/permissions.py
+++ b/hoistplank/authorization/permissions.py
@@ -121,7 +121,7 @@
 
         Danger: a certificate with names of two tenants would let its holder choose whose rights it uses.
         """
-        found = {tenant: name for name in names if (tenant := self.names.tenant("", name))}
+        found = {owner: name for name in names if (owner := self.names.tenant("", name))}
         if len(found) != 1:
             return Ambiguity.TWO_TENANTS if found else Ambiguity.NO_TENANT
         ((tenant_name, name),) = found.items()
