--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -22,7 +22,7 @@
     import uvloop
 
     from hoistplank.program.configuration import BadConfiguration, read, read_again
-    from hoistplank.program.logging_setup import open_log
+    from hoistplank.program.logging_setup import configure_logging
     from hoistplank.program.service import Additions, Service
 
     additions: Additions | None = None
@@ -32,14 +32,14 @@
         if form not in ("lines", "json"):
             raise BadConfiguration(f"HOISTPLANK_LOG: '{form[:20]}' is neither 'lines' nor 'json'")
         if file := os.environ.get("HOISTPLANK_OPERATOR", ""):
-            from hoistplank.program.extensions import added
+            from hoistplank.program.extensions import load_extensions
 
-            additions = added(file, configuration)
+            additions = load_extensions(file, configuration)
             form = os.environ.get("HOISTPLANK_LOG", additions.form)
     except BadConfiguration as wrong:
         print(f"hoistplank: {wrong}", file=sys.stderr)
         return 2
-    open_log(configuration.name, form)
+    configure_logging(configuration.name, form)
 
     async def serve() -> int:
         return await Service(configuration, lambda: read_again(os.environ), early, additions).run()
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -23,7 +23,8 @@
     TimerFired,
 )
 from hoistplank.decision.settings import Degradation
-from hoistplank.lab.backends.degradation_controller import Plan, Steward
+from hoistplank.degradation.observer import CompletedFill
+from hoistplank.lab.backends.degradation_controller import DegradationController, DegradationPlan
 from hoistplank.lab.model.clients import BACK, OFF, SERVED, Request
 from hoistplank.lab.model.faults import Event, Troubles
 from hoistplank.lab.model.servers import Ask, Server
@@ -71,7 +72,9 @@
 class VirtualSeat:
     """A dispatcher: the owner's turn over a queue of what came, then all decisions in order."""
 
-    def __init__(self, world: World, number: int, zone: int, make: Make, plan: Plan | None = None) -> None:
+    def __init__(
+        self, world: World, number: int, zone: int, make: Make, plan: DegradationPlan | None = None
+    ) -> None:
         self.world, self.number, self.zone, self.make, self.plan = world, number, zone, make, plan
         self.agenda, self.place = world.agenda, f"z{zone}"
         self.alive, self.runs, self.skew_us = True, 0, 0
@@ -83,8 +86,8 @@
         self.frozen_until = 0
         self.clock = LogClock()
         self.debt_us = 0  # of the core, for requests shed since the last turn
-        self.steward: Steward | None = None
-        self.stewards: list[Steward] = []  # of each run, for what they saw
+        self.degradation: DegradationController | None = None
+        self.degradation_runs: list[DegradationController] = []  # one for each run of the process
         self.policy = self._made()
 
     def _made(self) -> Policy:
@@ -93,11 +96,13 @@
         if self.plan is not None:
             # A restart forgets the level in force, as a dispatcher's process does.
             utility = {row.name: row.utility for row in self.world.shape.classes}
-            self.steward = Steward(self.plan, utility, self.agenda.now)
-            self.stewards.append(self.steward)
+            self.degradation = DegradationController(self.plan, utility, self.agenda.now)
+            self.degradation_runs.append(self.degradation)
             if not isinstance(policy, Plain):
-                policy.handle(self.agenda.now, DegradationChanged(self.plan.base))
-            self.agenda.at(self.agenda.now + self.plan.every_us, self._judge, self.runs)
+                policy.handle(self.agenda.now, DegradationChanged(self.plan.settings.base))
+            self.agenda.at(
+                self.agenda.now + self.plan.settings.evaluation_interval_us, self._judge, self.runs
+            )
         return policy
 
     # What the world tells.
@@ -115,14 +120,16 @@
         self.tell(self._purged, object_key, group, made)
 
     def take(self, request: Request) -> None:
-        steward, now = self.steward, self.agenda.now
+        degradation, now = self.degradation, self.agenda.now
         class_name = self.world.shape.classes[request.class_index].name
-        if steward is not None and not steward.admits(now, class_name, len(self.requests) - len(self.over)):
+        if degradation is not None and not degradation.admits(
+            now, class_name, len(self.requests) - len(self.over)
+        ):
             # Shed as it begins, before the owner's turn: it costs a share of an event.
             assert self.plan is not None
-            self.debt_us += int(self.world.shape.cpu_us * self.plan.shed_share)
+            self.debt_us += int(self.world.shape.cpu_us * self.plan.shed_cost_share)
             self.world.truth.answers.answered(now, request.id)
-            steward.watch.answered(now, class_name, False)
+            degradation.observer.record_response(now, class_name, in_target=False)
             wait = self.world.shape.settings(self.zone, self.number)["limits"]["max_retry_after"]
             self.world.clients.answered(request.id, BACK, int(wait * 500_000))
             return
@@ -164,8 +171,8 @@
         # What came first has waited for the turn before, longer than a tick where that was dear.
         lag = max(0, now - self.planned_at - shape.tick_us)
         self.policy.handle(now, EventLoopMeasured(len(queue), lag))
-        if self.steward is not None:
-            self.steward.turn(now, lag, len(self.requests) - len(self.over), len(queue))
+        if self.degradation is not None:
+            self.degradation.observe_turn(now, lag, len(self.requests) - len(self.over), len(queue))
         for call, args in queue:
             call(now, *args)
         acts = 0
@@ -176,13 +183,13 @@
         self.debt_us = 0
 
     def _judge(self, runs: int) -> None:
-        steward, now = self.steward, self.agenda.now
-        if not self.alive or runs != self.runs or steward is None or self.plan is None:
+        degradation, now = self.degradation, self.agenda.now
+        if not self.alive or runs != self.runs or degradation is None or self.plan is None:
             return
-        reduced = steward.judge(now)
+        reduced = degradation.evaluate(now)
         if reduced is not None and not isinstance(self.policy, Plain):
             self.tell(self._degraded, reduced)
-        self.agenda.at(now + self.plan.every_us, self._judge, runs)
+        self.agenda.at(now + self.plan.settings.evaluation_interval_us, self._judge, runs)
 
     def _act(self, now: int, action: Action) -> None:
         if isinstance(action, SendAttempt):
@@ -204,10 +211,11 @@
 
     def _answer(self, now: int, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
         request = self.requests.get(id)
-        if self.steward is not None and request is not None:
+        if self.degradation is not None and request is not None:
             row = self.world.shape.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
-            self.steward.watch.answered(now, row.name, how == SERVED and now - request.asked_at <= target)
+            in_target = how == SERVED and now - request.asked_at <= target
+            self.degradation.observer.record_response(now, row.name, in_target=in_target)
         self.over.add(id)
         self.world.truth.answers.answered(now, id)
         if self.world.paths is None:
@@ -236,8 +244,8 @@
             self.policy.handle(now, EndpointsUpdated(EndpointListForm(form), entries))
 
     def _purged(self, now: int, object_key: str, group: int, made: int) -> None:
-        if self.steward is not None:
-            self.steward.watch.purged(now, object_key, group)
+        if self.degradation is not None:
+            self.degradation.observer.record_purge(now, object_key, group)
         # As a dispatcher does: heard by its own clock, which may be wrong, made by the log's.
         heard = now + self.skew_us
         age_us = max(0, heard - self.clock.ours(heard, made))
@@ -311,14 +319,14 @@
                 )
             self._answer(now, id, SERVED, note=note)
         took = at - attempt.sent
-        action, steward = attempt.action, self.steward
+        action, degradation = attempt.action, self.degradation
         filled = note in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN) and action.source != action.host
-        if steward is not None and filled:
+        if degradation is not None and filled:
             row = self.world.shape.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             slowed = took / (request.size_us + 100_000)
-            steward.watch.filled(
-                now, action.source, request.object_key, request.group, took <= target, slowed
+            degradation.observer.record_fill(
+                now, CompletedFill(action.source, request.object_key, request.group, took <= target, slowed)
             )
         closed = id in self.over or id not in self.requests
         self.policy.handle(now, AttemptEnded(id, action.attempt, result, closed, took, note, []))
@@ -326,7 +334,7 @@
 
 
 def built(
-    shape: Shape, seed: int, make: Make, rows: list[Event] | None = None, plan: Plan | None = None
+    shape: Shape, seed: int, make: Make, rows: list[Event] | None = None, plan: DegradationPlan | None = None
 ) -> World:
     """A world with all its dispatchers and the script of its day, ready for `run`; `plan`: levels and the
     admission at each dispatcher, else neither."""
--- a/hoistplank/program/sections.py
+++ b/hoistplank/program/sections.py
@@ -1,7 +1,8 @@
-"""The one place where every subsystem's forms of the operator's file are registered, read and checked."""
+"""The whole operator's file: every subsystem's section is registered, read and checked here."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
 
 from hoistplank.authorization import sections as callers
@@ -20,45 +21,41 @@
 FILE = FormSchema(
     (
         Field("log", LOG, default=True, doc="how the log is written"),
-        Field("callers", callers.CALLERS, doc="who may call: tokens, certificates, tenants"),
-        Field("membership", membership.MEMBERSHIP, doc="starting without discovery: a kept list, seeds"),
-        Field("levels", levels.LEVELS, doc="levels of reduced service, admission by the core, retry budgets"),
+        Field("callers", callers.CALLERS, doc="authorization: tokens, certificates, tenants"),
+        Field("membership", membership.MEMBERSHIP, doc="starting without discovery: a persisted list, seeds"),
+        Field("levels", levels.LEVELS, doc="levels of reduced service, admission control, retry budgets"),
         Field("distribution", distribution.DISTRIBUTION, doc="control replicas in place of the change log"),
     )
 )
-CHECKS = {
+# What a section's schema can't check; only of a file that is sound so far.
+CHECKS: dict[str, Callable[[Section, list[Diagnostic]], None]] = {
     "callers": callers.check_section,
-    "membership": membership.checked,
-    "levels": levels.checked,
+    "membership": membership.check_section,
+    "levels": levels.check_section,
     "distribution": distribution.checked,
 }
 
 
-def load(path: str) -> Section:
-    """Reads and checks a file; raises ConfigurationError with all that is wrong, each with its place."""
+def load_file(path: str) -> Section:
+    """Reads and checks a file; raises ConfigurationError with all that is wrong, each with its location."""
     try:
         data = Path(path).read_bytes()
-    except OSError as wrong:
-        raise ConfigurationError(
-            [
-                Diagnostic(
-                    SourceLocation(path, 1, 1),
-                    f"a file that can't be read ({wrong.strerror})",
-                    "the operator's file",
-                )
-            ]
-        ) from None
-    return understood(data, path)
-
-
-def understood(data: bytes, path: str) -> Section:
-    """The bytes of a file as checked sections; raises ConfigurationError."""
-    text = parse(data, path)
-    faults: list[Diagnostic] = []
-    section = read_form(FILE, text.forms, SourceLocation(path, 1, 1), faults)
+    except OSError as error:
+        found = f"a file that can't be read ({error.strerror})"
+        diagnostic = Diagnostic(SourceLocation(path, 1, 1), found, "the operator's file")
+        raise ConfigurationError([diagnostic]) from error
+    return parse_file(data, path)
+
+
+def parse_file(data: bytes, path: str) -> Section:
+    """The bytes of a file as one checked section; `path` is what diagnostics name. Raises
+    ConfigurationError."""
+    document = parse(data, path)
+    diagnostics: list[Diagnostic] = []
+    section = read_form(FILE, document.forms, SourceLocation(path, 1, 1), diagnostics)
     for name, check in CHECKS.items():
-        if not faults and section[name] is not None:
-            check(section[name], faults)
-    if faults:
-        raise ConfigurationError(sorted(faults, key=lambda fault: fault.location))
+        if not diagnostics and section[name] is not None:
+            check(section[name], diagnostics)
+    if diagnostics:
+        raise ConfigurationError(sorted(diagnostics, key=lambda diagnostic: diagnostic.location))
     return section
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -25,7 +25,7 @@
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.wire import CacheHost, Client, connected
 from hoistplank.operator_configuration.errors import ConfigurationError
-from hoistplank.program.sections import load
+from hoistplank.program.sections import load_file
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.frontend import Session
@@ -239,7 +239,7 @@
     change(tmp_path)
     with pytest.raises(ConfigurationError) as caught:
         AuthorizationService(
-            load(str(tmp_path / "op.sexp"))["callers"],
+            load_file(str(tmp_path / "op.sexp"))["callers"],
             str(tmp_path / "op.sexp"),
             configuration(tmp_path).site,
         )
