--- a/tests/test_distribution_assignment.py
+++ b/tests/test_distribution_assignment.py
@@ -15,6 +15,7 @@
     return_delay_us,
 )
 from hoistplank.distribution.catch_up import CatchUpQueue
+from hoistplank.distribution.replica_selection import REDIRECT_HOLD_S, ReplicaSelection
 
 S = 1_000_000
 
@@ -86,3 +87,20 @@
             if key % 3:  # each third takes nothing, and holds its turn until the limit
                 queue.finish(key)
     assert served == list(range(len(sizes)))
+
+
+def test_a_replica_that_rejected_a_dispatcher_is_not_tried_again_for_some_time() -> None:
+    first, second, third = REPLICAS[:3]
+    selection = ReplicaSelection((first, second, third))
+    assert selection.is_preferred and list(selection.preferred_to_current()) == []
+    selection.mark_redirected(1_000.0)
+    selection.advance()
+    selection.advance()
+    assert selection.current == third and list(selection.preferred_to_current()) == [first, second]
+    assert not selection.may_try(first, 1_000.0 + REDIRECT_HOLD_S - 1) and selection.may_try(second, 1_000.0)
+    assert selection.may_try(first, 1_000.0 + REDIRECT_HOLD_S)
+    selection.advance()
+    assert selection.current == first
+    selection.advance()
+    selection.restart()
+    assert selection.is_preferred
