--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -11,7 +11,7 @@
 from hoistplank.distribution.messages import Configuration, ReplicatedEvent
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.changelog import Event, Position, Snapshot
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
@@ -111,7 +111,7 @@
             self.last, self.behind, self.anew = 0, False, True
             raise ProtocolError(f"the change log began anew in epoch {epoch}: all is asked for")
 
-    def _take(self, told: Event | int) -> None:
+    def _take(self, told: Event | Position) -> None:
         moves, was_behind = self.moves, self.behind
         super()._take(told)
         if self.behind and not was_behind:
--- a/hoistplank/lab/scale/role_change_log.py
+++ b/hoistplank/lab/scale/role_change_log.py
@@ -47,9 +47,7 @@
         lines = self.last.split(b"\n")
         buffer = bytearray(lines[-2] + b"\n") if len(lines) > 2 else bytearray()
         _, found = changelog.ChangeLogReader().read(buffer, 0, len(buffer))
-        if not found:
-            return 0
-        return found[-1] if isinstance(found[-1], int) else found[-1].seq
+        return found[-1].seq if found else 0
 
 
 class Followers:
--- a/hoistplank/lab/scale/role_requests.py
+++ b/hoistplank/lab/scale/role_requests.py
@@ -24,7 +24,7 @@
     planned_site,
     whole_list,
 )
-from hoistplank.protocol.changelog import ChangeLogReader, Target
+from hoistplank.protocol.changelog import ChangeLogReader, Event, Target
 
 OBJECTS = (100, 200, 400, 800)
 OPEN_REQUESTS = (40, 80, 160, 320)
@@ -78,7 +78,7 @@
     buffer = bytearray(whole_list(hosts))
     _, found = ChangeLogReader().read(buffer, 0, len(buffer))
     event = found[0]
-    assert not isinstance(event, int) and event.fleet is not None
+    assert isinstance(event, Event) and event.fleet is not None
     return list(event.fleet.targets)
 
 
--- a/hoistplank/protocol/__init__.py
+++ b/hoistplank/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the sockets: parsed from a buffer and encoded. No sockets, no clock."""
+"""Parsers and encoders of what is spoken on the sockets, without I/O: bytes in, typed messages out."""
--- a/hoistplank/protocol/changelog.py
+++ b/hoistplank/protocol/changelog.py
@@ -87,6 +87,12 @@
         return bytes(self.configuration) not in (b"", b"null")
 
 
+class Position(msgspec.Struct, frozen=True):
+    """How far the log has come: there is no event after `seq` yet."""
+
+    seq: int
+
+
 class Snapshot(msgspec.Struct, frozen=True):
     """What the log had said up to `seq`, as given at the start of a process."""
 
@@ -124,20 +130,19 @@
 
 
 class ChangeLogReader:
-    """The lines of one connection: events, and numbers that say how far the log has come, each bare or as an
-    object with nothing else in it but the log's epoch."""
+    """The lines of one connection: events, and positions, each a bare number or an object with nothing else
+    in it but the log's epoch."""
 
     def __init__(self) -> None:
-        self.epoch = 0  # of the last line that was read
+        self.epoch = 0  # of the last line that was read; 0 where it says none
         self._searched = 0  # bytes of an unfinished line that hold no end
 
-    def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[Event | int]]:
+    def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[Event | Position]]:
         """Reads the whole lines between `start` and `end`.
 
-        Returns where it has come to, and each line's event, or the sequence number that the log has come to;
-        raises ChangeLogError.
+        Returns where it has come to, and what each line says; raises ChangeLogError.
         """
-        found: list[Event | int] = []
+        found: list[Event | Position] = []
         while (line_end := buffer.find(b"\n", start + self._searched, end)) >= 0:
             line = bytes(buffer[start:line_end]).strip()
             start, self._searched = line_end + 1, 0
@@ -148,17 +153,17 @@
             raise ChangeLogError("a line of the change log is too long")
         return start, found
 
-    def _decode(self, line: bytes) -> Event | int:
+    def _decode(self, line: bytes) -> Event | Position:
         try:
             message: Event | int = _decoder.decode(line)
         except msgspec.MsgspecError as error:
             raise ChangeLogError(f"a line of the change log can't be read: {error}") from error
         if isinstance(message, int):
             self.epoch = 0
-            return message
+            return Position(message)
         self.epoch = message.epoch
         if message.is_position:
             # The number alone, as the platform's log writes it. Danger: taken for an event, one that is ahead
             # would count as heard what has not come, and a drain would be lost for good.
-            return message.seq
+            return Position(message.seq)
         return check_event(message)
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Snapshot, Target
+from hoistplank.protocol.changelog import Event, Position, Snapshot, Target
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.clock_offset import LogClock
@@ -103,19 +103,20 @@
             made = self.clock.ours(self.owner.clock.now(), int(purge.time * 1000))
             self.owner.tell(Purged(purge.object, purge.bucket, made))
 
-    def _take(self, told: Event | int) -> None:
+    def _take(self, told: Event | Position) -> None:
         """What makes a connection count as alive is set here alone: an event or a number in its order.
 
         Danger: bytes that never make a line, or a log that stands behind what we hold, would keep a
         connection on which no drain can come.
         """
-        number = told if isinstance(told, int) else told.seq
-        if number < self.last or (number == self.last and not isinstance(told, int)):
-            self.behind = self.behind or isinstance(told, int)  # an event that comes twice says nothing
+        if told.seq < self.last or (told.seq == self.last and isinstance(told, Event)):
+            self.behind = self.behind or isinstance(told, Position)  # an event that comes twice says nothing
             return
-        if isinstance(told, int):
-            if told > self.last:
-                raise ProtocolError(f"the change log is at {told}, but its events came only to {self.last}")
+        if isinstance(told, Position):
+            if told.seq > self.last:
+                raise ProtocolError(
+                    f"the change log is at {told.seq}, but its events came only to {self.last}"
+                )
             if self.watch is not None:
                 self.watch.alive()
         elif told.seq > self.last + 1:
--- a/hoistplank/transport/__init__.py
+++ b/hoistplank/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: what listens, what connects, and how many there may be. Knows no message of any protocol."""
+"""Sockets: what listens, connects, reads and writes, and how many there may be. Knows no message."""
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -12,7 +12,9 @@
 import pytest
 
 from hoistplank.transport import connection as connections
+from hoistplank.transport.connecting import connect_socket, open_tcp_socket
 from hoistplank.transport.connection import Connection
+from hoistplank.transport.errors import MessageTooLongError
 from tests.dispatcher_scene import (
     run,
 )
@@ -187,3 +189,38 @@
         peer.sock.close()
 
     run(scene())
+
+
+def test_a_message_that_no_buffer_holds_ends_its_connection_by_a_typed_error() -> None:
+    async def scene() -> None:
+        peer = Peer()
+        made = Connection(peer.ours, lambda buffer, start, end: start, 16_384, 1 << 20)
+        task = asyncio.get_running_loop().create_task(made.run())
+        while not made.is_closed:
+            with contextlib.suppress(BlockingIOError, ConnectionError):
+                peer.sock.send(bytes(8_192))
+            await asyncio.sleep(0)
+        error = await task
+        assert isinstance(error, MessageTooLongError) and error.max_bytes == 16_384
+        assert made.ended_inside_message
+
+    run(scene())
+
+
+def test_a_socket_that_is_not_connected_in_time_is_closed() -> None:
+    async def scene() -> None:
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
+            # Its backlog is full with these: what comes now waits.
+            waiting = [open_tcp_socket() for _ in range(4)]
+            for sock in waiting:
+                sock.connect_ex(listener.getsockname())
+            late = open_tcp_socket()
+            with pytest.raises(TimeoutError):
+                await connect_socket(late, listener.getsockname(), 0.05)
+            assert late.fileno() == -1
+            for sock in waiting:
+                sock.close()
+
+    run(scene())
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -172,9 +172,11 @@
 
 
 def test_change_log_cut_anywhere() -> None:
-    for listed, number, purged in everywhere(changelog.ChangeLogReader, LINES):
+    for listed, position, purged in everywhere(changelog.ChangeLogReader, LINES):
         entry = listed.fleet.targets[0].entry()
-        assert entry == Endpoint("s-1", "east", "std", 2, 4.0, 17_000, "draining") and number == 41
+        assert entry == Endpoint(
+            "s-1", "east", "std", 2, 4.0, 17_000, "draining"
+        ) and position == changelog.Position(41)
         assert (purged.invalidate.object, purged.seq) == ("7f3a9c21e0b4d655", 42)
 
 
@@ -186,10 +188,10 @@
 def test_a_configuration_in_the_change_log_is_an_event_whatever_it_holds(configuration: str) -> None:
     reader = changelog.ChangeLogReader()
     data = f'{{"seq":7,"epoch":3,"configuration":{configuration}}}\n{{"seq":7,"epoch":3}}\n'.encode()
-    event, number = cut(reader, data, 65_536)
+    event, position = cut(reader, data, 65_536)
     assert (event.seq, event.epoch, event.has_configuration, event.is_position) == (7, 3, True, False)
     assert bytes(event.configuration) == configuration.encode()
-    assert number == 7 and reader.epoch == 3
+    assert position == changelog.Position(7) and reader.epoch == 3
 
 
 @pytest.mark.parametrize(
