--- a/hoistplank/authorization/admin_server.py
+++ b/hoistplank/authorization/admin_server.py
@@ -22,8 +22,8 @@
 from hoistplank.authorization.permissions import ALL_GROUPS, BITS, OPERATE, Tenant
 from hoistplank.authorization.revocations import BadRevocation, Revocation
 from hoistplank.operator_configuration.schema import Section
+from hoistplank.routing.client_session import ConnectionFactory
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.frontend import Make
 from hoistplank.routing.router_task import Owner, Purged
 from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
@@ -146,7 +146,7 @@
 
     def secured(
         self, sock: socket.socket, told: Callable[[Identity | None], None], failed: Callable[[], None]
-    ) -> Make: ...
+    ) -> ConnectionFactory: ...
 
     def revoke(self, row: Revocation) -> None: ...
 
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -24,8 +24,10 @@
 from hoistplank.operator_configuration.faults import Fault, Faults
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.attempts import Request
+from hoistplank.routing.client_session import ClientSession, ConnectionFactory
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.frontend import Front, Make, Refused, Session
+from hoistplank.routing.frontend import Frontend
+from hoistplank.routing.response import RequestRefusal
 from hoistplank.routing.router_task import Owner
 from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
@@ -43,7 +45,7 @@
     """What the service uses of the program that it is part of."""
 
     owner: Owner
-    front: Front
+    front: Frontend
     ledger: Ledger
 
 
@@ -90,7 +92,7 @@
             self._ask,
         )
         self.tls: certificates.Tls | None = None
-        self.shaking: dict[Session, float] = {}
+        self.shaking: dict[ClientSession, float] = {}
         self.handshakes = {"done": 0, "failed": 0, "given up": 0, "refused": 0}
         self._asked, self._warned_at = asyncio.Event(), 0
         self.sources = self._sources(section)
@@ -276,7 +278,9 @@
 
     # Requests.
 
-    def admit(self, identity: Any, fields: dict[str, str], request: Request, peer: str) -> Refused | None:
+    def admit(
+        self, identity: Any, fields: dict[str, str], request: Request, peer: str
+    ) -> RequestRefusal | None:
         owner = self.owner
         # A web server's word for where a caller is counts; that of one who only speaks TLS does not.
         source = peer if peer.startswith(UNKNOWN) else fields.get("REMOTE_ADDR") or peer
@@ -291,7 +295,7 @@
             room(owner.cap(request.class_name), self.gate.accounts.total, owner.lag_us),
         )
         if isinstance(found, Refusal):
-            return Refused(found.status, found.cause, found.wait_us)
+            return RequestRefusal(found.status, found.cause, found.wait_us)
         request.caller = found
         return None
 
@@ -326,7 +330,7 @@
 
     def secured(
         self, sock: socket.socket, told: Callable[[Identity | None], None], failed: Callable[[], None]
-    ) -> Make:
+    ) -> ConnectionFactory:
         """Makes a connection with TLS that tells who is there, once its handshake has proven it."""
         assert self.tls is not None
         context = self.tls.context
@@ -356,7 +360,7 @@
 
     def _greet(self, sock: socket.socket, peer: str) -> None:
         assert self.host is not None
-        holder: list[Session] = []
+        holder: list[ClientSession] = []
 
         def told(found: Identity | None) -> None:
             holder[0].identity = found
@@ -377,7 +381,7 @@
         holder.append(session)
         self.shaking[session] = asyncio.get_running_loop().time()
 
-    def _give_up(self, session: Session) -> None:
+    def _give_up(self, session: ClientSession) -> None:
         del self.shaking[session]
         self.handshakes["given up"] += 1
         session.connection.close()
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -18,7 +18,7 @@
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
 from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.frontend import Front
+from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import Owner
 
 log = structlog.get_logger()
@@ -31,7 +31,7 @@
     """What this uses of the program that it is part of."""
 
     owner: Owner
-    front: Front
+    front: Frontend
     listing: Listing
 
 
@@ -65,7 +65,7 @@
         )
         self.follower = host.listing = follower
         host.owner.before_turn = follower.check_silence
-        host.front.health_detail = follower.detail
+        host.front.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
     async def _prepare(self, version: Version, text: str) -> TakeUp:
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -18,7 +18,8 @@
 from hoistplank.routing.cache_host_reader import answers_of
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.frontend import Authorizer, Front
+from hoistplank.routing.frontend import Frontend
+from hoistplank.routing.request_intake import Authorizer
 from hoistplank.routing.router_task import Closed, Closing, Owner
 from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
@@ -100,7 +101,7 @@
                 "cache host's connection closed", host=host, wrong=str(wrong)
             ),
         )
-        self.front = Front(
+        self.front = Frontend(
             self.owner,
             configuration.site,
             self.ledger,
--- /dev/null
+++ b/hoistplank/routing/request_parsing.py
@@ -0,0 +1,103 @@
+"""Checks the fields of a client's request and makes a `Request` of them."""
+
+from __future__ import annotations
+
+import re
+
+from hoistplank.interface import KEYED, Site, TrafficClass
+from hoistplank.protocol.errors import BadBytes
+from hoistplank.routing.attempts import Exchange, Request
+
+PATH_PREFIX = "/api/v2/"  # the traffic class's name follows
+MAX_PART = 65_535
+MAX_PURGE_GROUP = 255
+MAX_DIGITS = 9  # of a whole number: more would be above any bound here
+MAX_QUOTED = 60  # characters of a bad value that are repeated in the error
+# Clients reckon their time by clocks of their own: some ms over the limit are no nonsense. Danger: taken as
+# such, they cost a usual client its connection and all that is open there.
+DEADLINE_TOLERANCE_PERCENT = 110
+DEADLINE_TOLERANCE_MS = 50
+
+_is_id = re.compile(r"[0-9a-fA-F]{16}").fullmatch
+_is_idempotency_key = re.compile(r"[0-9a-fA-F]{32}").fullmatch
+
+
+class RequestParser:
+    """Makes requests of CGI fields, by the traffic classes that the settings name."""
+
+    def __init__(self, site: Site) -> None:
+        self.classes = {traffic_class.name: traffic_class for traffic_class in site.traffic_classes}
+
+    def script_names(self) -> dict[bytes, str]:
+        """The class name by each SCRIPT_NAME in use, as its bytes stand in the FastCGI parameters."""
+        return {f"{PATH_PREFIX}{name}".encode(): name for name in self.classes}
+
+    def parse(self, now: int, response: Exchange, fields: dict[str, str], body: bytes) -> Request:
+        """A request received at `now` (us); raises BadBytes naming the field that can't be used."""
+        traffic_class = self._traffic_class(fields)
+        request_id = _hex_field(fields, "HTTP_X_CORRELATION_ID", "X-Correlation-Id")
+        object_key = _hex_field(fields, "HTTP_X_SUBJECT", "X-Subject")
+        deadline_ms = whole_number(fields, "HTTP_X_DEADLINE_MS", None, 1, _max_deadline_ms(traffic_class))
+        idempotency_key = _idempotency_key(fields, traffic_class)
+        known_version = fields.get("HTTP_X_KNOWN", "")
+        if known_version and not _is_id(known_version):
+            raise BadBytes(f"X-Known '{known_version[:MAX_QUOTED]}' is not of 16 hex digits")
+        repeated = fields.get("HTTP_X_RESENT", "")
+        if repeated not in ("", "1"):
+            raise BadBytes(f"X-Resent '{repeated[:MAX_QUOTED]}' is not 1")
+        return Request(
+            response,
+            request_id,
+            traffic_class.name,
+            object_key,
+            whole_number(fields, "HTTP_X_CHUNK", 0, 0, MAX_PART),
+            whole_number(fields, "HTTP_X_TAG", 0, 0, MAX_PURGE_GROUP),
+            idempotency_key,
+            known_version,
+            body,
+            now + deadline_ms * 1000,
+            repeated == "1",
+            not traffic_class.uncached,
+            taken=now,
+        )
+
+    def _traffic_class(self, fields: dict[str, str]) -> TrafficClass:
+        script = fields.get("SCRIPT_NAME", "")
+        if script.startswith(PATH_PREFIX):
+            traffic_class = self.classes.get(script[len(PATH_PREFIX) :])
+            if traffic_class is not None:
+                return traffic_class
+        raise BadBytes(f"SCRIPT_NAME '{script[:MAX_QUOTED]}' names no traffic class")
+
+
+def _max_deadline_ms(traffic_class: TrafficClass) -> int:
+    tolerated_us = traffic_class.deadline_us * DEADLINE_TOLERANCE_PERCENT // 100
+    return tolerated_us // 1000 + DEADLINE_TOLERANCE_MS
+
+
+def _hex_field(fields: dict[str, str], name: str, header: str) -> str:
+    value = fields.get(name, "")
+    if not _is_id(value):
+        raise BadBytes(f"{header} '{value[:MAX_QUOTED]}' is not of 16 hex digits")
+    return value
+
+
+def _idempotency_key(fields: dict[str, str], traffic_class: TrafficClass) -> str:
+    """The operation key; checked wherever one is given, and empty for a class that uses none."""
+    key = fields.get("HTTP_X_OPERATION_KEY", "")
+    is_keyed = traffic_class.semantics == KEYED
+    if (key or is_keyed) and not _is_idempotency_key(key):
+        raise BadBytes(f"X-Operation-Key '{key[:MAX_QUOTED]}' is not of 32 hex digits")
+    return key if is_keyed else ""
+
+
+def whole_number(fields: dict[str, str], name: str, default: int | None, least: int, most: int) -> int:
+    """A field as a whole number from `least` to `most`, needed without a default; raises BadBytes."""
+    text = fields.get(name)
+    if text is None and default is not None:
+        return default
+    if text is None or not (text.isdecimal() and text.isascii() and len(text) <= MAX_DIGITS):
+        raise BadBytes(f"{name} '{(text or '')[:MAX_QUOTED]}' is no whole number")
+    if not least <= int(text) <= most:
+        raise BadBytes(f"{name} {text} is not from {least} to {most}")
+    return int(text)
