--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -45,7 +45,7 @@
     """What the service uses of the program that it is part of."""
 
     owner: Owner
-    front: Frontend
+    frontend: Frontend
     ledger: Ledger
 
 
@@ -377,7 +377,7 @@
             # Danger: half-open handshakes hold every place. The oldest yields: a usual one needs some ms of
             # it.
             self._give_up(next(iter(self.shaking)))
-        session = self.host.front.greet(sock, peer, self.secured(sock, told, failed))
+        session = self.host.frontend.serve(sock, peer, self.secured(sock, told, failed))
         holder.append(session)
         self.shaking[session] = asyncio.get_running_loop().time()
 
@@ -405,13 +405,13 @@
         """Connections whose certificate no longer stands end, once what is open on them is answered."""
         if self.host is None:
             return
-        for session in list(self.host.front.sessions):
+        for session in list(self.host.frontend.sessions):
             if (
                 isinstance(session.identity, Identity)
-                and not session.leaving
+                and not session.is_closing
                 and self.gate.certificate(session.identity) is not None
             ):
-                session.leave()
+                session.close_when_idle()
         if self.section["control"] is not None:
             self.control.strike()
 
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -31,7 +31,7 @@
     """What this uses of the program that it is part of."""
 
     owner: Owner
-    front: Frontend
+    frontend: Frontend
     listing: Listing
 
 
@@ -65,7 +65,7 @@
         )
         self.follower = host.listing = follower
         host.owner.before_turn = follower.check_silence
-        host.front.intake.health_detail = follower.detail
+        host.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
     async def _prepare(self, version: Version, text: str) -> TakeUp:
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -97,11 +97,11 @@
             configuration.site.rules.connect_us / 1e6 or 1.0,
             max(row.deadline_us for row in configuration.site.traffic_classes) / 1e6,
             answers_of,
-            lambda host, wrong: self.front.complaints.tell(
+            lambda host, wrong: self.frontend.complaints.tell(
                 "cache host's connection closed", host=host, wrong=str(wrong)
             ),
         )
-        self.front = Frontend(
+        self.frontend = Frontend(
             self.owner,
             configuration.site,
             self.ledger,
@@ -116,7 +116,7 @@
             Random(configuration.seed),
             configuration.site.rules.drain_us / 1e6,
         )
-        self.listener = Listener(configuration.listen, self.ledger, self.front.greet)
+        self.listener = Listener(configuration.listen, self.ledger, self.frontend.serve)
         self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
 
     def enter(self, phase: Phase) -> None:
@@ -158,8 +158,8 @@
         log.info(
             "bounds",
             **{f"{kind} descriptors": most for kind, most in self.ledger.most.items()},
-            waiting_answers_kb=self.front.most_out >> 10,
-            open_requests_kb=self.front.most_held >> 10,
+            waiting_answers_kb=self.frontend.max_unsent_bytes >> 10,
+            open_requests_kb=self.frontend.max_held_bytes >> 10,
         )
         if self.configuration.memory_mb < LEAST_MB:
             log.warning(
@@ -177,7 +177,7 @@
         for part in parts:
             part.cancel()
         await asyncio.gather(*parts, return_exceptions=True)
-        self.front.close()
+        self.frontend.close()
         for addition in each:
             addition.close()
         if self.owner.pool is not None:
@@ -231,7 +231,7 @@
         self.owner.tell(Closing(self.owner.clock.now() + int(self.last_answer_s * 1e6)))
         closed = left = False
         while self.loop.time() < began + self.end_s:
-            if left and self._is_empty() and not self.front.sessions:
+            if left and self._is_empty() and not self.frontend.sessions:
                 return
             await asyncio.sleep(0.02)
             spent = self.loop.time() - began
@@ -243,10 +243,10 @@
                 # the write side shut, and is its client's to send again.
                 left = True
                 await self.listener.stop()
-                self.front.leave()
+                self.frontend.close_when_idle()
 
     def _is_empty(self) -> bool:
-        return not self.owner.open and not self.owner.queue and self.front.flushed()
+        return not self.owner.open and not self.owner.queue and self.frontend.all_sent()
 
     async def _abandon(self) -> None:
         """The open requests of a broken program are failed, as far as that still works."""
@@ -256,13 +256,13 @@
                 request.exchange.fail()
         self.owner.requests.clear()
         until = self.loop.time() + 0.5
-        while not self.front.flushed() and self.loop.time() < until:
+        while not self.frontend.all_sent() and self.loop.time() < until:
             await asyncio.sleep(0.01)
 
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.front.sweep()
+            self.frontend.sweep()
             if self.owner.pool is not None:
                 self.owner.pool.sweep()
 
--- a/hoistplank/routing/client_session.py
+++ b/hoistplank/routing/client_session.py
@@ -37,12 +37,12 @@
     ledger: Ledger
     complaints: Complaints
     sessions: dict[ClientSession, None]
-    unfinished_s: float  # for a request to become whole
+    unfinished_timeout_s: float  # for a request to become whole
 
     def shed(self, number: int, script: bytes) -> bytes | None:
         """The answer to a request that is shed as it begins; None where it is read on."""
 
-    def hold(self, more: int) -> None:
+    def count_held_bytes(self, more: int) -> None:
         """Requests of this client hold so many bytes more, or fewer."""
 
 
@@ -55,20 +55,20 @@
     identity: Any
 
     def __init__(
-        self, front: SessionOwner, sock: socket.socket, peer: str, make_connection: ConnectionFactory
+        self, frontend: SessionOwner, sock: socket.socket, peer: str, make_connection: ConnectionFactory
     ) -> None:
-        self.front, self.intake = front, front.intake
+        self.frontend, self.intake = frontend, frontend.intake
         # Danger: load shedding is blind to who calls; one tenant's herd would have it shed all.
-        shed = front.shed if front.intake.authorizer is None else None
+        shed = frontend.shed if frontend.intake.authorizer is None else None
         self.reader = fastcgi.Reader(MAX_REQUESTS, shed)
         self.peer, self.identity = peer, None
         # By FastCGI number; None while it is not a request for the router task (yet).
-        self.open: dict[int, Request | None] = {}
+        self.open_requests: dict[int, Request | None] = {}
         # Whole, and not handed to the router task while too much waits for this client.
-        self.held_back: dict[int, Request] = {}
-        self.leaving = False  # it ends once nothing is owed on it any more
-        self.ending = False  # it was given up: nothing that comes is taken any more
-        self.spoke = False  # whether it has sent a usable request
+        self.deferred: dict[int, Request] = {}
+        self.is_closing = False  # it ends once nothing is owed on it any more
+        self.given_up = False  # it was given up: nothing that comes is taken any more
+        self.has_sent_request = False  # whether it has sent a usable request
         self.bad_requests = 0
         self.whole_requests = 0
         self.counted_bytes = 0  # what the frontend knows of the bytes that its requests hold
@@ -77,7 +77,7 @@
         ] = {}  # by number: when a sweep first found a request unfinished
         self.connection = make_connection(sock, self.consume, MAX_RECORD_BYTES, MAX_UNSENT_BEFORE_PAUSE_BYTES)
         loop = asyncio.get_running_loop()
-        self.born = loop.time()
+        self.opened_at = loop.time()
         self.task = loop.create_task(self.connection.run(), name="client connection")
         self.task.add_done_callback(self._ended)
 
@@ -87,7 +87,7 @@
         """Takes the requests that stand whole between start and end; returns how far the buffer is used."""
         shed_before = self.reader.shed_count
         try:
-            while not self.ending:
+            while not self.given_up:
                 start, events = self.reader.read(buffer, start, end)
                 if not events:
                     return start
@@ -107,11 +107,11 @@
     def _read_ended(self, shed_before: int) -> None:
         self._count_held_bytes()
         if self.reader.parting:
-            asyncio.get_running_loop().call_soon(self.leave)
+            asyncio.get_running_loop().call_soon(self.close_when_idle)
         if self.reader.shed_count > shed_before:
             # Danger: a usual client that got nothing but refusals for a while would pass for one that
             # never sent a request, and lose its connection with what it sent meanwhile.
-            self.spoke = True
+            self.has_sent_request = True
             # Danger: while the core is full, a read and a write for each request rejected cost more
             # than serving another: what comes next is read later, in one go.
             self.connection.rest(SHED_READ_PAUSE_S)
@@ -119,54 +119,54 @@
     def _count_held_bytes(self) -> None:
         more = self.reader.held - self.counted_bytes
         self.counted_bytes = self.reader.held
-        self.front.hold(more)
+        self.frontend.count_held_bytes(more)
 
     def _request_received(self, received: fastcgi.FastCgiRequest) -> None:
         response = FastCgiResponse(self, received.number, received.keep)
-        self.open[received.number] = None
+        self.open_requests[received.number] = None
         self.whole_requests += 1
         try:
             if received.spoiled:
                 raise BadBytes(received.spoiled)
             fields = received.fields()
             if is_health_check(fields):
-                self.spoke = True
+                self.has_sent_request = True
                 self.intake.answer_health_check(response)
                 return
             request = self.intake.parse(response, fields, received)
         except BadBytes as error:
             self._refuse_bad_request(received, response, str(error))
             return
-        self.spoke = True
+        self.has_sent_request = True
         authorizer = self.intake.authorizer
         if authorizer is not None and not self.intake.authorize(
             authorizer, request, response, fields, self.identity, self.peer
         ):
             return
-        self.open[received.number] = request
+        self.open_requests[received.number] = request
         if self.connection.out_bytes > MAX_UNSENT_BYTES:
             # Danger: a client that does not read what it is owed would fill the memory. It is read on all the
             # same: an end that nobody reads is an end that nobody sees, and its requests would be forwarded.
-            self.held_back[received.number] = request
+            self.deferred[received.number] = request
             self.connection.emptied = self._all_sent
         else:
-            self.front.owner.tell(Came(request))
+            self.frontend.owner.tell(Came(request))
 
     def _refuse_bad_request(
         self, received: fastcgi.FastCgiRequest, response: FastCgiResponse, error: str
     ) -> None:
         """Answered at once, and nothing goes to a cache host."""
-        self.front.complaints.tell("request can't be used", wrong=error)
+        self.frontend.complaints.tell("request can't be used", wrong=error)
         response.send(400, (), b"")
         self.bad_requests += 1
         if received.spoiled or self.bad_requests >= MAX_BAD_REQUESTS:
             self.give_up(error)
 
     def _request_aborted(self, event: fastcgi.Aborted) -> None:
-        request = self.open.pop(event.number, None)
+        request = self.open_requests.pop(event.number, None)
         if request is not None:
-            self.held_back.pop(event.number, None)
-            self.front.owner.tell(Left(request))
+            self.deferred.pop(event.number, None)
+            self.frontend.owner.tell(Left(request))
             self.intake.ended(request)
         self.connection.send(fastcgi.ended(event.number, 1))
 
@@ -174,80 +174,82 @@
 
     def send_response(self, response: FastCgiResponse, data: bytes) -> None:
         """Sends a response, unless its request was aborted."""
-        if response.number not in self.open:
+        if response.number not in self.open_requests:
             return  # aborted meanwhile: no answer is owed, and the number may stand for another request
-        request = self.open[response.number]
+        request = self.open_requests[response.number]
         if request is not None and request.exchange is not response:
             return
-        del self.open[response.number]
+        del self.open_requests[response.number]
         self.reader.done(response.number)
         self._count_held_bytes()
         self.connection.send(data)
         if request is not None:
             self.intake.ended(request)
         if not response.keep_connection:
-            self.leave()
+            self.close_when_idle()
 
     def _all_sent(self) -> None:
         """All that waited for this client has been written."""
-        deferred, self.held_back = self.held_back, {}
+        deferred, self.deferred = self.deferred, {}
         for request in deferred.values():
-            self.front.owner.tell(Came(request))
-        if self.leaving and self.idle():
+            self.frontend.owner.tell(Came(request))
+        if self.is_closing and self.is_idle():
             self.connection.finish()
 
     def release_overdue(self, now_us: int) -> None:
         """What is deferred and nearly out of time goes to the router task after all, for a timely answer."""
-        for number, request in list(self.held_back.items()):
+        for number, request in list(self.deferred.items()):
             if request.until - now_us < DEFERRED_ANSWER_US:
-                del self.held_back[number]
-                self.front.owner.tell(Came(request))
+                del self.deferred[number]
+                self.frontend.owner.tell(Came(request))
 
     # How it ends.
 
     def give_up(self, reason: str) -> None:
         """What came is no use: all that is open here is answered at once, no more is read, and it closes."""
-        if self.ending:
+        if self.given_up:
             return
-        self.ending = True
-        self.front.complaints.tell("client connection given up", wrong=reason)
-        for number, request in list(self.open.items()):
+        self.given_up = True
+        self.frontend.complaints.tell("client connection given up", wrong=reason)
+        for number, request in list(self.open_requests.items()):
             if request is not None:
                 request.exchange.fail()
-                self.front.owner.tell(Left(request))
-            self.open.pop(number, None)
-        self.held_back.clear()
+                self.frontend.owner.tell(Left(request))
+            self.open_requests.pop(number, None)
+        self.deferred.clear()
         self.connection.deafen()
         self.connection.finish()
 
-    def leave(self, silent_too: bool = True) -> None:
+    def close_when_idle(self, even_if_silent: bool = True) -> None:
         """Ends this connection once all that is open on it has been answered, and the answers are out."""
-        self.leaving, self.connection.emptied = True, self._all_sent
-        if self.idle() and (silent_too or self.spoke):
+        self.is_closing, self.connection.emptied = True, self._all_sent
+        if self.is_idle() and (even_if_silent or self.has_sent_request):
             self.connection.finish()
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
-        self.front.sessions.pop(self, None)
-        self.front.ledger.give("client")
+        self.frontend.sessions.pop(self, None)
+        self.frontend.ledger.give("client")
         self.reader.held = 0
         self._count_held_bytes()
         error = None if task.cancelled() else task.exception() or task.result()
         if error is not None and not isinstance(error, OSError):
-            self.front.complaints.tell("client connection closed", wrong=str(error) or type(error).__name__)
-        for request in self.open.values():
+            self.frontend.complaints.tell(
+                "client connection closed", wrong=str(error) or type(error).__name__
+            )
+        for request in self.open_requests.values():
             if request is not None:
-                self.front.owner.tell(Left(request))
+                self.frontend.owner.tell(Left(request))
                 self.intake.ended(request)
-        self.open.clear()
+        self.open_requests.clear()
 
     # What the frontend asks before it ends one.
 
-    def unfinished(self) -> bool:
+    def has_unfinished_request(self) -> bool:
         """Whether part of a request has come and the rest has not."""
         connection = self.connection
         return len(self.reader.requests) > len(self.reader.whole) or connection.start < connection.end
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is owed on it, after one more read of what has come.
 
         Danger: on a full core a request may lie unread for long; a close on it loses an accepted request.
@@ -257,23 +259,23 @@
         return self._owes_nothing()
 
     def _owes_nothing(self) -> bool:
-        return not (self.reader.requests or self.connection.out_bytes or self.unfinished())
+        return not (self.reader.requests or self.connection.out_bytes or self.has_unfinished_request())
 
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         """Whether nothing of a request has ever come."""
-        return not (self.spoke or self.open or self.unfinished())
+        return not (self.has_sent_request or self.open_requests or self.has_unfinished_request())
 
     def overdue(self, now: float) -> str:
         """Why this connection is to end, "" where it may stay: no request became whole in time.
 
         The clock runs from the start, whatever has come since.
         """
-        timeout_s = self.front.unfinished_s
-        if not self.spoke and now - self.born > timeout_s:
+        timeout_s = self.frontend.unfinished_timeout_s
+        if not self.has_sent_request and now - self.opened_at > timeout_s:
             self.connection.look()
-            if not self.spoke:
+            if not self.has_sent_request:
                 return "no whole request in time"
-        if not self.unfinished():
+        if not self.has_unfinished_request():
             self.unfinished_since = {}
             return ""
         numbers = [number for number in self.reader.requests if number not in self.reader.whole]
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -8,7 +8,6 @@
 
 from hoistplank.interface import Site
 from hoistplank.protocol import fastcgi
-from hoistplank.routing.attempts import Exchange, Request
 from hoistplank.routing.client_session import ClientSession, ConnectionFactory
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.routing.request_intake import HEALTH_PATH, Authorizer, RequestIntake
@@ -17,11 +16,11 @@
 from hoistplank.transport.connection import Connection
 from hoistplank.transport.descriptor_budget import Ledger
 
-IDLE_S = 8.0  # clients close after half of it
+IDLE_TIMEOUT_S = 8.0  # clients close after half of it
 # A connection is to end within 3 s if no request on it becomes whole: a sweep and the close fit in the rest.
-UNFINISHED_S = 2.0
-SETTLED_S = 0.1  # after its last request an idle client has had its answer
-YOUNG_S = 0.05  # one that has sent nothing for less may have its first bytes on the way
+UNFINISHED_TIMEOUT_S = 2.0
+LAST_ANSWER_ARRIVED_S = 0.1  # after its last request an idle client has had its answer
+NEW_CONNECTION_S = 0.05  # one that has sent nothing for less may have its first bytes on the way
 # Of the memory limit in MB: a quarter for answers that wait, an eighth for requests unfinished or open.
 UNSENT_BYTES_PER_MB = 1 << 18
 HELD_BYTES_PER_MB = 1 << 17
@@ -49,14 +48,14 @@
         self.class_by_script = self.intake.parser.script_names()
         self.sessions: dict[ClientSession, None] = {}  # in the order in which they were accepted
         self.complaints = Complaints()
-        self.unfinished_s = UNFINISHED_S
-        self.most_out = memory_mb * UNSENT_BYTES_PER_MB
-        self.most_held = memory_mb * HELD_BYTES_PER_MB
-        self.held = 0
+        self.unfinished_timeout_s = UNFINISHED_TIMEOUT_S
+        self.max_unsent_bytes = memory_mb * UNSENT_BYTES_PER_MB
+        self.max_held_bytes = memory_mb * HELD_BYTES_PER_MB
+        self.held_bytes = 0
         ledger.reclaimers["client"] = self.reclaim
         self.shed_head = fastcgi.head(503, retry_after_fields(owner.stay_away_us))
 
-    def greet(
+    def serve(
         self, sock: socket.socket, peer: str = "", make_connection: ConnectionFactory = Connection
     ) -> ClientSession:
         """Serves an accepted connection from the address `peer`."""
@@ -72,14 +71,10 @@
             return None
         return fastcgi.refusal(number, self.shed_head)
 
-    def request(self, response: Exchange, fields: dict[str, str], body: bytes) -> Request:
-        """A request received now; raises BadBytes naming the field that can't be used."""
-        return self.intake.parser.parse(self.owner.clock.now(), response, fields, body)
-
-    def hold(self, more: int) -> None:
+    def count_held_bytes(self, more: int) -> None:
         """Counts what unfinished and open requests hold; the largest holder goes when all hold too much."""
-        self.held += more
-        if more > 0 and self.held > self.most_held:
+        self.held_bytes += more
+        if more > 0 and self.held_bytes > self.max_held_bytes:
             largest = max(self.sessions, key=lambda session: session.reader.held)
             largest.give_up("requests hold too much memory")
             largest.connection.close()
@@ -99,9 +94,9 @@
             connection.close()
         elif connection.finishing:
             return  # its end has a clock of its own
-        elif (session.leaving or connection.heard_at < now - IDLE_S) and session.idle():
+        elif (session.is_closing or connection.heard_at < now - IDLE_TIMEOUT_S) and session.is_idle():
             connection.finish()
-        elif not session.ending and (reason := session.overdue(now)):
+        elif not session.given_up and (reason := session.overdue(now)):
             session.give_up(reason)
         else:
             session.release_overdue(self.owner.clock.now())
@@ -109,10 +104,10 @@
 
     def _close_slow_readers(self) -> None:
         total = sum(session.connection.out_bytes for session in self.sessions)
-        if total <= self.most_out:
+        if total <= self.max_unsent_bytes:
             return
         by_unsent_bytes = sorted(self.sessions, key=lambda session: session.connection.out_bytes)
-        while total > self.most_out:
+        while total > self.max_unsent_bytes:
             slowest = by_unsent_bytes.pop()
             total -= slowest.connection.out_bytes
             self.complaints.tell("slow reader let go", bytes=slowest.connection.out_bytes)
@@ -130,9 +125,11 @@
         """
         now = asyncio.get_running_loop().time()
         live = [session for session in self.sessions if not session.connection.finishing]
-        silent = [session for session in self.sessions if session.ending or session.silent()]
+        silent = [session for session in self.sessions if session.given_up or session.is_silent()]
         silent = [session for session in silent if not session.connection.closing]
-        old = [session for session in silent if session.ending or now - session.born > YOUNG_S]
+        old = [
+            session for session in silent if session.given_up or now - session.opened_at > NEW_CONNECTION_S
+        ]
         _close_silent(old)
         if old or len(silent) > len(live) // 2:
             return
@@ -142,16 +139,16 @@
 
     # The end of the program.
 
-    def flushed(self) -> bool:
+    def all_sent(self) -> bool:
         """Whether all answers are with the system."""
         return all(not session.connection.out_bytes for session in self.sessions)
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """Each connection ends once nothing is owed on it any more; a young one may have its first bytes on
         the way, and is left to the sweep."""
         now = asyncio.get_running_loop().time()
         for session in list(self.sessions):
-            session.leave(silent_too=now - session.born > YOUNG_S)
+            session.close_when_idle(even_if_silent=now - session.opened_at > NEW_CONNECTION_S)
 
     def close(self) -> None:
         """Ends all connections at once."""
@@ -162,7 +159,7 @@
 def _close_silent(sessions: list[ClientSession]) -> None:
     """Closes the older quarter of those given up or that never sent a request."""
     for session in sessions[: max(1, len(sessions) // 4)]:
-        if session.ending or (session.idle() and session.silent()):
+        if session.given_up or (session.is_idle() and session.is_silent()):
             session.connection.close()
 
 
@@ -170,7 +167,7 @@
     """Closes the first without an open request that has been unfinished for half of the time that it has:
     what comes meanwhile may be a usual client's, read late."""
     for session in sessions:
-        if not session.open and session.is_stalled(now, session.front.unfinished_s / 2):
+        if not session.open_requests and session.is_stalled(now, session.frontend.unfinished_timeout_s / 2):
             session.connection.close()
             return True
     return False
@@ -182,11 +179,11 @@
     Some at once: where thousands come and stay, a look through all for each newcomer would fill a core.
     """
     for session in sessions[: max(1, len(sessions) // 16)]:
-        if not session.idle():
+        if not session.is_idle():
             continue
         # The last answer has arrived by now, and only what crosses the close is lost: its client sends it
         # again. Else in order, which takes a moment more.
-        if now - session.connection.heard_at > SETTLED_S:
+        if now - session.connection.heard_at > LAST_ANSWER_ARRIVED_S:
             session.connection.close()
         else:
             session.connection.finish()
--- a/tests/dispatcher_scene.py
+++ b/tests/dispatcher_scene.py
@@ -76,5 +76,5 @@
 
 async def only(dispatcher: Running) -> Any:
     """The session of the one client that has sent requests."""
-    await until(lambda: any(each.spoke for each in dispatcher.service.front.sessions))
-    return next(each for each in dispatcher.service.front.sessions if each.spoke)
+    await until(lambda: any(each.has_sent_request for each in dispatcher.service.frontend.sessions))
+    return next(each for each in dispatcher.service.frontend.sessions if each.has_sent_request)
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -320,7 +320,7 @@
                     "value": f"{serial:x}" if how == "serial" else "uri:hoistplank:coast",
                 }
                 (tmp_path / "revoked.jsonl").write_text(json.dumps(row) + "\n")
-            await until(lambda: any(one.leaving for one in place.running.service.front.sessions))
+            await until(lambda: any(one.is_closing for one in place.running.service.frontend.sessions))
             assert time.monotonic() - at < 1.0
             client.send(2, "page")
             number, status, head, _ = await told
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -34,8 +34,8 @@
     async def scene() -> None:
         hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
         async with Running(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
-            front, stay = dispatcher.service.front, []
-            while len(front.sessions) < dispatcher.service.ledger.most["client"]:
+            frontend, stay = dispatcher.service.frontend, []
+            while len(frontend.sessions) < dispatcher.service.ledger.most["client"]:
                 stay.append(await dispatcher.connect())
                 stay[-1].send(1, "", script="/-/healthy")
                 assert (await stay[-1].answer())[1] == 200
@@ -57,9 +57,9 @@
     async def scene() -> None:
         async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
-            front = dispatcher.service.front
-            for number, close in enumerate((front.reclaim, front.sweep), 2):
-                for session in front.sessions:
+            frontend = dispatcher.service.frontend
+            for number, close in enumerate((frontend.reclaim, frontend.sweep), 2):
+                for session in frontend.sessions:
                     session.connection.heard_at -= 100
                 number_of = dispatcher.client.writer.get_extra_info("socket").fileno()
                 with socket.socket(fileno=os.dup(number_of)) as raw:
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -57,11 +57,11 @@
             await until(lambda: len(box.seen) == 1)
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": "1"}))
-            session = next(each for each in dispatcher.service.front.sessions if each.open)
+            session = next(each for each in dispatcher.service.frontend.sessions if each.open_requests)
             await until(lambda: session.connection.out_bytes > 2 << 20)
             # What comes once too much waits is read, and so is what comes after it.
             await loop.sock_sendall(sock, request_bytes(31, fields={"HTTP_X_CHUNK": "1"}))
-            await until(lambda: 31 in session.open)
+            await until(lambda: 31 in session.open_requests)
             await loop.sock_sendall(sock, fastcgi.record(fastcgi.ABORT, 32))
             began = loop.time()
             await until(lambda: f"{32:016x}" in box.drops)
@@ -79,14 +79,14 @@
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             session = await only(dispatcher)
-            await until(lambda: session.connection.out_bytes > 2 << 20 and not session.open)
+            await until(lambda: session.connection.out_bytes > 2 << 20 and not session.open_requests)
             seen = len(box.seen)
             for number in (31, 32):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
-            await until(lambda: len(session.held_back) == 2)
+            await until(lambda: len(session.deferred) == 2)
             assert len(box.seen) == seen
-            session.held_back[31].until = Clock().now() + 100_000  # its time is nearly over
-            await until(lambda: 31 not in session.open)  # answered, though nothing is read
+            session.deferred[31].until = Clock().now() + 100_000  # its time is nearly over
+            await until(lambda: 31 not in session.open_requests)  # answered, though nothing is read
             reader, writer = await asyncio.open_connection(sock=sock)
             client, got = Client(reader, writer), dict[int, int]()
             while len(got) < 32:
@@ -106,7 +106,8 @@
             assert (await dispatcher.ask(1, "page"))[0] == 200
             session, owner = await only(dispatcher), dispatcher.service.owner
             nobody: Any = None
-            request = dispatcher.service.front.request(
+            request = dispatcher.service.frontend.intake.parser.parse(
+                Clock().now(),
                 nobody,
                 {
                     "SCRIPT_NAME": "/api/v2/page",
@@ -120,7 +121,7 @@
             owner.tell(Came(request))
             owner.tell(Left(request))
             owner.turn()
-            assert owner.open == 0 and not owner.requests and session.front.flushed()
+            assert owner.open == 0 and not owner.requests and session.frontend.all_sent()
 
     run(scene())
 
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -40,7 +40,7 @@
     tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.routing.frontend.UNFINISHED_S", 0.2)
+        monkeypatch.setattr("hoistplank.routing.frontend.UNFINISHED_TIMEOUT_S", 0.2)
         box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
         async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(3, "page"))[0] == 200
@@ -64,9 +64,9 @@
             mixed.writer.write(b"GET / HTTP/1.1\r\n\r\n")
             assert (await mixed.answer())[:2] == (5, 502) and await mixed.reader.read() == b""
             assert (await dispatcher.ask(1, "page"))[0] == 200
-            front = dispatcher.service.front
-            await until(lambda: len(front.sessions) == 1 and not dispatcher.service.owner.router.ledger)
-            assert front.held == 0
+            frontend = dispatcher.service.frontend
+            await until(lambda: len(frontend.sessions) == 1 and not dispatcher.service.owner.router.ledger)
+            assert frontend.held_bytes == 0
 
     run(scene())
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -74,8 +74,8 @@
             status, head, _ = await dispatcher.ask(3, "booking", fields=KEY)
             assert status == 503 and b"X-Pushback-Ms" in head
             # A client that got nothing but refusals is no silent one: its line stays.
-            session = next(iter(dispatcher.service.front.sessions))
-            assert session.spoke and not session.overdue(session.born + 60)
+            session = next(iter(dispatcher.service.frontend.sessions))
+            assert session.has_sent_request and not session.overdue(session.opened_at + 60)
             owner.open = 0
             assert (await dispatcher.ask(4, "page"))[0] == 200  # the same line, after its rest
             # A request that asks for the end of its connection gets it, and what it sent is read before.
