--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -36,7 +36,12 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import Event, Known
 from hoistplank.protocol.errors import BadBytes
-from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
+from hoistplank.routing.endpoint_watcher import (
+    CONNECT_TIMEOUT_S,
+    MIN_BACKOFF_S,
+    EndpointWatcher,
+    EventReceiver,
+)
 from hoistplank.routing.router_task import Applied, Listed
 from hoistplank.transport.connecting import connected
 from hoistplank.transport.connection import Consume
@@ -65,12 +70,12 @@
     """A replica does not take this dispatcher now; the text is its reason."""
 
 
-class ReplicaFollower(Listing):
+class ReplicaFollower(EndpointWatcher):
     """Follows control replicas for an owner; `run` and `configurations.run` go on until cancelled."""
 
     def __init__(
         self,
-        owner: Hearer,
+        owner: EventReceiver,
         settings: FollowerSettings,
         known: Known,
         chance: Random,
@@ -83,7 +88,7 @@
         self.hosts = HostRecord(owner)
         super().__init__(self.hosts, self.order[0].address, known, chance, grace_s)
         self.chance_of_return = chance
-        self.look_s, self.halted_s = LOOK_S, HALTED_S
+        self.check_interval_s, self.stall_timeout_s = LOOK_S, HALTED_S
         self.configurations = ConfigurationTaker(prepare, self)
         self.loop = asyncio.get_running_loop()
         self.place = 0  # in the order, of the replica that is followed or tried
@@ -119,14 +124,14 @@
 
     # Lines.
 
-    def _request(self) -> bytes:
+    def _first_line(self) -> bytes:
         self.state.connection_began(self.owner.clock.now())
         settings = self.settings
         at = VersionFields(*self.state.resume_at)
         follow = Follow(settings.name, settings.incarnation, settings.region, at)
         return encode(RequestLine(follow=follow))
 
-    def _consumer(self) -> Consume:
+    def make_consumer(self) -> Consume:
         reader = LineReader(MOST_LINE)
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
@@ -150,16 +155,16 @@
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
-        self.fresh, self.moves = True, self.moves + 1
+        self.is_current, self.progress_count = True, self.progress_count + 1
         if verdict is Verdict.APPLY:
             self._take_up(told)
-        elif told.catch_up is None and self.watch is not None:
-            self.watch.alive()
+        elif told.catch_up is None and self.observer is not None:
+            self.observer.confirmed_current()
 
     def _take_up(self, event: ReplicatedEvent) -> None:
         if event.epoch != self.epoch:
             # A log that counts anew has a list from before the drains that we heard.
-            self.anew = self.anew or self.epoch > 0
+            self.numbering_restarted = self.numbering_restarted or self.epoch > 0
             self.epoch = event.epoch
         if event.configuration is not None and self.state.takes_configuration(event):
             self.configurations.tell(event.version, event.configuration.text)
@@ -239,7 +244,7 @@
 
     # Replicas.
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """The change log's address, which may change at a reload, says nothing to who follows replicas."""
 
     async def run(self) -> None:
@@ -255,20 +260,20 @@
 
     async def _follow_each(self) -> None:
         """One replica after another: the next where one is lost or does not take this dispatcher."""
-        pause = FIRST_PAUSE_S
+        pause = MIN_BACKOFF_S
         while True:
-            self.fresh = False
+            self.is_current = False
             if await self._follow_one():
                 self.place = 0
                 continue
             self.owner.tell(Listed("failed", []))
-            if self.fresh:
-                pause = FIRST_PAUSE_S
+            if self.is_current:
+                pause = MIN_BACKOFF_S
             self.place = (self.place + 1) % len(self.order)
-            if self.place == 0 or self.fresh:
+            if self.place == 0 or self.is_current:
                 # Danger: a replica that takes all and ends each connection would be asked without a pause.
                 await asyncio.sleep(pause * (0.5 + self.chance() / 2))
-                pause = min(self.longest_pause_s, pause * 2)
+                pause = min(self.max_backoff_s, pause * 2)
 
     async def _follow_one(self) -> bool:
         """Follows the replica at `place` until it is lost; True: one that is preferred is there again."""
@@ -285,7 +290,7 @@
         wrong = following.exception() or following.result()
         if isinstance(wrong, Redirected):
             self._redirected_at[self.replica.name] = self.loop.time()
-        self.complaints.tell(
+        self.rate_limited_log.warning(
             "control replica lost", replica=self.replica.name, wrong=str(wrong), told=str(self.state.told)
         )
         return False
@@ -304,7 +309,7 @@
 async def _is_there(address: tuple[str, int]) -> bool:
     """Whether somebody takes connections there."""
     try:
-        sock = await connected(address, CONNECT_S)
+        sock = await connected(address, CONNECT_TIMEOUT_S)
     except (OSError, ValueError):
         return False
     sock.close()
--- a/hoistplank/distribution/host_record.py
+++ b/hoistplank/distribution/host_record.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hoistplank.protocol.changelog import Target
-from hoistplank.routing.endpoint_watcher import Hearer
+from hoistplank.routing.endpoint_watcher import EventReceiver
 from hoistplank.routing.router_task import Event, Listed
 
 
@@ -14,7 +14,7 @@
     can tell (docs/design.md, "An own list").
     """
 
-    def __init__(self, owner: Hearer) -> None:
+    def __init__(self, owner: EventReceiver) -> None:
         self.owner, self.clock = owner, owner.clock
         self.is_stale = True  # until a replica has told all that there is
         self._targets: dict[str, Target] = {}
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -14,7 +14,7 @@
 from hoistplank.protocol.changelog import Event, Known
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Event as Telling
 from hoistplank.transport.connection import Consume
 
@@ -46,8 +46,8 @@
         """A loss of the log is seen by its silence."""
 
 
-class LogFollower(Listing):
-    """Follows the change log for a replica; the rules on silence, gaps and pauses are those of `Listing`."""
+class LogFollower(EndpointWatcher):
+    """Follows the change log for a replica; the rules on silence, gaps and backoff are those of its base."""
 
     def __init__(self, taker: EventTaker, address: tuple[str, int], chance: Random, clock: Clock) -> None:
         super().__init__(_Unlisted(clock), address, Known(), chance)
@@ -72,7 +72,7 @@
     @property
     def version(self) -> Version:
         """How far the log is, as it was told in this connection or the last."""
-        return Version(self.epoch, self.last)
+        return Version(self.epoch, self.last_seq)
 
     def silent_us(self) -> int | None:
         """For how long nothing has come in its order; None: nothing ever has."""
@@ -83,7 +83,7 @@
         settled = self._first_us > 0 and self.owner.clock.now() - self._first_us > SETTLED_US
         return self._has_number or settled
 
-    def _consumer(self) -> Consume:
+    def make_consumer(self) -> Consume:
         reader = changelog.Reader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
@@ -94,7 +94,7 @@
                     self._check_epoch(told.epoch)
                 elif reader.epoch:
                     self._check_epoch(reader.epoch)
-                self._take(told)
+                self.receive(told)
             return start
 
         return consume
@@ -105,18 +105,18 @@
             return
         if epoch < self.epoch:
             raise BadBytes(f"the change log is in epoch {epoch}, {self.epoch} is known")
-        began_anew = self.last > 0
+        began_anew = self.last_seq > 0
         self.epoch = epoch
         if began_anew:
-            self.last, self.behind, self.anew = 0, False, True
+            self.last_seq, self.is_log_behind, self.numbering_restarted = 0, False, True
             raise BadBytes(f"the change log began anew in epoch {epoch}: all is asked for")
 
-    def _take(self, told: Event | int) -> None:
-        moves, was_behind = self.moves, self.behind
-        super()._take(told)
-        if self.behind and not was_behind:
-            log.error("change log began anew without an epoch", epoch=self.epoch, last=self.last)
-        if self.moves == moves:
+    def receive(self, told: Event | int) -> None:
+        moves, was_behind = self.progress_count, self.is_log_behind
+        super().receive(told)
+        if self.is_log_behind and not was_behind:
+            log.error("change log began anew without an epoch", epoch=self.epoch, last=self.last_seq)
+        if self.progress_count == moves:
             return
         now = self.owner.clock.now()
         if now >= self._trusted_from_us:
@@ -125,7 +125,7 @@
         self._has_number = self._has_number or not isinstance(told, Event)
 
     def _apply(self, event: Event) -> None:
-        self.last, self.listed = event.seq, True
+        self.last_seq, self.has_list = event.seq, True
         self.taker.take(self._replicated(event))
 
     def _replicated(self, event: Event) -> ReplicatedEvent:
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -38,8 +38,8 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import SILENT_S
-from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.endpoint_watcher import SILENCE_TIMEOUT_S
+from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.transport.descriptor_budget import Ledger
 from hoistplank.transport.listener import Listener
 
@@ -48,7 +48,7 @@
 HEARTBEAT_S = 1.0
 PEER_CHANGES_S = 0.1
 # Danger: while the change log is silent nobody knows that nothing is newer, and a heartbeat would say so.
-LOG_SILENT_US = int(SILENT_S * 1e6)
+LOG_SILENT_US = int(SILENCE_TIMEOUT_S * 1e6)
 UNHEARD_US = 7_000_000  # a dispatcher that is connected says something each second
 RETENTION_US = 86_400_000_000  # for so long a dispatcher that has gone is missed by name
 MOST_DESCRIPTORS = 8_192
@@ -80,7 +80,7 @@
         self.queue = settings.queue()
         self.cut_off = 0
         self.unreadable_changes = OrderedDict[Version, str]()
-        self.complaints = Complaints()
+        self.rate_limited_log = RateLimitedLog()
         self.chance = Random(f"{settings.seed} {settings.name}")
         self.log_follower = LogFollower(self, settings.changelog, self.chance, self.clock)
         self.links: list[PeerLink] = []
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -24,7 +24,7 @@
 from hoistplank.distribution.peer_link import PeerSession, Reporting
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.protocol.errors import BadBytes
-from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.transport.connection import Connection
 
 log = structlog.get_logger()
@@ -36,7 +36,7 @@
 class Answering(Serving, Reporting, Protocol):
     """What a connection uses of its replica."""
 
-    complaints: Complaints
+    rate_limited_log: RateLimitedLog
     peer_sessions: dict[PeerSession, None]
 
     def refuses(self, follow: Follow) -> str: ...
@@ -107,5 +107,5 @@
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         wrong = None if task.cancelled() else task.result()
         if wrong is not None and not isinstance(wrong, OSError):
-            self.replica.complaints.tell("connection ended", wrong=str(wrong))
+            self.replica.rate_limited_log.warning("connection ended", wrong=str(wrong))
         self.replica.gone(self)
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -17,7 +17,7 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import Owner
 
@@ -32,7 +32,7 @@
 
     owner: Owner
     frontend: Frontend
-    listing: Listing
+    endpoint_watcher: EndpointWatcher
 
 
 class DistributionService:
@@ -63,7 +63,7 @@
             configuration.site.rules.drain_us / 1e6,
             self._prepare,
         )
-        self.follower = host.listing = follower
+        self.follower = host.endpoint_watcher = follower
         host.owner.before_turn = follower.check_silence
         host.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -14,7 +14,7 @@
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB, Shape
 from hoistplank.lab.policies import Make, Policy
-from hoistplank.routing.clock_offset import LogClock
+from hoistplank.routing.clock_offset import ClockOffset
 
 CONNECT_US = 400_000
 
@@ -67,7 +67,7 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.planned, self.planned_at, self.next_turn = False, 0, 0
         self.frozen_until = 0
-        self.clock = LogClock()
+        self.clock = ClockOffset()
         self.debt_us = 0  # of the core, for requests shed since the last turn
         self.steward: Steward | None = None
         self.stewards: list[Steward] = []  # of each run, for what they saw
@@ -135,7 +135,7 @@
 
     def restart(self) -> None:
         self.frozen_until, self.planned = 0, False
-        self.alive, self.runs, self.clock = True, self.runs + 1, LogClock()
+        self.alive, self.runs, self.clock = True, self.runs + 1, ClockOffset()
         self.policy = self._made()
 
     # A turn.
@@ -221,7 +221,7 @@
             self.steward.watch.purged(now, object_key, group)
         # As a dispatcher does: heard by its own clock, which may be wrong, made by the log's.
         heard = now + self.skew_us
-        self.policy.purged(now, object_key, group, max(0, heard - self.clock.ours(heard, made)))
+        self.policy.purged(now, object_key, group, max(0, heard - self.clock.to_local_us(heard, made)))
 
     def _came(self, now: int, request: Request, id: str) -> None:
         self.requests[id] = request
--- a/hoistplank/lab/scale/hollow.py
+++ b/hoistplank/lab/scale/hollow.py
@@ -1,9 +1,9 @@
 """Hollow dispatchers: all that control does at a dispatcher, and no requests.
 
 Each has the program's own `Owner` task with its `Router`, and follows its source by the program's own
-`Listing` and parser; what a hollow one lacks is the listener, the pool and their sweep. Without requests a
-real dispatcher has no connection to a cache host either: the pool opens them on demand, and the `Router`
-asks for no probe. That the rest costs the same is measured by `hollow_pairing`.
+`EndpointWatcher` and parser; what a hollow one lacks is the listener, the pool and their sweep. Without
+requests a real dispatcher has no connection to a cache host either: the pool opens them on demand, and the
+`Router` asks for no probe. That the rest costs the same is measured by `hollow_pairing`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from hoistplank.protocol.changelog import Event as LogEvent
 from hoistplank.protocol.changelog import Known
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Event, Listed, Owner
 
 OPEN_CAP = 100
@@ -77,14 +77,16 @@
 
 
 class LogFollower:
-    """Follows the change log by the program's own `Listing`."""
+    """Follows the change log by the program's own `EndpointWatcher`."""
 
     def __init__(self, hearer: HollowOwner, source: Source) -> None:
         self._epoch, self._heard = source.epoch, source.known.seq
-        self.listing = Listing(hearer, source.addresses[0], source.known, source.chance, source.grace_s)
-        self.listing.watch = self
+        self.endpoint_watcher = EndpointWatcher(
+            hearer, source.addresses[0], source.known, source.chance, source.grace_s
+        )
+        self.endpoint_watcher.observer = self
 
-    def heard(self, event: LogEvent) -> LogEvent:
+    def event_received(self, event: LogEvent) -> LogEvent:
         """Told each event before the owner: the listing lets a number come again only from a log that
         counts anew."""
         if event.seq <= self._heard:
@@ -92,7 +94,7 @@
         self._heard = event.seq
         return event
 
-    def alive(self) -> None:
+    def confirmed_current(self) -> None:
         """The log told its number: nothing is newer."""
 
     def position(self) -> Position:
@@ -102,10 +104,10 @@
         return Position(0, 0)
 
     def reconnects(self) -> int:
-        return self.listing.complaints.counts.get("change log lost", 0)
+        return self.endpoint_watcher.rate_limited_log.counts.get("change log lost", 0)
 
     async def run(self) -> None:
-        await self.listing.run()
+        await self.endpoint_watcher.run()
 
 
 class ReportingOwner(Owner):
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -58,7 +58,7 @@
         return Position(*self.taken)
 
     def reconnects(self) -> int:
-        return self.following.complaints.counts.get("control replica lost", 0)
+        return self.following.rate_limited_log.counts.get("control replica lost", 0)
 
     async def run(self) -> None:
         async with asyncio.TaskGroup() as group:
--- a/hoistplank/lab/scale/role_dispatcher.py
+++ b/hoistplank/lab/scale/role_dispatcher.py
@@ -1,5 +1,5 @@
-"""What control costs a dispatcher: the change log's bytes through the real parser, `Listing`, `Owner` and
-`Router`, without a socket and without requests."""
+"""What control costs a dispatcher: the change log's bytes through the real parser, `EndpointWatcher`, `Owner`
+and `Router`, without a socket and without requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, in_loop, kept_bytes, processor_us, series
 from hoistplank.protocol.changelog import Known, Reader
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Owner
 from hoistplank.settings_reader import Fields, flat, site
 
@@ -80,17 +80,17 @@
 
     def __init__(self, hosts: int = 0) -> None:
         self.owner = Owner(planned_site(), SEED, Clock(), OPEN_CAP, ())
-        self.listing = Listing(self.owner, NOWHERE, Known(), Random(SEED))
+        self.endpoint_watcher = EndpointWatcher(self.owner, NOWHERE, Known(), Random(SEED))
         self.reader = Reader()
         if hosts:
             self.feed(whole_list(hosts))
 
     def feed(self, data: bytes) -> None:
-        """What one read of the socket brings, through one turn of the owner, as `Listing` has it consumed."""
+        """What one read of the socket brings, and one turn of the owner, as the watcher takes it."""
         buffer = bytearray(data)
         _, found = self.reader.read(buffer, 0, len(buffer))
         for told in found:
-            self.listing._take(told)
+            self.endpoint_watcher.receive(told)
         self.owner.turn()
 
     def feed_each(self, lines: list[bytes]) -> None:
--- a/hoistplank/lab/scale/role_replica_follower.py
+++ b/hoistplank/lab/scale/role_replica_follower.py
@@ -108,7 +108,7 @@
         self.control = ControlPath()
         settings = FollowerSettings("d1", "north", 1, (ADDRESS,))
         self.follower = ReplicaFollower(self.control.owner, settings, Known(), Random(SEED))
-        self.consume = self.follower._consumer()
+        self.consume = self.follower.make_consumer()
         self.near, self.far = socket.socketpair()
         self.near.setblocking(False)
         self.far.setblocking(False)
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -22,7 +22,7 @@
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Listed, Owner, Purged
 from hoistplank.store.background_writer import Keeper
 from hoistplank.store.folder import Folder, StoreError
@@ -50,7 +50,7 @@
     """What this uses of the program that it is part of."""
 
     owner: Owner
-    listing: Listing
+    endpoint_watcher: EndpointWatcher
     ledger: Ledger
     provisional: bool
 
@@ -142,11 +142,11 @@
             log.warning("kept state", note=note)
         if self.keeper is not None:
             self.keeper.start(self.state)
-        host.listing.watch = self
+        host.endpoint_watcher.observer = self
         if self.configuration.known.results:
             # The configuration's own list goes before a kept one: it was told at this start.
             for event in self.configuration.known.results:
-                self.heard(event)
+                self.event_received(event)
             return [("feeling out", self._until_ended())]
         now = self.clock.now()
         if self.state is not None:
@@ -167,7 +167,7 @@
 
     # The change log's word.
 
-    def heard(self, event: Event) -> Event:
+    def event_received(self, event: Event) -> Event:
         now = self.clock.now()
         self.heard_us, gone, changed, purges = now, list[str](), list[KeptHost](), list[KeptPurge]()
         whole = False
@@ -238,7 +238,7 @@
         horizon = now - 2 * self.configuration.site.rules.purge_takes_us - 60_000_000
         return [purge for purge in purges if purge.made_us > horizon]
 
-    def alive(self) -> None:
+    def confirmed_current(self) -> None:
         now = self.clock.now()
         self.heard_us = now
         if self.keeper is not None and self.state is not None and now - self.wrote_heard_us > HEARD_EVERY_US:
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -17,7 +17,7 @@
 from hoistplank.program.configuration import BadConfiguration, Configuration, fixed
 from hoistplank.routing.cache_host_reader import answers_of
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.request_intake import Authorizer
 from hoistplank.routing.router_task import Closed, Closing, Owner
@@ -97,7 +97,7 @@
             configuration.site.rules.connect_us / 1e6 or 1.0,
             max(row.deadline_us for row in configuration.site.traffic_classes) / 1e6,
             answers_of,
-            lambda host, wrong: self.frontend.complaints.tell(
+            lambda host, wrong: self.frontend.rate_limited_log.warning(
                 "cache host's connection closed", host=host, wrong=str(wrong)
             ),
         )
@@ -109,7 +109,7 @@
             lambda: self.phase in (Phase.PROVISIONAL, Phase.SERVING),
             additions.authorizer if additions is not None else None,
         )
-        self.listing = Listing(
+        self.endpoint_watcher = EndpointWatcher(
             self.owner,
             configuration.changelog,
             configuration.known,
@@ -146,7 +146,7 @@
             for name, part in (
                 ("owner", self.owner.run()),
                 ("listener", self.listener.run()),
-                ("change log", self.listing.run()),
+                ("change log", self.endpoint_watcher.run()),
                 ("reload", self._reload()),
                 ("sweep", self._sweep()),
                 ("phases", self._phases()),
@@ -203,7 +203,7 @@
             for key in fixed(self.configuration, configuration):
                 log.warning("can't change while running", key=key)
             log.info("configuration read again", changelog=configuration.written.changelog)
-            self.listing.move(configuration.changelog)
+            self.endpoint_watcher.set_address(configuration.changelog)
 
     async def _until(self, known: Callable[[], bool]) -> None:
         while not known() and not self.terminated.is_set():
@@ -212,14 +212,14 @@
                     await self.terminated.wait()
 
     async def _phases(self) -> None:
-        await self._until(lambda: self.listing.listed or self.provisional)
+        await self._until(lambda: self.endpoint_watcher.has_list or self.provisional)
         # What was known is with the module before any request: both go through the owner's queue, in order.
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
-        if not self.listing.listed and not self.terminated.is_set():
+        if not self.endpoint_watcher.has_list and not self.terminated.is_set():
             self.enter(Phase.PROVISIONAL)
-            await self._until(lambda: self.listing.listed)
+            await self._until(lambda: self.endpoint_watcher.has_list)
         if not self.terminated.is_set():
             self.enter(Phase.SERVING)
         await self.terminated.wait()
--- a/hoistplank/routing/client_session.py
+++ b/hoistplank/routing/client_session.py
@@ -10,7 +10,7 @@
 from hoistplank.protocol import fastcgi
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.attempts import Request
-from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.routing.request_intake import RequestIntake, is_health_check
 from hoistplank.routing.response import FastCgiResponse
 from hoistplank.routing.router_task import Came, Left, Owner
@@ -35,7 +35,7 @@
     owner: Owner
     intake: RequestIntake
     ledger: Ledger
-    complaints: Complaints
+    rate_limited_log: RateLimitedLog
     sessions: dict[ClientSession, None]
     unfinished_timeout_s: float  # for a request to become whole
 
@@ -156,7 +156,7 @@
         self, received: fastcgi.FastCgiRequest, response: FastCgiResponse, error: str
     ) -> None:
         """Answered at once, and nothing goes to a cache host."""
-        self.frontend.complaints.tell("request can't be used", wrong=error)
+        self.frontend.rate_limited_log.warning("request can't be used", wrong=error)
         response.send(400, (), b"")
         self.bad_requests += 1
         if received.spoiled or self.bad_requests >= MAX_BAD_REQUESTS:
@@ -210,7 +210,7 @@
         if self.given_up:
             return
         self.given_up = True
-        self.frontend.complaints.tell("client connection given up", wrong=reason)
+        self.frontend.rate_limited_log.warning("client connection given up", wrong=reason)
         for number, request in list(self.open_requests.items()):
             if request is not None:
                 request.exchange.fail()
@@ -233,7 +233,7 @@
         self._count_held_bytes()
         error = None if task.cancelled() else task.exception() or task.result()
         if error is not None and not isinstance(error, OSError):
-            self.frontend.complaints.tell(
+            self.frontend.rate_limited_log.warning(
                 "client connection closed", wrong=str(error) or type(error).__name__
             )
         for request in self.open_requests.values():
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -4,223 +4,250 @@
 
 import asyncio
 import contextlib
-import socket
-from collections import OrderedDict
 from random import Random
 from typing import Protocol
 
 import msgspec
 
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Known, Target
+from hoistplank.protocol.changelog import Event, Known
 from hoistplank.protocol.errors import BadBytes
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.clock_offset import LogClock
-from hoistplank.routing.rate_limited_log import Complaints
-from hoistplank.routing.router_task import Event as Telling
+from hoistplank.routing.clock_offset import ClockOffset
+from hoistplank.routing.rate_limited_log import RateLimitedLog
+from hoistplank.routing.remembered_drains import RememberedDrains
+from hoistplank.routing.router_task import Event as RouterTaskEvent
 from hoistplank.routing.router_task import Listed, Purged
+from hoistplank.transport.connecting import connected
 from hoistplank.transport.connection import Connection, Consume
 
-SILENT_S = 2.2  # a number comes each second: two missed and some
-HALTED_S = 0.3  # a line is written in one go: one that has begun and moves no more has broken off
-LOOK_S = 0.1
-MOST_IN = changelog.MOST_LINE + 65_536  # bytes read ahead: the longest line, and what comes behind it
-LARGE = 262_144  # bytes of a buffer that is given back once it is empty: few lines are as long
-MOST_LEAVING = 4_096  # hosts of which it is remembered that they left
-CONNECT_S = 1.0
-# Between tries to connect. What the log holds while nobody is connected counts as told at once: the longest
-# pause is a share of a drain's grace, so that a drain is heard within it once the log is back.
-FIRST_PAUSE_S, LONGEST_PAUSE_S, OF_GRACE = 0.05, 1.0, 0.6
+SILENCE_TIMEOUT_S = 2.2  # a number comes each second: two missed and some
+STALL_TIMEOUT_S = 0.3  # a line is written in one go: one that has begun and moves no more has broken off
+CHECK_INTERVAL_S = 0.1
+MAX_BUFFERED_BYTES = changelog.MOST_LINE + 65_536  # the longest line, and what comes behind it
+LARGE_BUFFER_BYTES = 262_144  # a buffer above it is given back once it is empty: few lines are as long
+CONNECT_TIMEOUT_S = 1.0
+# Backoff between attempts to connect. What the log holds while nobody is connected counts as received:
+# the longest is a share of a drain's grace, so that a drain is received within it once the log is back.
+MIN_BACKOFF_S, MAX_BACKOFF_S, MAX_BACKOFF_OF_DRAIN_GRACE = 0.05, 1.0, 0.6
 
 
-class Watch(Protocol):
-    """Who hears all that the change log says, before the owner does."""
+class LogObserver(Protocol):
+    """Who sees all that the change log says, before the router task does."""
 
-    def heard(self, event: Event) -> Event:
-        """An event, and what of it is to be told."""
+    def event_received(self, event: Event) -> Event:
+        """An event; returns what of it is to be handed on."""
 
-    def alive(self) -> None:
-        """The log told its number: there is nothing newer."""
+    def confirmed_current(self) -> None:
+        """The log said its number: there is nothing newer."""
 
 
-class Hearer(Protocol):
-    """Who is told what the log says."""
+class EventReceiver(Protocol):
+    """Who is handed what the log says."""
 
     clock: Clock
 
-    def tell(self, event: Telling) -> None: ...
+    def tell(self, event: RouterTaskEvent) -> None:
+        """Takes one event, in the order of the log."""
 
 
-class Listing:
+class EndpointWatcher:
+    """Keeps a connection to the change log and hands its events to `owner`.
+
+    `chance` spreads the backoff of a fleet; `grace_s` is how long a draining host still takes requests.
+    `last_seq` is the number of the last event handed on, `has_list` whether a list was among them.
+    """
+
     def __init__(
-        self, owner: Hearer, address: tuple[str, int], known: Known, chance: Random, grace_s: float = 0.25
+        self,
+        owner: EventReceiver,
+        address: tuple[str, int],
+        known: Known,
+        chance: Random,
+        grace_s: float = 0.25,
     ) -> None:
-        self.look_s, self.halted_s = LOOK_S, HALTED_S
-        self.longest_pause_s = max(FIRST_PAUSE_S, min(LONGEST_PAUSE_S, OF_GRACE * grace_s))
-        self.watch: Watch | None = None
+        self.check_interval_s, self.stall_timeout_s = CHECK_INTERVAL_S, STALL_TIMEOUT_S
+        self.max_backoff_s = max(MIN_BACKOFF_S, min(MAX_BACKOFF_S, MAX_BACKOFF_OF_DRAIN_GRACE * grace_s))
+        self.observer: LogObserver | None = None
         self.owner, self.address, self.chance = owner, address, chance.random
-        self.last, self.listed, self.fresh = 0, False, False
-        self.behind = False  # whether the log tells a number below ours
-        self.anew = False  # whether it counts from 1 again since we began
-        # Who was told to drain or to be gone, and when that process started.
-        self.leaving = OrderedDict[str, float]()
-        self.moves = 0  # events and numbers that came in their order
+        self.last_seq = 0
+        self.has_list = False
+        self.is_current = False  # whether this connection has brought anything in its order
+        self.is_log_behind = False  # whether the log says a number below ours
+        self.numbering_restarted = False  # whether it counts from 1 again since we began
+        self.progress_count = 0  # events and numbers that came in their order
         self.connection: Connection | None = None  # on which the log is followed just now
-        self._moved, self.complaints, self.clock = asyncio.Event(), Complaints(), LogClock()
+        self.rate_limited_log = RateLimitedLog()
+        self._drains = RememberedDrains()
+        self._clock_offset = ClockOffset()
+        self._address_changed = asyncio.Event()
         for event in known.results:
             self._apply(event)
-        self.last = max(self.last, known.seq)
-
-    def _kept(self, target: Target) -> Target:
-        """What an entry says, beside what we heard of its host.
-
-        Danger: a log that counts anew, or only lags, has a list from before a drain that we heard, and the
-        host would get new work. Once a log counted anew, only another start of the process takes it back.
-        """
-        if target.state != "ready":
-            self.leaving[target.uid] = target.boot_ms
-            while len(self.leaving) > MOST_LEAVING:
-                self.leaving.popitem(last=False)
-        elif self.leaving.get(target.uid) == target.boot_ms and self.anew:
-            return msgspec.structs.replace(target, state="draining")
-        else:
-            self.leaving.pop(target.uid, None)
-        return target
+        self.last_seq = max(self.last_seq, known.seq)
 
     def _apply(self, event: Event) -> None:
-        self.last = event.seq
+        """Hands one event on."""
+        self.last_seq = event.seq
         if event.fleet is not None:
-            rows = [self._kept(target) for target in event.fleet.targets]
+            rows = [self._drains.apply(target, self.numbering_restarted) for target in event.fleet.targets]
             event = msgspec.structs.replace(event, fleet=msgspec.structs.replace(event.fleet, targets=rows))
-        if self.watch is not None:
-            event = self.watch.heard(event)
+        if self.observer is not None:
+            event = self.observer.event_received(event)
         if event.fleet is not None:
-            form = "changes" if self.listed and not event.fleet.all else "whole" if self.listed else "kept"
-            self.listed = True
+            form = self._list_form(event.fleet.all)
+            self.has_list = True
             self.owner.tell(Listed(form, event.fleet.targets))
         if event.invalidate is not None:
             purge = event.invalidate
-            made = self.clock.ours(self.owner.clock.now(), int(purge.time * 1000))
-            self.owner.tell(Purged(purge.object, purge.bucket, made))
+            made_us = self._clock_offset.to_local_us(self.owner.clock.now(), int(purge.time * 1000))
+            self.owner.tell(Purged(purge.object, purge.bucket, made_us))
+
+    def _list_form(self, is_whole: bool) -> str:
+        if not self.has_list:
+            return "kept"
+        return "whole" if is_whole else "changes"
 
-    def _take(self, told: Event | int) -> None:
-        """What makes a connection count as alive is set here alone: an event or a number in its order.
+    def receive(self, message: Event | int) -> None:
+        """Takes an event, or the number that the log says it is at; raises BadBytes where events are missing.
 
+        What makes a connection count as alive is set here alone: an event or a number in its order.
         Danger: bytes that never make a line, or a log that stands behind what we hold, would keep a
         connection on which no drain can come.
         """
-        number = told if isinstance(told, int) else told.seq
-        if number < self.last or (number == self.last and not isinstance(told, int)):
-            self.behind = self.behind or isinstance(told, int)  # an event that comes twice says nothing
-            return
-        if isinstance(told, int):
-            if told > self.last:
-                raise BadBytes(f"the change log is at {told}, but its events came only to {self.last}")
-            if self.watch is not None:
-                self.watch.alive()
-        elif told.seq > self.last + 1:
-            raise BadBytes(f"event {told.seq} follows event {self.last}")
+        if isinstance(message, int):
+            is_in_order = self._receive_number(message)
         else:
-            self._apply(told)
-        self.fresh, self.behind, self.moves = True, False, self.moves + 1
-
-    def move(self, address: tuple[str, int]) -> None:
+            is_in_order = self._receive_event(message)
+        if is_in_order:
+            self.is_current, self.is_log_behind = True, False
+            self.progress_count += 1
+
+    def _receive_number(self, number: int) -> bool:
+        if number < self.last_seq:
+            self.is_log_behind = True
+            return False
+        if number > self.last_seq:
+            raise BadBytes(f"the change log is at {number}, but its events came only to {self.last_seq}")
+        if self.observer is not None:
+            self.observer.confirmed_current()
+        return True
+
+    def _receive_event(self, event: Event) -> bool:
+        if event.seq <= self.last_seq:
+            return False  # one that comes twice says nothing
+        if event.seq > self.last_seq + 1:
+            raise BadBytes(f"event {event.seq} follows event {self.last_seq}")
+        self._apply(event)
+        return True
+
+    def set_address(self, address: tuple[str, int]) -> None:
         """From now on the change log is followed there, from the last number held."""
         if address != self.address:
             # Danger: another log has another clock, and the quickest event of the old one says nothing of it.
-            self.address, self.clock = address, LogClock()
-            self._moved.set()
+            self.address, self._clock_offset = address, ClockOffset()
+            self._address_changed.set()
 
     async def run(self) -> None:
-        pause = FIRST_PAUSE_S
+        """Follows the log until it is cancelled: a connection that is lost is followed by another."""
+        backoff_s = MIN_BACKOFF_S
         while True:
-            self.fresh = False
-            self._moved.clear()
-            following = asyncio.create_task(self._follow(self.address))
-            moving = asyncio.create_task(self._moved.wait())
-            try:
-                await asyncio.wait((following, moving), return_when=asyncio.FIRST_COMPLETED)
-            finally:
-                # Danger: events of the old connection after the move would be told beside those of the new.
-                for task in (following, moving):
-                    task.cancel()
-                await asyncio.gather(following, moving, return_exceptions=True)
-            if self._moved.is_set():
-                pause = FIRST_PAUSE_S
+            self.is_current = False
+            self._address_changed.clear()
+            error = await self._follow_until_moved()
+            if self._address_changed.is_set():
+                backoff_s = MIN_BACKOFF_S
                 continue
-            wrong = following.exception() or following.result()
-            if self.behind:
+            if self.is_log_behind:
                 # Danger: a log that began anew counts from 1, and none of its events would ever be above
                 # ours. One that is late catches up sooner than a connection counts as dead. All is asked for
                 # again: the first event holds the whole list.
-                self.last, self.behind, self.anew = 0, False, True
-            if self.fresh:
-                pause = FIRST_PAUSE_S
-            self.complaints.tell("change log lost", wrong=str(wrong) or type(wrong).__name__, last=self.last)
+                self.last_seq, self.is_log_behind, self.numbering_restarted = 0, False, True
+            if self.is_current:
+                backoff_s = MIN_BACKOFF_S
+            self.rate_limited_log.warning(
+                "change log lost", wrong=str(error) or type(error).__name__, last=self.last_seq
+            )
             self.owner.tell(Listed("failed", []))
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._moved.wait(), pause * (0.5 + self.chance() / 2))
-            pause = min(self.longest_pause_s, pause * 2)
-
-    def _request(self) -> bytes:
-        """The first line on a new connection."""
-        return changelog.since(self.last)
+                await asyncio.wait_for(self._address_changed.wait(), backoff_s * (0.5 + self.chance() / 2))
+            backoff_s = min(self.max_backoff_s, backoff_s * 2)
 
-    def _consumer(self) -> Consume:
+    async def _follow_until_moved(self) -> BaseException | str | None:
+        """One connection, until it ends, with the reason, or the address changes."""
+        following = asyncio.create_task(self._follow(self.address), name="change log connection")
+        moving = asyncio.create_task(self._address_changed.wait(), name="change log address")
+        try:
+            await asyncio.wait((following, moving), return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            # Danger: events of the old connection after the move would be handed on beside those of the new.
+            for task in (following, moving):
+                task.cancel()
+            await asyncio.gather(following, moving, return_exceptions=True)
+        if self._address_changed.is_set():
+            return None
+        return following.exception() or following.result()
+
+    def _first_line(self) -> bytes:
+        """The line that is sent first on a new connection."""
+        return changelog.since(self.last_seq)
+
+    def make_consumer(self) -> Consume:
         """What takes the bytes of one connection."""
         reader = changelog.Reader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
-            start, found = reader.read(buffer, start, end)
-            for told in found:
-                self._take(told)
+            start, messages = reader.read(buffer, start, end)
+            for message in messages:
+                self.receive(message)
             return start
 
         return consume
 
     async def _follow(self, address: tuple[str, int]) -> BaseException | str:
-        loop = asyncio.get_running_loop()
-        try:
-            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as wrong:  # no descriptor just now: it is tried again
-            return wrong
-        sock.setblocking(False)
+        """One connection from its start to its end; returns why it ended."""
         try:
-            async with asyncio.timeout(CONNECT_S):
-                await loop.sock_connect(sock, address)
-        except (OSError, ValueError) as wrong:  # a time-out is one; a name that can't be one the other
-            sock.close()
-            return wrong
-        except BaseException:
-            sock.close()
-            raise
-        connection = Connection(sock, self._consumer(), MOST_IN, changelog.MOST_LINE)
-        connection.send(self._request())
+            sock = await connected(address, CONNECT_TIMEOUT_S)
+        except (OSError, ValueError) as error:  # no descriptor, a time-out, a name that can't be one: retried
+            return error
+        connection = Connection(sock, self.make_consumer(), MAX_BUFFERED_BYTES, changelog.MOST_LINE)
+        connection.send(self._first_line())
         self.connection = connection
-        task = loop.create_task(connection.run())
+        task = asyncio.create_task(connection.run(), name="change log socket")
         try:
-            silent_s, moves, halted_s, heard_at = 0.0, self.moves, 0.0, 0.0
-            while not task.done():
-                looked = loop.time()
-                await asyncio.wait((task,), timeout=self.look_s)
-                # Danger: after a standstill of our own, what came meanwhile is still unread, and looks
-                # silent: a look counts for its own time and no more.
-                looked = min(loop.time() - looked, self.look_s)
-                silent_s, halted_s = silent_s + looked, halted_s + looked
-                if self.moves != moves:
-                    silent_s, moves = 0.0, self.moves
-                if len(connection.buffer) > LARGE:
-                    connection.trim()
-                if connection.heard_at != heard_at or connection.start == connection.end:
-                    halted_s, heard_at = 0.0, connection.heard_at
-                if silent_s > SILENT_S or halted_s > self.halted_s:
-                    # A machine that is cut off closes nothing: only the seconds that stay away show it.
-                    # Danger: half an event may be a drain, and the rest of it never comes here; whoever asks
-                    # anew is told at once.
-                    connection.close()
-                    await asyncio.wait((task,))
-                    return "its seconds stay away" if silent_s > SILENT_S else "a line of it broke off"
+            lost = await self._watch_for_silence(connection, task)
+            if lost:
+                return lost
         finally:
             self.connection = None
             connection.close()
         return task.result() or "closed by the other side"
+
+    async def _watch_for_silence(
+        self, connection: Connection, task: asyncio.Task[BaseException | None]
+    ) -> str:
+        """Waits for the connection's end; closes it where nothing moves on any more, and says so.
+
+        A machine that is cut off closes nothing: only the seconds that stay away show it.
+        """
+        loop = asyncio.get_running_loop()
+        silent_s, progress_count, stalled_s, heard_at = 0.0, self.progress_count, 0.0, 0.0
+        while not task.done():
+            check_began = loop.time()
+            await asyncio.wait((task,), timeout=self.check_interval_s)
+            # Danger: after a standstill of our own, what came meanwhile is still unread, and looks
+            # silent: a check counts for its own time and no more.
+            elapsed_s = min(loop.time() - check_began, self.check_interval_s)
+            silent_s, stalled_s = silent_s + elapsed_s, stalled_s + elapsed_s
+            if self.progress_count != progress_count:
+                silent_s, progress_count = 0.0, self.progress_count
+            if len(connection.buffer) > LARGE_BUFFER_BYTES:
+                connection.trim()
+            if connection.heard_at != heard_at or connection.start == connection.end:
+                stalled_s, heard_at = 0.0, connection.heard_at
+            if silent_s > SILENCE_TIMEOUT_S or stalled_s > self.stall_timeout_s:
+                # Danger: half an event may be a drain, and the rest of it never comes here; whoever asks
+                # anew gets it at once.
+                connection.close()
+                await asyncio.wait((task,))
+                return "its seconds stay away" if silent_s > SILENCE_TIMEOUT_S else "a line of it broke off"
+        return ""
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -9,7 +9,7 @@
 from hoistplank.interface import Site
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.client_session import ClientSession, ConnectionFactory
-from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.routing.request_intake import HEALTH_PATH, Authorizer, RequestIntake
 from hoistplank.routing.response import retry_after_fields
 from hoistplank.routing.router_task import Owner
@@ -47,7 +47,7 @@
         self.intake = RequestIntake(owner, site, is_ready, authorizer)
         self.class_by_script = self.intake.parser.script_names()
         self.sessions: dict[ClientSession, None] = {}  # in the order in which they were accepted
-        self.complaints = Complaints()
+        self.rate_limited_log = RateLimitedLog()
         self.unfinished_timeout_s = UNFINISHED_TIMEOUT_S
         self.max_unsent_bytes = memory_mb * UNSENT_BYTES_PER_MB
         self.max_held_bytes = memory_mb * HELD_BYTES_PER_MB
@@ -110,7 +110,7 @@
         while total > self.max_unsent_bytes:
             slowest = by_unsent_bytes.pop()
             total -= slowest.connection.out_bytes
-            self.complaints.tell("slow reader let go", bytes=slowest.connection.out_bytes)
+            self.rate_limited_log.warning("slow reader let go", bytes=slowest.connection.out_bytes)
             slowest.connection.close()
 
     # Descriptors.
--- a/hoistplank/routing/rate_limited_log.py
+++ b/hoistplank/routing/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Rate-limited log lines on bad input, so that a client that sends it at full speed can't fill the log."""
+"""Rate-limited warnings on bad input, so that a client that sends it at full speed can't fill the log."""
 
 from __future__ import annotations
 
@@ -8,20 +8,24 @@
 import structlog
 
 log = structlog.get_logger()
-EVERY_S = 1.0
+INTERVAL_S = 1.0
 
 
-class Complaints:
-    """One line a second for each kind of event at most, with how many came so far."""
+class RateLimitedLog:
+    """One line a second for each kind of event at most, with how many came so far.
+
+    To be made in a running event loop. `counts` has the number of events by kind, also of those not logged.
+    """
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.counts: dict[str, int] = {}
-        self._told_at: dict[str, float] = {}
+        self._logged_at: dict[str, float] = {}
 
-    def tell(self, event: str, **words: Any) -> None:
+    def warning(self, event: str, **fields: Any) -> None:
+        """Counts an event, and logs it with its fields unless one of its kind was logged within a second."""
         self.counts[event] = self.counts.get(event, 0) + 1
         now = self.loop.time()
-        if now - self._told_at.get(event, -EVERY_S) >= EVERY_S:
-            self._told_at[event] = now
-            log.warning(event, so_far=self.counts[event], **words)
+        if now - self._logged_at.get(event, -INTERVAL_S) >= INTERVAL_S:
+            self._logged_at[event] = now
+            log.warning(event, so_far=self.counts[event], **fields)
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -13,7 +13,7 @@
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Event, Listed, Purged
 from hoistplank.xds.resources import ORIGIN, PARENTS, Host, ResourceCache
 from hoistplank.xds.service import Hub, Limits, server
@@ -59,7 +59,7 @@
 
 
 class Control:
-    """One control process: the change log in, resources out. It is the `Listing`'s hearer."""
+    """One control process: the change log in, resources out. It is the `EndpointWatcher`'s hearer."""
 
     def __init__(self, configuration: Configuration, limits: Limits | None = None) -> None:
         self.site, self.clock = configuration.site, Clock()
@@ -67,7 +67,9 @@
         self.hub = Hub(self.resources, self.clock.now, limits)
         self.server: Any = None
         self.port = 0
-        self.listing = Listing(self, configuration.changelog, configuration.known, Random(configuration.seed))
+        self.endpoint_watcher = EndpointWatcher(
+            self, configuration.changelog, configuration.known, Random(configuration.seed)
+        )
 
     def tell(self, event: Event) -> None:
         """What the change log says, in order; followers are told at once, drains and purges first."""
@@ -111,7 +113,7 @@
 
     async def run(self) -> None:
         """Until it is cancelled: the log is followed, hosts warm, late followers are renewed."""
-        following = asyncio.create_task(self.listing.run(), name="change log")
+        following = asyncio.create_task(self.endpoint_watcher.run(), name="change log")
         try:
             while not following.done():
                 await asyncio.sleep(TICK_S)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -101,7 +101,9 @@
                 stay.append(await dispatcher.connect())
                 stay[-1].send(number + 1, "", script="/-/healthy")
             since = len(dispatcher.since)
-            dispatcher.service.listing.move(("127.0.0.1", await serve(dispatcher.changelog.talk)))
+            dispatcher.service.endpoint_watcher.set_address(
+                ("127.0.0.1", await serve(dispatcher.changelog.talk))
+            )
             await until(lambda: len(dispatcher.since) == since + 1)
             late = await dispatcher.connect()
             late.send(1, "page")
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -512,7 +512,10 @@
             rig.hosts(1, whole=True, a="ready")
             rig.log.configure(2, "two")
             replica = rig.replicas[0]
-            await until(lambda: replica.log_follower.anew and replica.log_follower.last == 2, patience_s=10)
+            await until(
+                lambda: replica.log_follower.numbering_restarted and replica.log_follower.last_seq == 2,
+                patience_s=10,
+            )
             await until(lambda: one.owner.is_blind, patience_s=10)
             assert not replica.is_log_heard() and replica.state.version == Version(0, 3)
             assert [text for _, text in one.configurations] == ["one"]
@@ -557,7 +560,7 @@
             replica = rig.replicas[0]
             await until(replica.log_follower.is_read)
             assert replica.is_log_heard()
-            replica.clock.ahead += 60_000_000_000  # a minute, in which this process did not run
+            replica.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
             rig.purge(2, "ab")
             assert not replica.is_log_heard()
             await until(lambda: replica.state.version == at(2))
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -59,7 +59,7 @@
 
     @property
     def follower(self) -> ReplicaFollower:
-        listing = self.dispatcher.service.listing
+        listing = self.dispatcher.service.endpoint_watcher
         assert isinstance(listing, ReplicaFollower)
         return listing
 
@@ -121,7 +121,7 @@
             await serves(made.dispatcher)
             # A reload reads the dispatcher's own file, which is older than what was handed on.
             reloaded = list[Any]()
-            monkeypatch.setattr(made.follower, "move", reloaded.append)  # the last step of a reload
+            monkeypatch.setattr(made.follower, "set_address", reloaded.append)  # the last step of a reload
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: bool(reloaded))
             assert made.retries == 0.25 and made.configured == at(3)
@@ -194,7 +194,7 @@
         async with place(tmp_path) as made:
             owner = made.dispatcher.service.owner
             assert not owner.router.blind
-            owner.clock.ahead += 60_000_000_000  # a minute, in which this process did not run
+            owner.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
             owner.turn()
             assert owner.router.blind and set(owner.posts) == {"a", "o"}
             await until(lambda: not owner.router.blind)
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -18,7 +18,7 @@
 from hoistplank.protocol.changelog import Event, Fleet, Known
 from hoistplank.routing import endpoint_watcher as watching
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Listed, Purged
 from tests.dispatcher_scene import run, served, silent, spied
 from tests.helpers import Running, until
@@ -53,8 +53,8 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENT_S", 0.2)
-        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
+        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked = list[int]()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -69,9 +69,9 @@
 
         told = Told()
         known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
-        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
-        await until(lambda: log.last == 2)
+        await until(lambda: log.last_seq == 2)
         # A log that counts anew is asked for all it has; any other goes on from where we are.
         assert asked == [1, 0 if how.startswith("a number behind ours") else 1]
         assert told.events[-1].targets[0].state == "draining"
@@ -83,8 +83,8 @@
 
 def test_a_log_that_counts_anew_takes_no_drain_back(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENT_S", 0.2)
-        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
+        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked = list[int]()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -95,9 +95,9 @@
         told = Told()
         lines = [row(1, whole=True), row(2, state="draining")]
         known = msgspec.json.decode(b'{"seq":2,"results":[' + b",".join(lines) + b"]}", type=Known)
-        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
-        await until(lambda: log.last == 1)
+        await until(lambda: log.last_seq == 1)
         assert asked == [2, 0] and told.events[-1].targets[0].state == "draining"
         log._apply(msgspec.json.decode(row(2), type=Event))  # the same process: only a new one is ready again
         assert told.events[-1].targets[0].state == "draining"
@@ -115,8 +115,8 @@
     number: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENT_S", 0.2)
-        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
+        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked = list[int]()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -126,9 +126,9 @@
                 await asyncio.sleep(0.05)
 
         known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
-        log = Listing(Told(), ("127.0.0.1", await serve(talk)), known, Random(1))
+        log = EndpointWatcher(Told(), ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
-        await until(lambda: log.moves > 20)
+        await until(lambda: log.progress_count > 20)
         assert asked == [1]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -153,9 +153,9 @@
 
         told = Told()
         known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
-        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
-        await until(lambda: log.last == 2)
+        await until(lambda: log.last_seq == 2)
         assert asked == [1, 1] and loop.time() - broke[0] < 1.0
         assert told.events[-1].targets[0].state == "draining"
         task.cancel()
@@ -178,9 +178,9 @@
 
         told = Told()
         known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Known)
-        log = Listing(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+        log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
-        await until(lambda: log.last == 2)
+        await until(lambda: log.last_seq == 2)
         assert asked == [1, 1] and told.events[-1].targets[0].state == "draining"
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -203,7 +203,7 @@
             failed.append(loop.time())
 
         told.tell = tell  # type: ignore[method-assign]
-        log = Listing(told, ("127.0.0.1", port), Known(0, []), Random(1), grace_s=0.25)
+        log = EndpointWatcher(told, ("127.0.0.1", port), Known(0, []), Random(1), grace_s=0.25)
         task = asyncio.create_task(log.run())
         await until(lambda: len(failed) > 12)
         assert max(later - first for first, later in zip(failed[5:], failed[6:], strict=False)) < 0.25
@@ -215,8 +215,8 @@
 
 def test_a_standstill_of_our_own_is_not_taken_for_the_logs_silence(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENT_S", 0.2)
-        monkeypatch.setattr(watching, "LOOK_S", 0.02)
+        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
+        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked, speaks = list[int](), asyncio.Event()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -226,15 +226,15 @@
                 speaks.set()
                 await asyncio.sleep(0.02)
 
-        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+        log = EndpointWatcher(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
         task = asyncio.create_task(log.run())
-        await until(lambda: log.moves > 0)
+        await until(lambda: log.progress_count > 0)
         for _ in range(3):
             stop = asyncio.get_running_loop().time() + 0.3
             while asyncio.get_running_loop().time() < stop:
                 pass  # the loop stands still for longer than a log may be silent
-            moves = log.moves
-            await until(lambda moves=moves: log.moves > moves)  # type: ignore[misc]
+            moves = log.progress_count
+            await until(lambda moves=moves: log.progress_count > moves)  # type: ignore[misc]
         assert asked == [0]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -251,7 +251,7 @@
             writer.write(b"0\n")
             await reader.read()
 
-        log = Listing(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
+        log = EndpointWatcher(Told(), ("127.0.0.1", await serve(talk)), Known(0, []), Random(1))
 
         def none(*words: Any) -> Any:
             if len(failed) < 2:
@@ -259,9 +259,9 @@
                 raise OSError(24, "Too many open files")
             return plain(*words)
 
-        monkeypatch.setattr("hoistplank.routing.endpoint_watcher.socket.socket", none)
+        monkeypatch.setattr("hoistplank.transport.connecting.socket.socket", none)
         task = asyncio.create_task(log.run())
-        await until(lambda: log.fresh)
+        await until(lambda: log.is_current)
         assert asked == [0] and len(failed) == 2
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -275,13 +275,13 @@
     async def scene() -> None:
         log = ChangeLog(epoch=7)
         told = Told()
-        listing_ = Listing(told, ("127.0.0.1", await serve(log.talk)), Known(0, []), Random(1))
+        listing_ = EndpointWatcher(told, ("127.0.0.1", await serve(log.talk)), Known(0, []), Random(1))
         task = asyncio.create_task(listing_.run())
         log.tell(listing(1, [target("a", "box", 9)], whole=True))
         log.configure(2, "x" * 1_000_000)
         log.tell({"seq": 3, "configuration": {"text": ["wrong"]}})
         log.tell({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
-        await until(lambda: listing_.last == 4)
+        await until(lambda: listing_.last_seq == 4)
         assert [type(event) for event in told.events] == [Listed, Purged] and log.since == [0]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -301,7 +301,7 @@
             dispatcher.tell({"seq": 4, "invalidate": {"bucket": 9, "time": 2}})  # 3 is missing
             await until(lambda: len(dispatcher.since) > 1)
             dispatcher.log.insert(1, {"seq": 3, "invalidate": {"bucket": 8, "time": 3}})
-            await until(lambda: dispatcher.service.listing.last == 4)
+            await until(lambda: dispatcher.service.endpoint_watcher.last_seq == 4)
             assert dispatcher.since[:2] == [1, 2]
             purges = [(event.object_key, event.group) for (event,) in told if isinstance(event, Purged)]
             assert purges == [("ab", 0), ("", 8), ("", 9)]
@@ -313,7 +313,7 @@
     """A log that says nothing is taken up again; a line on which all was silent gets no new attempts."""
 
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.routing.endpoint_watcher.SILENT_S", 0.05)
+        monkeypatch.setattr("hoistplank.routing.endpoint_watcher.SILENCE_TIMEOUT_S", 0.05)
         asked: list[int] = []
 
         async def quiet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -22,7 +22,7 @@
 from hoistplank.lab.model.world_settings import S, Shape, sized
 from hoistplank.lab.policies import Make, UnknownPolicy, policy
 from hoistplank.operator_configuration.faults import Faults
-from hoistplank.routing.clock_offset import LogClock
+from hoistplank.routing.clock_offset import ClockOffset
 
 SMALL = sized(6, 2, 1, 60.0, seconds=6.0)
 
@@ -304,11 +304,11 @@
 def test_a_log_dated_by_another_clock_is_never_taken_as_older_than_it_is(
     ahead: int, rows: list[tuple[int, int]]
 ) -> None:
-    clock, true = LogClock(), 100 * S
+    clock, true = ClockOffset(), 100 * S
     for wait, late in rows:
         true += wait
         heard = true + late + ahead  # by our clock, which runs ahead of the log's
-        ours = clock.ours(heard, true)
+        ours = clock.to_local_us(heard, true)
         assert ours >= true + max(0, ahead), (ahead, rows)
         assert ours <= max(heard, true)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -179,7 +179,7 @@
 
 
 def membership(running: Running) -> MembershipService:
-    watch = running.service.listing.watch
+    watch = running.service.endpoint_watcher.observer
     assert isinstance(watch, MembershipService)
     return watch
 
@@ -249,7 +249,7 @@
                 target("n", "origin", await serve(new.talk)),
             ]
             running.tell(listing(1, targets, whole=True))
-            running.service.listing.move(("127.0.0.1", await serve(running.changelog.talk)))
+            running.service.endpoint_watcher.set_address(("127.0.0.1", await serve(running.changelog.talk)))
             await until(lambda: running.service.phase is Phase.SERVING)
             assert set(running.service.owner.posts) == {"a", "n"} and not router.blind
             # What it got to know goes on: neither its connections nor its cold time begin anew.
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,8 +38,8 @@
         box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
         async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             dispatcher.tell({"seq": 2, "invalidate": {"bucket": 2, "time": 1}})
-            listing = dispatcher.service.listing
-            await until(lambda: listing.last == 2)
+            watcher = dispatcher.service.endpoint_watcher
+            await until(lambda: watcher.last_seq == 2)
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
             await until(lambda: bool(box.seen))
             file = tmp_path / "config.json"
@@ -47,13 +47,13 @@
             file.write_text("{")  # a file that can't be used changes nothing
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: not dispatcher.service.renewed.is_set())
-            assert listing.address[1] != 9
+            assert watcher.address[1] != 9
             # What can't change is told and left; the rest is taken up all the same.
             good |= {"changelog": f"127.0.0.1:{await serve(other)}", "listen": "127.0.0.1:1", "seed": "8"}
             file.write_text(json.dumps(good))
             for _ in range(times):
                 os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: listing.last == 3)
+            await until(lambda: watcher.last_seq == 3)
             assert asked == [2] and dispatcher.service.phase is Phase.SERVING
             assert (await dispatcher.ask(2, "page"))[0] == 200
             assert (await dispatcher.client.answer())[:2] == (1, 503)
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -107,7 +107,7 @@
         weights = made.resources.firsts["caches-z1"].weights
         got = sum(order(key, weights)[0] == "box-9" for key in keys) / len(keys)
         assert got < 1.5 * made.site.rules.cold_from / 5.2
-        made.clock.ahead += made.site.rules.cold_us * 1_000
+        made.clock.offset_ns += made.site.rules.cold_us * 1_000
         made.warm()
         assert made.resources.hosts["box-9"].share == 1.0
         now = made.clock.now()
