--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -20,7 +20,7 @@
 from hoistplank.authorization.limits import room
 from hoistplank.authorization.revocations import BadRevocation, Revocation
 from hoistplank.authorization.token_cache import Issuer, KeySet
-from hoistplank.interface import IDEMPOTENT, Site
+from hoistplank.decision.settings import IDEMPOTENT, RouterSettings
 from hoistplank.operator_configuration.faults import Fault, Faults
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.attempts import Request
@@ -29,7 +29,7 @@
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.response import RequestRefusal
 from hoistplank.routing.router_task import Owner
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.tls import TlsConnection
 
@@ -46,7 +46,7 @@
 
     owner: Owner
     frontend: Frontend
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
 @dataclass(slots=True, eq=False)
@@ -76,10 +76,12 @@
 class CallersService:
     """One for the program. Raises Faults where the files that the section names can't be used."""
 
-    def __init__(self, section: Section, file: str, site: Site, clock: Clock | None = None) -> None:
+    def __init__(self, section: Section, file: str, site: RouterSettings, clock: Clock | None = None) -> None:
         self.section, self.file, self.site, self.clock = section, file, site, clock or Clock()
         self.folder = Path(file).parent  # the files that it names stand beside it
-        self.windows = {row.name: row.deadline_us + row.dedup_window_us for row in site.traffic_classes}
+        self.windows = {
+            row.name: row.deadline_us + row.deduplication_window_us for row in site.traffic_classes
+        }
         self.books = {row.name for row in site.traffic_classes if row.semantics != IDEMPOTENT}
         self.generation = 1
         self.host: Host | None = None
@@ -311,7 +313,7 @@
         self.host, self.owner = host, host.owner
         parts: list[tuple[str, Coroutine[Any, Any, None]]] = [("callers' files", self._watch())]
         if self.section["tls"] is not None:
-            self.listener = Listener(self.section["tls"]["listen"], host.ledger, self._greet)
+            self.listener = Listener(self.section["tls"]["listen"], host.descriptors, self._greet)
             parts += [("tls listener", self.listener.run()), ("handshakes", self._handshakes())]
         if self.section["control"] is not None:
             from hoistplank.authorization.admin_server import Control
@@ -342,7 +344,7 @@
                 failed()
                 raise
 
-        return partial(TlsConnection, context=context, shaken=shaken)
+        return partial(TlsConnection, context=context, on_handshake=shaken)
 
     def _identity(self, der: bytes | None) -> Identity | None:
         """Raises BadFile where a certificate does not stand, though its chain does."""
@@ -393,7 +395,7 @@
             await asyncio.sleep(0.05)
             most_s = self.section["tls"]["handshake-time"] / 1e6
             for session, since in list(self.shaking.items()):
-                if session.connection.closing:
+                if session.connection.is_closed:
                     del self.shaking[session]
                     self.handshakes["failed"] += 1
                 elif loop.time() - since > most_s:
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -11,15 +11,15 @@
 
 import structlog
 
+from hoistplank.decision.settings import Degradation
 from hoistplank.degradation import sections
 from hoistplank.degradation.signals import Gauges, Watch
 from hoistplank.degradation.state_machine import FULL, Change, Ladder
-from hoistplank.interface import Reduced
 from hoistplank.operator_configuration.faults import Fault, Faults
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
 from hoistplank.routing.router_task import Owner, Told
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 
 log = structlog.get_logger()
 KEPT_CHANGES = 64  # the last changes, for the control front
@@ -28,10 +28,10 @@
 
 class Host(Protocol):
     owner: Owner
-    ledger: Ledger
+    descriptors: DescriptorBudget
 
 
-def built(section: Section, configuration: Configuration) -> tuple[Ladder, Gauges, Reduced]:
+def built(section: Section, configuration: Configuration) -> tuple[Ladder, Gauges, Degradation]:
     """The ladder, the gauges and what holds at full service; raises Faults."""
     faults: list[Fault] = []
     classes = {row.name: row.semantics for row in configuration.site.traffic_classes}
@@ -40,7 +40,7 @@
     ages = sections.ages(section, faults)
     if faults:
         raise Faults(faults)
-    return Ladder(made, section["calm"]), Gauges(ages), Reduced(retry_share=section["retries"])
+    return Ladder(made, section["calm"]), Gauges(ages), Degradation(retry_share=section["retries"])
 
 
 def resident_share(memory_mb: int) -> float:
@@ -61,12 +61,12 @@
         self.ladder, self.gauges, self.base = built(section, configuration)
         self.changes: deque[Change] = deque(maxlen=KEPT_CHANGES)
         self.owner: Owner | None = None
-        self.ledger: Ledger | None = None
+        self.descriptors: DescriptorBudget | None = None
         self.rejected_at_change = 0
 
     def attach(self, host: Host) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        self.owner, self.ledger = host.owner, host.ledger
-        utility = {row.name: row.utility for row in self.configuration.site.traffic_classes}
+        self.owner, self.descriptors = host.owner, host.descriptors
+        utility = {row.name: row.priority_weight for row in self.configuration.site.traffic_classes}
         self.owner.watch = Watch(self.gauges, utility)
         self.owner.admission.bounds = sections.bounds(self.section, self.owner.admission.bounds.most)
         self.owner.tell(Told(self.base))
@@ -81,11 +81,13 @@
 
     def judge(self, now: int) -> Change | None:
         """Reads what it needs beside the owner's observations and judges; tells the Router of a change."""
-        assert self.owner is not None and self.ledger is not None
+        assert self.owner is not None and self.descriptors is not None
         watch = self.owner.watch
         assert watch is not None
-        held = sum(self.ledger.held.values())
-        watch.resources(now, resident_share(self.configuration.memory_mb), held / max(1, self.ledger.room))
+        held = sum(self.descriptors.held.values())
+        watch.resources(
+            now, resident_share(self.configuration.memory_mb), held / max(1, self.descriptors.total_limit)
+        )
         change = self.ladder.step(now, self.gauges.readings(now))
         if change is not None:
             self._changed(change)
@@ -128,9 +130,9 @@
             "effects": {
                 "reject": effects.reject,
                 "every_part": effects.every_part,
-                "old_first": effects.old_first,
+                "old_first": effects.stale_first,
                 "fills": effects.fill_share,
-                "attempts": effects.most_attempts,
+                "attempts": effects.max_attempts,
                 "retries": effects.retry_share,
             },
             "pinned": {"level": ladder.pin.level, "until_us": ladder.pin.until_us} if ladder.pin else None,
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -34,8 +34,8 @@
     read_replica_line,
 )
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.changelog import Event, Known
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.endpoint_watcher import (
     CONNECT_TIMEOUT_S,
     MIN_BACKOFF_S,
@@ -43,7 +43,7 @@
     EventReceiver,
 )
 from hoistplank.routing.router_task import Applied, Listed
-from hoistplank.transport.connecting import connected
+from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
@@ -77,7 +77,7 @@
         self,
         owner: EventReceiver,
         settings: FollowerSettings,
-        known: Known,
+        known: Snapshot,
         chance: Random,
         grace_s: float = 0.25,
         prepare: Preparing = without_configuration,
@@ -151,7 +151,7 @@
             raise Redirected(told.reason)
         verdict = self.state.judge(self.owner.clock.now(), told)
         if verdict is Verdict.GAP:
-            raise BadBytes(f"event {told.version} after {told.after} does not follow {self.state.told}")
+            raise ProtocolError(f"event {told.version} after {told.after} does not follow {self.state.told}")
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
@@ -309,7 +309,7 @@
 async def _is_there(address: tuple[str, int]) -> bool:
     """Whether somebody takes connections there."""
     try:
-        sock = await connected(address, CONNECT_TIMEOUT_S)
+        sock = await connect(address, CONNECT_TIMEOUT_S)
     except (OSError, ValueError):
         return False
     sock.close()
--- a/hoistplank/lab/scale/role_dispatcher.py
+++ b/hoistplank/lab/scale/role_dispatcher.py
@@ -1,5 +1,5 @@
-"""What control costs a dispatcher: the change log's bytes through the real parser, `EndpointWatcher`, `Owner`
-and `Router`, without a socket and without requests."""
+"""What control costs a dispatcher: the change log's bytes through the real parser, `EndpointWatcher`,
+`Owner` and `Router`, without a socket and without requests."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from random import Random
 from typing import Any
 
+from hoistplank.decision.settings import RouterSettings
 from hoistplank.fakes.settings import SETTINGS, listing, target
-from hoistplank.interface import Site
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, in_loop, kept_bytes, processor_us, series
-from hoistplank.protocol.changelog import Known, Reader
+from hoistplank.protocol.changelog import ChangeLogReader, Snapshot
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Owner
@@ -30,7 +30,7 @@
 NOWHERE = ("127.0.0.1", 1)
 
 
-def planned_site() -> Site:
+def planned_site() -> RouterSettings:
     """The stand-ins' site, with purges that have to be remembered for an hour."""
     fields = Fields([])
     fields.pairs = flat(SETTINGS)
@@ -80,8 +80,8 @@
 
     def __init__(self, hosts: int = 0) -> None:
         self.owner = Owner(planned_site(), SEED, Clock(), OPEN_CAP, ())
-        self.endpoint_watcher = EndpointWatcher(self.owner, NOWHERE, Known(), Random(SEED))
-        self.reader = Reader()
+        self.endpoint_watcher = EndpointWatcher(self.owner, NOWHERE, Snapshot(), Random(SEED))
+        self.reader = ChangeLogReader()
         if hosts:
             self.feed(whole_list(hosts))
 
@@ -158,7 +158,7 @@
     for count in effort.sizes(PURGES) * effort.repeats:
         lines = purge_lines(count)
         data = bytearray(b"".join(lines))
-        parsed = processor_us(lambda data=data: Reader().read(data, 0, len(data)))  # type: ignore[misc]
+        parsed = processor_us(lambda data=data: ChangeLogReader().read(data, 0, len(data)))  # type: ignore[misc]
 
         def apply(lines: list[bytes] = lines, data: bytes = bytes(data)) -> tuple[float, float]:
             each, together = ControlPath(HOSTS_AT_TARGET), ControlPath(HOSTS_AT_TARGET)
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -22,9 +22,9 @@
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import Owner
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
-from hoistplank.transport.pool import Pool
+from hoistplank.transport.pool import Pool, PoolSettings
 
 log = structlog.get_logger()
 
@@ -59,7 +59,7 @@
         self.provisional = False  # whether hosts of a persisted list have proved themselves
         self.reread, self.early = reread, early
         self.loop = asyncio.get_running_loop()
-        self.ledger = Ledger(configuration.sockets)
+        self.descriptors = DescriptorBudget(configuration.sockets)
         self.owner = Owner(
             configuration.site, configuration.seed, Clock(), configuration.open_cap, configuration.reported
         )
@@ -67,7 +67,7 @@
         self.frontend = Frontend(
             self.owner,
             configuration.site,
-            self.ledger,
+            self.descriptors,
             configuration.memory_mb,
             lambda: self.phase.is_ready,
             extensions.authorizer if extensions is not None else None,
@@ -77,9 +77,9 @@
             configuration.changelog,
             configuration.known,
             Random(configuration.seed),
-            configuration.site.rules.drain_us / 1e6,
+            configuration.site.rules.drain_grace_us / 1e6,
         )
-        self.listener = Listener(configuration.listen, self.ledger, self.frontend.serve)
+        self.listener = Listener(configuration.listen, self.descriptors, self.frontend.serve)
         self.shutdown = GracefulShutdown(self.owner, self.frontend, self.listener, self._longest_deadline_s())
         # Set by SIGTERM or SIGINT, and by SIGHUP.
         self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
@@ -90,11 +90,14 @@
     def _make_pool(self) -> Pool:
         configuration = self.configuration
         return Pool(
-            self.ledger,
-            configuration.streams,
-            configuration.idle_s,
-            configuration.site.rules.connect_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S,
-            self._longest_deadline_s(),
+            self.descriptors,
+            PoolSettings(
+                max_requests_per_connection=configuration.streams,
+                idle_s=configuration.idle_s,
+                connect_timeout_s=configuration.site.rules.connect_timeout_us / 1e6
+                or DEFAULT_CONNECT_TIMEOUT_S,
+                remember_ids_s=self._longest_deadline_s(),
+            ),
             answers_of,
             self._log_closed_by_error,
         )
@@ -166,7 +169,7 @@
             "phase",
             phase=phase.value,
             open=self.owner.open,
-            peak_descriptors=self.ledger.peak,
+            peak_descriptors=self.descriptors.peak,
             peak_mb=peak_mb,
             **self.owner.counts,
         )
@@ -236,7 +239,7 @@
         """What the limits leave room for, so that nobody has to guess it from what is refused later."""
         log.info(
             "bounds",
-            **{f"{kind} descriptors": most for kind, most in self.ledger.most.items()},
+            **{f"{kind} descriptors": most for kind, most in self.descriptors.limits.items()},
             waiting_answers_kb=self.frontend.max_unsent_bytes >> 10,
             open_requests_kb=self.frontend.max_held_bytes >> 10,
         )
--- a/hoistplank/routing/client_session.py
+++ b/hoistplank/routing/client_session.py
@@ -8,14 +8,14 @@
 from typing import Any, Protocol
 
 from hoistplank.protocol import fastcgi
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.routing.request_intake import RequestIntake, is_health_check
 from hoistplank.routing.response import FastCgiResponse
 from hoistplank.routing.router_task import Came, Left, Owner
 from hoistplank.transport.connection import Connection, Consume
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 MAX_REQUESTS = 32  # open ones a connection
 MAX_RECORD_BYTES = 131_072  # a record with its padding
@@ -34,7 +34,7 @@
 
     owner: Owner
     intake: RequestIntake
-    ledger: Ledger
+    descriptors: DescriptorBudget
     rate_limited_log: RateLimitedLog
     sessions: dict[ClientSession, None]
     unfinished_timeout_s: float  # for a request to become whole
@@ -60,7 +60,7 @@
         self.frontend, self.intake = frontend, frontend.intake
         # Danger: load shedding is blind to who calls; one tenant's herd would have it shed all.
         shed = frontend.shed if frontend.intake.authorizer is None else None
-        self.reader = fastcgi.Reader(MAX_REQUESTS, shed)
+        self.reader = fastcgi.RequestReader(MAX_REQUESTS, shed)
         self.peer, self.identity = peer, None
         # By FastCGI number; None while it is not a request for the router task (yet).
         self.open_requests: dict[int, Request | None] = {}
@@ -92,13 +92,13 @@
                 if not events:
                     return start
                 for event in events:
-                    if isinstance(event, fastcgi.Whole):
+                    if isinstance(event, fastcgi.RequestReceived):
                         self._request_received(event.request)
-                    elif isinstance(event, fastcgi.Reply):
+                    elif isinstance(event, fastcgi.ProtocolReply):
                         self.connection.send(event.data)
                     else:
                         self._request_aborted(event)
-        except BadBytes as error:
+        except ProtocolError as error:
             self.give_up(str(error))
         finally:
             self._read_ended(shed_before)
@@ -106,7 +106,7 @@
 
     def _read_ended(self, shed_before: int) -> None:
         self._count_held_bytes()
-        if self.reader.parting:
+        if self.reader.close_requested:
             asyncio.get_running_loop().call_soon(self.close_when_idle)
         if self.reader.shed_count > shed_before:
             # Danger: a usual client that got nothing but refusals for a while would pass for one that
@@ -114,27 +114,27 @@
             self.has_sent_request = True
             # Danger: while the core is full, a read and a write for each request rejected cost more
             # than serving another: what comes next is read later, in one go.
-            self.connection.rest(SHED_READ_PAUSE_S)
+            self.connection.pause_reading(SHED_READ_PAUSE_S)
 
     def _count_held_bytes(self) -> None:
-        more = self.reader.held - self.counted_bytes
-        self.counted_bytes = self.reader.held
+        more = self.reader.held_bytes - self.counted_bytes
+        self.counted_bytes = self.reader.held_bytes
         self.frontend.count_held_bytes(more)
 
     def _request_received(self, received: fastcgi.FastCgiRequest) -> None:
-        response = FastCgiResponse(self, received.number, received.keep)
+        response = FastCgiResponse(self, received.number, received.keep_connection)
         self.open_requests[received.number] = None
         self.whole_requests += 1
         try:
-            if received.spoiled:
-                raise BadBytes(received.spoiled)
-            fields = received.fields()
+            if received.error:
+                raise ProtocolError(received.error)
+            fields = received.parameters()
             if is_health_check(fields):
                 self.has_sent_request = True
                 self.intake.answer_health_check(response)
                 return
             request = self.intake.parse(response, fields, received)
-        except BadBytes as error:
+        except ProtocolError as error:
             self._refuse_bad_request(received, response, str(error))
             return
         self.has_sent_request = True
@@ -144,11 +144,11 @@
         ):
             return
         self.open_requests[received.number] = request
-        if self.connection.out_bytes > MAX_UNSENT_BYTES:
+        if self.connection.unsent_bytes > MAX_UNSENT_BYTES:
             # Danger: a client that does not read what it is owed would fill the memory. It is read on all the
             # same: an end that nobody reads is an end that nobody sees, and its requests would be forwarded.
             self.deferred[received.number] = request
-            self.connection.emptied = self._all_sent
+            self.connection.on_all_written = self._all_sent
         else:
             self.frontend.owner.tell(Came(request))
 
@@ -159,16 +159,16 @@
         self.frontend.rate_limited_log.warning("request can't be used", wrong=error)
         response.send(400, (), b"")
         self.bad_requests += 1
-        if received.spoiled or self.bad_requests >= MAX_BAD_REQUESTS:
+        if received.error or self.bad_requests >= MAX_BAD_REQUESTS:
             self.give_up(error)
 
-    def _request_aborted(self, event: fastcgi.Aborted) -> None:
+    def _request_aborted(self, event: fastcgi.RequestAborted) -> None:
         request = self.open_requests.pop(event.number, None)
         if request is not None:
             self.deferred.pop(event.number, None)
             self.frontend.owner.tell(Left(request))
             self.intake.ended(request)
-        self.connection.send(fastcgi.ended(event.number, 1))
+        self.connection.send(fastcgi.encode_end_request(event.number, 1))
 
     # What goes out.
 
@@ -180,7 +180,7 @@
         if request is not None and request.exchange is not response:
             return
         del self.open_requests[response.number]
-        self.reader.done(response.number)
+        self.reader.release(response.number)
         self._count_held_bytes()
         self.connection.send(data)
         if request is not None:
@@ -194,7 +194,7 @@
         for request in deferred.values():
             self.frontend.owner.tell(Came(request))
         if self.is_closing and self.is_idle():
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def release_overdue(self, now_us: int) -> None:
         """What is deferred and nearly out of time goes to the router task after all, for a timely answer."""
@@ -217,19 +217,19 @@
                 self.frontend.owner.tell(Left(request))
             self.open_requests.pop(number, None)
         self.deferred.clear()
-        self.connection.deafen()
-        self.connection.finish()
+        self.connection.stop_reading()
+        self.connection.close_gracefully()
 
     def close_when_idle(self, even_if_silent: bool = True) -> None:
         """Ends this connection once all that is open on it has been answered, and the answers are out."""
-        self.is_closing, self.connection.emptied = True, self._all_sent
+        self.is_closing, self.connection.on_all_written = True, self._all_sent
         if self.is_idle() and (even_if_silent or self.has_sent_request):
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         self.frontend.sessions.pop(self, None)
-        self.frontend.ledger.give("client")
-        self.reader.held = 0
+        self.frontend.descriptors.release(ConnectionKind.CLIENT)
+        self.reader.held_bytes = 0
         self._count_held_bytes()
         error = None if task.cancelled() else task.exception() or task.result()
         if error is not None and not isinstance(error, OSError):
@@ -247,7 +247,7 @@
     def has_unfinished_request(self) -> bool:
         """Whether part of a request has come and the rest has not."""
         connection = self.connection
-        return len(self.reader.requests) > len(self.reader.whole) or connection.start < connection.end
+        return len(self.reader.requests) > len(self.reader.complete) or connection.has_partial_message
 
     def is_idle(self) -> bool:
         """Whether nothing is owed on it, after one more read of what has come.
@@ -255,11 +255,11 @@
         Danger: on a full core a request may lie unread for long; a close on it loses an accepted request.
         """
         if self._owes_nothing():
-            self.connection.look()
+            self.connection.read_now()
         return self._owes_nothing()
 
     def _owes_nothing(self) -> bool:
-        return not (self.reader.requests or self.connection.out_bytes or self.has_unfinished_request())
+        return not (self.reader.requests or self.connection.unsent_bytes or self.has_unfinished_request())
 
     def is_silent(self) -> bool:
         """Whether nothing of a request has ever come."""
@@ -272,13 +272,13 @@
         """
         timeout_s = self.frontend.unfinished_timeout_s
         if not self.has_sent_request and now - self.opened_at > timeout_s:
-            self.connection.look()
+            self.connection.read_now()
             if not self.has_sent_request:
                 return "no whole request in time"
         if not self.has_unfinished_request():
             self.unfinished_since = {}
             return ""
-        numbers = [number for number in self.reader.requests if number not in self.reader.whole]
+        numbers = [number for number in self.reader.requests if number not in self.reader.complete]
         if not numbers:
             # A record that has begun; the next whole request ends its clock.
             numbers = [-1 - self.whole_requests]
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -10,21 +10,21 @@
 import msgspec
 
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Known
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.clock_offset import ClockOffset
 from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.routing.remembered_drains import RememberedDrains
 from hoistplank.routing.router_task import Event as RouterTaskEvent
 from hoistplank.routing.router_task import Listed, Purged
-from hoistplank.transport.connecting import connected
+from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Connection, Consume
 
 SILENCE_TIMEOUT_S = 2.2  # a number comes each second: two missed and some
 STALL_TIMEOUT_S = 0.3  # a line is written in one go: one that has begun and moves no more has broken off
 CHECK_INTERVAL_S = 0.1
-MAX_BUFFERED_BYTES = changelog.MOST_LINE + 65_536  # the longest line, and what comes behind it
+MAX_BUFFERED_BYTES = changelog.MAX_LINE_BYTES + 65_536  # the longest line, and what comes behind it
 LARGE_BUFFER_BYTES = 262_144  # a buffer above it is given back once it is empty: few lines are as long
 CONNECT_TIMEOUT_S = 1.0
 # Backoff between attempts to connect. What the log holds while nobody is connected counts as received:
@@ -62,7 +62,7 @@
         self,
         owner: EventReceiver,
         address: tuple[str, int],
-        known: Known,
+        known: Snapshot,
         chance: Random,
         grace_s: float = 0.25,
     ) -> None:
@@ -108,7 +108,7 @@
         return "whole" if is_whole else "changes"
 
     def receive(self, message: Event | int) -> None:
-        """Takes an event, or the number that the log says it is at; raises BadBytes where events are missing.
+        """Takes an event, or the number that the log says it is at; raises ProtocolError on a gap.
 
         What makes a connection count as alive is set here alone: an event or a number in its order.
         Danger: bytes that never make a line, or a log that stands behind what we hold, would keep a
@@ -127,7 +127,7 @@
             self.is_log_behind = True
             return False
         if number > self.last_seq:
-            raise BadBytes(f"the change log is at {number}, but its events came only to {self.last_seq}")
+            raise ProtocolError(f"the change log is at {number}, but its events came only to {self.last_seq}")
         if self.observer is not None:
             self.observer.confirmed_current()
         return True
@@ -136,7 +136,7 @@
         if event.seq <= self.last_seq:
             return False  # one that comes twice says nothing
         if event.seq > self.last_seq + 1:
-            raise BadBytes(f"event {event.seq} follows event {self.last_seq}")
+            raise ProtocolError(f"event {event.seq} follows event {self.last_seq}")
         self._apply(event)
         return True
 
@@ -189,11 +189,11 @@
 
     def _first_line(self) -> bytes:
         """The line that is sent first on a new connection."""
-        return changelog.since(self.last_seq)
+        return changelog.encode_since(self.last_seq)
 
     def make_consumer(self) -> Consume:
         """What takes the bytes of one connection."""
-        reader = changelog.Reader()
+        reader = changelog.ChangeLogReader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             start, messages = reader.read(buffer, start, end)
@@ -206,10 +206,10 @@
     async def _follow(self, address: tuple[str, int]) -> BaseException | str:
         """One connection from its start to its end; returns why it ended."""
         try:
-            sock = await connected(address, CONNECT_TIMEOUT_S)
+            sock = await connect(address, CONNECT_TIMEOUT_S)
         except (OSError, ValueError) as error:  # no descriptor, a time-out, a name that can't be one: retried
             return error
-        connection = Connection(sock, self.make_consumer(), MAX_BUFFERED_BYTES, changelog.MOST_LINE)
+        connection = Connection(sock, self.make_consumer(), MAX_BUFFERED_BYTES, changelog.MAX_LINE_BYTES)
         connection.send(self._first_line())
         self.connection = connection
         task = asyncio.create_task(connection.run(), name="change log socket")
@@ -241,9 +241,9 @@
             if self.progress_count != progress_count:
                 silent_s, progress_count = 0.0, self.progress_count
             if len(connection.buffer) > LARGE_BUFFER_BYTES:
-                connection.trim()
-            if connection.heard_at != heard_at or connection.start == connection.end:
-                stalled_s, heard_at = 0.0, connection.heard_at
+                connection.release_buffer()
+            if connection.last_read_at != heard_at or not connection.has_partial_message:
+                stalled_s, heard_at = 0.0, connection.last_read_at
             if silent_s > SILENCE_TIMEOUT_S or stalled_s > self.stall_timeout_s:
                 # Danger: half an event may be a drain, and the rest of it never comes here; whoever asks
                 # anew gets it at once.
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from hoistplank.interface import Site
+from hoistplank.decision.settings import RouterSettings
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.client_session import ClientSession, ConnectionFactory
 from hoistplank.routing.rate_limited_log import RateLimitedLog
@@ -14,7 +14,7 @@
 from hoistplank.routing.response import retry_after_fields
 from hoistplank.routing.router_task import Owner
 from hoistplank.transport.connection import Connection
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 IDLE_TIMEOUT_S = 8.0  # clients close after half of it
 # A connection is to end within 3 s if no request on it becomes whole: a sweep and the close fit in the rest.
@@ -37,13 +37,13 @@
     def __init__(
         self,
         owner: Owner,
-        site: Site,
-        ledger: Ledger,
+        site: RouterSettings,
+        descriptors: DescriptorBudget,
         memory_mb: int,
         is_ready: Callable[[], bool],
         authorizer: Authorizer | None = None,
     ) -> None:
-        self.owner, self.ledger = owner, ledger
+        self.owner, self.descriptors = owner, descriptors
         self.intake = RequestIntake(owner, site, is_ready, authorizer)
         self.class_by_script = self.intake.parser.script_names()
         self.sessions: dict[ClientSession, None] = {}  # in the order in which they were accepted
@@ -52,8 +52,8 @@
         self.max_unsent_bytes = memory_mb * UNSENT_BYTES_PER_MB
         self.max_held_bytes = memory_mb * HELD_BYTES_PER_MB
         self.held_bytes = 0
-        ledger.reclaimers["client"] = self.reclaim
-        self.shed_head = fastcgi.head(503, retry_after_fields(owner.stay_away_us))
+        descriptors.reclaimers[ConnectionKind.CLIENT] = self.reclaim
+        self.shed_head = fastcgi.encode_head(503, retry_after_fields(owner.stay_away_us))
 
     def serve(
         self, sock: socket.socket, peer: str = "", make_connection: ConnectionFactory = Connection
@@ -69,13 +69,13 @@
         away."""
         if script == HEALTH_SCRIPT or self.owner.admits(self.class_by_script.get(script, "")):
             return None
-        return fastcgi.refusal(number, self.shed_head)
+        return fastcgi.encode_response_without_body(number, self.shed_head)
 
     def count_held_bytes(self, more: int) -> None:
         """Counts what unfinished and open requests hold; the largest holder goes when all hold too much."""
         self.held_bytes += more
         if more > 0 and self.held_bytes > self.max_held_bytes:
-            largest = max(self.sessions, key=lambda session: session.reader.held)
+            largest = max(self.sessions, key=lambda session: session.reader.held_bytes)
             largest.give_up("requests hold too much memory")
             largest.connection.close()
 
@@ -90,27 +90,27 @@
 
     def _sweep_session(self, session: ClientSession, now: float) -> None:
         connection = session.connection
-        if connection.is_stuck():
+        if connection.is_write_stalled():
             connection.close()
-        elif connection.finishing:
+        elif connection.is_closing:
             return  # its end has a clock of its own
-        elif (session.is_closing or connection.heard_at < now - IDLE_TIMEOUT_S) and session.is_idle():
-            connection.finish()
+        elif (session.is_closing or connection.last_read_at < now - IDLE_TIMEOUT_S) and session.is_idle():
+            connection.close_gracefully()
         elif not session.given_up and (reason := session.overdue(now)):
             session.give_up(reason)
         else:
             session.release_overdue(self.owner.clock.now())
-            connection.trim()
+            connection.release_buffer()
 
     def _close_slow_readers(self) -> None:
-        total = sum(session.connection.out_bytes for session in self.sessions)
+        total = sum(session.connection.unsent_bytes for session in self.sessions)
         if total <= self.max_unsent_bytes:
             return
-        by_unsent_bytes = sorted(self.sessions, key=lambda session: session.connection.out_bytes)
+        by_unsent_bytes = sorted(self.sessions, key=lambda session: session.connection.unsent_bytes)
         while total > self.max_unsent_bytes:
             slowest = by_unsent_bytes.pop()
-            total -= slowest.connection.out_bytes
-            self.rate_limited_log.warning("slow reader let go", bytes=slowest.connection.out_bytes)
+            total -= slowest.connection.unsent_bytes
+            self.rate_limited_log.warning("slow reader let go", bytes=slowest.connection.unsent_bytes)
             slowest.connection.close()
 
     # Descriptors.
@@ -124,16 +124,16 @@
         outside.
         """
         now = asyncio.get_running_loop().time()
-        live = [session for session in self.sessions if not session.connection.finishing]
+        live = [session for session in self.sessions if not session.connection.is_closing]
         silent = [session for session in self.sessions if session.given_up or session.is_silent()]
-        silent = [session for session in silent if not session.connection.closing]
+        silent = [session for session in silent if not session.connection.is_closed]
         old = [
             session for session in silent if session.given_up or now - session.opened_at > NEW_CONNECTION_S
         ]
         _close_silent(old)
         if old or len(silent) > len(live) // 2:
             return
-        live.sort(key=lambda session: session.connection.heard_at)
+        live.sort(key=lambda session: session.connection.last_read_at)
         if not _close_unfinished(live, now):
             _close_idle(live, now)
 
@@ -141,7 +141,7 @@
 
     def all_sent(self) -> bool:
         """Whether all answers are with the system."""
-        return all(not session.connection.out_bytes for session in self.sessions)
+        return all(not session.connection.unsent_bytes for session in self.sessions)
 
     def close_when_idle(self) -> None:
         """Each connection ends once nothing is owed on it any more; a young one may have its first bytes on
@@ -183,7 +183,7 @@
             continue
         # The last answer has arrived by now, and only what crosses the close is lost: its client sends it
         # again. Else in order, which takes a moment more.
-        if now - session.connection.heard_at > LAST_ANSWER_ARRIVED_S:
+        if now - session.connection.last_read_at > LAST_ANSWER_ARRIVED_S:
             session.connection.close()
         else:
-            session.connection.finish()
+            session.connection.close_gracefully()
--- a/hoistplank/routing/request_intake.py
+++ b/hoistplank/routing/request_intake.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from hoistplank.interface import Site
+from hoistplank.decision.settings import RouterSettings
 from hoistplank.protocol.fastcgi import FastCgiRequest
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.request_parsing import RequestParser
@@ -34,7 +34,7 @@
     def __init__(
         self,
         owner: Owner,
-        site: Site,
+        site: RouterSettings,
         is_ready: Callable[[], bool],
         authorizer: Authorizer | None,
     ) -> None:
@@ -43,7 +43,7 @@
         self.health_detail: Callable[[], str] = str  # the body of a health answer
         self.authorizer = authorizer
         self.parser = RequestParser(site)
-        self.max_retry_after_us = site.rules.max_return_us if site.rules.may_name_return else 0
+        self.max_retry_after_us = site.rules.max_retry_after_us if site.rules.may_send_retry_after else 0
 
     def answer_health_check(self, response: FastCgiResponse) -> None:
         """200 while this dispatcher is to get requests, else 503."""
@@ -51,7 +51,7 @@
         response.send(200 if self.is_ready() else 503, (), detail)
 
     def parse(self, response: FastCgiResponse, fields: dict[str, str], received: FastCgiRequest) -> Request:
-        """The request of these fields, received now; raises BadBytes naming the field that can't be used."""
+        """The request of these fields, received now; raises ProtocolError on one that can't be used."""
         request = self.parser.parse(self.owner.clock.now(), response, fields, bytes(received.body))
         received.body, received.params = bytearray(), bytearray()
         return request
--- a/hoistplank/routing/request_parsing.py
+++ b/hoistplank/routing/request_parsing.py
@@ -4,8 +4,8 @@
 
 import re
 
-from hoistplank.interface import KEYED, Site, TrafficClass
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.decision.settings import KEYED, RouterSettings, TrafficClass
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.attempts import Exchange, Request
 
 PATH_PREFIX = "/api/v2/"  # the traffic class's name follows
@@ -25,7 +25,7 @@
 class RequestParser:
     """Makes requests of CGI fields, by the traffic classes that the settings name."""
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: RouterSettings) -> None:
         self.classes = {traffic_class.name: traffic_class for traffic_class in site.traffic_classes}
 
     def script_names(self) -> dict[bytes, str]:
@@ -33,7 +33,7 @@
         return {f"{PATH_PREFIX}{name}".encode(): name for name in self.classes}
 
     def parse(self, now: int, response: Exchange, fields: dict[str, str], body: bytes) -> Request:
-        """A request received at `now` (us); raises BadBytes naming the field that can't be used."""
+        """A request received at `now` (us); raises ProtocolError naming the field that can't be used."""
         traffic_class = self._traffic_class(fields)
         request_id = _hex_field(fields, "HTTP_X_CORRELATION_ID", "X-Correlation-Id")
         object_key = _hex_field(fields, "HTTP_X_SUBJECT", "X-Subject")
@@ -41,10 +41,10 @@
         idempotency_key = _idempotency_key(fields, traffic_class)
         known_version = fields.get("HTTP_X_KNOWN", "")
         if known_version and not _is_id(known_version):
-            raise BadBytes(f"X-Known '{known_version[:MAX_QUOTED]}' is not of 16 hex digits")
+            raise ProtocolError(f"X-Known '{known_version[:MAX_QUOTED]}' is not of 16 hex digits")
         repeated = fields.get("HTTP_X_RESENT", "")
         if repeated not in ("", "1"):
-            raise BadBytes(f"X-Resent '{repeated[:MAX_QUOTED]}' is not 1")
+            raise ProtocolError(f"X-Resent '{repeated[:MAX_QUOTED]}' is not 1")
         return Request(
             response,
             request_id,
@@ -67,7 +67,7 @@
             traffic_class = self.classes.get(script[len(PATH_PREFIX) :])
             if traffic_class is not None:
                 return traffic_class
-        raise BadBytes(f"SCRIPT_NAME '{script[:MAX_QUOTED]}' names no traffic class")
+        raise ProtocolError(f"SCRIPT_NAME '{script[:MAX_QUOTED]}' names no traffic class")
 
 
 def _max_deadline_ms(traffic_class: TrafficClass) -> int:
@@ -78,7 +78,7 @@
 def _hex_field(fields: dict[str, str], name: str, header: str) -> str:
     value = fields.get(name, "")
     if not _is_id(value):
-        raise BadBytes(f"{header} '{value[:MAX_QUOTED]}' is not of 16 hex digits")
+        raise ProtocolError(f"{header} '{value[:MAX_QUOTED]}' is not of 16 hex digits")
     return value
 
 
@@ -87,17 +87,17 @@
     key = fields.get("HTTP_X_OPERATION_KEY", "")
     is_keyed = traffic_class.semantics == KEYED
     if (key or is_keyed) and not _is_idempotency_key(key):
-        raise BadBytes(f"X-Operation-Key '{key[:MAX_QUOTED]}' is not of 32 hex digits")
+        raise ProtocolError(f"X-Operation-Key '{key[:MAX_QUOTED]}' is not of 32 hex digits")
     return key if is_keyed else ""
 
 
 def whole_number(fields: dict[str, str], name: str, default: int | None, least: int, most: int) -> int:
-    """A field as a whole number from `least` to `most`, needed without a default; raises BadBytes."""
+    """A field as a whole number from `least` to `most`, needed without a default; raises ProtocolError."""
     text = fields.get(name)
     if text is None and default is not None:
         return default
     if text is None or not (text.isdecimal() and text.isascii() and len(text) <= MAX_DIGITS):
-        raise BadBytes(f"{name} '{(text or '')[:MAX_QUOTED]}' is no whole number")
+        raise ProtocolError(f"{name} '{(text or '')[:MAX_QUOTED]}' is no whole number")
     if not least <= int(text) <= most:
-        raise BadBytes(f"{name} {text} is not from {least} to {most}")
+        raise ProtocolError(f"{name} {text} is not from {least} to {most}")
     return int(text)
--- a/hoistplank/routing/response.py
+++ b/hoistplank/routing/response.py
@@ -63,7 +63,7 @@
 
     def send(self, status: int, fields: tuple[tuple[str, str], ...], body: bytes) -> None:
         """A response with these header fields beside the usual ones."""
-        self.sink.send_response(self, fastcgi.answer(self.number, status, fields, body))
+        self.sink.send_response(self, fastcgi.encode_response(self.number, status, fields, body))
 
 
 def retry_after_fields(retry_after_us: int) -> tuple[tuple[str, str], ...]:
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -7,14 +7,17 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
+from hoistplank.decision.actions import SendAttempt
 from hoistplank.fakes.settings import listing
 from hoistplank.fakes.wire import CacheHost, Client
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.router_task import Came, Left
-from hoistplank.transport import pool as pools
+from hoistplank.transport.pooled_connection import PooledConnection
+from hoistplank.transport.pooled_request import RequestFailure
 from tests.dispatcher_scene import BODY, KEY, Calm, only, request_bytes, run, served, silent
 from tests.helpers import Running, until
 
@@ -33,14 +36,14 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.open, self.waiting = asyncio.Event(), list[str]()
-        plain = pools.Line._connect
+        plain = PooledConnection._connect
 
-        async def connect(line: pools.Line) -> str:
+        async def connect(line: PooledConnection) -> RequestFailure | None:
             self.waiting.append(line.host)
             await self.open.wait()
             return await plain(line)
 
-        monkeypatch.setattr(pools.Line, "_connect", connect)
+        monkeypatch.setattr(PooledConnection, "_connect", connect)
 
 
 def test_the_end_of_a_client_is_seen_while_it_does_not_read_what_it_is_owed(tmp_path: Path) -> None:
@@ -58,11 +61,11 @@
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": "1"}))
             session = next(each for each in dispatcher.service.frontend.sessions if each.open_requests)
-            await until(lambda: session.connection.out_bytes > 2 << 20)
+            await until(lambda: session.connection.unsent_bytes > 2 << 20)
             # What comes once too much waits is read, and so is what comes after it.
             await loop.sock_sendall(sock, request_bytes(31, fields={"HTTP_X_CHUNK": "1"}))
             await until(lambda: 31 in session.open_requests)
-            await loop.sock_sendall(sock, fastcgi.record(fastcgi.ABORT, 32))
+            await loop.sock_sendall(sock, fastcgi.encode_record(fastcgi.ABORT_REQUEST, 32))
             began = loop.time()
             await until(lambda: f"{32:016x}" in box.drops)
             assert loop.time() - began < 1  # and not when its time is over
@@ -79,7 +82,7 @@
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             session = await only(dispatcher)
-            await until(lambda: session.connection.out_bytes > 2 << 20 and not session.open_requests)
+            await until(lambda: session.connection.unsent_bytes > 2 << 20 and not session.open_requests)
             seen = len(box.seen)
             for number in (31, 32):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
@@ -140,13 +143,12 @@
             client = await dispatcher.connect()
             if what == "window over":
                 # As a repeat whose time in which it would be dropped ends while its connection comes up.
-                plain = owner._act["attempt"]
+                plain = owner._act[SendAttempt]
 
-                def attempt(now: int, decision: Any) -> None:
-                    decision.begin_by_us = now + 1
-                    plain(now, decision)
+                def attempt(now: int, action: SendAttempt) -> None:
+                    plain(now, msgspec.structs.replace(action, start_by_us=now + 1))
 
-                owner._act["attempt"] = attempt
+                owner._act[SendAttempt] = attempt
                 client.send(1, "booking", KEY)
             else:
                 client.send(1, "page", {"HTTP_X_DEADLINE_MS": "600"})
@@ -159,7 +161,7 @@
                 dispatcher.tell(listing(2, dispatcher.targets[1:], whole=True))
                 await until(lambda: "a" not in owner.posts)
             elif what == "client leaves":
-                client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+                client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
                 await until(lambda: not owner.open)
             elif what == "client resets":
                 client.writer.transport.abort()
@@ -186,10 +188,10 @@
         async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             dispatcher.client.send(1, "page")
             await until(lambda: bool(box.seen))
-            dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+            dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             owner = dispatcher.service.owner
             began = asyncio.get_running_loop().time()
-            await until(lambda: not owner.requests and not owner.router.attempts)
+            await until(lambda: not owner.requests and not owner.router.in_flight)
             assert asyncio.get_running_loop().time() - began < 0.5  # well before its time is over
 
     run(scene())
@@ -201,7 +203,7 @@
         async with Running(tmp_path, {"a": box, "o": CacheHost(served)}) as dispatcher:
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1"})
             await until(lambda: bool(box.seen))
-            dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
+            dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             assert (await dispatcher.client.answer())[1] == 0  # END_REQUEST alone
             assert (await dispatcher.ask(1, "page", fields={"HTTP_X_CORRELATION_ID": "ab" * 8}))[0] == 200
 
