--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -30,7 +30,8 @@
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.frontend import Front, Refused
+from hoistplank.routing.frontend import Frontend
+from hoistplank.routing.response import RequestRefusal
 from hoistplank.routing.router_task import Owner
 from hoistplank.transport.descriptor_budget import DescriptorBudget
 
@@ -47,7 +48,7 @@
     """What the service uses of the program that it is part of."""
 
     owner: Owner
-    front: Front
+    frontend: Frontend
     descriptors: DescriptorBudget
 
 
@@ -97,7 +98,9 @@
 
     # Requests.
 
-    def admit(self, identity: Any, fields: dict[str, str], request: Request, peer: str) -> Refused | None:
+    def admit(
+        self, identity: Any, fields: dict[str, str], request: Request, peer: str
+    ) -> RequestRefusal | None:
         """Counts a request as open and gives it its caller, or returns why it is not admitted."""
         owner, authorizer = self.owner, self.authorizer
         # A web server's word for where a caller is counts; that of one who only speaks TLS does not.
@@ -110,7 +113,7 @@
             open_limit(owner.cap(request.class_name), authorizer.limiter.total_open, owner.lag_us),
         )
         if isinstance(outcome, Rejection):
-            return Refused(outcome.status, outcome.reason, outcome.retry_after_us)
+            return RequestRefusal(outcome.status, outcome.reason, outcome.retry_after_us)
         request.caller = outcome
         return None
 
@@ -128,7 +131,7 @@
         parts: list[tuple[str, Coroutine[Any, Any, None]]] = [("callers' files", self._watch_files())]
         if self.settings.tls is not None:
             self.tls_listener = TlsListener(
-                self.settings.tls, self.tls, dispatcher.front, dispatcher.descriptors
+                self.settings.tls, self.tls, dispatcher.frontend, dispatcher.descriptors
             )
             parts += self.tls_listener.parts()
         if self.settings.admin is not None:
@@ -221,12 +224,12 @@
         answered."""
         if self.dispatcher is None:
             return
-        for session in list(self.dispatcher.front.sessions):
+        for session in list(self.dispatcher.frontend.sessions):
             identity = session.identity
-            if not isinstance(identity, CertificateIdentity) or session.leaving:
+            if not isinstance(identity, CertificateIdentity) or session.is_closing:
                 continue
             if self.authorizer.check_certificate(identity) is not None:
-                session.leave()
+                session.close_when_idle()
         if self.settings.admin is not None:
             self.admin_server.disconnect_revoked()
 
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -17,8 +17,8 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
-from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.frontend import Front
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
+from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import Owner
 
 log = structlog.get_logger()
@@ -31,8 +31,8 @@
     """What this uses of the program that it is part of."""
 
     owner: Owner
-    front: Front
-    listing: Listing
+    frontend: Frontend
+    endpoint_watcher: EndpointWatcher
 
 
 class DistributionService:
@@ -63,9 +63,9 @@
             configuration.site.rules.drain_grace_us / 1e6,
             self._prepare,
         )
-        self.follower = host.listing = follower
+        self.follower = host.endpoint_watcher = follower
         host.owner.before_turn = follower.check_silence
-        host.front.health_detail = follower.detail
+        host.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
     async def _prepare(self, version: Version, text: str) -> TakeUp:
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -31,7 +31,7 @@
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB, Shape
 from hoistplank.lab.policies import Make, Plain, Policy
-from hoistplank.routing.clock_offset import LogClock
+from hoistplank.routing.clock_offset import ClockOffset
 
 CONNECT_US = 400_000
 
@@ -84,7 +84,7 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.planned, self.planned_at, self.next_turn = False, 0, 0
         self.frozen_until = 0
-        self.clock = LogClock()
+        self.clock = ClockOffset()
         self.debt_us = 0  # of the core, for requests shed since the last turn
         self.degradation: DegradationController | None = None
         self.degradation_runs: list[DegradationController] = []  # one for each run of the process
@@ -155,7 +155,7 @@
 
     def restart(self) -> None:
         self.frozen_until, self.planned = 0, False
-        self.alive, self.runs, self.clock = True, self.runs + 1, LogClock()
+        self.alive, self.runs, self.clock = True, self.runs + 1, ClockOffset()
         self.policy = self._made()
 
     # A turn.
@@ -248,7 +248,7 @@
             self.degradation.observer.record_purge(now, object_key, group)
         # As a dispatcher does: heard by its own clock, which may be wrong, made by the log's.
         heard = now + self.skew_us
-        age_us = max(0, heard - self.clock.ours(heard, made))
+        age_us = max(0, heard - self.clock.to_local_us(heard, made))
         self.policy.handle(now, PurgeReceived(object_key, group, age_us))
 
     def _came(self, now: int, request: Request, id: str) -> None:
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -25,10 +25,10 @@
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.wire import CacheHost, Client, connected
 from hoistplank.operator_configuration.errors import ConfigurationError
+from hoistplank.program.phase import Phase
 from hoistplank.program.sections import load_file
-from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
-from hoistplank.routing.frontend import Session
+from hoistplank.routing.client_session import ClientSession
 from hoistplank.routing.router_task import Purged
 from tests.helpers import Running, configuration, until
 
@@ -105,7 +105,7 @@
         told = dict(line.split(": ", 1) for line in head.decode().splitlines() if ": " in line)
         return status, told.get("X-Refusal", "")
 
-    def handshakes(self) -> dict[Session, float]:
+    def handshakes(self) -> dict[ClientSession, float]:
         """The sessions whose handshake runs, with the loop's time at its beginning."""
         assert self.callers.tls_listener is not None
         return self.callers.tls_listener.pending
@@ -330,7 +330,7 @@
                     "value": f"{serial:x}" if how == "serial" else "uri:hoistplank:coast",
                 }
                 (tmp_path / "revoked.jsonl").write_text(json.dumps(row) + "\n")
-            await until(lambda: any(one.leaving for one in place.running.service.front.sessions))
+            await until(lambda: any(one.is_closing for one in place.running.service.frontend.sessions))
             assert time.monotonic() - at < 1.0
             client.send(2, "page")
             number, status, head, _ = await told
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -23,7 +23,7 @@
 from hoistplank.membership.host_registry import HostRegistry
 from hoistplank.membership.host_states import TRANSITIONS, USABLE_STATES, Evidence, HostState
 from hoistplank.membership.service import MembershipService
-from hoistplank.program.service import Phase
+from hoistplank.program.phase import Phase
 from hoistplank.store.folder import StateFolder
 from hoistplank.store.schemas import PersistedHost, PersistedList, RemovalHistory
 from tests.helpers import Running, until
@@ -193,7 +193,7 @@
 
 
 def membership(running: Running) -> MembershipService:
-    watch = running.service.listing.watch
+    watch = running.service.endpoint_watcher.observer
     assert isinstance(watch, MembershipService)
     return watch
 
@@ -268,7 +268,7 @@
                 target("n", "origin", await serve(new.talk)),
             ]
             running.tell(listing(1, targets, whole=True))
-            running.service.listing.move(("127.0.0.1", await serve(running.changelog.talk)))
+            running.service.endpoint_watcher.set_address(("127.0.0.1", await serve(running.changelog.talk)))
             await until(lambda: running.service.phase is Phase.SERVING)
             assert set(running.service.owner.posts) == {"a", "n"} and not router.placement.purges_unknown
             # What it got to know goes on: neither its connections nor its cold time begin anew.
