--- a/hoistplank/membership/fallback.py
+++ b/hoistplank/membership/fallback.py
@@ -15,7 +15,7 @@
 from hoistplank.membership.probe import probe
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Listed, Owner
 from hoistplank.store.schemas import PersistedHost
 from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
@@ -43,7 +43,7 @@
     """What membership uses of the program that it is part of."""
 
     owner: Owner
-    listing: Listing
+    endpoint_watcher: EndpointWatcher
     descriptors: DescriptorBudget
     provisional: bool
 
