--- a/hoistplank/authorization/tls_connections.py
+++ b/hoistplank/authorization/tls_connections.py
@@ -10,8 +10,8 @@
 from hoistplank.authorization.certificates import CertificateRejectedError, TlsState
 from hoistplank.authorization.identity import CertificateIdentity
 from hoistplank.authorization.settings import TlsSettings
+from hoistplank.routing.client_session import ConnectionFactory
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.frontend import Make
 from hoistplank.transport.tls import TlsConnection
 
 OnVerified = Callable[[CertificateIdentity | None], None]
@@ -25,7 +25,7 @@
         self.settings, self.authorizer, self.clock = settings, authorizer, clock
         self.state: TlsState | None = None
 
-    def factory(self, on_verified: OnVerified, on_rejected: OnRejected) -> Make:
+    def factory(self, on_verified: OnVerified, on_rejected: OnRejected) -> ConnectionFactory:
         """Makes a connection that calls `on_verified` with who is there once its handshake has proven it
         (None: no certificate was shown), or `on_rejected` where the certificate is not accepted."""
         assert self.state is not None
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -41,7 +41,12 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import Event, Snapshot
 from hoistplank.protocol.errors import ProtocolError
-from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
+from hoistplank.routing.endpoint_watcher import (
+    CONNECT_TIMEOUT_S,
+    MIN_BACKOFF_S,
+    EndpointWatcher,
+    EventReceiver,
+)
 from hoistplank.routing.router_task import Applied, Listed
 from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Consume
@@ -62,12 +67,12 @@
     silence_us: int = SILENCE_US
 
 
-class ReplicaFollower(Listing):
+class ReplicaFollower(EndpointWatcher):
     """Follows control replicas for an owner; `run` and `configurations.run` go on until cancelled."""
 
     def __init__(
         self,
-        owner: Hearer,
+        owner: EventReceiver,
         settings: FollowerSettings,
         known: Snapshot,
         random: Random,
@@ -81,7 +86,7 @@
         self.hosts = HostRecord(owner)
         super().__init__(self.hosts, order[0].address, known, random, grace_s)
         self.random = random
-        self.look_s, self.halted_s = CHECK_INTERVAL_S, STALLED_LINE_S
+        self.check_interval_s, self.stall_timeout_s = CHECK_INTERVAL_S, STALLED_LINE_S
         self.configurations = ConfigurationApplier(prepare, self)
         self.acknowledgements = AcknowledgementSender(self.state, lambda: self.connection)
         self.loop = asyncio.get_running_loop()
@@ -112,21 +117,22 @@
 
     # Lines from the replica.
 
-    def _request(self) -> bytes:
+    def _first_line(self) -> bytes:
         self.state.connection_opened(self.owner.clock.now())
         settings = self.settings
         resume_at = VersionFields(*self.state.resume_at)
         request = FollowRequest(settings.name, settings.incarnation, settings.region, resume_at)
         return encode(RequestLine(follow=request))
 
-    def _consumer(self) -> Consume:
+    def make_consumer(self) -> Consume:
+        """What handles the lines of one connection to a replica."""
         reader = LineReader(MAX_LINE_BYTES)
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
             start, lines = reader.read(buffer, start, end)
             try:
                 for line in lines:
-                    self._receive(read_replica_line(line))
+                    self._handle(read_replica_line(line))
             finally:
                 if lines:
                     self._batch_received()
@@ -134,7 +140,7 @@
 
         return consume
 
-    def _receive(self, message: ReplicatedEvent | Redirect) -> None:
+    def _handle(self, message: ReplicatedEvent | Redirect) -> None:
         if isinstance(message, Redirect):
             raise RedirectedError(message.reason)
         verdict = self.state.receive(self.owner.clock.now(), message)
@@ -144,17 +150,17 @@
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
-        self.fresh = True
-        self.moves += 1
+        self.is_current = True
+        self.progress_count += 1
         if verdict is Verdict.APPLY:
             self._forward(message)
-        elif message.catch_up is None and self.watch is not None:
-            self.watch.alive()
+        elif message.catch_up is None and self.observer is not None:
+            self.observer.confirmed_current()
 
     def _forward(self, event: ReplicatedEvent) -> None:
         if event.epoch != self.epoch:
             # A restarted log has a list from before the drains that were received.
-            self.anew = self.anew or self.epoch > 0
+            self.numbering_restarted = self.numbering_restarted or self.epoch > 0
             self.epoch = event.epoch
         if event.configuration is not None and self.state.is_new_configuration(event):
             self.configurations.submit(event.version, event.configuration.text)
@@ -220,7 +226,7 @@
 
     # Connections to replicas.
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Ignores the change log's address, which may change at a reload."""
 
     async def run(self) -> None:
@@ -235,20 +241,20 @@
 
     async def _follow_each(self) -> None:
         """Follows one replica after another: the next one where one is lost or rejects this dispatcher."""
-        pause_s = FIRST_PAUSE_S
+        backoff_s = MIN_BACKOFF_S
         while True:
-            self.fresh = False
+            self.is_current = False
             if await self._follow_current():
                 self.selection.restart()
                 continue
             self.owner.tell(Listed("failed", []))
-            if self.fresh:
-                pause_s = FIRST_PAUSE_S
+            if self.is_current:
+                backoff_s = MIN_BACKOFF_S
             self.selection.advance()
-            if self.selection.is_preferred or self.fresh:
+            if self.selection.is_preferred or self.is_current:
                 # Danger: a replica that accepts all and ends each connection would be asked without a pause.
-                await asyncio.sleep(pause_s * (0.5 + self.chance() / 2))
-                pause_s = min(self.longest_pause_s, pause_s * 2)
+                await asyncio.sleep(backoff_s * (0.5 + self.chance() / 2))
+                backoff_s = min(self.max_backoff_s, backoff_s * 2)
 
     async def _follow_current(self) -> bool:
         """Follows the current replica until it is lost; returns True if a preferred one is back."""
@@ -265,7 +271,7 @@
         reason = following.exception() or following.result()
         if isinstance(reason, RedirectedError):
             self.selection.mark_redirected(self.loop.time())
-        self.complaints.tell(
+        self.rate_limited_log.warning(
             "control replica lost",
             replica=self.replica.name,
             wrong=str(reason),
@@ -285,7 +291,7 @@
 
 async def _accepts_connections(address: tuple[str, int]) -> bool:
     try:
-        sock = await connect(address, CONNECT_S)
+        sock = await connect(address, CONNECT_TIMEOUT_S)
     except (OSError, ValueError):
         return False
     sock.close()
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -11,10 +11,10 @@
 from hoistplank.distribution.messages import Configuration, ReplicatedEvent
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.changelog import Event, Position, Snapshot
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Event as OwnerEvent
 from hoistplank.transport.connection import Consume
 
@@ -38,7 +38,7 @@
 
 
 class _DiscardingOwner:
-    """Takes the place of a dispatcher's owner in `Listing`: a replica applies whole events instead."""
+    """Takes the place of a dispatcher's owner: a replica applies whole events instead."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -47,8 +47,8 @@
         """Discards the event; that the log is lost shows in its silence."""
 
 
-class LogFollower(Listing):
-    """Follows the change log for a replica; silence, gaps and backoff are handled by `Listing`."""
+class LogFollower(EndpointWatcher):
+    """Follows the change log for a replica; silence, gaps and backoff are handled by `EndpointWatcher`."""
 
     def __init__(
         self, listener: ChangeLogListener, address: tuple[str, int], random: Random, clock: Clock
@@ -75,7 +75,7 @@
     @property
     def version(self) -> Version:
         """How far the log is, as received on this connection or the last."""
-        return Version(self.epoch, self.last)
+        return Version(self.epoch, self.last_seq)
 
     def silence_us(self) -> int | None:
         """For how long nothing has arrived in order; None if nothing ever has."""
@@ -87,7 +87,8 @@
         has_settled = self._first_heard_us > 0 and since_first_us > INITIAL_READ_US
         return self._has_number or has_settled
 
-    def _consumer(self) -> Consume:
+    def make_consumer(self) -> Consume:
+        """What handles the lines of one connection, checking the epoch of each."""
         reader = changelog.ChangeLogReader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
@@ -98,7 +99,7 @@
                     self._check_epoch(message.epoch)
                 elif reader.epoch:
                     self._check_epoch(reader.epoch)
-                self._take(message)
+                self.receive(message)
             return start
 
         return consume
@@ -112,18 +113,19 @@
             return
         if epoch < self.epoch:
             raise ProtocolError(f"the change log is in epoch {epoch}, {self.epoch} is known")
-        is_restart = self.last > 0
+        is_restart = self.last_seq > 0
         self.epoch = epoch
         if is_restart:
-            self.last, self.behind, self.anew = 0, False, True
+            self.last_seq, self.is_log_behind, self.numbering_restarted = 0, False, True
             raise ProtocolError(f"the change log began anew in epoch {epoch}: all is asked for")
 
-    def _take(self, message: Event | int) -> None:
-        moves, was_behind = self.moves, self.behind
-        super()._take(message)
-        if self.behind and not was_behind:
-            log.error("change log began anew without an epoch", epoch=self.epoch, last=self.last)
-        if self.moves == moves:
+    def receive(self, message: Event | Position) -> None:
+        """Takes an event or a position, and notes when something arrived in order."""
+        progress_count, was_behind = self.progress_count, self.is_log_behind
+        super().receive(message)
+        if self.is_log_behind and not was_behind:
+            log.error("change log began anew without an epoch", epoch=self.epoch, last=self.last_seq)
+        if self.progress_count == progress_count:
             return
         now = self.owner.clock.now()
         if now >= self._trusted_from_us:
@@ -132,7 +134,7 @@
         self._has_number = self._has_number or not isinstance(message, Event)
 
     def _apply(self, event: Event) -> None:
-        self.last, self.listed = event.seq, True
+        self.last_seq, self.has_list = event.seq, True
         self.listener.apply_event(self._replicated(event))
 
     def _replicated(self, event: Event) -> ReplicatedEvent:
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -35,8 +35,8 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import SILENT_S
-from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.endpoint_watcher import SILENCE_TIMEOUT_S
+from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 
@@ -45,7 +45,7 @@
 HEARTBEAT_S = 1.0
 PEER_CHANGES_S = 0.1
 # Danger: while the change log is silent nobody knows that nothing is newer, and a heartbeat would say so.
-LOG_SILENCE_US = int(SILENT_S * 1e6)
+LOG_SILENCE_US = int(SILENCE_TIMEOUT_S * 1e6)
 RETENTION_US = 86_400_000_000  # how long a disconnected dispatcher is still listed as missing
 MAX_DESCRIPTORS = 8_192
 
@@ -77,7 +77,7 @@
         self.queue = settings.queue()
         self.slow_readers = 0  # connections closed because the dispatcher read too slowly
         self.unreadable_changes = UnreadableChanges()
-        self.complaints = Complaints()
+        self.rate_limited_log = RateLimitedLog()
         self.random = Random(f"{settings.seed} {settings.name}")
         self.log_follower = LogFollower(self, settings.changelog, self.random, self.clock)
         self.links: list[PeerLink] = []
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -25,7 +25,7 @@
 from hoistplank.distribution.peer_link import PeerReplica, PeerSession
 from hoistplank.distribution.status import StatusResponse
 from hoistplank.protocol.errors import ProtocolError
-from hoistplank.routing.rate_limited_log import Complaints
+from hoistplank.routing.rate_limited_log import RateLimitedLog
 from hoistplank.transport.connection import Connection
 
 log = structlog.get_logger()
@@ -37,7 +37,7 @@
 class RequestHandler(SessionReplica, PeerReplica, Protocol):
     """What a connection uses of its replica."""
 
-    complaints: Complaints
+    rate_limited_log: RateLimitedLog
     peer_sessions: dict[PeerSession, None]
 
     def rejection(self, request: FollowRequest) -> str:
@@ -120,5 +120,5 @@
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         error = None if task.cancelled() else task.result()
         if error is not None and not isinstance(error, OSError):
-            self.replica.complaints.tell("connection ended", wrong=str(error))
+            self.replica.rate_limited_log.warning("connection ended", wrong=str(error))
         self.replica.connection_closed(self)
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -104,11 +104,11 @@
         for note in self._recorder.notes:
             log.warning("kept state", note=note)
         self._recorder.start()
-        dispatcher.listing.watch = self
+        dispatcher.endpoint_watcher.observer = self
         if self._configuration.known.results:
             # The configuration's own list takes precedence: it was given at this start.
             for event in self._configuration.known.results:
-                self.heard(event)
+                self.event_received(event)
             return [("membership", wait_forever())]
         if self._recorder.state is not None:
             self._resume(dispatcher, self._recorder.state)
@@ -126,7 +126,7 @@
         for purge in state.purges:
             dispatcher.owner.tell(Purged(purge.object_key, purge.group, purge.made_us))
 
-    def heard(self, event: Event) -> Event:
+    def event_received(self, event: Event) -> Event:
         """An event of the change log; returns it with the starts that its hosts go on with."""
         now = self._clock.now()
         is_first_list = event.fleet is not None and not self.registry.is_synced
@@ -147,7 +147,7 @@
         ]
         return msgspec.structs.replace(fleet, targets=targets)
 
-    def alive(self) -> None:
+    def confirmed_current(self) -> None:
         """The change log is there and has nothing newer."""
         self._recorder.record_contact(self._clock.now())
 
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -13,7 +13,7 @@
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import Event, Listed, Purged
 from hoistplank.xds.broadcaster import Broadcaster, StreamLimits
 from hoistplank.xds.discovery_service import discovery_server
@@ -65,7 +65,7 @@
 
 
 class ControlService:
-    """One control process: the change log in, resources out. It receives the events of its `Listing`."""
+    """One control process: the change log in, resources out. It receives its watcher's events."""
 
     def __init__(self, configuration: Configuration, limits: StreamLimits | None = None) -> None:
         self.site = configuration.site
@@ -75,7 +75,7 @@
         self.server: Any = None  # of grpc.aio, which has no types
         self.port = 0
         random = Random(configuration.seed)
-        self.listing = Listing(self, configuration.changelog, configuration.known, random)
+        self.endpoint_watcher = EndpointWatcher(self, configuration.changelog, configuration.known, random)
 
     def tell(self, event: Event) -> None:
         """Takes an event of the change log and publishes its changes at once, drains and purges first."""
@@ -123,7 +123,7 @@
 
     async def run(self) -> None:
         """Follows the log, updates warming hosts and ends late streams, until it is cancelled."""
-        following = asyncio.create_task(self.listing.run(), name="change log")
+        following = asyncio.create_task(self.endpoint_watcher.run(), name="change log")
         try:
             while not following.done():
                 await asyncio.sleep(TICK_S)
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -131,7 +131,7 @@
         weights = made.resources.rankings["caches-z1"].weights
         got = sum(ranked_hosts(key, weights)[0] == "box-9" for key in keys) / len(keys)
         assert got < 1.5 * made.site.rules.warm_up_initial_share / 5.2
-        made.clock.ahead += made.site.rules.warm_up_us * 1_000
+        made.clock.offset_ns += made.site.rules.warm_up_us * 1_000
         made.update_warming_hosts()
         assert made.resources.hosts["box-9"].share == 1.0
         now = made.clock.now()
