--- a/benchmarks/starters.py
+++ b/benchmarks/starters.py
@@ -1,9 +1,8 @@
 """150 dispatchers that start at once from one old list of 1,000 hosts, all just restarted: scripted clock, no
 sockets.
 
-Each has its own `Roster` and `Router`; what all of them together send to a host, fills at parents counted, is
-held
-against rule 4. Simulated, not measured; part of `make bench-discovery`.
+Each has its own `HostRegistry` and `Router`; what all of them together send to a host, fills at parents
+counted, is held against rule 4. Simulated, not measured; part of `make bench-discovery`.
 """
 
 from __future__ import annotations
@@ -28,8 +27,9 @@
 )
 from hoistplank.decision.router import Router
 from hoistplank.decision.settings import RouterSettings, RuleLimits, TrafficClass
-from hoistplank.membership.host_registry import Roster
-from hoistplank.store.schemas import History, KeptHost
+from hoistplank.membership.host_registry import HostRegistry
+from hoistplank.membership.host_states import Evidence, HostState
+from hoistplank.store.schemas import PersistedHost, RemovalHistory
 
 S = 1_000_000
 COLD_FROM, COLD_S, WINDOW_S, MULTIPLE = 0.2, 10.0, 1.5, 2.5
@@ -66,7 +66,7 @@
     """One of many; `tell` puts what comes later on the fleet's clock."""
 
     def __init__(
-        self, number: int, zone: str, here: int, many: int, hosts: list[KeptHost], age_s: float
+        self, number: int, zone: str, here: int, many: int, hosts: list[PersistedHost], age_s: float
     ) -> None:
         site = RouterSettings(
             RULES,
@@ -87,15 +87,15 @@
             False,
             1_000,
         )
-        self.router, self.roster = Router(site, number), Roster(Random(number), many)
-        self.roster.keep(
-            S, hosts, S - int(age_s * S), History(1.0, 1e8, 1), lambda host: host.zone in (zone, "hub")
+        self.router, self.registry = Router(site, number), HostRegistry(Random(number), many)
+        self.registry.load_persisted(
+            S, hosts, S - int(age_s * S), RemovalHistory(1.0, 1e8, 1), lambda host: host.zone in (zone, "hub")
         )
         self.attempts: dict[tuple[str, int], SendAttempt] = {}
         self.given_up = 0
 
     def list_told(self, now: int) -> None:
-        rows = self.roster.told()
+        rows = self.registry.usable_hosts()
         endpoints = [
             Endpoint(row.host.uid, row.host.zone, row.host.kind, 0, row.host.units, row.started_us, "up")
             for row in rows
@@ -109,10 +109,13 @@
     """The worst load on any host against its budget, all dispatchers together, and what they served."""
     chance, turn = Random(seed), count()
     listed = [
-        KeptHost(f"b{n}", "", f"z{n % zones}", "box", 0, UNITS["box"], 0.0, "ready", 1) for n in range(hosts)
+        PersistedHost(f"b{n}", "", f"z{n % zones}", "box", 0, UNITS["box"], 0.0, "ready", 1)
+        for n in range(hosts)
     ]
-    listed += [KeptHost(f"p{n}", "", "hub", "parent", 0, UNITS["parent"], 0.0, "ready", 1) for n in range(6)]
-    listed.append(KeptHost("o", "", "hub", "origin", 0, UNITS["origin"], 0.0, "ready", 1))
+    listed += [
+        PersistedHost(f"p{n}", "", "hub", "parent", 0, UNITS["parent"], 0.0, "ready", 1) for n in range(6)
+    ]
+    listed.append(PersistedHost("o", "", "hub", "origin", 0, UNITS["origin"], 0.0, "ready", 1))
     there = {row.uid for row in listed if row.kind != "box" or chance.random() < alive}
     many = [
         Dispatcher(n, f"z{n % zones}", dispatchers // zones, dispatchers, listed, 3_600.0)
@@ -163,15 +166,16 @@
         now, _, what, who, more = heapq.heappop(clock)
         one = many[who]
         if what == "feel":
-            for host in one.roster.due(now):
+            for host in one.registry.next_probes(now):
                 out["probes"] += 1
                 mute = host.uid not in there
-                put(now + (400_000 if mute else 5_000), "felt", who, (host.uid, "mute" if mute else "good"))
-            if one.roster.changed:
+                evidence = Evidence.NO_RESPONSE if mute else Evidence.HEALTHY
+                put(now + (400_000 if mute else 5_000), "probed", who, (host.uid, evidence))
+            if one.registry.usable_changed:
                 one.list_told(now)
             put(now + 20_000, "feel", who, None)
-        elif what == "felt":
-            one.roster.felt(now, *more)
+        elif what == "probed":
+            one.registry.probe_completed(now, *more)
         elif what == "visit":
             out["visits"] += 1
             object_key = f"{int(3_000 * chance.random() ** 3):016x}"
@@ -197,17 +201,17 @@
 
 
 def growth() -> dict[str, float]:
-    """Microseconds of a roster's work for each host of its list: read, felt out whole, told."""
+    """Microseconds of a registry's work for each host of its list: read, probed once, handed on."""
     out = {}
     for size in (100, 1_000, 10_000):
-        hosts = [KeptHost(f"h{n}", "", "z", "box", 0, 1.0, 0.0, "ready", 1) for n in range(size)]
+        hosts = [PersistedHost(f"h{n}", "", "z", "box", 0, 1.0, 0.0, "ready", 1) for n in range(size)]
         began, now = time.perf_counter(), S
-        roster = Roster(Random(1))
-        roster.keep(now, hosts, S, History())
-        while (rows := roster.due(now)) or roster.counts().get("kept"):
+        registry = HostRegistry(Random(1))
+        registry.load_persisted(now, hosts, S, RemovalHistory())
+        while (rows := registry.next_probes(now)) or registry.count_by_state().get(HostState.PERSISTED):
             for row in rows:
-                roster.felt(now, row.uid, "good")
+                registry.probe_completed(now, row.uid, Evidence.HEALTHY)
             now += 20_000
-        roster.told()
+        registry.usable_hosts()
         out[str(size)] = round((time.perf_counter() - began) / size * 1e6, 1)
     return out
--- a/hoistplank/authorization/admin_routes.py
+++ b/hoistplank/authorization/admin_routes.py
@@ -54,13 +54,13 @@
     """What the routes use of the service levels of a dispatcher that has them."""
 
     @property
-    def ladder(self) -> Any:
-        """The state machine; its `name` is the level in force."""
+    def level_name(self) -> str:
+        """The level in force."""
 
-    def look(self, now: int) -> dict[str, Any]:
+    def status(self, now: int) -> msgspec.Struct:
         """The state, for operators."""
 
-    def word(self, now: int, what: str, level: str, for_us: int, who: str) -> str:
+    def override(self, now: int, action: str, level: str, duration_us: int, operator: str) -> str:
         """An operator's override; returns what was done; raises ValueError with why not."""
 
 
@@ -199,14 +199,14 @@
             return refusal(400, f"'for_s' is to be from 0 to {MAX_LEVEL_S}")
         now, for_us = self.service.clock.now(), int(body.for_s * 1e6)
         try:
-            done = degradation.word(now, body.action, body.level, for_us, caller.name)
+            done = degradation.override(now, body.action, body.level, for_us, caller.name)
         except ValueError as error:
             return refusal(400, str(error))
-        return AdminResponse(200, LevelChangedBody(done, degradation.ladder.name))
+        return AdminResponse(200, LevelChangedBody(done, degradation.level_name))
 
     def _levels(self) -> msgspec.Struct | Mapping[str, Any]:
         degradation = self._degradation
-        return NoLevelsBody() if degradation is None else degradation.look(self.service.clock.now())
+        return NoLevelsBody() if degradation is None else degradation.status(self.service.clock.now())
 
 
 def _purge_problem(body: PurgeBody) -> str:
--- a/hoistplank/cli/operator_file.py
+++ b/hoistplank/cli/operator_file.py
@@ -21,7 +21,7 @@
     Exit code 0: it can be used. 2: it can't. The files that it names are not opened.
     """
     from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
-    from hoistplank.program.sections import load
+    from hoistplank.program.sections import load_file
 
     def as_line(diagnostic: Diagnostic) -> str:
         location, found, expected = diagnostic
@@ -29,7 +29,7 @@
         return json.dumps(row) if as_json else str(diagnostic)
 
     try:
-        load(file)
+        load_file(file)
     except ConfigurationError as error:
         for diagnostic in error.diagnostics:
             click.echo(as_line(diagnostic), err=not as_json)
--- a/hoistplank/lab/scale/role_operator.py
+++ b/hoistplank/lab/scale/role_operator.py
@@ -4,7 +4,7 @@
 
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, kept_bytes, processor_us, series
-from hoistplank.program.sections import understood
+from hoistplank.program.sections import parse_file
 
 ROLE = "operator"
 TENANTS = (25, 50, 100, 200)
@@ -24,7 +24,7 @@
 
 def _build_grammar() -> None:
     """The first check of a process builds the grammar, which is no cost of a configuration."""
-    understood(tenants_file(1), FILE)
+    parse_file(tenants_file(1), FILE)
 
 
 def _checking(effort: Effort) -> list[Measurement]:
@@ -32,7 +32,7 @@
 
     def value(count: int) -> float:
         data = tenants_file(count)
-        return processor_us(lambda: understood(data, FILE))
+        return processor_us(lambda: parse_file(data, FILE))
 
     _build_grammar()
     return series(quantity, effort.sizes(TENANTS), effort.repeats, value)
@@ -44,7 +44,7 @@
 
     def held(count: int) -> float:
         data = tenants_file(count)
-        return kept_bytes(lambda: understood(data, FILE))[1]
+        return kept_bytes(lambda: parse_file(data, FILE))[1]
 
     _build_grammar()
     found = series(size, effort.sizes(TENANTS), 1, lambda count: len(tenants_file(count)))
--- a/hoistplank/routing/class_admission.py
+++ b/hoistplank/routing/class_admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hoistplank.decision.settings import RouterSettings
-from hoistplank.degradation.admission import Admission, Bounds
+from hoistplank.degradation.admission import AdmissionController, AdmissionSettings
 
 MAX_LAG_TARGET_US = 25_000
 MIN_LAG_TARGET_US = 2_000
@@ -20,10 +20,12 @@
 
     def __init__(self, settings: RouterSettings, max_open: int, now: int) -> None:
         self.max_open = max_open
-        bounds = Bounds(
-            target_us=_lag_target_us(settings), least=min(MIN_OPEN_REQUESTS, max_open), most=max_open
+        bounds = AdmissionSettings(
+            target_lag_us=_lag_target_us(settings),
+            min_open=min(MIN_OPEN_REQUESTS, max_open),
+            max_open=max_open,
         )
-        self.controller = Admission(bounds, now)
+        self.controller = AdmissionController(bounds, now)
         largest = max(row.priority_weight for row in settings.traffic_classes)
         self.shares = {
             row.name: self.controller.share(row.priority_weight, largest) for row in settings.traffic_classes
@@ -32,7 +34,7 @@
     def max_open_requests(self, class_name: str) -> int:
         """How many requests may be open in all for one more of a class to be admitted, where an authorizer
         shares them out: the settings' cap, or the class's share of the bound while that is below it."""
-        if not self.controller.binding():
+        if not self.controller.is_binding():
             return self.max_open
         return int(self.controller.limit * self.shares.get(class_name, 1.0))
 
@@ -40,7 +42,7 @@
         """Whether one more request may be opened beside `open_count`; `is_authorized`: an authorizer has
         admitted it, by `max_open_requests`. A class that is not known counts as the one with the largest
         weight."""
-        has_whole_bound = is_authorized and not self.controller.binding()
+        has_whole_bound = is_authorized and not self.controller.is_binding()
         share = 1.0 if has_whole_bound else self.shares.get(class_name, 1.0)
         return self.controller.admits(open_count, share)
 
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -13,7 +13,7 @@
 from hoistplank.decision.events import CacheStatus, EventLoopMeasured, Outcome
 from hoistplank.decision.router import Router
 from hoistplank.decision.settings import RouterSettings
-from hoistplank.degradation.signals import Watch
+from hoistplank.degradation.observer import SignalObserver
 from hoistplank.protocol import cachewire
 from hoistplank.protocol.cachewire import Answer
 from hoistplank.routing.attempt_ending import OUTCOMES, AttemptEnding
@@ -136,7 +136,7 @@
         self.queue.append(event)
         self._wake.set()
 
-    def observe_signals(self, observer: Watch) -> None:
+    def observe_signals(self, observer: SignalObserver) -> None:
         """From now on `observer` sees what the levels of degradation are decided on."""
         self.signals = SignalFeed(observer, self.settings, self.load_report_fields)
 
@@ -188,7 +188,7 @@
             self.signals.loop_measured(now, self.lag_us, open_count / max(1.0, controller.limit))
 
     def _take_queue(self) -> list[Event]:
-        if self.lag_us > self.admission.controller.bounds.target_us:
+        if self.lag_us > self.admission.controller.settings.target_lag_us:
             # Late: what ends attempts first, then new requests, those of the largest weight first, so that
             # answers are not left lying while cheap requests are taken.
             events, self.queue = sorted(self.queue, key=self._urgency), deque()
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -26,7 +26,7 @@
 from hoistplank.fakes.wire import CacheHost, Client, connected
 from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.program.phase import Phase
-from hoistplank.program.sections import load
+from hoistplank.program.sections import load_file
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.client_session import ClientSession
 from hoistplank.routing.events import PurgeReceived
@@ -239,7 +239,7 @@
     change(tmp_path)
     with pytest.raises(ConfigurationError) as caught:
         AuthorizationService(
-            load(str(tmp_path / "op.sexp"))["callers"],
+            load_file(str(tmp_path / "op.sexp"))["callers"],
             str(tmp_path / "op.sexp"),
             configuration(tmp_path).site,
         )
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -15,7 +15,7 @@
 from hoistplank.operator_configuration.parser import parse
 from hoistplank.operator_configuration.schema import FormSchema
 from hoistplank.operator_configuration.syntax import Atom, Form
-from hoistplank.program.sections import FILE, understood
+from hoistplank.program.sections import FILE, parse_file
 
 BROKEN = sorted((Path(__file__).parent / "broken").glob("*.sexp"))
 
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("file", BROKEN, ids=lambda file: file.stem)
 def test_a_broken_file_has_one_message_with_its_place(file: Path) -> None:
     with pytest.raises(ConfigurationError) as caught:
-        understood(file.read_bytes(), "op")
+        parse_file(file.read_bytes(), "op")
     assert len(caught.value.diagnostics) == 1, str(caught.value)
     assert str(caught.value).startswith("op:" + file.with_suffix(".told").read_text().strip())
 
@@ -44,13 +44,13 @@
 
 def test_all_faults_are_told_in_the_file_s_order() -> None:
     with pytest.raises(ConfigurationError) as caught:
-        understood(b"(callers (tenant A (rights reed)) (tokens (skew 9)))", "op")
+        parse_file(b"(callers (tenant A (rights reed)) (tokens (skew 9)))", "op")
     assert [fault.location.column for fault in caught.value.diagnostics] == [18, 28, 49]
 
 
 def test_bytes_that_are_no_text_are_told_by_their_place() -> None:
     with pytest.raises(ConfigurationError, match="op:2:3: the byte 0xff, expected UTF-8"):
-        understood(b"(a)\n  \xff", "op")
+        parse_file(b"(a)\n  \xff", "op")
 
 
 def flat(form: Form | Atom) -> object:
@@ -89,6 +89,6 @@
 def test_any_bytes_are_read_or_named(data: bytes) -> None:
     try:
         format_document(parse(data, "op"))
-        understood(data, "op")
+        parse_file(data, "op")
     except ConfigurationError as wrong:
         assert str(wrong).startswith("op:")
