--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -11,7 +11,7 @@
 from hoistplank.distribution.messages import Configuration, ReplicatedEvent
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.changelog import Event, Position, Snapshot
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
@@ -111,7 +111,7 @@
             self.last_seq, self.is_log_behind, self.numbering_restarted = 0, False, True
             raise ProtocolError(f"the change log began anew in epoch {epoch}: all is asked for")
 
-    def receive(self, told: Event | int) -> None:
+    def receive(self, told: Event | Position) -> None:
         moves, was_behind = self.progress_count, self.is_log_behind
         super().receive(told)
         if self.is_log_behind and not was_behind:
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from hoistplank.protocol import changelog
-from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.changelog import Event, Position, Snapshot
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.clock_offset import ClockOffset
@@ -107,22 +107,22 @@
             return EndpointListForm.PERSISTED
         return EndpointListForm.SNAPSHOT if is_whole else EndpointListForm.CHANGES
 
-    def receive(self, message: Event | int) -> None:
-        """Takes an event, or the number that the log says it is at; raises ProtocolError on a gap.
+    def receive(self, message: Event | Position) -> None:
+        """Takes an event, or the position that the log says it is at; raises ProtocolError on a gap.
 
         What makes a connection count as alive is set here alone: an event or a number in its order.
         Danger: bytes that never make a line, or a log that stands behind what we hold, would keep a
         connection on which no drain can come.
         """
-        if isinstance(message, int):
-            is_in_order = self._receive_number(message)
+        if isinstance(message, Position):
+            is_in_order = self._receive_position(message.seq)
         else:
             is_in_order = self._receive_event(message)
         if is_in_order:
             self.is_current, self.is_log_behind = True, False
             self.progress_count += 1
 
-    def _receive_number(self, number: int) -> bool:
+    def _receive_position(self, number: int) -> bool:
         if number < self.last_seq:
             self.is_log_behind = True
             return False
