--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -47,7 +47,7 @@
     EndpointWatcher,
     EventReceiver,
 )
-from hoistplank.routing.router_task import Applied, Listed
+from hoistplank.routing.events import Checkpoint, EndpointsUpdated, EndpointWatchFailed
 from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Consume
 
@@ -106,7 +106,7 @@
             return ""
         return f"no control replica heard; in force: {self.state.resume_at}"
 
-    def check_silence(self, now_us: int) -> Listed | None:
+    def check_silence(self, now_us: int) -> EndpointsUpdated | None:
         """The list marked as stale, once no replica was heard for too long; called before each turn.
 
         Danger: after the whole process was suspended, requests are read before any timer runs.
@@ -169,7 +169,7 @@
 
     def _batch_received(self) -> None:
         """All lines that were read together have been forwarded to the owner."""
-        self.owner.tell(Applied(partial(self._turn_ended, self.state.received)))
+        self.owner.submit(Checkpoint(partial(self._turn_ended, self.state.received)))
         if self.hosts.is_stale and not self.state.is_silent(self.owner.clock.now()):
             self.hosts.mark_current()
             self._log_silence_over()
@@ -190,7 +190,7 @@
 
     def configuration_applied(self, version: Version) -> None:
         """A configuration was applied: it is in force after the owner's next turn."""
-        self.owner.tell(Applied(partial(self._configuration_in_force, version)))
+        self.owner.submit(Checkpoint(partial(self._configuration_in_force, version)))
 
     def _configuration_in_force(self, version: Version) -> None:
         self.state.mark_configuration_applied(version)
@@ -211,7 +211,7 @@
             now = self.owner.clock.now()
             stale = self.check_silence(now)
             if stale is not None:
-                self.hosts.owner.tell(stale)
+                self.hosts.owner.submit(stale)
             if self.hosts.is_stale and not self._is_silence_logged:
                 self._log_silence(now)
 
@@ -247,7 +247,7 @@
             if await self._follow_current():
                 self.selection.restart()
                 continue
-            self.owner.tell(Listed("failed", []))
+            self.owner.submit(EndpointWatchFailed())
             if self.is_current:
                 backoff_s = MIN_BACKOFF_S
             self.selection.advance()
--- a/hoistplank/distribution/host_record.py
+++ b/hoistplank/distribution/host_record.py
@@ -4,14 +4,14 @@
 
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.endpoint_watcher import EventReceiver
-from hoistplank.routing.router_task import Event, Listed
+from hoistplank.routing.events import EndpointListForm, EndpointsUpdated, Event
 
 
 class HostRecord:
     """Forwards a follower's events to its owner, recording the list and marking it as stale where it is.
 
-    A stale list has the form `own`, for which the Router asks for no copy past its fresh time: purges may
-    have been missed (docs/design.md, "An own list").
+    A stale list has the form UNCONFIRMED, for which the Router asks for no copy past its fresh time: purges
+    may have been missed (docs/design.md, "An own list").
     """
 
     def __init__(self, owner: EventReceiver) -> None:
@@ -24,18 +24,18 @@
     def __len__(self) -> int:
         return len(self._targets)
 
-    def tell(self, event: Event) -> None:
+    def submit(self, event: Event) -> None:
         """Records the event if it is a list, and forwards it to the owner."""
-        if isinstance(event, Listed) and event.form != "failed":
+        if isinstance(event, EndpointsUpdated):
             self._record(event)
             if self.is_stale:
                 # Danger: any other form claims that purges are received, while missed ones are still to come.
                 event = self._stale_list()
-        self.owner.tell(event)
+        self.owner.submit(event)
 
-    def _record(self, event: Listed) -> None:
+    def _record(self, event: EndpointsUpdated) -> None:
         self._is_listed = True
-        if event.form != "changes":
+        if event.form != EndpointListForm.CHANGES:
             self._targets.clear()
         for target in event.targets:
             if target.state == "gone":
@@ -43,10 +43,10 @@
             else:
                 self._targets[target.uid] = target
 
-    def _stale_list(self) -> Listed:
-        return Listed("own", list(self._targets.values()))
+    def _stale_list(self) -> EndpointsUpdated:
+        return EndpointsUpdated(EndpointListForm.UNCONFIRMED, list(self._targets.values()))
 
-    def mark_stale(self) -> Listed | None:
+    def mark_stale(self) -> EndpointsUpdated | None:
         """No replica is heard any more: returns the event for the owner, None if no list is known."""
         self.is_stale = True
         return self._stale_list() if self._is_listed else None
@@ -55,4 +55,4 @@
         """Everything has been forwarded to the owner: says so to it."""
         self.is_stale = False
         if self._is_listed:
-            self.owner.tell(Listed("changes", []))
+            self.owner.submit(EndpointsUpdated(EndpointListForm.CHANGES, []))
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -15,7 +15,7 @@
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
-from hoistplank.routing.router_task import Event as OwnerEvent
+from hoistplank.routing.events import Event as RouterTaskEvent
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
@@ -43,7 +43,7 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
 
-    def tell(self, event: OwnerEvent) -> None:
+    def submit(self, event: RouterTaskEvent) -> None:
         """Discards the event; that the log is lost shows in its silence."""
 
 
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -18,7 +18,7 @@
 from hoistplank.program.configuration import BadConfiguration, Configuration
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.frontend import Frontend
-from hoistplank.routing.router_task import Owner
+from hoistplank.routing.router_task import RouterTask
 
 # Parses a text, given the name that its faults are reported under; the result checks it against what runs.
 ParseConfiguration: TypeAlias = Callable[[bytes, str], Callable[[], ApplyConfiguration]]
@@ -27,7 +27,7 @@
 class Host(Protocol):
     """What the service uses of the program that it extends."""
 
-    owner: Owner
+    router_task: RouterTask
     frontend: Frontend
     endpoint_watcher: EndpointWatcher
 
@@ -60,7 +60,7 @@
         """
         configuration = self.configuration
         follower = ReplicaFollower(
-            host.owner,
+            host.router_task,
             self.settings(),
             configuration.known,
             Random(configuration.seed),
@@ -68,7 +68,7 @@
             self._prepare,
         )
         self.follower = host.endpoint_watcher = follower
-        host.owner.before_turn = follower.check_silence
+        host.router_task.before_turn = follower.check_silence
         host.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -22,7 +22,7 @@
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Event, Fleet
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.router_task import Purged
+from hoistplank.routing.events import PurgeReceived
 from hoistplank.store.schemas import PersistedHost, PersistedList, RemovalHistory
 
 log = structlog.get_logger()
@@ -124,7 +124,7 @@
             tries=self.registry.max_probe_attempts,
         )
         for purge in state.purges:
-            dispatcher.owner.tell(Purged(purge.object_key, purge.group, purge.made_us))
+            dispatcher.router_task.submit(PurgeReceived(purge.object_key, purge.group, purge.made_us))
 
     def event_received(self, event: Event) -> Event:
         """An event of the change log; returns it with the starts that its hosts go on with."""
@@ -135,7 +135,7 @@
             return event
         self.registry.update_listed(now, hosts, whole=event.fleet.all)
         if is_first_list and self._dispatcher is not None:
-            self._dispatcher.owner.seen_ended = None
+            self._dispatcher.router_task.attempt_observer = None
             hosts_listed, hosts_carried = len(self._recorder.current), len(self.registry.carried_starts)
             log.info("change log is back", hosts=hosts_listed, kept=hosts_carried)
         return msgspec.structs.replace(event, fleet=self._with_starts(event.fleet))
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -14,7 +14,7 @@
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
-from hoistplank.routing.router_task import Event, Listed, Purged
+from hoistplank.routing.events import EndpointListForm, EndpointsUpdated, Event, PurgeReceived
 from hoistplank.xds.broadcaster import Broadcaster, StreamLimits
 from hoistplank.xds.discovery_service import discovery_server
 from hoistplank.xds.resource_messages import Host
@@ -77,20 +77,20 @@
         random = Random(configuration.seed)
         self.endpoint_watcher = EndpointWatcher(self, configuration.changelog, configuration.known, random)
 
-    def tell(self, event: Event) -> None:
+    def submit(self, event: Event) -> None:
         """Takes an event of the change log and publishes its changes at once, drains and purges first."""
-        if isinstance(event, Purged):
+        if isinstance(event, PurgeReceived):
             now = self.clock.now()
-            changes = self.resources.add_purge(now, event.object_key, event.group, event.made_us)
+            changes = self.resources.add_purge(now, event.object_key, event.purge_group, event.made_us)
             self.broadcaster.publish(changes, urgent=True)
-        elif isinstance(event, Listed) and event.form != "failed":
+        elif isinstance(event, EndpointsUpdated):
             self._update_hosts(event)
 
-    def _update_hosts(self, event: Listed) -> None:
+    def _update_hosts(self, event: EndpointsUpdated) -> None:
         now = self.clock.now()
         known = self.resources.hosts
         removed = {target.uid for target in event.targets if target.state == "gone"}
-        if event.form != "changes":
+        if event.form != EndpointListForm.CHANGES:
             listed = {target.uid for target in event.targets}
             removed |= {uid for uid in known if uid not in listed}
         unusable = removed | {target.uid for target in event.targets if target.state != "ready"}
