--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -28,7 +28,7 @@
 from hoistplank.fakes.proxy import Proxy
 from hoistplank.fakes.settings import SETTINGS, listing, target
 from hoistplank.fakes.wire import serve
-from hoistplank.program.configuration import Configuration, read
+from hoistplank.program.configuration import Configuration, read_configuration
 from hoistplank.xds.control import Control
 from hoistplank.xds.resources import ENDPOINT, VHOST, ResourceCache
 
@@ -70,7 +70,7 @@
                 }
             )
         )
-        return read({"EDGE_CONFIG": str(file)})
+        return read_configuration({"EDGE_CONFIG": str(file)})
 
     async def __aenter__(self) -> Place:
         self.port = await serve(self.log.talk)
--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -21,7 +21,11 @@
     import structlog
     import uvloop
 
-    from hoistplank.program.configuration import BadConfiguration, read, read_again
+    from hoistplank.program.configuration import (
+        DispatcherConfigurationError,
+        read_configuration,
+        reread_configuration,
+    )
     from hoistplank.program.extension_protocol import Extensions
     from hoistplank.program.logging_setup import configure_logging
     from hoistplank.program.service import Service
@@ -29,27 +33,27 @@
     extensions: Extensions | None = None
     form = os.environ.get("HOISTPLANK_LOG", "lines")
     try:
-        configuration = read(os.environ)
+        configuration = read_configuration(os.environ)
         if form not in ("lines", "json"):
-            raise BadConfiguration(f"HOISTPLANK_LOG: '{form[:20]}' is neither 'lines' nor 'json'")
+            raise DispatcherConfigurationError(f"HOISTPLANK_LOG: '{form[:20]}' is neither 'lines' nor 'json'")
         if file := os.environ.get("HOISTPLANK_OPERATOR", ""):
             from hoistplank.program.extensions import load_extensions
 
             extensions = load_extensions(file, configuration)
             form = os.environ.get("HOISTPLANK_LOG", extensions.form)
-    except BadConfiguration as wrong:
-        print(f"hoistplank: {wrong}", file=sys.stderr)
+    except DispatcherConfigurationError as error:
+        print(f"hoistplank: {error}", file=sys.stderr)
         return 2
     configure_logging(configuration.name, form)
 
     async def serve() -> int:
-        return await Service(configuration, lambda: read_again(os.environ), early, extensions).run()
+        return await Service(configuration, lambda: reread_configuration(os.environ), early, extensions).run()
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             return runner.run(serve())
-    except OSError as wrong:
-        structlog.get_logger().error("can't listen", address=configuration.listen, wrong=str(wrong))
+    except OSError as error:
+        structlog.get_logger().error("can't listen", address=configuration.listen, wrong=str(error))
         return 1
 
 
--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -68,13 +68,13 @@
 
     Without --certificate only loopback addresses are served. Exit code 2: what was given can't be used.
     """
-    from hoistplank.program.configuration import BadConfiguration, read
+    from hoistplank.program.configuration import DispatcherConfigurationError, read_configuration
     from hoistplank.program.logging_setup import configure_logging
 
     try:
-        configuration = read({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
+        configuration = read_configuration({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
         credentials = _credentials(certificate, key, client_ca)
-    except (BadConfiguration, OSError) as error:
+    except (DispatcherConfigurationError, OSError) as error:
         fail(str(error))
     if credentials is None and not listen.startswith(LOOPBACK):
         fail(f"--listen {listen}: without certificates only a loopback address is served")
--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -64,7 +64,7 @@
     Only loopback addresses are served: there are no certificates yet. Exit code 2: what was given can't be
     used.
     """
-    from hoistplank.program.configuration import BadConfiguration, read
+    from hoistplank.program.configuration import DispatcherConfigurationError, read_configuration
     from hoistplank.program.logging_setup import configure_logging
 
     if not listen.startswith(LOOPBACK):
@@ -72,14 +72,14 @@
     if len(peers) >= MOST_REPLICAS:
         fail(f"--peer: {len(peers)} peers, {MOST_REPLICAS - 1} at most")
     try:
-        configuration = read({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
-    except BadConfiguration as wrong:
+        configuration = read_configuration({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
+    except DispatcherConfigurationError as wrong:
         fail(str(wrong))
     settings = ReplicaSettings(
         name=name,
         listen=_address("--listen", listen),
         changelog=configuration.changelog,
-        purge_horizon_us=configuration.site.purge_hold_us + HORIZON_MARGIN_US,
+        purge_horizon_us=configuration.router_settings.purge_hold_us + HORIZON_MARGIN_US,
         region=region,
         peers=tuple(map(_peer, peers)),
         seed=configuration.seed,
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -73,7 +73,7 @@
         self._observer: SignalObserver | None = None
 
     def _settings_of(self, section: Section) -> DegradationSettings:
-        classes = self._configuration.site.traffic_classes
+        classes = self._configuration.router_settings.traffic_classes
         return sections.build_settings(section, {row.name: row.semantics for row in classes})
 
     @property
@@ -84,7 +84,9 @@
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Has the router task observe its signals; returns the tasks to run beside the program's."""
         self._dispatcher = dispatcher
-        utility = {row.name: row.priority_weight for row in self._configuration.site.traffic_classes}
+        utility = {
+            row.name: row.priority_weight for row in self._configuration.router_settings.traffic_classes
+        }
         self._observer = SignalObserver(self._readings, utility)
         self._router_task.observe_signals(self._observer)
         self._apply_admission_settings()
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -16,7 +16,7 @@
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
-from hoistplank.program.configuration import BadConfiguration, Configuration
+from hoistplank.program.configuration import Configuration, DispatcherConfigurationError
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import RouterTask
@@ -60,7 +60,7 @@
             self.settings(),
             configuration.known,
             Random(configuration.seed),
-            configuration.site.rules.drain_grace_us / 1e6,
+            configuration.router_settings.rules.drain_grace_us / 1e6,
             self._prepare,
         )
         self.follower = host.endpoint_watcher = follower
@@ -73,7 +73,7 @@
         try:
             check = await asyncio.to_thread(self.read, text.encode(), f"configuration {version}")
             return check()
-        except BadConfiguration as wrong:
+        except DispatcherConfigurationError as wrong:
             raise ConfigurationRefused(str(wrong)) from None
 
     def close(self) -> None:
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -61,11 +61,11 @@
         self._clock = clock or Clock()
         self._loop: asyncio.AbstractEventLoop | None = None
         self._dispatcher: Dispatcher | None = None
-        site = configuration.site
+        site = configuration.router_settings
         self.registry = HostRegistry(Random(configuration.seed), site.dispatchers)
         folder = Path(file).parent / section["state"] if section["state"] is not None else None
         purge_retention_us = 2 * site.rules.purge_delay_us + PURGE_MARGIN_US
-        log_address = configuration.written.changelog
+        log_address = configuration.file.changelog
         self._recorder = ListRecorder(folder, log_address, purge_retention_us, self._report)
         self._load_hosts()
         self._fallback = DiscoveryFallback(
@@ -86,7 +86,7 @@
             self._check_seeds(seeds)
 
     def _check_seeds(self, seeds: list[PersistedHost]) -> None:
-        zone = self._configuration.site.zone
+        zone = self._configuration.router_settings.zone
         if all(seed.zone != zone for seed in seeds):
             found = f"no seed of this dispatcher's location '{zone}'"
             location = self._section.location_of("seed")
@@ -94,7 +94,7 @@
 
     def _is_relevant(self, host: PersistedHost) -> bool:
         """The router takes cache hosts of its own location alone, and any parent or origin."""
-        site = self._configuration.site
+        site = self._configuration.router_settings
         return host.zone == site.zone or host.kind in (site.parent_kind, site.origin_kind)
 
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
--- a/hoistplank/program/configuration.py
+++ b/hoistplank/program/configuration.py
@@ -19,21 +19,27 @@
 from hoistplank.protocol.errors import ProtocolError
 from hoistplank.settings_reader import FactError, Fields, flat, site
 
+DEFAULT_IDLE_CLOSE_S = 30.0
+FIXED_KEYS = ("name", "listen", "limits", "settings")  # can't be changed while the program runs
+MAX_QUOTED = 40  # characters of a bad value that are repeated in the error
+
 Count = Annotated[int, Meta(ge=1)]
 
 
-class BadConfiguration(Exception):
-    """Its text names the key and says what is wrong with it."""
+class DispatcherConfigurationError(Exception):
+    """A configuration can't be used; its text names the key and says what is wrong with it."""
 
 
 class Limits(msgspec.Struct, frozen=True):
-    sockets: Annotated[int, Meta(ge=64)] = 1_024
+    """What the process may use of its machine."""
+
+    max_descriptors: Annotated[int, Meta(ge=64)] = msgspec.field(name="sockets", default=1_024)
     memory_mb: Count = 192
     cores: Annotated[float, Meta(gt=0)] = 1.0
 
 
-class Written(msgspec.Struct, frozen=True):
-    """The file as it stands."""
+class ConfigurationFile(msgspec.Struct, frozen=True):
+    """The file as it stands; `settings` are the deployment's, read by `settings_reader`."""
 
     name: str
     listen: str
@@ -46,116 +52,142 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """The checked configuration of this dispatcher, with its defaults filled in."""
+    """The checked configuration of this dispatcher, with its defaults filled in.
 
-    written: Written
+    `known` is what the change log had said when the file was written. `max_open_requests` of 0 is no cap;
+    `idle_close_s`: after how long a cache host closes an idle connection; `load_report_fields`: the figures
+    of a load report, in their order.
+    """
+
+    file: ConfigurationFile
     name: str
     listen: tuple[str, int]
     changelog: tuple[str, int]
     seed: int
-    sockets: int
+    max_descriptors: int
     memory_mb: int
     known: Snapshot
-    site: RouterSettings
-    open_cap: int
-    streams: int
-    idle_s: float
-    reported: tuple[str, ...]
+    router_settings: RouterSettings
+    max_open_requests: int
+    max_requests_per_connection: int
+    idle_close_s: float
+    load_report_fields: tuple[str, ...]
+
+
+def read_configuration(environment: Mapping[str, str]) -> Configuration:
+    """The configuration that the environment names. Raises DispatcherConfigurationError."""
+    path = environment.get("EDGE_CONFIG", "")
+    if not path:
+        raise DispatcherConfigurationError("EDGE_CONFIG is not set: it names the configuration file")
+    file = _read_file(path)
+    _check_environment(environment, file)
+    seed = _parse_seed(file.seed)
+    _check_known(file.known)
+    fields = Fields([])
+    fields.pairs = flat(file.settings)
+    try:
+        return Configuration(
+            file=file,
+            name=file.name,
+            listen=_parse_address("listen", file.listen),
+            changelog=_parse_address("changelog", file.changelog),
+            seed=seed,
+            max_descriptors=file.limits.max_descriptors,
+            memory_mb=file.limits.memory_mb,
+            known=file.known,
+            router_settings=_read_router_settings(fields),
+            max_open_requests=int(_number(fields, "limits.open_cap", least=0, default=0)),
+            max_requests_per_connection=int(_number(fields, "limits.streams_per_conn", least=1, default=1)),
+            idle_close_s=_number(fields, "limits.idle_close", least=0, default=DEFAULT_IDLE_CLOSE_S),
+            load_report_fields=tuple(name for name in fields.text("report.fields", "").split(",") if name),
+        )
+    except FactError as error:
+        raise DispatcherConfigurationError(f"settings: {error}") from error
+
+
+def reread_configuration(environment: Mapping[str, str]) -> Configuration:
+    """At a reload: what the environment says of name and address held for the start."""
+    return read_configuration({"EDGE_CONFIG": environment.get("EDGE_CONFIG", "")})
+
+
+def changed_fixed_keys(old: Configuration, new: Configuration) -> list[str]:
+    """The keys of a file read again that differ and can't be changed while the program runs."""
+    return [key for key in FIXED_KEYS if getattr(old.file, key) != getattr(new.file, key)]
+
+
+def _read_file(path: str) -> ConfigurationFile:
+    try:
+        return msgspec.json.decode(Path(path).read_bytes(), type=ConfigurationFile)
+    except OSError as error:
+        reason = f"EDGE_CONFIG: the file can't be read: {error.strerror}"
+        raise DispatcherConfigurationError(reason) from error
+    except msgspec.ValidationError as error:
+        raise DispatcherConfigurationError(str(error)) from error
+    except msgspec.DecodeError as error:
+        raise DispatcherConfigurationError(f"EDGE_CONFIG: the file is no JSON: {error}") from error
+
+
+def _check_environment(environment: Mapping[str, str], file: ConfigurationFile) -> None:
+    for variable, key in (("EDGE_NAME", "name"), ("EDGE_LISTEN", "listen")):
+        value = getattr(file, key)
+        if environment.get(variable, value) != value:
+            reason = f"{key}: the file says '{value}', {variable} '{environment[variable]}'"
+            raise DispatcherConfigurationError(reason)
+
+
+def _parse_seed(text: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError as error:
+        raise DispatcherConfigurationError(f"seed: '{text[:MAX_QUOTED]}' is no hex number") from error
+
+
+def _check_known(known: Snapshot) -> None:
+    try:
+        for event in known.results:
+            check_event(event)
+    except ProtocolError as error:
+        raise DispatcherConfigurationError(f"known.results: {error}") from error
 
 
-def _address(key: str, text: str) -> tuple[str, int]:
+def _parse_address(key: str, text: str) -> tuple[str, int]:
     try:
         return parse_address(text)
-    except ProtocolError as wrong:
-        raise BadConfiguration(f"{key}: {wrong}") from None
+    except ProtocolError as error:
+        raise DispatcherConfigurationError(f"{key}: {error}") from error
 
 
-def _checked(facts: Fields, name: str, least: float, default: float) -> float:
-    value = facts.number(name, default)
+def _number(fields: Fields, name: str, *, least: float, default: float) -> float:
+    value = fields.number(name, default)
     if value < least:
         raise FactError(f"field '{name}' is {value:g}, below {least:g}")
     return value
 
 
-def _site(facts: Fields) -> RouterSettings:
-    """The settings as a RouterSettings; the simulator's are always sound, a file's may hold anything."""
-    made = site(facts)
-    if not made.traffic_classes:
-        raise FactError("field 'classes' is absent or empty")
-    for i, traffic_class in enumerate(made.traffic_classes):
-        for key, value in (
-            ("target", traffic_class.latency_objective_us),
-            ("give_up", traffic_class.deadline_us),
-        ):
-            if value <= 0:
-                raise FactError(f"field 'classes.{i}.{key}' is not above 0")
-    rules = made.rules
-    for key, figure in (
+def _read_router_settings(fields: Fields) -> RouterSettings:
+    """The settings for the Router; the simulator's are always sound, a file's may hold anything."""
+    settings = site(fields)
+    _check_traffic_classes(settings)
+    rules = settings.rules
+    for key, value in (
         ("rules.stop_sending_within", rules.drain_grace_us),
         ("rules.cold", rules.warm_up_us),
         ("limits.connect_timeout", rules.connect_timeout_us),
         ("limits.max_retry_after", rules.max_retry_after_us),
         ("limits.max_attempts", rules.max_attempts),
     ):
-        if figure < 0:
+        if value < 0:
             raise FactError(f"field '{key}' is below 0")
-    return made
+    return settings
 
 
-def read_again(environment: Mapping[str, str]) -> Configuration:
-    """At a reload: what the environment says of name and address held for the start."""
-    return read({"EDGE_CONFIG": environment.get("EDGE_CONFIG", "")})
-
-
-def fixed(old: Configuration, new: Configuration) -> list[str]:
-    """The keys of a file read again that differ and can't be changed while the program runs."""
-    keys = ("name", "listen", "limits", "settings")
-    return [key for key in keys if getattr(old.written, key) != getattr(new.written, key)]
-
-
-def read(environment: Mapping[str, str]) -> Configuration:
-    """The configuration that the environment names. Raises BadConfiguration."""
-    path = environment.get("EDGE_CONFIG", "")
-    if not path:
-        raise BadConfiguration("EDGE_CONFIG is not set: it names the configuration file")
-    try:
-        written = msgspec.json.decode(Path(path).read_bytes(), type=Written)
-    except OSError as wrong:
-        raise BadConfiguration(f"EDGE_CONFIG: the file can't be read: {wrong.strerror}") from None
-    except msgspec.ValidationError as wrong:
-        raise BadConfiguration(str(wrong)) from None
-    except msgspec.DecodeError as wrong:
-        raise BadConfiguration(f"EDGE_CONFIG: the file is no JSON: {wrong}") from None
-    for variable, key in (("EDGE_NAME", "name"), ("EDGE_LISTEN", "listen")):
-        value = getattr(written, key)
-        if environment.get(variable, value) != value:
-            raise BadConfiguration(f"{key}: the file says '{value}', {variable} '{environment[variable]}'")
-    try:
-        seed = int(written.seed, 16)
-    except ValueError:
-        raise BadConfiguration(f"seed: '{written.seed[:40]}' is no hex number") from None
-    try:
-        for event in written.known.results:
-            check_event(event)
-    except ProtocolError as wrong:
-        raise BadConfiguration(f"known.results: {wrong}") from None
-    facts = Fields([])
-    facts.pairs = flat(written.settings)
-    try:
-        return Configuration(
-            written=written,
-            name=written.name,
-            listen=_address("listen", written.listen),
-            changelog=_address("changelog", written.changelog),
-            seed=seed,
-            sockets=written.limits.sockets,
-            memory_mb=written.limits.memory_mb,
-            known=written.known,
-            site=_site(facts),
-            open_cap=int(_checked(facts, "limits.open_cap", 0, 0)),
-            streams=int(_checked(facts, "limits.streams_per_conn", 1, 1)),
-            idle_s=_checked(facts, "limits.idle_close", 0, 30),
-            reported=tuple(name for name in facts.text("report.fields", "").split(",") if name),
-        )
-    except FactError as wrong:
-        raise BadConfiguration(f"settings: {wrong}") from None
+def _check_traffic_classes(settings: RouterSettings) -> None:
+    if not settings.traffic_classes:
+        raise FactError("field 'classes' is absent or empty")
+    for index, traffic_class in enumerate(settings.traffic_classes):
+        for key, value in (
+            ("target", traffic_class.latency_objective_us),
+            ("give_up", traffic_class.deadline_us),
+        ):
+            if value <= 0:
+                raise FactError(f"field 'classes.{index}.{key}' is not above 0")
--- a/hoistplank/program/extension_protocol.py
+++ b/hoistplank/program/extension_protocol.py
@@ -32,5 +32,5 @@
         """In the order in which they are attached."""
 
     def read_again(self) -> Callable[[], None]:
-        """At a reload: reads and checks all anew, raises BadConfiguration; the call returned puts it in
-        force."""
+        """At a reload: reads and checks all anew; the call returned puts it in force. Raises
+        DispatcherConfigurationError."""
--- a/hoistplank/program/extensions.py
+++ b/hoistplank/program/extensions.py
@@ -11,7 +11,7 @@
 
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
-from hoistplank.program.configuration import BadConfiguration, Configuration
+from hoistplank.program.configuration import Configuration, DispatcherConfigurationError
 from hoistplank.program.extension_protocol import Extension
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
             from hoistplank.authorization.service import AuthorizationService
 
             _check_tenant_classes(section, self._configuration)
-            self.authorizer = AuthorizationService(section, self._file, self._configuration.site)
+            self.authorizer = AuthorizationService(section, self._file, self._configuration.router_settings)
             self.each.append(self.authorizer)
 
     def _add_membership(self) -> None:
@@ -82,7 +82,7 @@
             self.each.append(self.degradation)
 
     def read_again(self) -> TakeUp:
-        """The file and all that it names, read and checked; raises BadConfiguration.
+        """The file and all that it names, read and checked; raises DispatcherConfigurationError.
 
         Danger: where replicas handed on a configuration, the file on the disk is older: it is checked, and
         what is in force is read again with the files that it names.
@@ -93,12 +93,12 @@
         return self.parse_distributed(self._distributed.data, self._distributed.name)()
 
     def parse_distributed(self, data: bytes, name: str) -> Callable[[], TakeUp]:
-        """Parses a configuration that replicas hand on; raises BadConfiguration. The result checks it against
-        what runs and returns the call that takes it up."""
+        """Parses a configuration that replicas hand on. What is returned checks it against what runs
+        and returns the call that takes it up. Raises DispatcherConfigurationError."""
         try:
             section = _parse(data, name)
         except ConfigurationError as error:
-            raise BadConfiguration(str(error)) from error
+            raise DispatcherConfigurationError(str(error)) from error
 
         def check() -> TakeUp:
             prepared = self._prepare(lambda: self._with_local_form(section))
@@ -121,13 +121,13 @@
         return section
 
     def _prepare(self, load: Callable[[], Section]) -> TakeUp:
-        """A section loaded and checked against what runs; raises BadConfiguration."""
+        """A section loaded and checked against what runs; raises DispatcherConfigurationError."""
         try:
             section = load()
             self._check_forms(section)
             reloads = self._prepare_reloads(section)
         except ConfigurationError as error:
-            raise BadConfiguration(str(error)) from error
+            raise DispatcherConfigurationError(str(error)) from error
 
         def take_up() -> None:
             self._section = section
@@ -140,7 +140,9 @@
         for form in FIXED_FORMS:
             if (self._section[form] is None) != (section[form] is None):
                 location = section.location_of(form)
-                raise BadConfiguration(f"{location}: '({form} …)' can't come or go while the program runs")
+                raise DispatcherConfigurationError(
+                    f"{location}: '({form} …)' can't come or go while the program runs"
+                )
 
     def _prepare_reloads(self, section: Section) -> list[TakeUp]:
         reloads = list[TakeUp]()
@@ -166,7 +168,7 @@
 
 def _check_tenant_classes(callers: Section, configuration: Configuration) -> None:
     """Raises ConfigurationError where a tenant names a traffic class that the settings don't have."""
-    known = {traffic_class.name for traffic_class in configuration.site.traffic_classes}
+    known = {traffic_class.name for traffic_class in configuration.router_settings.traffic_classes}
     expected = "one of the settings': " + ", ".join(sorted(known))
     diagnostics = [
         Diagnostic(tenant.location_of("tracks"), f"the traffic class '{class_name}'", expected)
@@ -179,11 +181,11 @@
 
 
 def load_extensions(file: str, configuration: Configuration) -> Extensions:
-    """The extensions of a dispatcher; raises BadConfiguration, a line for each problem of the file."""
+    """The extensions of a dispatcher. Raises DispatcherConfigurationError, a line for each problem."""
     try:
         return Extensions(file, configuration, _load(file))
     except ModuleNotFoundError as error:
         reason = f"needs '{error.name}': pip install -r requirements-service.txt"
-        raise BadConfiguration(f"{file}: {reason}") from error
+        raise DispatcherConfigurationError(f"{file}: {reason}") from error
     except ConfigurationError as error:
-        raise BadConfiguration(str(error)) from error
+        raise DispatcherConfigurationError(str(error)) from error
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from hoistplank.program.configuration import BadConfiguration, Configuration, fixed
+from hoistplank.program.configuration import Configuration, DispatcherConfigurationError, changed_fixed_keys
 from hoistplank.program.extension_protocol import Extension, Extensions
 from hoistplank.program.graceful_shutdown import GracefulShutdown
 from hoistplank.program.phase import Phase
@@ -59,14 +59,18 @@
         self.provisional = False  # whether hosts of a persisted list have proved themselves
         self.reread, self.early = reread, early
         self.loop = asyncio.get_running_loop()
-        self.descriptors = DescriptorBudget(configuration.sockets)
+        self.descriptors = DescriptorBudget(configuration.max_descriptors)
         self.router_task = RouterTask(
-            configuration.site, configuration.seed, Clock(), configuration.open_cap, configuration.reported
+            configuration.router_settings,
+            configuration.seed,
+            Clock(),
+            configuration.max_open_requests,
+            configuration.load_report_fields,
         )
         self.router_task.pool = self._make_pool()
         self.frontend = Frontend(
             self.router_task,
-            configuration.site,
+            configuration.router_settings,
             self.descriptors,
             configuration.memory_mb,
             lambda: self.phase.is_ready,
@@ -77,7 +81,7 @@
             configuration.changelog,
             configuration.known,
             Random(configuration.seed),
-            configuration.site.rules.drain_grace_us / 1e6,
+            configuration.router_settings.rules.drain_grace_us / 1e6,
         )
         self.listener = Listener(configuration.listen, self.descriptors, self.frontend.serve)
         self.shutdown = GracefulShutdown(
@@ -87,16 +91,16 @@
         self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
 
     def _longest_deadline_s(self) -> float:
-        return max(row.deadline_us for row in self.configuration.site.traffic_classes) / 1e6
+        return max(row.deadline_us for row in self.configuration.router_settings.traffic_classes) / 1e6
 
     def _make_pool(self) -> Pool:
         configuration = self.configuration
         return Pool(
             self.descriptors,
             PoolSettings(
-                max_requests_per_connection=configuration.streams,
-                idle_s=configuration.idle_s,
-                connect_timeout_s=configuration.site.rules.connect_timeout_us / 1e6
+                max_requests_per_connection=configuration.max_requests_per_connection,
+                idle_s=configuration.idle_close_s,
+                connect_timeout_s=configuration.router_settings.rules.connect_timeout_us / 1e6
                 or DEFAULT_CONNECT_TIMEOUT_S,
                 remember_ids_s=self._longest_deadline_s(),
             ),
@@ -208,15 +212,15 @@
             try:
                 configuration = self.reread()
                 put_in_force = self.extensions.read_again() if self.extensions is not None else None
-            except BadConfiguration as error:
+            except DispatcherConfigurationError as error:
                 # Danger: a file that is half written or wrong would take the running dispatcher with it.
                 log.error("configuration can't be used, the running one stays", wrong=str(error))
                 continue
             if put_in_force is not None:
                 put_in_force()
-            for key in fixed(self.configuration, configuration):
+            for key in changed_fixed_keys(self.configuration, configuration):
                 log.warning("can't change while running", key=key)
-            log.info("configuration read again", changelog=configuration.written.changelog)
+            log.info("configuration read again", changelog=configuration.file.changelog)
             self.endpoint_watcher.set_address(configuration.changelog)
 
     async def _sweep(self) -> None:
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -62,8 +62,8 @@
     """One control process: the change log in, resources out. It is the `EndpointWatcher`'s hearer."""
 
     def __init__(self, configuration: Configuration, limits: Limits | None = None) -> None:
-        self.site, self.clock = configuration.site, Clock()
-        self.resources = ResourceCache(configuration.site.purge_hold_us)
+        self.site, self.clock = configuration.router_settings, Clock()
+        self.resources = ResourceCache(configuration.router_settings.purge_hold_us)
         self.hub = Hub(self.resources, self.clock.now, limits)
         self.server: Any = None
         self.port = 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,7 +31,7 @@
 from hoistplank.fakes.settings import SETTINGS, listing, target
 from hoistplank.fakes.wire import CacheHost, Client, serve
 from hoistplank.program import graceful_shutdown
-from hoistplank.program.configuration import Configuration, read, read_again
+from hoistplank.program.configuration import Configuration, read_configuration, reread_configuration
 from hoistplank.program.extensions import load_extensions
 from hoistplank.program.service import Service
 
@@ -242,7 +242,7 @@
             del place[last]
     file = folder / "config.json"
     file.write_text(json.dumps(written))
-    return read({"EDGE_CONFIG": str(file)})
+    return read_configuration({"EDGE_CONFIG": str(file)})
 
 
 class Running:
@@ -267,7 +267,7 @@
         self.additions = load_extensions(str(self.folder / "op.sexp"), made) if self.operator else None
         self.service = Service(
             made,
-            lambda: read_again({"EDGE_CONFIG": str(self.folder / "config.json")}),
+            lambda: reread_configuration({"EDGE_CONFIG": str(self.folder / "config.json")}),
             (),
             self.additions,
         )
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -241,7 +241,7 @@
         AuthorizationService(
             load_file(str(tmp_path / "op.sexp"))["callers"],
             str(tmp_path / "op.sexp"),
-            configuration(tmp_path).site,
+            configuration(tmp_path).router_settings,
         )
     assert told in str(caught.value) and str(caught.value).startswith(f"{tmp_path}/op.sexp:")
     assert "PRIVATE" not in str(caught.value)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hoistplank.fakes.settings import listing, target
-from hoistplank.program.configuration import BadConfiguration, read
+from hoistplank.program.configuration import DispatcherConfigurationError, read_configuration
 from tests.dispatcher_scene import (
     run,
 )
@@ -38,7 +38,7 @@
     ],
 )
 def test_bad_configuration_names_its_key(tmp_path: Path, key: str, value: Any, told: str) -> None:
-    with pytest.raises(BadConfiguration, match=told):
+    with pytest.raises(DispatcherConfigurationError, match=told):
         configuration(tmp_path, **{key: value})
 
 
@@ -46,14 +46,14 @@
     configuration(tmp_path)
     file = str(tmp_path / "config.json")
     with pytest.raises(
-        BadConfiguration, match="listen: the file says '127.0.0.1:0', EDGE_LISTEN '1.2.3.4:5'"
+        DispatcherConfigurationError, match="listen: the file says '127.0.0.1:0', EDGE_LISTEN '1.2.3.4:5'"
     ):
-        read({"EDGE_CONFIG": file, "EDGE_LISTEN": "1.2.3.4:5"})
-    with pytest.raises(BadConfiguration, match="EDGE_CONFIG is not set"):
-        read({})
+        read_configuration({"EDGE_CONFIG": file, "EDGE_LISTEN": "1.2.3.4:5"})
+    with pytest.raises(DispatcherConfigurationError, match="EDGE_CONFIG is not set"):
+        read_configuration({})
     (tmp_path / "config.json").write_text("{")
-    with pytest.raises(BadConfiguration, match="no JSON"):
-        read({"EDGE_CONFIG": file})
+    with pytest.raises(DispatcherConfigurationError, match="no JSON"):
+        read_configuration({"EDGE_CONFIG": file})
 
 
 def test_bad_configuration_ends_the_program_before_it_listens(tmp_path: Path) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -79,10 +79,11 @@
             "-c",
             "import hoistplank.__main__ as m, sys, os, signal\n"
             "from hoistplank.program import configuration\n"
-            "read = configuration.read\n"
+            "read = configuration.read_configuration\n"
             "def reread(env):\n"
-            "    configuration.read = read\n    os.kill(os.getpid(), signal.SIGHUP)\n    return read(env)\n"
-            "configuration.read = reread\nsys.exit(m.main())",
+            "    configuration.read_configuration = read\n"
+            "    os.kill(os.getpid(), signal.SIGHUP)\n    return read(env)\n"
+            "configuration.read_configuration = reread\nsys.exit(m.main())",
             env={"EDGE_CONFIG": str(tmp_path / "config.json"), "EDGE_LISTEN": listen},
             stdout=asyncio.subprocess.PIPE,
         )
--- a/tests/test_xds_ranking.py
+++ b/tests/test_xds_ranking.py
@@ -17,7 +17,7 @@
 
 
 def test_the_order_is_the_modules_own(tmp_path: Path) -> None:
-    site, chance = configuration(tmp_path).site, Random(3)
+    site, chance = configuration(tmp_path).router_settings, Random(3)
     weights = {f"box-{n}": 100.0 for n in range(30)}
     router, now = Router(site, 1), 100 * S
     entries = [Endpoint(uid, "z1", "box", 0, units, 0, "up") for uid, units in weights.items()]
