--- a/hoistplank/degradation/condition_parser.py
+++ b/hoistplank/degradation/condition_parser.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from hoistplank.degradation.conditions import Condition
 from hoistplank.degradation.signals import FAMILY_SEPARATOR, SIGNALS, default_half_life_us
 from hoistplank.operator_configuration.errors import Diagnostic, SourceLocation
@@ -19,6 +21,13 @@
 HALF_LIFE = duration("10ms", "1h")
 
 
+class HalfLifeOverride(NamedTuple):
+    """A half-life other than a signal's or family's usual one."""
+
+    signal: str
+    half_life_us: int
+
+
 class _AtomError(Exception):
     """An atom that can't be used."""
 
@@ -88,15 +97,15 @@
 
 def parse_half_life(
     atoms: list[Atom], location: SourceLocation, diagnostics: list[Diagnostic]
-) -> tuple[str, int] | None:
-    """`SIGNAL TIME` as the name and microseconds; None with a diagnostic where it is not that."""
+) -> HalfLifeOverride | None:
+    """`SIGNAL TIME`; None with a diagnostic where it is not that."""
     if len(atoms) != HALF_LIFE_ATOMS:
         diagnostics.append(Diagnostic(location, "the age", HALF_LIFE_SYNTAX))
         return None
     signal, half_life = atoms
     try:
         default_half_life_us(signal.text)
-        return signal.text, HALF_LIFE.parse(half_life)
+        return HalfLifeOverride(signal.text, HALF_LIFE.parse(half_life))
     except KeyError:
         expected = suggestion(signal.text, list(SIGNALS))
         diagnostics.append(Diagnostic(signal.location, f"the signal {_shown(signal)}", expected))
--- a/hoistplank/degradation/sections.py
+++ b/hoistplank/degradation/sections.py
@@ -202,10 +202,9 @@
     found: dict[str, int] = {}
     for atoms in section["age"]:
         location = atoms[0].location if atoms else section.location_of("age")
-        half_life = parse_half_life(atoms, location, diagnostics)
-        if half_life is not None:
-            name, half_life_us = half_life
-            found[name] = half_life_us
+        override = parse_half_life(atoms, location, diagnostics)
+        if override is not None:
+            found[override.signal] = override.half_life_us
     return found
 
 
--- a/hoistplank/degradation/state_machine.py
+++ b/hoistplank/degradation/state_machine.py
@@ -77,6 +77,13 @@
 }
 
 
+class EntryCandidate(NamedTuple):
+    """A level that the readings ask for: its rank, 0 for none, and the conditions that are met."""
+
+    rank: int
+    reasons: tuple[TransitionReason, ...]
+
+
 class LevelStateMachine:
     """The level in force, evaluated anew with each set of readings. Bounded state: a few figures a level."""
 
@@ -176,25 +183,23 @@
             if self.pinned.is_in_force(now):
                 return None
             self.unpin()
-        target, reasons = self._highest_entry(now, met)
-        if target > self.rank:
-            return self._handle(now, Event.ENTRY_MET, target, reasons)
+        candidate = self._highest_entry(now, met)
+        if candidate.rank > self.rank:
+            return self._handle(now, Event.ENTRY_MET, candidate.rank, candidate.reasons)
         if self.rank == 0:
             return None
         if self.is_forbidden(now, self.level_name):
             return self._handle(now, Event.LEVEL_FORBIDDEN)
         return self._evaluate_exit(now, met)
 
-    def _highest_entry(
-        self, now: int, met: dict[Condition, float]
-    ) -> tuple[int, tuple[TransitionReason, ...]]:
-        """The rank of the highest level that may be entered, and why; 0 where there is none."""
-        target, target_reasons = 0, tuple[TransitionReason, ...]()
+    def _highest_entry(self, now: int, met: dict[Condition, float]) -> EntryCandidate:
+        """The highest level that may be entered."""
+        highest = EntryCandidate(0, ())
         for rank, level in enumerate(self.levels, 1):
             reasons = tuple(TransitionReason(entry, met[entry]) for entry in level.enter if entry in met)
             if reasons and not self.is_forbidden(now, level.name):
-                target, target_reasons = rank, reasons
-        return target, target_reasons
+                highest = EntryCandidate(rank, reasons)
+        return highest
 
     def _evaluate_exit(self, now: int, met: dict[Condition, float]) -> LevelChange | None:
         exits = self.levels[self.rank - 1].leave
--- a/hoistplank/membership/host_registry.py
+++ b/hoistplank/membership/host_registry.py
@@ -193,7 +193,7 @@
         """The change log's hosts: a whole list replaces all else in one step, a change updates those that it
         names."""
         if not self.is_synced:
-            self.carried_starts = {uid: entry.first_answered_us for uid, entry in self._usable_entries()}
+            self.carried_starts = {row.host.uid: row.first_answered_us for row in self._usable_entries()}
         self.is_synced = True
         named = set[str]()
         for host in hosts:
@@ -219,13 +219,13 @@
             entry.host = host
             self._transition(now, entry, Evidence.LISTED)
 
-    def _usable_entries(self) -> list[tuple[str, RegisteredHost]]:
-        return [(uid, entry) for uid, entry in self.hosts.items() if entry.state in USABLE_STATES]
+    def _usable_entries(self) -> list[RegisteredHost]:
+        return [entry for entry in self.hosts.values() if entry.state in USABLE_STATES]
 
     def usable_hosts(self) -> list[UsableHost]:
         """All hosts that may be used while the change log is silent."""
         self.usable_changed = False
-        return [UsableHost(entry.host, entry.first_answered_us) for _, entry in self._usable_entries()]
+        return [UsableHost(entry.host, entry.first_answered_us) for entry in self._usable_entries()]
 
     def start_of(self, uid: str, boot_us: int) -> int:
         """The start that a listed host goes on with: that of its first answer, unless the change log knows of
