--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -30,8 +30,9 @@
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.frontend import Front, Refused
-from hoistplank.routing.router_task import Owner
+from hoistplank.routing.frontend import Frontend
+from hoistplank.routing.response import RequestRefusal
+from hoistplank.routing.router_task import RouterTask
 from hoistplank.transport.descriptor_budget import DescriptorBudget
 
 log = structlog.get_logger()
@@ -46,8 +47,8 @@
 class Dispatcher(Protocol):
     """What the service uses of the program that it is part of."""
 
-    owner: Owner
-    front: Front
+    router_task: RouterTask
+    frontend: Frontend
     descriptors: DescriptorBudget
 
 
@@ -97,20 +98,26 @@
 
     # Requests.
 
-    def admit(self, identity: Any, fields: dict[str, str], request: Request, peer: str) -> Refused | None:
+    def admit(
+        self, identity: Any, fields: dict[str, str], request: Request, peer: str
+    ) -> RequestRefusal | None:
         """Counts a request as open and gives it its caller, or returns why it is not admitted."""
-        owner, authorizer = self.owner, self.authorizer
+        router_task, authorizer = self.router_task, self.authorizer
         # A web server's word for where a caller is counts; that of one who only speaks TLS does not.
         source = peer if peer.startswith(ANONYMOUS_PREFIX) else fields.get("REMOTE_ADDR") or peer
         outcome = authorizer.admit(
-            owner.clock.now(),
+            router_task.clock.now(),
             Credentials(identity, fields.get("HTTP_AUTHORIZATION", ""), source),
             request,
             self._class_rules[request.class_name],
-            open_limit(owner.cap(request.class_name), authorizer.limiter.total_open, owner.lag_us),
+            open_limit(
+                router_task.admission.max_open_requests(request.class_name),
+                authorizer.limiter.total_open,
+                router_task.lag_us,
+            ),
         )
         if isinstance(outcome, Rejection):
-            return Refused(outcome.status, outcome.reason, outcome.retry_after_us)
+            return RequestRefusal(outcome.status, outcome.reason, outcome.retry_after_us)
         request.caller = outcome
         return None
 
@@ -123,12 +130,12 @@
 
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """The parts to run beside the program's own; listens at once."""
-        self.dispatcher, self.owner = dispatcher, dispatcher.owner
+        self.dispatcher, self.router_task = dispatcher, dispatcher.router_task
         self.loader.polling = True
         parts: list[tuple[str, Coroutine[Any, Any, None]]] = [("callers' files", self._watch_files())]
         if self.settings.tls is not None:
             self.tls_listener = TlsListener(
-                self.settings.tls, self.tls, dispatcher.front, dispatcher.descriptors
+                self.settings.tls, self.tls, dispatcher.frontend, dispatcher.descriptors
             )
             parts += self.tls_listener.parts()
         if self.settings.admin is not None:
@@ -221,12 +228,12 @@
         answered."""
         if self.dispatcher is None:
             return
-        for session in list(self.dispatcher.front.sessions):
+        for session in list(self.dispatcher.frontend.sessions):
             identity = session.identity
-            if not isinstance(identity, CertificateIdentity) or session.leaving:
+            if not isinstance(identity, CertificateIdentity) or session.is_closing:
                 continue
             if self.authorizer.check_certificate(identity) is not None:
-                session.leave()
+                session.close_when_idle()
         if self.settings.admin is not None:
             self.admin_server.disconnect_revoked()
 
--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -20,7 +20,8 @@
 from hoistplank.degradation.status import DegradationStatus, degradation_status
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
-from hoistplank.routing.router_task import Owner, Told
+from hoistplank.routing.events import DegradationChanged
+from hoistplank.routing.router_task import RouterTask
 from hoistplank.transport.descriptor_budget import DescriptorBudget
 
 log = structlog.get_logger()
@@ -33,7 +34,7 @@
 class Dispatcher(Protocol):
     """What degradation uses of the program that it is part of."""
 
-    owner: Owner
+    router_task: RouterTask
     descriptors: DescriptorBudget
 
 
@@ -76,29 +77,29 @@
         return sections.build_settings(section, {row.name: row.semantics for row in classes})
 
     @property
-    def _owner(self) -> Owner:
+    def _router_task(self) -> RouterTask:
         assert self._dispatcher is not None, "attach comes first"
-        return self._dispatcher.owner
+        return self._dispatcher.router_task
 
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Has the router task observe its signals; returns the tasks to run beside the program's."""
         self._dispatcher = dispatcher
         utility = {row.name: row.priority_weight for row in self._configuration.site.traffic_classes}
         self._observer = SignalObserver(self._readings, utility)
-        self._owner.watch = self._observer
+        self._router_task.observe_signals(self._observer)
         self._apply_admission_settings()
-        self._owner.tell(Told(self.settings.base))
+        self._router_task.submit(DegradationChanged(self.settings.base))
         setattr(dispatcher, "levels", self)  # noqa: B010 - the admin server looks there, if there are levels
         return [("levels", self._run())]
 
     def _apply_admission_settings(self) -> None:
-        admission = self._owner.admission
+        admission = self._router_task.admission.controller
         admission.settings = sections.build_admission_settings(self._section, admission.settings.max_open)
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(self.settings.evaluation_interval_us / 1e6)
-            self._evaluate(self._owner.clock.now())
+            self._evaluate(self._router_task.clock.now())
 
     def _evaluate(self, now: int) -> None:
         assert self._dispatcher is not None
@@ -113,7 +114,7 @@
 
     def _changed(self, change: LevelChange) -> None:
         self._changes.append(change)
-        rejected = self._owner.counts["rejected"]
+        rejected = self._router_task.counts.rejected
         log.info(
             "level",
             level=change.after,
@@ -127,7 +128,7 @@
         self._hand_on_effects()
 
     def _hand_on_effects(self) -> None:
-        self._owner.tell(Told(self.state_machine.effects(self.settings.base)))
+        self._router_task.submit(DegradationChanged(self.state_machine.effects(self.settings.base)))
 
     @property
     def level_name(self) -> str:
@@ -141,7 +142,7 @@
             self.state_machine,
             self.state_machine.effects(self.settings.base),
             self._readings.all(now),
-            self._dispatcher.owner.admission if self._dispatcher is not None else None,
+            self._dispatcher.router_task.admission.controller if self._dispatcher is not None else None,
             self._changes,
         )
 
@@ -176,7 +177,7 @@
         machine = settings.new_state_machine()
 
         def take_up() -> None:
-            change = machine.resume_from(self._owner.clock.now(), self.state_machine)
+            change = machine.resume_from(self._router_task.clock.now(), self.state_machine)
             self._section, self.settings, self.state_machine = section, settings, machine
             self._apply_admission_settings()
             if change is not None:
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -22,7 +22,7 @@
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Event, Fleet
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.router_task import Purged
+from hoistplank.routing.events import PurgeReceived
 from hoistplank.store.schemas import PersistedHost, PersistedList, RemovalHistory
 
 log = structlog.get_logger()
@@ -104,11 +104,11 @@
         for note in self._recorder.notes:
             log.warning("kept state", note=note)
         self._recorder.start()
-        dispatcher.listing.watch = self
+        dispatcher.endpoint_watcher.observer = self
         if self._configuration.known.results:
             # The configuration's own list takes precedence: it was given at this start.
             for event in self._configuration.known.results:
-                self.heard(event)
+                self.event_received(event)
             return [("membership", wait_forever())]
         if self._recorder.state is not None:
             self._resume(dispatcher, self._recorder.state)
@@ -124,9 +124,9 @@
             tries=self.registry.max_probe_attempts,
         )
         for purge in state.purges:
-            dispatcher.owner.tell(Purged(purge.object_key, purge.group, purge.made_us))
+            dispatcher.router_task.submit(PurgeReceived(purge.object_key, purge.group, purge.made_us))
 
-    def heard(self, event: Event) -> Event:
+    def event_received(self, event: Event) -> Event:
         """An event of the change log; returns it with the starts that its hosts go on with."""
         now = self._clock.now()
         is_first_list = event.fleet is not None and not self.registry.is_synced
@@ -135,7 +135,7 @@
             return event
         self.registry.update_listed(now, hosts, whole=event.fleet.all)
         if is_first_list and self._dispatcher is not None:
-            self._dispatcher.owner.seen_ended = None
+            self._dispatcher.router_task.attempt_observer = None
             hosts_listed, hosts_carried = len(self._recorder.current), len(self.registry.carried_starts)
             log.info("change log is back", hosts=hosts_listed, kept=hosts_carried)
         return msgspec.structs.replace(event, fleet=self._with_starts(event.fleet))
@@ -147,7 +147,7 @@
         ]
         return msgspec.structs.replace(fleet, targets=targets)
 
-    def alive(self) -> None:
+    def confirmed_current(self) -> None:
         """The change log is there and has nothing newer."""
         self._recorder.record_contact(self._clock.now())
 
--- a/hoistplank/program/extensions.py
+++ b/hoistplank/program/extensions.py
@@ -12,7 +12,7 @@
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
-from hoistplank.program.service import Addition
+from hoistplank.program.extension_protocol import Extension
 
 if TYPE_CHECKING:
     from hoistplank.authorization.service import AuthorizationService
@@ -37,7 +37,7 @@
 
     def __init__(self, file: str, configuration: Configuration, section: Section) -> None:
         self.form: str = section["log"]["format"]
-        self.each: list[Addition] = []
+        self.each: list[Extension] = []
         self.authorizer: AuthorizationService | None = None
         self.degradation: DegradationService | None = None
         self._file = file
