--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -15,7 +15,7 @@
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
-from hoistplank.program.configuration import BadConfiguration, Configuration
+from hoistplank.program.configuration import Configuration, DispatcherConfigurationError
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import RouterTask
@@ -64,7 +64,7 @@
             self.settings(),
             configuration.known,
             Random(configuration.seed),
-            configuration.site.rules.drain_grace_us / 1e6,
+            configuration.router_settings.rules.drain_grace_us / 1e6,
             self._prepare,
         )
         self.follower = host.endpoint_watcher = follower
@@ -77,7 +77,7 @@
         try:
             check = await asyncio.to_thread(self.parse, text.encode(), f"configuration {version}")
             return check()
-        except BadConfiguration as error:
+        except DispatcherConfigurationError as error:
             raise ConfigurationRefusedError(str(error)) from error
 
     def close(self) -> None:
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -68,9 +68,9 @@
     """One control process: the change log in, resources out. It receives its watcher's events."""
 
     def __init__(self, configuration: Configuration, limits: StreamLimits | None = None) -> None:
-        self.site = configuration.site
+        self.site = configuration.router_settings
         self.clock = Clock()
-        self.resources = ResourceCache(configuration.site.purge_hold_us)
+        self.resources = ResourceCache(configuration.router_settings.purge_hold_us)
         self.broadcaster = Broadcaster(self.resources, self.clock.now, limits)
         self.server: Any = None  # of grpc.aio, which has no types
         self.port = 0
