--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -267,7 +267,7 @@
             plain = Proxy(f"127.0.0.1:{place.control.port}", "plain", ZONE, False)
             extension = Proxy(f"127.0.0.1:{place.control.port}", "extension", ZONE, True)
             tasks = [asyncio.create_task(proxy.run()) for proxy in (plain, extension)]
-            router, now, number = Router(place.control.site, 1), 100 * S, 0
+            router, now, number = Router(place.control.settings, 1), 100 * S, 0
             chance, known = Random(SEED), object_keys(requests // 4)
             weights = [1 / (n + 1) for n in range(len(known))]
             states: dict[str, str] = {}
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -28,11 +28,11 @@
 MIN_SHARE = 0.05  # of a cold host's weight: it always gets some requests
 
 
-def host_of(site: RouterSettings, target: Target, now_us: int) -> Host:
+def host_of(settings: RouterSettings, target: Target, now_us: int) -> Host:
     """A target of the change log as followers are to see it."""
     address, port = target.address()
-    tiers = {site.origin_kind: ORIGIN_CLUSTER, site.parent_kind: PARENTS_CLUSTER}
-    is_weighted = site.links_declared and target.capacity_hint > 0
+    tiers = {settings.origin_kind: ORIGIN_CLUSTER, settings.parent_kind: PARENTS_CLUSTER}
+    is_weighted = settings.links_declared and target.capacity_hint > 0
     host = Host(
         uid=target.uid,
         address=address,
@@ -44,16 +44,16 @@
         started_us=int(target.boot_ms * 1000),
         up=target.state == "ready",
     )
-    return replace(host, share=slow_start_share(site, host, now_us))
+    return replace(host, share=slow_start_share(settings, host, now_us))
 
 
-def slow_start_share(site: RouterSettings, host: Host, now_us: int) -> float:
+def slow_start_share(settings: RouterSettings, host: Host, now_us: int) -> float:
     """The share of its weight that a host may have now, by the settings of slow start.
 
     It rises in tenths, so that warming up is some ten changes and not one each tick. Danger: all followers
     together would overload a cold host.
     """
-    rules = site.rules
+    rules = settings.rules
     start_share, duration_us = rules.warm_up_initial_share, rules.warm_up_us
     if host.tier == PARENTS_CLUSTER:
         start_share, duration_us = rules.parent_warm_up_initial_share, rules.parent_warm_up_us
@@ -68,7 +68,7 @@
     """One control process: the change log in, resources out. It receives its watcher's events."""
 
     def __init__(self, configuration: Configuration, limits: StreamLimits | None = None) -> None:
-        self.site = configuration.router_settings
+        self.settings = configuration.router_settings
         self.clock = Clock()
         self.resources = ResourceCache(configuration.router_settings.purge_hold_us)
         self.broadcaster = Broadcaster(self.resources, self.clock.now, limits)
@@ -95,7 +95,7 @@
             removed |= {uid for uid in known if uid not in listed}
         unusable = removed | {target.uid for target in event.targets if target.state != "ready"}
         is_urgent = any(uid in known and known[uid].up for uid in unusable)
-        hosts = [host_of(self.site, target, now) for target in event.targets if target.uid not in removed]
+        hosts = [host_of(self.settings, target, now) for target in event.targets if target.uid not in removed]
         self.broadcaster.publish(self.resources.update_hosts(hosts, removed), urgent=is_urgent)
 
     def update_warming_hosts(self) -> None:
@@ -103,7 +103,7 @@
         now = self.clock.now()
         self.resources.remove_expired_purges(now)
         warming = [host for host in self.resources.hosts.values() if host.share < 1.0]
-        updated = [replace(host, share=slow_start_share(self.site, host, now)) for host in warming]
+        updated = [replace(host, share=slow_start_share(self.settings, host, now)) for host in warming]
         self.broadcaster.publish(self.resources.update_hosts(updated, []))
 
     async def serve(self, address: str, credentials: Any = None) -> int:
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -125,13 +125,13 @@
         cold = Target("box-9", "127.0.0.1:9009", "z1", "box", 0, "ready", 1.0, now / 1_000)
         made.submit(EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, cold]))
         assert made.resources.hosts["box-9"].share == pytest.approx(
-            made.site.rules.warm_up_initial_share, abs=0.1
+            made.settings.rules.warm_up_initial_share, abs=0.1
         )
         keys = [ranking_key(f"{n:016x}", 0) for n in range(2_000)]
         weights = made.resources.rankings["caches-z1"].weights
         got = sum(ranked_hosts(key, weights)[0] == "box-9" for key in keys) / len(keys)
-        assert got < 1.5 * made.site.rules.warm_up_initial_share / 5.2
-        made.clock.offset_ns += made.site.rules.warm_up_us * 1_000
+        assert got < 1.5 * made.settings.rules.warm_up_initial_share / 5.2
+        made.clock.offset_ns += made.settings.rules.warm_up_us * 1_000
         made.update_warming_hosts()
         assert made.resources.hosts["box-9"].share == 1.0
         now = made.clock.now()
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -31,7 +31,7 @@
             for object_key, part in THINGS:
                 plain.want(object_key, part)
             await until(lambda: len(plain.vhosts) == len(THINGS))
-            router, now = Router(place.control.site, 1), 100 * S
+            router, now = Router(place.control.settings, 1), 100 * S
             names = [f"box-{n}" for n in range(6)]
 
             def told(states: dict[str, str]) -> None:
