--- a/hoistplank/cli/state.py
+++ b/hoistplank/cli/state.py
@@ -9,11 +9,14 @@
 import click
 import msgspec
 
+from hoistplank.cli.failure import fail
 from hoistplank.membership import list_staleness
 from hoistplank.store.errors import FolderError
 from hoistplank.store.folder import StateFolder
 from hoistplank.store.state_reader import LoadResult
 
+DAY_S = 86_400
+
 FOLDER = click.argument("folder", type=click.Path(path_type=Path))
 
 
@@ -22,9 +25,8 @@
         if not folder.is_dir():
             raise FolderError(folder, "is no folder")
         return StateFolder(folder).load(repair=False)
-    except FolderError as wrong:
-        click.echo(f"hoistplank: {wrong}", err=True)
-        sys.exit(2)
+    except FolderError as error:
+        fail(str(error))
 
 
 @click.group()
@@ -38,26 +40,27 @@
 def show(folder: Path, as_json: bool) -> None:
     """Tell how old the kept list is and what it is worth. Exit code 1: there is none."""
     loaded = _load(folder)
-    held = loaded.state
+    persisted = loaded.state
     row: dict[str, object] = {
         "generation": loaded.generation,
         "changes": loaded.changes,
         "notes": loaded.notes,
     }
-    if held is not None:
-        age_s = time.time() - held.last_contact_us / 1e6
+    if persisted is not None:
+        age_s = time.time() - persisted.last_contact_us / 1e6
         row |= {
-            "log": held.log,
+            "log": persisted.log,
             "age_s": round(age_s),
-            "hosts": len(held.hosts),
-            "purges": len(held.purges),
-            "gone_a_day": round(list_staleness.removal_rate(held.history) * 86_400, 4),
-            "alive": round(list_staleness.survival_probability(held.history, age_s), 4),
+            "hosts": len(persisted.hosts),
+            "purges": len(persisted.purges),
+            "gone_a_day": round(list_staleness.removal_rate(persisted.history) * DAY_S, 4),
+            "alive": round(list_staleness.survival_probability(persisted.history, age_s), 4),
         }
-    click.echo(
-        msgspec.json.encode(row).decode() if as_json else "\n".join(f"{k}: {v}" for k, v in row.items())
-    )
-    sys.exit(0 if held is not None else 1)
+    if as_json:
+        click.echo(msgspec.json.encode(row).decode())
+    else:
+        click.echo("\n".join(f"{name}: {value}" for name, value in row.items()))
+    sys.exit(0 if persisted is not None else 1)
 
 
 @state.command()
@@ -74,9 +77,14 @@
 @FOLDER
 def export(folder: Path) -> None:
     """Write the state as JSON lines: one that tells of the list, then one a host and one a purge."""
-    held = _load(folder).state
-    if held is None:
+    persisted = _load(folder).state
+    if persisted is None:
         sys.exit(1)
-    head = {"log": held.log, "heard_us": held.last_contact_us, "rev": held.revision, "history": held.history}
-    for row in (head, *held.hosts, *held.purges):
+    head = {
+        "log": persisted.log,
+        "heard_us": persisted.last_contact_us,
+        "rev": persisted.revision,
+        "history": persisted.history,
+    }
+    for row in (head, *persisted.hosts, *persisted.purges):
         click.echo(msgspec.json.encode(row).decode())
