--- /dev/null
+++ b/tests/authorization_rig.py
@@ -0,0 +1,110 @@
+"""A running dispatcher that knows its callers, in the middle of its files."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Awaitable, Callable, Coroutine
+from pathlib import Path
+from typing import Any
+
+import uvloop
+
+from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
+from hoistplank.fakes.deployment import free_port
+from hoistplank.fakes.wire import CacheHost, Client, connected
+from hoistplank.program.service import Phase
+from tests.helpers import Running, until
+
+OLD, NEW = Signer("k1"), Signer("k2", "ES256")
+
+
+def run(scene: Coroutine[Any, Any, None]) -> None:
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(asyncio.wait_for(scene, 20))
+
+
+def served(id: str, fields: dict[str, str], body: bytes) -> bytes:
+    return f"{id} served detail=hit,digest=aa,dated=1 4\r\nwell\r\n".encode()
+
+
+class Known:
+    """A dispatcher for two members, in the middle of its files."""
+
+    def __init__(
+        self,
+        folder: Path,
+        answer: Callable[[str, dict[str, str], bytes], bytes | Awaitable[bytes] | None] = served,
+        **words: Any,
+    ) -> None:
+        self.folder, self.authority = folder, Authority(folder)
+        self.tls, self.control = free_port(), free_port()
+        (folder / "revoked.jsonl").touch()
+        write_keys(folder / "ring.json", OLD.jwk())
+        self.operator(**words)
+        self.box = CacheHost(answer)
+        self.running = Running(folder, {"a": self.box, "o": CacheHost(answer)})
+        self.running.operator = True
+        self.asked = 0
+
+    def operator(self, **words: Any) -> None:
+        (self.folder / "op.sexp").write_text(operator_text(self.tls, self.control, **words))
+
+    async def __aenter__(self) -> Known:
+        await self.running.__aenter__()
+        await until(lambda: self.running.service.phase is Phase.SERVING)
+        assert self.running.additions is not None and self.running.additions.authorizer is not None
+        self.callers = self.running.additions.authorizer
+        return self
+
+    async def __aexit__(self, *words: object) -> None:
+        await self.running.__aexit__(*words)
+
+    async def ask(
+        self,
+        token: str = "",
+        client: Client | None = None,
+        group: int = 1,
+        class_name: str = "page",
+        **fields: str,
+    ) -> tuple[int, str]:
+        """One request: the status, and why it was refused."""
+        for _ in range(20):
+            told = await self._asked(token, client, group, class_name, fields)
+            if told != (503, ""):  # the module's own rejecting is not the subject here
+                return told
+            await asyncio.sleep(0.02)
+        return told
+
+    async def _asked(
+        self, token: str, client: Client | None, group: int, class_name: str, fields: dict[str, str]
+    ) -> tuple[int, str]:
+        self.asked += 1
+        if self.asked == 9:
+            self.asked += 1
+        given = {"HTTP_AUTHORIZATION": f"Bearer {token}"} if token else {}
+        client = client or self.running.client
+        client.send(self.asked, class_name, given | {"HTTP_X_TAG": str(group)} | fields)
+        _, status, head, _ = await asyncio.wait_for(client.answer(), 5)
+        told = dict(line.split(": ", 1) for line in head.decode().splitlines() if ": " in line)
+        return status, told.get("X-Refusal", "")
+
+    async def secure(self, certificate: Path | None = None, **words: Any) -> Client:
+        context = self.authority.context(certificate)
+        for name, value in words.items():
+            setattr(context, name, value)
+        return await connected(("127.0.0.1", self.tls), context)
+
+    async def http(self, certificate: Path, method: str, path: str, body: object = None) -> Any:
+        data = json.dumps(body).encode() if body is not None else b""
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", self.control, ssl=self.authority.context(certificate), server_hostname="localhost"
+        )
+        writer.write(
+            f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n"
+            "Connection: close\r\n\r\n".encode()
+            + data
+        )
+        head, _, told = (await asyncio.wait_for(reader.read(), 5)).partition(b"\r\n\r\n")
+        writer.close()
+        return int(head.split()[1]), json.loads(told)
--- /dev/null
+++ b/tests/distribution_mirror.py
@@ -0,0 +1,79 @@
+"""A plain copy of what a dispatcher holds of the distributed state."""
+
+from __future__ import annotations
+
+from hoistplank.distribution.follower_state import FollowerState, Verdict
+from hoistplank.distribution.messages import (
+    ALL_OBJECTS_BUCKET,
+    ReplicatedEvent,
+    read_replica_line,
+)
+from hoistplank.distribution.state import ReplicatedState
+from hoistplank.distribution.versions import NOTHING, Version
+from hoistplank.protocol.changelog import Fleet, Target
+
+S = 1_000_000
+
+
+HORIZON = 60 * S
+
+
+UIDS, KEYS = ("a", "b", "c"), ("o", "p", "q")
+
+
+class Mirror:
+    """What a dispatcher holds: everything that `FollowerState` lets through, applied as it comes."""
+
+    def __init__(self) -> None:
+        self.follower = FollowerState()
+        self.hosts: dict[str, Target] = {}
+        self.as_of: dict[str, Version] = {}  # uid -> the newest version at which it was told
+        self.purges: dict[str | int, float] = {}
+        self.configuration: str | None = None
+
+    def take(self, now: int, event: ReplicatedEvent) -> Verdict:
+        verdict = self.follower.judge(now, event)
+        if verdict is Verdict.APPLY:
+            self.apply(event)
+        return verdict
+
+    def apply(self, event: ReplicatedEvent) -> None:
+        if event.fleet is not None:
+            if event.fleet.all:
+                self.hosts = {}
+                self.as_of = {uid: max(event.version, self.as_of.get(uid, NOTHING)) for uid in UIDS}
+            for target in event.fleet.targets:
+                self.as_of[target.uid] = max(event.version, self.as_of.get(target.uid, NOTHING))
+                self.hosts.pop(target.uid, None)
+                if target.state != "gone":
+                    self.hosts[target.uid] = target
+        if event.invalidate is not None:
+            key = event.invalidate.object or event.invalidate.bucket
+            self.purges[key] = max(event.invalidate.time, self.purges.get(key, 0.0))
+        if self.follower.takes_configuration(event) and event.configuration is not None:
+            self.configuration = event.configuration.text
+            self.follower.configuration_applied(event.version)
+
+    def floor(self, key: str | int) -> float:
+        return max(self.purges.get(key, 0.0), self.purges.get(ALL_OBJECTS_BUCKET, 0.0))
+
+    def follow(self, now: int, replica: ReplicatedState, lines: int | None = None) -> list[Verdict]:
+        """A new connection to a replica; it breaks off after so many lines, if any number is given."""
+        self.follower.connection_began(now)
+        sent = replica.lines_since(self.follower.resume_at)[:lines]
+        return [self.hear(now, line) for line in sent]
+
+    def hear(self, now: int, line: bytes) -> Verdict:
+        event = read_replica_line(line.strip())
+        assert isinstance(event, ReplicatedEvent)
+        verdict = self.take(now, event)
+        self.follower.applied(self.follower.told)
+        return verdict
+
+
+def target(uid: str, state: str = "ready", boot_ms: float = 1, hint: float = 1.0) -> Target:
+    return Target(uid, "127.0.0.1:1", state=state, boot_ms=boot_ms, capacity_hint=hint)
+
+
+def listed(*uids: str) -> Fleet:
+    return Fleet(all=True, targets=[target(uid) for uid in uids])
--- /dev/null
+++ b/tests/test_distribution_delivery.py
@@ -0,0 +1,120 @@
+"""What the log tells reaches every dispatcher through control replicas, and is in force there."""
+
+from __future__ import annotations
+
+from hoistplank.cli.distribution import in_force_words
+from tests.distribution_rig import Relay, Rig, asked, at, run
+from tests.helpers import until
+
+
+def test_a_purge_a_host_change_and_a_configuration_are_in_force_everywhere() -> None:
+    async def scene() -> None:
+        async with Rig(replicas=2) as rig:
+            rig.hosts(1, whole=True, a="ready", b="ready")
+            each = [rig.dispatcher(f"d{number}") for number in range(3)]
+            await until(lambda: all(one.in_force == at(1) for one in each))
+            rig.purge(2, "ab")
+            rig.hosts(3, b="draining")
+            rig.log.configure(4, "(log)")
+            await until(lambda: all(one.in_force == at(4) for one in each))
+            for one in each:
+                assert one.owner.purges == ["ab"] and one.owner.hosts == {"a": "ready", "b": "draining"}
+                assert one.configurations == [(at(4), "(log)")] and not one.owner.is_blind
+            for replica in rig.replicas:
+                # A peer hears within a tenth of a second what the dispatchers of the other have in force.
+                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+                status = await asked(replica.address, at(4))
+                assert status.change is not None
+                assert (status.change.in_force, status.change.total, status.change.missing) == (3, 3, [])
+                assert status.configuration.version() == at(4) == status.version.version()
+
+    run(scene())
+
+
+def test_a_change_that_one_dispatcher_refuses_is_missing_there_alone_with_its_reason() -> None:
+    async def scene() -> None:
+        async with Rig(replicas=2) as rig:
+            rig.hosts(1, whole=True, a="ready")
+            each = [rig.dispatcher(f"d{number}") for number in range(4)]
+            each[2].refuses = "narrow"
+            rig.log.configure(2, "wide")
+            await until(lambda: all(one.in_force == at(2) for one in each))
+            rig.log.configure(3, "narrow")
+            rig.purge(4, "ab")
+            await until(lambda: all(one.in_force == at(4) for one in each))
+            assert [one.configurations[-1][1] for one in each] == [
+                "wide" if one is each[2] else "narrow" for one in each
+            ]
+            for replica in rig.replicas:
+                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 4)  # type: ignore[misc]
+                status = await asked(replica.address, at(3))
+                assert status.change is not None
+                assert (status.change.in_force, status.change.total) == (3, 4)
+                (row,) = status.change.missing
+                assert row.dispatcher == "d2" and row.version.version() == at(2)
+                assert row.refused.startswith("configuration 7/3:1:1: the form 'bad'")
+
+    run(scene())
+
+
+def test_of_a_burst_of_changes_the_newest_is_in_force_everywhere_and_none_goes_back() -> None:
+    async def scene() -> None:
+        async with Rig(replicas=2) as rig:
+            rig.hosts(1, whole=True, a="ready")
+            each = [rig.dispatcher(f"d{number}") for number in range(5)]
+            await until(lambda: all(one.in_force == at(1) for one in each))
+            for number in range(2, 62):
+                rig.log.configure(number, f"change {number}" + (" bad" if number % 7 == 0 else ""))
+            rig.purge(62, "ab")
+            await until(lambda: all(one.in_force == at(62) for one in each))
+            for one in each:
+                taken = [version for version, _ in one.configurations]
+                assert taken[-1] == at(61) and taken == sorted(set(taken))
+                assert one.owner.purges == ["ab"]
+                assert one.follower.state.in_force().refused is None
+            for replica in rig.replicas:
+                await until(lambda replica=replica: replica.table.in_force(0, at(62)).in_force == 5)  # type: ignore[misc]
+                status = await asked(replica.address)
+                assert (status.configurations.in_force, status.configurations.missing) == (5, [])
+
+    run(scene())
+
+
+def test_a_single_change_that_is_large_waits_for_its_turn_and_comes_whole() -> None:
+    async def scene() -> None:
+        async with Rig(replicas=1) as rig:
+            rig.hosts(1, whole=True, a="ready")
+            relay = await Relay(rig.addresses[0]).start()
+            one = rig.dispatcher("d1", [relay.address])
+            await until(lambda: one.in_force == at(1))
+            relay.cut()
+            rig.log.configure(2, "x" * 1_000_000)
+            await until(lambda: rig.replicas[0].state.version == at(2))
+            relay.join()
+            await until(lambda: one.in_force == at(2))
+            assert [len(text) for _, text in one.configurations] == [1_000_000]
+
+    run(scene())
+
+
+def test_a_configuration_of_wrong_types_is_handed_on_to_nobody_and_its_status_says_why() -> None:
+    async def scene() -> None:
+        async with Rig(replicas=1) as rig:
+            rig.hosts(1, whole=True, a="ready")
+            one = rig.dispatcher("d1")
+            rig.log.configure(2, "good")
+            rig.log.tell({"seq": 3, "configuration": {"text": 5}})
+            rig.log.tell({"seq": 4, "configuration": "x" * 1_100_000})
+            rig.purge(5, "ab")
+            await until(lambda: rig.replicas[0].table.in_force(0, at(5)).in_force == 1)
+            assert one.configurations == [(at(2), "good")] and one.owner.purges == ["ab"]
+            for number, wrong in (
+                (3, "Expected `str`, got `int` - at `$.text`"),
+                (4, "Expected `object`, got `str`"),
+            ):
+                status = await asked(rig.addresses[0].address, at(number))
+                assert status.change is not None and status.change.unreadable == wrong
+                assert (status.change.in_force, status.change.total) == (0, 1)
+                assert in_force_words(status.change).endswith(wrong)
+
+    run(scene())
--- /dev/null
+++ b/tests/test_distribution_failover.py
@@ -0,0 +1,192 @@
+"""Replicas that are killed, cut off or behind: dispatchers move on and lose nothing."""
+
+from __future__ import annotations
+
+import json
+from random import Random
+
+import pytest
+
+from hoistplank.distribution.assignment import load_bound
+from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.wire import serve
+from hoistplank.protocol.changelog import Event, Fleet, Known, Target
+from hoistplank.routing.router_task import Applied, Listed
+from tests.distribution_rig import EPOCH, Relay, Rig, asked, at, run
+from tests.helpers import until
+
+
+def test_a_replica_killed_in_the_middle_of_a_change_loses_nothing() -> None:
+    """One dispatcher has the change, the others follow the dead replica: they get it from the other one."""
+
+    async def scene() -> None:
+        async with Rig(replicas=2) as rig:
+            rig.hosts(1, whole=True, a="ready", b="ready")
+            first, second = rig.addresses
+            each = [
+                rig.dispatcher("d0", [second]),
+                rig.dispatcher("d1", [first, second]),
+                rig.dispatcher("d2"),
+            ]
+            await until(lambda: all(one.in_force == at(1) for one in each))
+            followers = [one for one in each if one.follower.replica.name == "c1"]
+            # The first replica holds the change, but nothing of it goes out any more.
+            for session in rig.replicas[0].sessions.values():
+                session.connection.send = lambda *words: None  # type: ignore[method-assign]
+            rig.purge(2, "ab")
+            rig.hosts(3, b="draining")
+            rig.log.configure(4, "new")
+            await until(lambda: rig.replicas[0].state.version == at(4) and each[0].in_force == at(4))
+            assert all(one.in_force == at(1) for one in followers)
+            await rig.stop_replica(0)
+            await until(lambda: all(one.in_force == at(4) for one in each))
+            for one in each:
+                assert one.owner.purges == ["ab"] and one.owner.hosts["b"] == "draining"
+                assert one.configurations == [(at(4), "new")]
+                assert not one.owner.is_blind
+            status = await asked(rig.replicas[1].address)
+            assert status.events.in_force == 3 == status.connected and status.load.dispatchers == 3
+
+    run(scene())
+
+
+def test_a_dispatcher_that_moves_to_an_older_replica_keeps_what_it_has() -> None:
+    """The older one is cut off from the log: it tells nothing old again, nor that nothing is newer."""
+
+    async def scene() -> None:
+        old_log = ChangeLog(EPOCH)
+        async with Rig(replicas=1) as rig:
+            rig.start_replica("old", changelog=await serve(old_log.talk))
+            rig.connect_peers()
+            for log in (rig.log, old_log):
+                log.tell(listing(1, [target("a", "box", 9), target("b", "box", 9)], whole=True))
+                log.tell({"seq": 2, "configuration": {"text": "old"}})
+            rig.hosts(3, b="draining")
+            rig.log.configure(4, "new")
+            new, old = rig.addresses
+            one = rig.dispatcher("d1", [new, old])
+            one.follower.order = (new, old)
+            one.follower.place = 0
+            await until(lambda: one.in_force == at(4))
+            told = len(one.owner.events)
+            await rig.stop_replica(0)
+            await until(lambda: one.follower.replica.name == "old" and one.follower.behind_lines > 1)
+            assert rig.replicas[1].state.version == at(2)
+            assert one.in_force == at(4) and one.configurations == [(at(4), "new")]
+            assert one.owner.hosts == {"a": "ready", "b": "draining"}
+            later = [event for event in one.owner.events[told:] if not isinstance(event, Applied)]
+            assert all(event == Listed("failed", []) for event in later)
+            # A replica that lags says nothing of the present: in the end the list counts as stale.
+            assert one.follower.state.unheard(one.owner.clock.now() + 7_000_000)
+            # The old one hears the rest, and goes on from what the dispatcher holds.
+            old_log.tell(listing(3, [target("b", "box", 9, "draining")]))
+            old_log.configure(4, "new")
+            old_log.tell({"seq": 5, "invalidate": {"object": "ab", "time": 1.0}})
+            await until(lambda: one.in_force == at(5))
+            assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "new")]
+
+    run(scene())
+
+
+def test_a_region_that_was_cut_off_catches_up_from_what_is_still_valid() -> None:
+    """60 changes and 14,000 purges meanwhile: one configuration, and each object's newest purge."""
+    seed = 5
+
+    async def scene() -> None:
+        chance = Random(seed)
+        async with Rig(replicas=1) as rig:
+            rig.hosts(1, whole=True, a="ready", b="ready")
+            relay = await Relay(rig.addresses[0]).start()
+            one = rig.dispatcher("d1", [relay.address])
+            await until(lambda: one.in_force == at(1))
+            relay.cut()
+            number, purged = 1, list[str]()
+            for change in range(60):
+                for _ in range(14_000 // 60):
+                    number += 1
+                    purged.append(f"{int(chance.paretovariate(0.7)) % 5_000:016x}")
+                    rig.purge(number, purged[-1])
+                number += 1
+                rig.log.configure(number, f"change {change}" + "x" * 20_000)
+            number += 1
+            rig.hosts(number, b="draining")
+            await until(lambda: rig.replicas[0].state.version == at(number), patience_s=20)
+            before = relay.passed
+            relay.join()
+            await until(lambda: one.in_force == at(number), patience_s=20)
+            came = relay.passed - before
+            objects = set(purged)
+            assert [text[:9] for _, text in one.configurations] == ["change 59"], seed
+            assert sorted(one.owner.purges) == sorted(objects), seed
+            assert one.owner.hosts == {"a": "ready", "b": "draining"}
+            assert came < 110 * len(objects) + 25_000, (seed, came, len(objects))
+            assert came < sum(len(json.dumps(event)) for event in rig.log.log) / 4, (seed, came)
+
+    run(scene())
+
+
+def test_with_all_replicas_down_dispatchers_that_restart_serve_and_agree_again() -> None:
+    async def scene() -> None:
+        async with Rig(replicas=2) as rig:
+            rig.hosts(1, whole=True, a="ready")
+            rig.log.configure(2, "one")
+            each = [rig.dispatcher(f"d{number}") for number in range(3)]
+            await until(lambda: all(one.in_force == at(2) for one in each))
+            for index in range(2):
+                await rig.stop_replica(index)
+            for one in each:
+                await one.stop()
+            # A start knows the list that its own configuration names, and nothing of what was purged.
+            known = Known(1, [Event(1, Fleet(1, True, [Target("a", "127.0.0.1:9")]))])
+            again = [
+                rig.dispatcher(f"d{number}", incarnation=2, known=known, silence_us=300_000)
+                for number in range(3)
+            ]
+            rig.purge(3, "ab")
+            rig.log.configure(4, "two")
+            await until(lambda: all(one.follower._is_warned for one in again))
+            for one in again:
+                assert one.owner.hosts == {"a": "ready"} and one.owner.is_blind
+                assert one.follower.detail() == "no control replica heard; in force: 0/0"
+            for address in list(rig.addresses):
+                rig.start_replica(address.name, address.address[1])
+            rig.connect_peers()
+            await until(lambda: all(one.in_force == at(4) for one in again))
+            for one in again:
+                assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "two")]
+                await until(lambda one=one: not one.owner.is_blind)  # type: ignore[misc]
+            for replica in rig.replicas[2:]:
+                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+
+    run(scene())
+
+
+def test_a_lost_replicas_dispatchers_spread_and_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    count, replicas = 60, 3
+
+    async def scene() -> None:
+        monkeypatch.setattr("hoistplank.distribution.follower.return_delay_us", lambda chance: 200_000)
+        monkeypatch.setattr("hoistplank.distribution.follower.REDIRECTED_S", 0.5)
+        async with Rig(replicas) as rig:
+            rig.hosts(1, whole=True, a="ready")
+            await until(lambda: all(replica.log_follower.is_read() for replica in rig.replicas))
+            each = [rig.dispatcher(f"d{number}") for number in range(count)]
+            await until(lambda: all(one.in_force == at(1) for one in each), patience_s=20)
+            assert all(len(replica.sessions) <= load_bound(count, replicas) for replica in rig.replicas)
+            lost = list(rig.replicas[0].sessions)
+            await rig.stop_replica(0)
+            rig.purge(2, "ab")
+            await until(lambda: all(one.in_force == at(2) for one in each), patience_s=20)
+            living = rig.replicas[1:]
+            # One that looks for its first replica again is between two connections for a moment.
+            await until(lambda: sum(len(replica.sessions) for replica in living) == count, patience_s=20)
+            assert all(len(replica.sessions) <= load_bound(count, replicas - 1) for replica in living)
+            # It comes back: who prefers it goes back to it, after a time by chance.
+            again = rig.start_replica("c1", rig.addresses[0].address[1])
+            rig.connect_peers()
+            await until(lambda: len(again.sessions) >= len(lost) - 2, patience_s=20)
+            rig.purge(3, "cd")
+            await until(lambda: all(one.in_force == at(3) for one in each), patience_s=20)
+
+    run(scene())
