--- /dev/null
+++ b/tests/test_compatibility_distribution.py
@@ -0,0 +1,119 @@
+"""The lines of control replicas, dispatchers, peers and operators, as an earlier text sent them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+import pytest
+
+from hoistplank.distribution.follower_state import FollowerState, Verdict
+from hoistplank.distribution.messages import (
+    AcknowledgementRow,
+    Follow,
+    InForce,
+    Redirect,
+    ReplicaLine,
+    ReplicatedEvent,
+    Report,
+    RequestLine,
+    StatusRequest,
+    encode,
+    read_replica_line,
+    read_request,
+)
+from hoistplank.distribution.state import ReplicatedState
+from hoistplank.distribution.status import StatusAnswer
+from hoistplank.distribution.versions import NOTHING, Version
+from tests.fixture_files import fixture_json
+
+CONNECTIONS: list[dict[str, Any]] = fixture_json("distribution/connections.json")
+DISPATCHERS = [connection for connection in CONNECTIONS if connection["from"] == "dispatcher"]
+
+
+def lines(which: str, *senders: str) -> list[str]:
+    """The distinct lines that were asked or answered on the connections of `senders`."""
+    found = [line for row in CONNECTIONS if row["from"] in senders for line in row[which] if line]
+    return list(dict.fromkeys(found))
+
+
+def text(message: msgspec.Struct) -> str:
+    return encode(message).decode().removesuffix("\n")
+
+
+def request_line(request: Follow | InForce | Report | StatusRequest) -> RequestLine:
+    if isinstance(request, Follow):
+        return RequestLine(follow=request)
+    if isinstance(request, InForce):
+        return RequestLine(in_force=request)
+    if isinstance(request, Report):
+        return RequestLine(report=request)
+    return RequestLine(status=request)
+
+
+def test_the_recording_holds_every_kind_of_request() -> None:
+    kinds = {type(read_request(line.encode())) for line in lines("asked", "dispatcher", "peer", "operator")}
+    assert kinds == {Follow, InForce, Report, StatusRequest}
+
+
+@pytest.mark.parametrize("line", lines("asked", "dispatcher", "peer", "operator"))
+def test_a_request_is_read_and_written_alike(line: str) -> None:
+    assert text(request_line(read_request(line.encode()))) == line
+
+
+@pytest.mark.parametrize("line", lines("answered", "dispatcher"))
+def test_a_replicas_line_is_read_and_written_alike(line: str) -> None:
+    told = read_replica_line(line.encode())
+    assert text(ReplicaLine(redirect=told) if isinstance(told, Redirect) else told) == line
+
+
+@pytest.mark.parametrize("line", lines("answered", "peer"))
+def test_a_peers_row_is_read_and_written_alike(line: str) -> None:
+    assert text(msgspec.json.decode(line, type=AcknowledgementRow)) == line
+
+
+@pytest.mark.parametrize("line", lines("answered", "operator"))
+def test_a_status_is_read_and_written_alike(line: str) -> None:
+    assert text(msgspec.json.decode(line, type=StatusAnswer)) == line
+
+
+@pytest.mark.parametrize("number", range(len(DISPATCHERS)))
+def test_a_dispatcher_makes_the_same_of_a_replicas_lines(number: int) -> None:
+    state, now = FollowerState(), 1_000_000
+    state.connection_began(now)
+    found: list[object] = []
+    for line in DISPATCHERS[number]["answered"]:
+        now += 700_000
+        event = read_replica_line(line.encode())
+        if not isinstance(event, ReplicatedEvent):
+            found.append("redirect")
+            continue
+        verdict = state.judge(now, event)
+        if verdict is Verdict.APPLY and event.configuration is not None:
+            if "bad" in event.configuration.text:
+                state.configuration_refused(event.version, "the form 'bad'")
+            else:
+                state.configuration_applied(event.version)
+        state.applied(state.told)
+        found.append([verdict.value, text(state.in_force()), state.unheard(now)])
+    assert found == fixture_json("distribution/judged.json")[number]
+
+
+def test_a_replica_hands_on_the_same_lines_of_a_log() -> None:
+    wanted = fixture_json("distribution/replica_state.json")
+    state, now = ReplicatedState(60_000_000), 1_700_000_000_000_000
+
+    def since(version: Version) -> list[str]:
+        return [line.decode().removesuffix("\n") for line in state.lines_since(version)]
+
+    handed_on = []
+    for line in wanted["events"]:
+        event = read_replica_line(line.encode())
+        assert isinstance(event, ReplicatedEvent)
+        now += 1_000_000
+        previous = state.version
+        assert state.apply(now, event)
+        handed_on.append(since(previous))
+    assert handed_on == wanted["handed_on"]
+    assert since(NOTHING) == wanted["from_nothing"]
+    assert since(Version(7, 4)) == wanted["from_4"]
--- /dev/null
+++ b/tests/test_compatibility_store.py
@@ -0,0 +1,32 @@
+"""State folders that an earlier text wrote are read alike, and written alike byte for byte."""
+
+from __future__ import annotations
+
+import shutil
+from pathlib import Path
+
+import msgspec
+
+from hoistplank.store.folder import Folder
+from hoistplank.store.schemas import KeptChange, KeptList
+from tests.fixture_files import FIXTURES, as_json, fixture_json
+
+
+def test_a_state_folder_of_an_earlier_text_is_read_whole(tmp_path: Path) -> None:
+    wanted = fixture_json("store.json")
+    shutil.copytree(FIXTURES / "store", tmp_path / "state")
+    loaded = Folder(tmp_path / "state").load()
+    assert loaded.notes == []
+    assert (loaded.generation, loaded.changes) == (wanted["generation"], wanted["changes"])
+    assert as_json(msgspec.to_builtins(loaded.state)) == as_json(wanted["state"])
+
+
+def test_the_same_state_and_changes_are_written_byte_for_byte(tmp_path: Path) -> None:
+    written = fixture_json("store.json")["written"]
+    folder = Folder(tmp_path)
+    folder.snapshot(msgspec.convert(written["first"], KeptList))
+    for change in written["changes"]:
+        folder.append(msgspec.convert(change, KeptChange))
+    folder.close()
+    for name in ("list-0000000001.snap", "list-0000000001.log"):
+        assert (tmp_path / name).read_bytes() == (FIXTURES / "store" / name).read_bytes(), name
--- a/tests/test_operator_configuration.py
+++ b/tests/test_operator_configuration.py
@@ -13,8 +13,9 @@
 from hoistplank.operator_configuration.layout import written
 from hoistplank.operator_configuration.text import Atom, Form, parse
 from hoistplank.program.sections import understood
+from tests.fixture_files import FIXTURES
 
-BROKEN = sorted((Path(__file__).parent / "broken").glob("*.sexp"))
+BROKEN = sorted((FIXTURES / "operator" / "refused").glob("*.sexp"))
 
 
 @pytest.mark.parametrize("file", BROKEN, ids=lambda file: file.stem)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,6 +21,7 @@
 from hoistplank.store.background_writer import Keeper
 from hoistplank.store.folder import Folder, Taken
 from hoistplank.store.schemas import History, KeptChange, KeptHost, KeptList, KeptPurge, applied, merged
+from tests.fixture_files import FIXTURES
 
 
 def host(uid: str, since: int = 1, state: str = "ready") -> KeptHost:
@@ -138,7 +139,7 @@
 
 def test_files_of_the_first_format_are_read(tmp_path: Path) -> None:
     for what in ("snap", "log"):
-        shutil.copy(Path(__file__).parent / "kept" / f"format-1.{what}", tmp_path / f"list-0000000001.{what}")
+        shutil.copy(FIXTURES / "store-format-1" / f"format-1.{what}", tmp_path / f"list-0000000001.{what}")
     loaded = Folder(tmp_path).load()
     assert names(loaded.state) == ["b"] and loaded.state is not None and loaded.state.history == History()
     assert not loaded.notes
