--- a/tests/test_distribution_failover.py
+++ b/tests/test_distribution_failover.py
@@ -45,7 +45,11 @@
                 assert one.owner.purges == ["ab"] and one.owner.hosts["b"] == "draining"
                 assert one.configurations == [(at(4), "new")]
                 assert not one.owner.is_blind
+            # A dispatcher acknowledges at most each `ACKNOWLEDGE_S`: the replica hears it after it is so.
+            table = rig.replicas[1].table
+            await until(lambda: table.in_force(0, at(4)).in_force == 3)
             status = await asked(rig.replicas[1].address)
+            assert status.events.version.version() == at(4)
             assert status.events.in_force == 3 == status.connected and status.load.dispatchers == 3
 
     run(scene())
