--- a/hoistplank/lab/scale/hollow_process.py
+++ b/hoistplank/lab/scale/hollow_process.py
@@ -17,7 +17,7 @@
 import structlog
 import uvloop
 
-from hoistplank.interface import Site
+from hoistplank.decision.settings import RouterSettings
 from hoistplank.lab.scale.broken import HOLLOW
 from hoistplank.lab.scale.hollow import FollowerFactory, HollowDispatcher, LogFollower, Position, Source
 from hoistplank.lab.scale.hollow_audit import Auditor
@@ -36,7 +36,7 @@
     Usage,
 )
 from hoistplank.lab.scale.run_lateness import Lateness
-from hoistplank.protocol.changelog import Known
+from hoistplank.protocol.changelog import Snapshot
 from hoistplank.settings_reader import Fields, flat, site
 
 FLUSH_S = 0.1  # how often acknowledgements are handed on
@@ -59,7 +59,7 @@
     return pages * 4
 
 
-def site_of(settings: dict[str, object]) -> Site:
+def site_of(settings: dict[str, object]) -> RouterSettings:
     facts = Fields([])
     facts.pairs = flat(settings)
     return site(facts)
@@ -71,7 +71,7 @@
     def __init__(self, plan: HollowPlan, send: asyncio.WriteTransport) -> None:
         self.plan, self.send = plan, send
         self.factory = follower_factory(plan.through)
-        self.known = msgspec.convert(plan.known, Known)
+        self.known = msgspec.convert(plan.known, Snapshot)
         self.seats = {seat.number: seat for seat in plan.seats}
         self.dispatchers = {seat.number: self._dispatcher(seat) for seat in plan.seats}
         self.auditor, self.lateness = Auditor(), Lateness()
@@ -151,7 +151,7 @@
         dispatcher.lives += 1
         chance = Random(f"{self.plan.seed}/{seat.number}/{dispatcher.lives}")
         # The list of the start belongs to the log's first epoch; a later one begins with its own.
-        known = self.known if epoch <= 1 else Known()
+        known = self.known if epoch <= 1 else Snapshot()
         source = Source(
             name=seat.name,
             region=seat.region,
@@ -160,7 +160,7 @@
             known=known,
             epoch=epoch,
             chance=chance,
-            grace_s=dispatcher.site.rules.drain_us / 1e6,
+            grace_s=dispatcher.site.rules.drain_grace_us / 1e6,
         )
         dispatcher.audited = Position(epoch, known.seq)
         dispatcher.start(self.factory, source)
--- a/tests/authorization_rig.py
+++ b/tests/authorization_rig.py
@@ -14,6 +14,7 @@
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.wire import CacheHost, Client, connected
 from hoistplank.program.service import Phase
+from hoistplank.routing.frontend import Session
 from tests.helpers import Running, until
 
 OLD, NEW = Signer("k1"), Signer("k2", "ES256")
@@ -89,6 +90,11 @@
         told = dict(line.split(": ", 1) for line in head.decode().splitlines() if ": " in line)
         return status, told.get("X-Refusal", "")
 
+    def handshakes(self) -> dict[Session, float]:
+        """The sessions whose handshake runs, with the loop's time at its beginning."""
+        assert self.callers.tls_listener is not None
+        return self.callers.tls_listener.pending
+
     async def secure(self, certificate: Path | None = None, **words: Any) -> Client:
         context = self.authority.context(certificate)
         for name, value in words.items():
--- a/tests/test_authorization_certificates.py
+++ b/tests/test_authorization_certificates.py
@@ -30,12 +30,12 @@
             assert await place.ask(OLD.token("inland-1"), client, 40) == (403, "token of another tenant")
             assert await place.ask(client=await place.secure(both)) == (401, "two tenants")
             assert await place.ask(OLD.token("coast-1"), await place.secure()) == (200, "")
-            before = place.callers.tls
+            before = place.callers.tls.state
             place.authority.server()
-            await until(lambda: place.callers.tls is not before)
+            await until(lambda: place.callers.tls.state is not before)
             assert await place.ask(client=client) == (200, "")  # the kept connection goes on
             assert await place.ask(client=await place.secure(coast)) == (200, "")
-            assert place.callers.shaking == {}
+            assert place.handshakes() == {}
 
     run(scene())
 
@@ -45,9 +45,9 @@
 
     Danger: silence would look like an end. Health is answered to anybody, and a time-out is told as such.
     """
-    asked = fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 1))
-    asked += fastcgi.record(fastcgi.PARAMS, 1, fastcgi.pair(b"SCRIPT_NAME", b"/-/healthy"))
-    asked += fastcgi.record(fastcgi.PARAMS, 1) + fastcgi.record(fastcgi.STDIN, 1)
+    asked = fastcgi.encode_record(fastcgi.BEGIN_REQUEST, 1, struct.pack(">HB5x", 1, 1))
+    asked += fastcgi.encode_record(fastcgi.PARAMS, 1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/-/healthy"))
+    asked += fastcgi.encode_record(fastcgi.PARAMS, 1) + fastcgi.encode_record(fastcgi.STDIN, 1)
     try:
         raw = socket.create_connection(address, 3)
         with raw, context.wrap_socket(raw, server_hostname="localhost", session=session) as sock:
@@ -126,12 +126,12 @@
             client = await place.secure(leaf)
             assert await place.ask(client=client) == (200, "")
             place.authority.crl([], lasts_s=-5)  # an expired one is not taken up: the one in force stays
-            await until(lambda: any(source.bad for source in place.callers.sources))
+            await until(lambda: any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(client=await place.secure(leaf)) == (200, "")
             # Long enough to be taken up on a machine that has other work, too.
             place.authority.crl([], lasts_s=4)
             ends = time.monotonic() + 4.1
-            await until(lambda: not any(source.bad for source in place.callers.sources))
+            await until(lambda: not any(source.failed for source in place.callers.loader.sources))
             await asyncio.sleep(ends - time.monotonic())
             assert await place.ask(client=client) == (200, "")
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
@@ -153,11 +153,11 @@
             rest = [await asyncio.open_connection("127.0.0.1", place.tls) for _ in range(20)]
             for _, writer in rest[10:]:
                 writer.write(b"\x16\x03\x01\x02")
-            await until(lambda: place.callers.handshakes["given up"] == 16)
-            assert len(place.callers.shaking) == 4
+            await until(lambda: place.callers.handshakes.abandoned == 16)
+            assert len(place.handshakes()) == 4
             assert await place.ask(OLD.token("coast-1"), await place.secure()) == (200, "")
             began = time.monotonic()
-            await until(lambda: not place.callers.shaking)
+            await until(lambda: not place.handshakes())
             assert time.monotonic() - began < 2.5
             for nonsense in (
                 b"GET / HTTP/1.1\r\n\r\n",
--- a/tests/test_authorization_control.py
+++ b/tests/test_authorization_control.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.authorization.http import BadRequest, Reader
+from hoistplank.authorization.http import BadRequestError, HttpRequestParser
 from hoistplank.routing.router_task import Purged
 from tests.authorization_rig import OLD, Known, run
 from tests.helpers import until
@@ -94,8 +94,16 @@
             assert {"tenant": "coast", "cause": "group", "count": 1} in told["refusals"]
             status, told = await place.http(coast, "GET", "/v1/tenants")
             assert [row["name"] for row in told["tenants"]] == ["coast"]
-            assert len((await place.http(staff, "GET", "/v1/limits"))[1]["limits"]) == 3
-            assert (await place.http(staff, "GET", "/v1/keys"))[1]["issuers"][0]["keys"] == ["k1"]
+            assert list(told["tenants"][0]) == ["name", "rights", "tracks", "groups", "taken"]
+            _, told = await place.http(staff, "GET", "/v1/limits")
+            assert len(told["limits"]) == 3 and list(told) == ["limits", "open"]
+            assert list(told["limits"][0]) == ["tenant", "weight", "rate", "left", "open", "open_visits"]
+            _, told = await place.http(staff, "GET", "/v1/keys")
+            assert told["issuers"][0]["keys"] == ["k1"]
+            assert list(told) == ["issuers", "revocations", "handshakes"]
+            assert list(told["handshakes"]) == ["done", "failed", "given up", "refused"]
+            _, told = await place.http(staff, "GET", "/v1/levels")
+            assert told == {"level": "full", "levels": None}
             # A revoked operator: its connection ends, and so does its next handshake.
             await place.http(staff, "POST", "/v1/revoke", {"kind": "name", "value": "uri:hoistplank:coast"})
             with pytest.raises((OSError, IndexError)):
@@ -124,10 +132,10 @@
     )
 )
 def test_any_bytes_on_the_control_front_are_requests_or_named(parts: list[bytes]) -> None:
-    reader = Reader(200)
+    parser = HttpRequestParser(200)
     try:
         for part in parts:
-            for request in reader.feed(part):
+            for request in parser.feed(part):
                 assert len(request.body) <= 200
-    except BadRequest as wrong:
+    except BadRequestError as wrong:
         assert 400 <= wrong.status <= 431
--- a/tests/test_authorization_keys.py
+++ b/tests/test_authorization_keys.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from hoistplank.authorization.service import CallersService
+from hoistplank.authorization.service import AuthorizationService
 from hoistplank.fakes.certificate_authority import write_keys
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.program.sections import load
 from tests.authorization_rig import NEW, OLD, Known, run, served
 from tests.helpers import configuration, until
@@ -24,9 +24,9 @@
             assert await place.ask(OLD.token("coast-1"), group=40) == (403, "group")
             assert await place.ask("rubbish") == (401, "token form")
             assert await place.ask(NEW.token("coast-1", header={"alg": "none"})) == (401, "token alg")
-            assert place.box.seen == [] and place.callers.gate.accounts.total == 0
+            assert place.box.seen == [] and place.callers.authorizer.limiter.total_open == 0
             assert await place.ask(OLD.token("coast-1")) == (200, "")
-            assert len(place.box.seen) == 1 and place.callers.gate.accounts.total == 0
+            assert len(place.box.seen) == 1 and place.callers.authorizer.limiter.total_open == 0
 
     run(scene())
 
@@ -59,14 +59,18 @@
             told = await place.ask(NEW.token("coast-1"))
             assert told == (503, "key not known yet")
             write_keys(tmp_path / "ring.json", OLD.jwk("verifying"), NEW.jwk())
-            await until(lambda: "k2" in place.callers.gate.issuers["https://id.example"].keys)
+            await until(
+                lambda: "k2" in place.callers.authorizer.authenticator.issuers["https://id.example"].keys
+            )
             assert await place.ask(NEW.token("coast-1")) == (200, "")
             assert await place.ask(OLD.token("coast-2")) == (200, "")
             write_keys(tmp_path / "ring.json", OLD.jwk("retired"), NEW.jwk())
-            await until(lambda: "k1" not in place.callers.gate.issuers["https://id.example"].keys)
+            await until(
+                lambda: "k1" not in place.callers.authorizer.authenticator.issuers["https://id.example"].keys
+            )
             assert await place.ask(OLD.token("coast-2")) == (401, "token key")
             # The first request is still out: its key's end does not strike it.
-            assert place.callers.gate.accounts.total == 1
+            assert place.callers.authorizer.limiter.total_open == 1
             released.set()
             number, status, _, _ = await client.answer()
             assert (number, status) == (9, 200)
@@ -86,14 +90,14 @@
             spoils["two alike"] = lambda: write_keys(file, row, row)
             spoils["private"] = lambda: write_keys(file, row | {"d": "A"})
             spoils[spoil]()
-            await until(lambda: any(source.bad for source in place.callers.sources))
+            await until(lambda: any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(OLD.token("coast-1")) == (200, "")
             assert await place.ask(NEW.token("coast-1")) == (503, "key not known yet")
             place.running.service.renewed.set()  # a reload with it changes nothing either
             await asyncio.sleep(0.05)
             assert await place.ask(OLD.token("coast-3")) == (200, "")
             write_keys(file, OLD.jwk(), NEW.jwk())
-            await until(lambda: not any(source.bad for source in place.callers.sources))
+            await until(lambda: not any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(NEW.token("coast-1")) == (200, "")
 
     run(scene())
@@ -119,8 +123,8 @@
 ) -> None:
     Known(tmp_path)
     change(tmp_path)
-    with pytest.raises(Faults) as caught:
-        CallersService(
+    with pytest.raises(ConfigurationError) as caught:
+        AuthorizationService(
             load(str(tmp_path / "op.sexp"))["callers"],
             str(tmp_path / "op.sexp"),
             configuration(tmp_path).site,
--- a/tests/test_compatibility_cli.py
+++ b/tests/test_compatibility_cli.py
@@ -12,6 +12,7 @@
 from hoistplank.cli.main import main
 from tests.fixture_files import as_json, fixture_json
 
+ADDED = {"hoistplank request": "hoistplank visit"}  # a second name beside the earlier one
 ROOT = Path(__file__).resolve().parents[1]
 COMMANDS: dict[str, dict[str, Any]] = fixture_json("cli.json")
 
@@ -64,8 +65,13 @@
 FOUND = dict(commands(main, "hoistplank"))
 
 
-def test_the_commands_are_those_that_were() -> None:
-    assert sorted(FOUND) == sorted(COMMANDS)
+def test_the_commands_are_those_that_were_and_those_added_since() -> None:
+    assert set(FOUND) == {*COMMANDS, *ADDED}
+
+
+@pytest.mark.parametrize("added, earlier", ADDED.items())
+def test_a_second_name_of_a_command_is_the_same_command(added: str, earlier: str) -> None:
+    assert as_json(described(FOUND[added])) == as_json(COMMANDS[earlier])
 
 
 @pytest.mark.parametrize("path", COMMANDS)
--- a/tests/test_compatibility_operator_file.py
+++ b/tests/test_compatibility_operator_file.py
@@ -8,9 +8,9 @@
 import pytest
 
 from hoistplank.degradation import sections as degradation
-from hoistplank.operator_configuration.faults import Fault, Faults
-from hoistplank.operator_configuration.schema import Section, Shape
-from hoistplank.operator_configuration.text import Atom
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
+from hoistplank.operator_configuration.schema import FormSchema, Section
+from hoistplank.operator_configuration.syntax import Atom
 from hoistplank.program.sections import FILE, understood
 from tests.fixture_files import FIXTURES, as_json, fixture_json
 
@@ -47,18 +47,23 @@
     return value
 
 
-def grammar(shape: Shape, path: str = "") -> dict[str, dict[str, Any]]:
-    """Each form below a shape by its path, without the words that only describe it."""
+def grammar(schema: FormSchema, path: str = "") -> dict[str, dict[str, Any]]:
+    """Each form below a schema by its path, without the words that only describe it."""
     found: dict[str, dict[str, Any]] = {}
-    if shape.title is not None:
-        found[f"{path} NAME"] = {"limits": shape.title.wants}
-    for row in shape.fields:
+    if schema.title is not None:
+        found[f"{path} NAME"] = {"limits": schema.title.expected}
+    for row in schema.fields:
         at = f"{path} {row.name}".strip()
-        found[at] = {"needed": row.needed, "many": row.many, "each": row.each, "default": plain(row.default)}
-        if isinstance(row.kind, Shape):
-            found |= grammar(row.kind, at)
+        found[at] = {
+            "needed": row.required,
+            "many": row.repeated,
+            "each": row.list_per_form,
+            "default": plain(row.default),
+        }
+        if isinstance(row.type, FormSchema):
+            found |= grammar(row.type, at)
         else:
-            found[at]["limits"] = row.kind.wants
+            found[at]["limits"] = row.type.expected
     return found
 
 
@@ -70,11 +75,11 @@
 
 def test_levels_and_ages_are_made_as_they_were() -> None:
     wanted = fixture_json("operator/every-form.json")
-    faults: list[Fault] = []
+    diagnostics: list[Diagnostic] = []
     section = understood(EVERY_FORM, "op")["levels"]
-    assert as_json(in_order(degradation.levels(section, faults))) == as_json(wanted["levels"])
-    assert as_json(degradation.ages(section, faults)) == as_json(wanted["ages"])
-    assert not faults
+    assert as_json(in_order(degradation.levels(section, diagnostics))) == as_json(wanted["levels"])
+    assert as_json(degradation.ages(section, diagnostics)) == as_json(wanted["ages"])
+    assert not diagnostics
 
 
 def test_the_file_has_the_forms_that_it_had_and_no_others() -> None:
@@ -126,5 +131,5 @@
 )
 def test_a_word_of_the_code_is_no_word_of_the_file(word: str) -> None:
     level = f"(level a (enter goal above 0.9) (leave goal below 0.5) ({word} 2))"
-    with pytest.raises(Faults, match=f"the unknown form '{word}'"):
+    with pytest.raises(ConfigurationError, match=f"the unknown form '{word}'"):
         understood(f"(levels {level})".encode(), "op")
--- a/tests/test_distribution_log.py
+++ b/tests/test_distribution_log.py
@@ -10,7 +10,7 @@
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.fakes.wire import serve
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from tests.distribution_rig import EPOCH, Relay, Rig, at, run
 from tests.helpers import until
 
@@ -154,5 +154,5 @@
         start, lines = reader.read(buffer, start, end)
         found += lines
     assert found == [b'{"a":1}', b'{"b":2}'] and start == len(buffer)
-    with pytest.raises(BadBytes, match="longer than 8 bytes"):
+    with pytest.raises(ProtocolError, match="longer than 8 bytes"):
         reader.read(bytearray(b"x" * 9), 0, 9)
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -20,7 +20,7 @@
 from hoistplank.lab.fleet import processes, runner, worker
 from hoistplank.lab.fleet.scene import read
 from hoistplank.lab.fleet.worker import Job
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 
 SMALL = "(scene s (locations 2) (dispatchers 1) (caches 2) (parents 2) (rate 8) (seconds 2s) (warm 1s) {})"
 
@@ -58,7 +58,7 @@
     log = (kept / "s-1" / "dispatcher-0.log").read_text().splitlines()
     assert not log[0].startswith("{") and log[-1].startswith("{")
     (tmp_path / "plain.sexp").rename(tmp_path / "other.sexp")
-    with pytest.raises(Faults, match="other.sexp"):
+    with pytest.raises(ConfigurationError, match="other.sexp"):
         runner.scenes([str(tmp_path)])
 
 
--- a/tests/test_fleet_scenes.py
+++ b/tests/test_fleet_scenes.py
@@ -15,7 +15,7 @@
 from hoistplank.lab.fleet.worker import Job, told
 from hoistplank.lab.model.world_settings import S
 from hoistplank.lab.policies import policy
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from tests.fleet_rig import SCENES, by_name
 
 BROKEN_SCENES = {
@@ -46,9 +46,9 @@
     text: str, tmp_path: Path
 ) -> None:
     place, found, wants = BROKEN_SCENES[text]
-    with pytest.raises(Faults) as told:
+    with pytest.raises(ConfigurationError) as told:
         read(text.encode(), "s")
-    first = str(told.value.faults[0])
+    first = str(told.value.diagnostics[0])
     assert first.startswith(place) and found in first and wants in first, first
     file = tmp_path / "s.sexp"
     file.write_text(text)
@@ -61,9 +61,9 @@
     assert len(found) >= 12 and len({scene.name for scene, _ in found}) == len(found)
     for scene, _ in found:
         assert scene.doc and all(row.at + lasts(row) <= (scene.seconds + 2) * S for row in scene.rows())
-    with pytest.raises(Faults, match="no scene 'none'"):
+    with pytest.raises(ConfigurationError, match="no scene 'none'"):
         runner.scenes([str(SCENES)], "none")
-    with pytest.raises(Faults, match="can't be read"):
+    with pytest.raises(ConfigurationError, match="can't be read"):
         runner.scenes([str(SCENES / "none.sexp")])
 
 
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -19,18 +19,22 @@
 
 
 def begun(number: int, params: bytes = b"") -> bytes:
-    first = fastcgi.record(fastcgi.BEGIN, number, struct.pack(">HB5x", 1, 1))
-    return first + (fastcgi.record(fastcgi.PARAMS, number, params) if params else b"")
+    first = fastcgi.encode_record(fastcgi.BEGIN_REQUEST, number, struct.pack(">HB5x", 1, 1))
+    return first + (fastcgi.encode_record(fastcgi.PARAMS, number, params) if params else b"")
 
 
 RUDE: dict[str, list[bytes]] = {
     "nothing": [],
     "half a record": [begun(1)[:11]],
-    "never whole": [begun(1, fastcgi.pair(b"SCRIPT_NAME", b"/api/v2/page"))],
-    "endless parameters": [begun(1), *[fastcgi.record(fastcgi.PARAMS, 1, bytes(60_000))] * 200],
-    "huge body": [begun(1), fastcgi.record(fastcgi.PARAMS, 1), *[fastcgi.record(5, 1, bytes(60_000))] * 200],
+    "never whole": [begun(1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page"))],
+    "endless parameters": [begun(1), *[fastcgi.encode_record(fastcgi.PARAMS, 1, bytes(60_000))] * 200],
+    "huge body": [
+        begun(1),
+        fastcgi.encode_record(fastcgi.PARAMS, 1),
+        *[fastcgi.encode_record(5, 1, bytes(60_000))] * 200,
+    ],
     "one number twice": [begun(1), begun(1)],
-    "strays": [fastcgi.record(fastcgi.STDIN, 9, b"x")] * 5_000,
+    "strays": [fastcgi.encode_record(fastcgi.STDIN, 9, b"x")] * 5_000,
     "other version": [b"\x07" + begun(1)[1:]],
 }
 
@@ -54,7 +58,9 @@
             while not rest.done() and kind in ("nothing", "half a record", "never whole"):
                 await asyncio.sleep(0.02)
                 if kind == "never whole":
-                    rude.writer.write(fastcgi.record(fastcgi.PARAMS, 1, fastcgi.pair(b"A", b"b")))
+                    rude.writer.write(
+                        fastcgi.encode_record(fastcgi.PARAMS, 1, fastcgi.encode_pair(b"A", b"b"))
+                    )
             try:
                 said = await asyncio.wait_for(rest, 3)
             except ConnectionResetError:
@@ -65,7 +71,7 @@
             assert (await mixed.answer())[:2] == (5, 502) and await mixed.reader.read() == b""
             assert (await dispatcher.ask(1, "page"))[0] == 200
             front = dispatcher.service.front
-            await until(lambda: len(front.sessions) == 1 and not dispatcher.service.owner.router.ledger)
+            await until(lambda: len(front.sessions) == 1 and not dispatcher.service.owner.router.requests)
             assert front.held == 0
 
     run(scene())
--- a/tests/test_scale_scenes.py
+++ b/tests/test_scale_scenes.py
@@ -11,7 +11,7 @@
 
 from hoistplank.lab.scale.scene import KINDS, S, read
 from hoistplank.lab.scale.scene_schedule import Change, HostStep, Purge, schedule
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from tests.scale_rig import FLEET, ROOT, SCENES, scene
 
 
@@ -54,11 +54,11 @@
     ],
 )
 def test_mistakes_in_scenes_are_told_with_their_place(text: str, line: int, column: int, wanted: str) -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read(text.encode(), "s.sexp")
-    told = [fault for fault in caught.value.faults if wanted in fault.expected]
-    assert told, [str(fault) for fault in caught.value.faults]
-    assert (told[0].place.line, told[0].place.column) == (line, column)
+    told = [fault for fault in caught.value.diagnostics if wanted in fault.expected]
+    assert told, [str(fault) for fault in caught.value.diagnostics]
+    assert (told[0].location.line, told[0].location.column) == (line, column)
 
 
 @settings(max_examples=20, deadline=None)  # a machine that has other work may hold any of them up
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -102,12 +102,14 @@
         rows = [Target(f"box-{n}", f"127.0.0.1:{9_000 + n}", "z1", "box", 0, "ready", 1.0) for n in range(5)]
         cold = Target("box-9", "127.0.0.1:9009", "z1", "box", 0, "ready", 1.0, now / 1_000)
         made.tell(Listed("whole", [*rows, cold]))
-        assert made.resources.hosts["box-9"].share == pytest.approx(made.site.rules.cold_from, abs=0.1)
+        assert made.resources.hosts["box-9"].share == pytest.approx(
+            made.site.rules.warm_up_initial_share, abs=0.1
+        )
         keys = [key_of(f"{n:016x}", 0) for n in range(2_000)]
         weights = made.resources.firsts["caches-z1"].weights
         got = sum(order(key, weights)[0] == "box-9" for key in keys) / len(keys)
-        assert got < 1.5 * made.site.rules.cold_from / 5.2
-        made.clock.ahead += made.site.rules.cold_us * 1_000
+        assert got < 1.5 * made.site.rules.warm_up_initial_share / 5.2
+        made.clock.ahead += made.site.rules.warm_up_us * 1_000
         made.warm()
         assert made.resources.hosts["box-9"].share == 1.0
         now = made.clock.now()
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -12,11 +12,11 @@
 import pytest
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
-from hoistplank.choice import Router
+from hoistplank.decision.events import Endpoint, EndpointListForm, EndpointsUpdated
+from hoistplank.decision.router import Router
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.first_choice import first_choice
 from hoistplank.fakes.settings import listing
-from hoistplank.interface import HostEntry
 from hoistplank.xds.resources import (
     CLUSTER,
     ENDPOINT,
@@ -40,8 +40,8 @@
             names = [f"box-{n}" for n in range(6)]
 
             def told(states: dict[str, str]) -> None:
-                rows = [HostEntry(uid, "z1", "box", 0, 100.0, 0, states.get(uid, "up")) for uid in names]
-                router.hosts_listed(now, "whole", [*rows, *ABOVE])
+                rows = [Endpoint(uid, "z1", "box", 0, 100.0, 0, states.get(uid, "up")) for uid in names]
+                router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, *ABOVE]))
 
             two = {"box-2": "draining", "box-4": "draining"}
             for step, states in enumerate(({}, {"box-2": "draining"}, two, {})):
