--- a/hoistplank/cli/state.py
+++ b/hoistplank/cli/state.py
@@ -10,17 +10,19 @@
 import msgspec
 
 from hoistplank.membership import list_staleness
-from hoistplank.store.folder import Folder, Loaded, StoreError
+from hoistplank.store.errors import FolderError
+from hoistplank.store.folder import StateFolder
+from hoistplank.store.state_reader import LoadResult
 
 FOLDER = click.argument("folder", type=click.Path(path_type=Path))
 
 
-def _load(folder: Path) -> Loaded:
+def _load(folder: Path) -> LoadResult:
     try:
         if not folder.is_dir():
-            raise StoreError(f"{folder}: is no folder")
-        return Folder(folder).load(mend=False)
-    except StoreError as wrong:
+            raise FolderError(folder, "is no folder")
+        return StateFolder(folder).load(repair=False)
+    except FolderError as wrong:
         click.echo(f"hoistplank: {wrong}", err=True)
         sys.exit(2)
 
@@ -43,14 +45,14 @@
         "notes": loaded.notes,
     }
     if held is not None:
-        age_s = time.time() - held.heard_us / 1e6
+        age_s = time.time() - held.last_contact_us / 1e6
         row |= {
             "log": held.log,
             "age_s": round(age_s),
             "hosts": len(held.hosts),
             "purges": len(held.purges),
-            "gone_a_day": round(list_staleness.rate(held.history) * 86_400, 4),
-            "alive": round(list_staleness.alive(held.history, age_s), 4),
+            "gone_a_day": round(list_staleness.removal_rate(held.history) * 86_400, 4),
+            "alive": round(list_staleness.survival_probability(held.history, age_s), 4),
         }
     click.echo(
         msgspec.json.encode(row).decode() if as_json else "\n".join(f"{k}: {v}" for k, v in row.items())
@@ -75,6 +77,6 @@
     held = _load(folder).state
     if held is None:
         sys.exit(1)
-    head = {"log": held.log, "heard_us": held.heard_us, "rev": held.rev, "history": held.history}
+    head = {"log": held.log, "heard_us": held.last_contact_us, "rev": held.revision, "history": held.history}
     for row in (head, *held.hosts, *held.purges):
         click.echo(msgspec.json.encode(row).decode())
