--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -16,10 +16,10 @@
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
-from hoistplank.program.configuration import BadConfiguration, Configuration
-from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.frontend import Front
-from hoistplank.routing.router_task import Owner
+from hoistplank.program.configuration import Configuration, DispatcherConfigurationError
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
+from hoistplank.routing.frontend import Frontend
+from hoistplank.routing.router_task import RouterTask
 
 log = structlog.get_logger()
 
@@ -30,9 +30,9 @@
 class Host(Protocol):
     """What this uses of the program that it is part of."""
 
-    owner: Owner
-    front: Front
-    listing: Listing
+    router_task: RouterTask
+    frontend: Frontend
+    endpoint_watcher: EndpointWatcher
 
 
 class DistributionService:
@@ -56,16 +56,16 @@
         """Takes the place of the change log's watch, before anything else watches it."""
         configuration = self.configuration
         follower = ReplicaFollower(
-            host.owner,
+            host.router_task,
             self.settings(),
             configuration.known,
             Random(configuration.seed),
-            configuration.site.rules.drain_grace_us / 1e6,
+            configuration.router_settings.rules.drain_grace_us / 1e6,
             self._prepare,
         )
-        self.follower = host.listing = follower
-        host.owner.before_turn = follower.check_silence
-        host.front.health_detail = follower.detail
+        self.follower = host.endpoint_watcher = follower
+        host.router_task.before_turn = follower.check_silence
+        host.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
     async def _prepare(self, version: Version, text: str) -> TakeUp:
@@ -73,7 +73,7 @@
         try:
             check = await asyncio.to_thread(self.read, text.encode(), f"configuration {version}")
             return check()
-        except BadConfiguration as wrong:
+        except DispatcherConfigurationError as wrong:
             raise ConfigurationRefused(str(wrong)) from None
 
     def close(self) -> None:
--- a/hoistplank/membership/fallback.py
+++ b/hoistplank/membership/fallback.py
@@ -15,8 +15,9 @@
 from hoistplank.membership.probe import probe
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.router_task import Listed, Owner
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
+from hoistplank.routing.events import EndpointListForm, EndpointsUpdated
+from hoistplank.routing.router_task import RouterTask
 from hoistplank.store.schemas import PersistedHost
 from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
@@ -42,8 +43,8 @@
 class Dispatcher(Protocol):
     """What membership uses of the program that it is part of."""
 
-    owner: Owner
-    listing: Listing
+    router_task: RouterTask
+    endpoint_watcher: EndpointWatcher
     descriptors: DescriptorBudget
     provisional: bool
 
@@ -81,7 +82,7 @@
     async def run(self, dispatcher: Dispatcher) -> None:
         """Probes until the change log has sent its list, then waits to be cancelled; ends its probes."""
         began_us = self._clock.now()
-        dispatcher.owner.seen_ended = self._attempt_ended
+        dispatcher.router_task.attempt_observer = self._attempt_ended
         try:
             while not (self._registry.is_synced and not self._probes):
                 now = self._clock.now()
@@ -126,7 +127,7 @@
         if not self._registry.usable_changed or self._registry.is_synced:
             return
         targets = [to_target(row.host, row.started_us) for row in self._registry.usable_hosts()]
-        dispatcher.owner.tell(Listed(OWN_LIST, targets))
+        dispatcher.router_task.submit(EndpointsUpdated(EndpointListForm.UNCONFIRMED, targets))
         dispatcher.provisional |= self._can_serve()
         if now - self._last_logged_us > LOG_INTERVAL_US:
             self._last_logged_us = now
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -22,7 +22,7 @@
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Event, Fleet
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.router_task import Purged
+from hoistplank.routing.events import PurgeReceived
 from hoistplank.store.schemas import PersistedHost, PersistedList, RemovalHistory
 
 log = structlog.get_logger()
@@ -61,11 +61,11 @@
         self._clock = clock or Clock()
         self._loop: asyncio.AbstractEventLoop | None = None
         self._dispatcher: Dispatcher | None = None
-        site = configuration.site
+        site = configuration.router_settings
         self.registry = HostRegistry(Random(configuration.seed), site.dispatchers)
         folder = Path(file).parent / section["state"] if section["state"] is not None else None
         purge_retention_us = 2 * site.rules.purge_delay_us + PURGE_MARGIN_US
-        log_address = configuration.written.changelog
+        log_address = configuration.file.changelog
         self._recorder = ListRecorder(folder, log_address, purge_retention_us, self._report)
         self._load_hosts()
         self._fallback = DiscoveryFallback(
@@ -86,7 +86,7 @@
             self._check_seeds(seeds)
 
     def _check_seeds(self, seeds: list[PersistedHost]) -> None:
-        zone = self._configuration.site.zone
+        zone = self._configuration.router_settings.zone
         if all(seed.zone != zone for seed in seeds):
             found = f"no seed of this dispatcher's location '{zone}'"
             location = self._section.location_of("seed")
@@ -94,7 +94,7 @@
 
     def _is_relevant(self, host: PersistedHost) -> bool:
         """The router takes cache hosts of its own location alone, and any parent or origin."""
-        site = self._configuration.site
+        site = self._configuration.router_settings
         return host.zone == site.zone or host.kind in (site.parent_kind, site.origin_kind)
 
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
@@ -104,11 +104,11 @@
         for note in self._recorder.notes:
             log.warning("kept state", note=note)
         self._recorder.start()
-        dispatcher.listing.watch = self
+        dispatcher.endpoint_watcher.observer = self
         if self._configuration.known.results:
             # The configuration's own list takes precedence: it was given at this start.
             for event in self._configuration.known.results:
-                self.heard(event)
+                self.event_received(event)
             return [("membership", wait_forever())]
         if self._recorder.state is not None:
             self._resume(dispatcher, self._recorder.state)
@@ -124,9 +124,9 @@
             tries=self.registry.max_probe_attempts,
         )
         for purge in state.purges:
-            dispatcher.owner.tell(Purged(purge.object_key, purge.group, purge.made_us))
+            dispatcher.router_task.submit(PurgeReceived(purge.object_key, purge.group, purge.made_us))
 
-    def heard(self, event: Event) -> Event:
+    def event_received(self, event: Event) -> Event:
         """An event of the change log; returns it with the starts that its hosts go on with."""
         now = self._clock.now()
         is_first_list = event.fleet is not None and not self.registry.is_synced
@@ -135,7 +135,7 @@
             return event
         self.registry.update_listed(now, hosts, whole=event.fleet.all)
         if is_first_list and self._dispatcher is not None:
-            self._dispatcher.owner.seen_ended = None
+            self._dispatcher.router_task.attempt_observer = None
             hosts_listed, hosts_carried = len(self._recorder.current), len(self.registry.carried_starts)
             log.info("change log is back", hosts=hosts_listed, kept=hosts_carried)
         return msgspec.structs.replace(event, fleet=self._with_starts(event.fleet))
@@ -147,7 +147,7 @@
         ]
         return msgspec.structs.replace(fleet, targets=targets)
 
-    def alive(self) -> None:
+    def confirmed_current(self) -> None:
         """The change log is there and has nothing newer."""
         self._recorder.record_contact(self._clock.now())
 
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -13,8 +13,8 @@
 from hoistplank.program.configuration import Configuration
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.router_task import Event, Listed, Purged
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
+from hoistplank.routing.events import EndpointsUpdated, Event, PurgeReceived
 from hoistplank.xds.resources import ORIGIN, PARENTS, Host, ResourceCache
 from hoistplank.xds.service import Hub, Limits, server
 
@@ -59,24 +59,26 @@
 
 
 class Control:
-    """One control process: the change log in, resources out. It is the `Listing`'s hearer."""
+    """One control process: the change log in, resources out. It is the `EndpointWatcher`'s hearer."""
 
     def __init__(self, configuration: Configuration, limits: Limits | None = None) -> None:
-        self.site, self.clock = configuration.site, Clock()
-        self.resources = ResourceCache(configuration.site.purge_hold_us)
+        self.site, self.clock = configuration.router_settings, Clock()
+        self.resources = ResourceCache(configuration.router_settings.purge_hold_us)
         self.hub = Hub(self.resources, self.clock.now, limits)
         self.server: Any = None
         self.port = 0
-        self.listing = Listing(self, configuration.changelog, configuration.known, Random(configuration.seed))
+        self.endpoint_watcher = EndpointWatcher(
+            self, configuration.changelog, configuration.known, Random(configuration.seed)
+        )
 
-    def tell(self, event: Event) -> None:
+    def submit(self, event: Event) -> None:
         """What the change log says, in order; followers are told at once, drains and purges first."""
         now = self.clock.now()
-        if isinstance(event, Purged):
+        if isinstance(event, PurgeReceived):
             self.hub.tell(
-                self.resources.purged(now, event.object_key, event.group, event.made_us), urgent=True
+                self.resources.purged(now, event.object_key, event.purge_group, event.made_us), urgent=True
             )
-        elif isinstance(event, Listed) and event.form != "failed":
+        elif isinstance(event, EndpointsUpdated):
             known, named = self.resources.hosts, {target.uid for target in event.targets}
             gone = {target.uid for target in event.targets if target.state == "gone"}
             if event.form != "changes":
@@ -111,7 +113,7 @@
 
     async def run(self) -> None:
         """Until it is cancelled: the log is followed, hosts warm, late followers are renewed."""
-        following = asyncio.create_task(self.listing.run(), name="change log")
+        following = asyncio.create_task(self.endpoint_watcher.run(), name="change log")
         try:
             while not following.done():
                 await asyncio.sleep(TICK_S)
--- a/tests/authorization_rig.py
+++ b/tests/authorization_rig.py
@@ -13,8 +13,8 @@
 from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.wire import CacheHost, Client, connected
-from hoistplank.program.service import Phase
-from hoistplank.routing.frontend import Session
+from hoistplank.program.phase import Phase
+from hoistplank.routing.client_session import ClientSession
 from tests.dispatcher_scene import Calm
 from tests.helpers import until
 
@@ -82,7 +82,7 @@
         told = dict(line.split(": ", 1) for line in head.decode().splitlines() if ": " in line)
         return status, told.get("X-Refusal", "")
 
-    def handshakes(self) -> dict[Session, float]:
+    def handshakes(self) -> dict[ClientSession, float]:
         """The sessions whose handshake runs, with the loop's time at its beginning."""
         assert self.callers.tls_listener is not None
         return self.callers.tls_listener.pending
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -30,8 +30,8 @@
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import SETTINGS, listing, target
 from hoistplank.fakes.wire import CacheHost, Client, serve
-from hoistplank.program import service
-from hoistplank.program.configuration import Configuration, read, read_again
+from hoistplank.program import graceful_shutdown
+from hoistplank.program.configuration import Configuration, read_configuration, reread_configuration
 from hoistplank.program.extensions import load_extensions
 from hoistplank.program.service import Service
 
@@ -242,7 +242,7 @@
             del place[last]
     file = folder / "config.json"
     file.write_text(json.dumps(written))
-    return read({"EDGE_CONFIG": str(file)})
+    return read_configuration({"EDGE_CONFIG": str(file)})
 
 
 class Running:
@@ -267,7 +267,7 @@
         self.additions = load_extensions(str(self.folder / "op.sexp"), made) if self.operator else None
         self.service = Service(
             made,
-            lambda: read_again({"EDGE_CONFIG": str(self.folder / "config.json")}),
+            lambda: reread_configuration({"EDGE_CONFIG": str(self.folder / "config.json")}),
             (),
             self.additions,
         )
@@ -279,10 +279,10 @@
         return Client(*await asyncio.open_connection(*self.service.listener.sock.getsockname()))
 
     async def __aexit__(self, *_: object) -> None:
-        windows, service.WINDOWS_S = service.WINDOWS_S, 0.01
+        window_s, graceful_shutdown.ACCEPT_WINDOW_S = graceful_shutdown.ACCEPT_WINDOW_S, 0.01
         self.service.terminated.set()
         await asyncio.wait_for(self.task, 10)
-        service.WINDOWS_S = windows
+        graceful_shutdown.ACCEPT_WINDOW_S = window_s
 
     async def ask(self, number: int, class_name: str, **more: Any) -> tuple[int, bytes, bytes]:
         self.client.send(number, class_name, **more)
