--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -10,6 +10,7 @@
 from hoistplank.protocol.cachewire import Answer
 from hoistplank.routing.attempt_ending import ENDING_OF_FAILURE, ENDING_OF_STATUS, AttemptEnding
 from hoistplank.routing.clock import Clock
+from hoistplank.routing.endpoint_registry import EndpointRegistry
 from hoistplank.transport.pooled_connection import PooledConnection
 from hoistplank.transport.pooled_request import RequestFailure
 
@@ -65,11 +66,9 @@
     """What an attempt uses of the router task, which stands above it."""
 
     clock: Clock
+    endpoints: EndpointRegistry
     max_start_delay_us: int
 
-    def is_up(self, host: str) -> bool:
-        """Whether a host may get new attempts."""
-
     def submit(self, event: AttemptEnded) -> None:
         """Takes the attempt's end."""
 
@@ -98,9 +97,9 @@
         Danger: a drain's grace, a warming host's budget, a purge's grace or the window in which a repeat is
         dropped passes while a connection is not yet up, or while its writes are held up.
         """
-        if self.is_over or self.request.is_closed or not self.owner.is_up(self.host):
+        if self.is_over or self.request.is_closed or not self.owner.endpoints.is_up(self.host):
             return False
-        if self.source and not self.owner.is_up(self.source):
+        if self.source and not self.owner.endpoints.is_up(self.source):
             return False
         self.started_us = self.owner.clock.now()
         if 0 < self.start_by_us < self.started_us:
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -152,10 +152,6 @@
             self.signals.request_shed(self.clock.now(), class_name)
         return False
 
-    def is_up(self, host: str) -> bool:
-        """Whether a host may get new attempts."""
-        return self.endpoints.is_up(host)
-
     async def run(self) -> None:
         """Until it is cancelled, or the Router breaks: what it raised then comes out here."""
         while True:
