--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -22,7 +22,7 @@
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import RouterTask
-from hoistplank.transport.descriptor_budget import DescriptorBudget
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 from hoistplank.transport.listener import Listener
 from hoistplank.transport.pool import Pool, PoolSettings
 
@@ -140,7 +140,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.renewed.set)
         if self.early:
             self.renewed.set()
-        self.loop.set_exception_handler(_log_unexpected)
+        self.loop.set_exception_handler(_log_unhandled)
 
     def _start_parts(self, extensions: Sequence[Extension]) -> list[asyncio.Task[None]]:
         """The tasks of the program and of its extensions; the end of any one ends the program."""
@@ -240,18 +240,22 @@
     def _log_limits(self) -> None:
         """What the limits leave room for, so that nobody has to guess it from what is refused later."""
         log.info(
-            "bounds",
-            **{f"{kind} descriptors": most for kind, most in self.descriptors.limits.items()},
+            "resource limits derived",
+            **{_descriptors_field(kind): limit for kind, limit in self.descriptors.limits.items()},
             waiting_answers_kb=self.frontend.max_unsent_bytes >> 10,
             open_requests_kb=self.frontend.max_held_bytes >> 10,
         )
         if self.configuration.memory_mb < MIN_MEMORY_MB:
             log.warning(
-                "little memory: few large answers can wait for slow clients at once",
+                "memory limit found low: few large answers can wait for slow clients at once",
                 memory_mb=self.configuration.memory_mb,
             )
 
 
-def _log_unexpected(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+def _descriptors_field(kind: ConnectionKind) -> str:
+    return f"{kind.value.replace(' ', '_')}_descriptors"
+
+
+def _log_unhandled(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
     """An error in a callback or a task that nobody awaits."""
-    log.error("unexpected", what=context.get("message"), exc_info=context.get("exception"))
+    log.error("event loop error unhandled", message=context.get("message"), exc_info=context.get("exception"))
--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -18,7 +18,7 @@
 class Response(Protocol):
     """The client's side of a request. The first of these calls is its answer; it comes once."""
 
-    def succeed(self, body: bytes, unchanged: bool) -> None:
+    def succeed(self, body: bytes, *, unchanged: bool) -> None:
         """The object; `unchanged`: the copy that the client named still holds."""
 
     def reject(self, retry_after_us: int) -> None:
--- a/hoistplank/routing/client_session.py
+++ b/hoistplank/routing/client_session.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 from hoistplank.protocol import fastcgi
 from hoistplank.protocol.errors import ProtocolError
@@ -53,7 +53,7 @@
     `identity` is what its handshake has proven, for the authorizer to read; `peer` its remote address.
     """
 
-    identity: Any
+    identity: object
 
     def __init__(
         self, frontend: SessionOwner, sock: socket.socket, peer: str, make_connection: ConnectionFactory
@@ -68,7 +68,7 @@
         # Whole, and not handed to the router task while too much waits for this client.
         self.deferred: dict[int, Request] = {}
         self.is_closing = False  # it ends once nothing is owed on it any more
-        self.given_up = False  # it was given up: nothing that comes is taken any more
+        self.given_up = False  # what it sent can't be used: nothing more is read
         self.has_sent_request = False  # whether it has sent a usable request
         self.bad_requests = 0
         self.whole_requests = 0
@@ -207,7 +207,8 @@
     # How it ends.
 
     def give_up(self, reason: str) -> None:
-        """What came is no use: all that is open here is answered at once, no more is read, and it closes."""
+        """What was received can't be used: all that is open is answered at once, no more is read, and it
+        closes."""
         if self.given_up:
             return
         self.given_up = True
@@ -221,7 +222,7 @@
         self.connection.stop_reading()
         self.connection.close_gracefully()
 
-    def close_when_idle(self, even_if_silent: bool = True) -> None:
+    def close_when_idle(self, *, even_if_silent: bool = True) -> None:
         """Ends this connection once all that is open on it has been answered, and the answers are out."""
         self.is_closing, self.connection.on_all_written = True, self._all_sent
         if self.is_idle() and (even_if_silent or self.has_sent_request):
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -89,12 +89,15 @@
         """Hands one event on."""
         self.last_seq = event.seq
         if event.fleet is not None:
-            rows = [self._drains.apply(target, self.numbering_restarted) for target in event.fleet.targets]
+            restarted = self.numbering_restarted
+            rows = [
+                self._drains.apply(target, numbering_restarted=restarted) for target in event.fleet.targets
+            ]
             event = msgspec.structs.replace(event, fleet=msgspec.structs.replace(event.fleet, targets=rows))
         if self.observer is not None:
             event = self.observer.event_received(event)
         if event.fleet is not None:
-            form = self._list_form(event.fleet.all)
+            form = self._list_form(is_whole=event.fleet.all)
             self.has_list = True
             self.owner.submit(EndpointsUpdated(form, event.fleet.targets))
         if event.invalidate is not None:
@@ -102,7 +105,7 @@
             made_us = self._clock_offset.to_local_us(self.owner.clock.now(), int(purge.time * 1000))
             self.owner.submit(PurgeReceived(purge.object, purge.bucket, made_us))
 
-    def _list_form(self, is_whole: bool) -> EndpointListForm:
+    def _list_form(self, *, is_whole: bool) -> EndpointListForm:
         if not self.has_list:
             return EndpointListForm.PERSISTED
         return EndpointListForm.SNAPSHOT if is_whole else EndpointListForm.CHANGES
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -37,14 +37,14 @@
     def __init__(
         self,
         router_task: RouterTask,
-        site: RouterSettings,
+        settings: RouterSettings,
         descriptors: DescriptorBudget,
         memory_mb: int,
         is_ready: Callable[[], bool],
         authorizer: Authorizer | None = None,
     ) -> None:
         self.router_task, self.descriptors = router_task, descriptors
-        self.intake = RequestIntake(router_task, site, is_ready, authorizer)
+        self.intake = RequestIntake(router_task, settings, is_ready, authorizer)
         self.class_by_script = self.intake.parser.script_names()
         self.sessions: dict[ClientSession, None] = {}  # in the order in which they were accepted
         self.rate_limited_log = RateLimitedLog()
--- a/hoistplank/routing/remembered_drains.py
+++ b/hoistplank/routing/remembered_drains.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self._start_ms_by_host = OrderedDict[str, float]()
 
-    def apply(self, target: Target, numbering_restarted: bool) -> Target:
+    def apply(self, target: Target, *, numbering_restarted: bool) -> Target:
         """What an entry of the list says, beside what was announced of its host before.
 
         Danger: a log that counts anew, or only lags, has a list from before a drain that was received, and
--- a/hoistplank/routing/request_intake.py
+++ b/hoistplank/routing/request_intake.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 from hoistplank.decision.settings import RouterSettings
 from hoistplank.protocol.fastcgi import FastCgiRequest
@@ -19,7 +19,7 @@
     """Decides whether a caller's request may be accepted; a dispatcher without one accepts them all."""
 
     def admit(
-        self, identity: Any, fields: dict[str, str], request: Request, peer: str
+        self, identity: object, fields: dict[str, str], request: Request, peer: str
     ) -> RequestRefusal | None:
         """Counts the request as open, or returns why it is refused. `identity` is what the connection's
         handshake has proven, `peer` the connection's remote address."""
@@ -34,7 +34,7 @@
     def __init__(
         self,
         router_task: RouterTask,
-        site: RouterSettings,
+        settings: RouterSettings,
         is_ready: Callable[[], bool],
         authorizer: Authorizer | None,
     ) -> None:
@@ -42,8 +42,10 @@
         self.is_ready = is_ready
         self.health_detail: Callable[[], str] = str  # the body of a health answer
         self.authorizer = authorizer
-        self.parser = RequestParser(site)
-        self.max_retry_after_us = site.rules.max_retry_after_us if site.rules.may_send_retry_after else 0
+        self.parser = RequestParser(settings)
+        self.max_retry_after_us = (
+            settings.rules.max_retry_after_us if settings.rules.may_send_retry_after else 0
+        )
 
     def answer_health_check(self, response: FastCgiResponse) -> None:
         """200 while this dispatcher is to get requests, else 503."""
@@ -62,7 +64,7 @@
         request: Request,
         response: FastCgiResponse,
         fields: dict[str, str],
-        identity: Any,
+        identity: object,
         peer: str,
     ) -> bool:
         """Whether the caller may have it and the core has capacity; else the request has had its answer."""
--- a/hoistplank/routing/request_parsing.py
+++ b/hoistplank/routing/request_parsing.py
@@ -25,8 +25,8 @@
 class RequestParser:
     """Makes requests of CGI fields, by the traffic classes that the settings name."""
 
-    def __init__(self, site: RouterSettings) -> None:
-        self.classes = {traffic_class.name: traffic_class for traffic_class in site.traffic_classes}
+    def __init__(self, settings: RouterSettings) -> None:
+        self.classes = {traffic_class.name: traffic_class for traffic_class in settings.traffic_classes}
 
     def script_names(self) -> dict[bytes, str]:
         """The class name by each SCRIPT_NAME in use, as its bytes stand in the FastCGI parameters."""
--- a/hoistplank/routing/response.py
+++ b/hoistplank/routing/response.py
@@ -38,7 +38,7 @@
         self.number = number
         self.keep_connection = keep_connection
 
-    def succeed(self, body: bytes, unchanged: bool) -> None:
+    def succeed(self, body: bytes, *, unchanged: bool) -> None:
         """200 with the object; `unchanged`: the copy that the client named still holds, and no body goes."""
         if unchanged:
             self.send(200, (("X-Valid", "1"),), b"")
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -108,7 +108,11 @@
         self.signals: SignalFeed | None = None  # where levels of degradation are in use
         self._priority_weights = {row.name: row.priority_weight for row in settings.traffic_classes}
         self._wake: asyncio.Event = asyncio.Event()
-        self._event_handlers: dict[type, Callable[[int, Any], None]] = {
+        self._event_handlers = self._make_event_handlers()
+        self._action_handlers = self._make_action_handlers()
+
+    def _make_event_handlers(self) -> dict[type, Callable[[int, Any], None]]:
+        return {
             RequestArrived: self._on_request_arrived,
             ClientDisconnected: self._on_client_disconnected,
             AttemptTimedOut: self._on_attempt_timed_out,
@@ -122,7 +126,9 @@
             DrainDeadlineReached: self._on_drain_deadline_reached,
             Checkpoint: self._on_checkpoint,
         }
-        self._action_handlers: dict[type, Callable[[int, Any], None]] = {
+
+    def _make_action_handlers(self) -> dict[type, Callable[[int, Any], None]]:
+        return {
             SendAttempt: self._send_attempt,
             Reject: self._reject,
             Fail: self._fail,
@@ -159,7 +165,7 @@
             self._wake.clear()
             self.turn()
             slept_us = self.clock.now()
-            # What comes within a tick of the site is taken together: fewer turns, and writes in one call.
+            # What is submitted within a tick is handled together: fewer turns, and writes in one call.
             await asyncio.sleep(self.tick_s)
             lag_us = self.clock.now() - slept_us - int(self.tick_s * 1e6)
             self.lag_us = max(lag_us, self.lag_us - self.lag_us // LAG_DECAY_DIVISOR)
@@ -287,9 +293,9 @@
             request.sending_us = len(answer.body) / self.settings.stream_kb_per_s * 1_000
         self._close(request, now - request.received_us)
         self.counts.succeeded += 1
-        request.response.succeed(answer.body, unchanged)
+        request.response.succeed(answer.body, unchanged=unchanged)
 
-    # What else is known.
+    # Timers, endpoints, purges, degradation, the drain.
 
     def _hand_on(self, now: int, event: TimerFired | DegradationChanged) -> None:
         self.router.handle(now, event)
