--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -13,12 +13,12 @@
 import uvloop
 
 from hoistplank.cli.failure import fail
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.messages import VersionFields
-from hoistplank.distribution.replica import Replica, ReplicaSettings
-from hoistplank.distribution.sections import MOST_REPLICAS
-from hoistplank.distribution.status import ChangeRow, MissingRow, StatusAnswer
-from hoistplank.distribution.status_client import ask
+from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
+from hoistplank.distribution.sections import MAX_REPLICAS
+from hoistplank.distribution.status import ChangeRow, MissingRow, StatusResponse
+from hoistplank.distribution.status_client import request_status
 from hoistplank.distribution.versions import Version
 from hoistplank.protocol.changelog import parse_address
 from hoistplank.protocol.errors import ProtocolError
@@ -26,7 +26,7 @@
 LOOPBACK = ("127.", "localhost:", "[::1]:")
 # What a copy from before a purge may outlive it by, beside the floors: clocks and paths between replicas.
 HORIZON_MARGIN_US = 60_000_000
-MOST_NAMED = 20  # missing dispatchers that a person is told by name
+MAX_NAMED = 20  # missing dispatchers that a person is told by name
 
 
 def _address(option: str, text: str) -> tuple[str, int]:
@@ -69,8 +69,8 @@
 
     if not listen.startswith(LOOPBACK):
         fail(f"--listen {listen}: without certificates only a loopback address is served")
-    if len(peers) >= MOST_REPLICAS:
-        fail(f"--peer: {len(peers)} peers, {MOST_REPLICAS - 1} at most")
+    if len(peers) >= MAX_REPLICAS:
+        fail(f"--peer: {len(peers)} peers, {MAX_REPLICAS - 1} at most")
     try:
         configuration = read_configuration({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
     except DispatcherConfigurationError as wrong:
@@ -96,7 +96,7 @@
 async def _serve(settings: ReplicaSettings) -> None:
     import structlog
 
-    made, ended = Replica(settings), asyncio.Event()
+    made, ended = ControlReplica(settings), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
     host, port = made.address
@@ -117,14 +117,14 @@
     """A replica's answer, or why there is none."""
 
     endpoint: str
-    answer: StatusAnswer | None
+    answer: StatusResponse | None
     wrong: str
 
 
 async def _ask_all(endpoints: tuple[str, ...], version: Version | None) -> list[Asked]:
     async def one(endpoint: str) -> Asked:
         try:
-            return Asked(endpoint, await ask(_address("--replica", endpoint), version), "")
+            return Asked(endpoint, await request_status(_address("--replica", endpoint), version), "")
         except (OSError, ProtocolError) as wrong:
             return Asked(endpoint, None, str(wrong) or type(wrong).__name__)
 
@@ -132,7 +132,7 @@
 
 
 def _text(version: VersionFields) -> str:
-    return str(version.version())
+    return str(version.to_version())
 
 
 def _seconds(microseconds: int) -> str:
@@ -157,12 +157,12 @@
         return f"{words}; the change log's line can't be used: {row.unreadable}"
     if not row.missing:
         return words
-    named = ", ".join(map(_missing_words, row.missing[:MOST_NAMED]))
-    rest = len(row.missing) - MOST_NAMED
+    named = ", ".join(map(_missing_words, row.missing[:MAX_NAMED]))
+    rest = len(row.missing) - MAX_NAMED
     return f"{words}; missing: {named}" + (f", and {rest} more" if rest > 0 else "")
 
 
-def _replica_words(answer: StatusAnswer) -> str:
+def _replica_words(answer: StatusResponse) -> str:
     heard = answer.log_heard_ago_us
     peers = [
         f"{peer.name} {'heard' if peer.heard_ago_us is not None else 'not heard'}" for peer in answer.peers
@@ -177,7 +177,7 @@
     return f"{answer.replica}{f' ({answer.region})' if answer.region else ''}: {'; '.join(words)}"
 
 
-def _echo(asked: list[Asked], best: StatusAnswer) -> None:
+def _echo(asked: list[Asked], best: StatusResponse) -> None:
     for one in asked:
         click.echo(_replica_words(one.answer) if one.answer else f"{one.endpoint}: no answer ({one.wrong})")
     if best.change is not None:
@@ -185,9 +185,9 @@
         return
     click.echo(f"events up to {_text(best.events.version)}: {in_force_words(best.events)}")
     click.echo(f"configuration {_text(best.configurations.version)}: {in_force_words(best.configurations)}")
-    unheard = [f"{row.dispatcher} for {_seconds(row.heard_ago_us)}" for row in best.unheard]
+    unheard = [f"{row.dispatcher} for {_seconds(row.heard_ago_us)}" for row in best.silent]
     if unheard:
-        click.echo(f"connected but not heard: {', '.join(unheard[:MOST_NAMED])}")
+        click.echo(f"connected but not heard: {', '.join(unheard[:MAX_NAMED])}")
 
 
 @click.command()
@@ -206,7 +206,7 @@
             click.echo(f"hoistplank: {one.endpoint}: no answer ({one.wrong})", err=True)
         sys.exit(1)
     # The replica that is furthest and knows most dispatchers says most.
-    best = max(answers, key=lambda answer: (answer.version.version(), answer.events.total))
+    best = max(answers, key=lambda answer: (answer.version.to_version(), answer.events.total))
     if as_json:
         for answer in answers:
             click.echo(msgspec.json.encode(answer).decode())
