--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -23,7 +23,7 @@
 
 from benchmarks.verdict import verdict
 from hoistplank.lab.fleet import faulty_dispatchers, runner
-from hoistplank.lab.fleet.relays import Relays
+from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.fleet.scene import Scene, read
 from hoistplank.lab.statistics import interval
 
@@ -95,7 +95,7 @@
 
 async def carried() -> dict[str, float]:
     """One relay under load, and by itself: processor time for each chunk, how much later one comes (ms)."""
-    relays = Relays()
+    relays = RelayPool()
     await relays.start(1, 1)
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -105,7 +105,7 @@
 
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     direct = int(server.sockets[0].getsockname()[1])
-    through = await relays.stream("probe", direct, 0)
+    through = await relays.open_stream_path("probe", direct, 0)
 
     async def ping(port: int, many: int, pause: float) -> list[float]:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -120,12 +120,12 @@
         return sorted(took)
 
     many = 400 if QUICK else 2_000
-    before = await relays.stats()
+    before = await relays.statistics()
     # As many at once as a fleet's requests are: a chunk seldom has a turn of the loop to itself.
     await asyncio.gather(*(ping(through, many, 0) for _ in range(24)))
-    after = await relays.stats()
-    chunks = after["chunks"] - before["chunks"]
-    cost = (after["cpu_s"] - before["cpu_s"]) / chunks * 1e6
+    after = await relays.statistics()
+    chunks = after.chunks - before.chunks
+    cost = (after.cpu_s - before.cpu_s) / chunks * 1e6
     late, plain = [], []
     for _ in range(3):
         late += await ping(through, many // 4, 0.004)
--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -1,43 +1,52 @@
-"""Carries a scene's faults out on a world and on what drives it: processes and relays, or virtual time."""
+"""Carries a scene's faults out on a world and on the backend that drives it: processes or virtual time."""
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from hoistplank.lab.fleet.metrics import FleetMetrics
+from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
 from hoistplank.lab.fleet.scene import DATAGRAMS, KINDS, PARTY, WHO
 from hoistplank.lab.model.faults import Event, Troubles
 from hoistplank.lab.model.world import Move, Seat, World
 from hoistplank.lab.model.world_settings import HUB
 from hoistplank.operator_configuration.schema import Kind
 
-Direction = tuple[str, bool]  # a path's name, and whether it is the direction back to the near party
+CLIENT_PATH = "clients>d"
 
 
-class Hands(Protocol):
-    """What a drive does to paths and processes."""
+class PathDirection(NamedTuple):
+    """One direction of a path by the path's name; `backward` leads from the far party to the near one."""
 
-    def set_conditions(self, directions: list[Direction], **conditions: Any) -> None:
-        """Other conditions (see `PathConditions`) for these directions."""
+    path: str
+    backward: bool
 
-    def tell(self, paths: list[str], do: str) -> None:
-        """`shut`, `open` or `deaden`, both directions. Processes only."""
 
-    def older(self, seat: Seat, file: str, down_us: int) -> None:
-        """Restarts a dispatcher with another operator's file. Processes only."""
+class FaultBackend(Protocol):
+    """What a backend does to paths and processes."""
+
+    def set_conditions(self, directions: list[PathDirection], **conditions: ConditionValue) -> None:
+        """Change these conditions (fields of `PathConditions`) of directions."""
+
+    def apply_to_paths(self, paths: list[str], action: PathAction) -> None:
+        """Apply an action to both directions of paths. Processes only."""
+
+    def restart_with_file(self, seat: Seat, file: str, down_us: int) -> None:
+        """Restart a dispatcher with another operator's file. Processes only."""
 
     def starve(self, seat: Seat, share: float, length_us: int) -> None:
-        """Takes a share of its core away. Processes only."""
+        """Take a share of a dispatcher's core away for a time. Processes only."""
 
 
-class FleetTroubles(Troubles):
-    """`hands` carry out what the world's model has not."""
+class FleetFaultInjector(Troubles):
+    """Faults of processes, paths, places and clients; `backend` carries out what the model has not."""
 
     kinds = KINDS
 
-    def __init__(self, world: World, rows: list[Event], hands: Hands, metrics: FleetMetrics) -> None:
+    def __init__(self, world: World, rows: list[Event], backend: FaultBackend, metrics: FleetMetrics) -> None:
         super().__init__(world, rows)
-        self.hands, self.metrics = hands, metrics
+        self.backend = backend
+        self.metrics = metrics
 
     def _struck(self, kind: Kind, value: Any) -> Any:
         return self._who(value) if kind is WHO else super()._struck(kind, value)
@@ -72,31 +81,31 @@
             return [one.uid for one in world.caches if one.zone == party]
         return [party]  # a host, the origin or the log
 
-    def directions(self, one: str, other: str) -> list[Direction]:
+    def directions(self, one: str, other: str) -> list[PathDirection]:
         """The directions that lead from one party to another."""
         ours, theirs = self._dispatchers(one), self._dispatchers(other)
         if ours is not None and theirs is not None:
-            return [(f"d{min(a, b)}~d{max(a, b)}", a > b) for a in ours for b in theirs if a != b]
-        back = theirs is not None
-        many, party = (theirs, one) if back else (ours, other)
-        assert many is not None  # the scene was checked
+            return [PathDirection(sibling_path(a, b), a > b) for a in ours for b in theirs if a != b]
+        backward = theirs is not None
+        numbers, party = (theirs, one) if backward else (ours, other)
+        assert numbers is not None  # the scene was checked
         if party == "clients":
-            return [(f"clients>d{n}", not back) for n in many]
-        return [(f"d{n}>{uid}", back) for n in many for uid in self._servers(party)]
+            return [PathDirection(client_path(n), not backward) for n in numbers]
+        return [PathDirection(host_path(n, uid), backward) for n in numbers for uid in self._servers(party)]
 
-    def _set(self, one: str, other: str, length: int, **conditions: Any) -> None:
+    def _set(self, one: str, other: str, length: int, **conditions: ConditionValue) -> None:
         directions = self.directions(one, other)
-        self._blind([name for name, _ in directions], length)
-        self.hands.set_conditions(directions, **conditions)
-        plain = {name: False if value is True else type(value)() for name, value in conditions.items()}
+        self._excuse_held_answers([direction.path for direction in directions], length)
+        self.backend.set_conditions(directions, **conditions)
+        unimpaired = {name: type(value)() for name, value in conditions.items()}
 
-        def over() -> None:
-            self.hands.set_conditions(directions, **plain)
+        def restore() -> None:
+            self.backend.set_conditions(directions, **unimpaired)
 
-        self._later(length, over)
+        self._later(length, restore)
 
     def _hush(self, one: str, other: str, length: int) -> None:
-        self._wrong(one, other, length, f"hush {one} {other}")
+        self._mark_unreachable(one, other, length, f"hush {one} {other}")
         self._set(one, other, length, silent=True)
 
     def _delay(self, one: str, other: str, delay: int, spread: int, length: int) -> None:
@@ -106,22 +115,22 @@
         self._set(one, other, length, rate=rate * 1_000.0)
 
     def _break(self, one: str, other: str, length: int) -> None:
-        self._wrong(one, other, length, f"break {one} {other}")
-        names = [name for name, _ in self.directions(one, other)]
-        self._blind(names, length)
-        self.hands.tell(names, "shut")
-        self._later(length, self.hands.tell, names, "open")
+        self._mark_unreachable(one, other, length, f"break {one} {other}")
+        names = [direction.path for direction in self.directions(one, other)]
+        self._excuse_held_answers(names, length)
+        self.backend.apply_to_paths(names, PathAction.SHUT)
+        self._later(length, self.backend.apply_to_paths, names, PathAction.OPEN)
 
     def _halfway(self, one: str, other: str) -> None:
-        names = [name for name, _ in self.directions(one, other)]
-        self._blind(names, 1)
-        self.hands.tell(names, "deaden")
+        names = [direction.path for direction in self.directions(one, other)]
+        self._excuse_held_answers(names, 1)
+        self.backend.apply_to_paths(names, PathAction.DEADEN)
 
-    def _blind(self, names: list[str], length: int) -> None:
+    def _excuse_held_answers(self, names: list[str], length: int) -> None:
         """Danger: an answer that the rig itself holds back would count as a rule that a dispatcher broke."""
         for name in names:
-            if name.startswith("clients>d"):
-                self._excuse(int(name.removeprefix("clients>d")), length)
+            if name.startswith(CLIENT_PATH):
+                self._excuse(int(name.removeprefix(CLIENT_PATH)), length)
 
     def _excuse(self, seat: int, length: int) -> None:
         answers = self.world.truth.answers
@@ -143,7 +152,7 @@
     def _flip(self, one: str, other: str, share: float, length: int) -> None:
         self._set(one, other, length, flip=share)
 
-    def _wrong(self, one: str, other: str, length: int, text: str) -> None:
+    def _mark_unreachable(self, one: str, other: str, length: int, text: str) -> None:
         """Hosts that a dispatcher can't reach, or not hear, are a wrong choice for it."""
         for party, rest in ((one, other), (other, one)):
             seats = self._dispatchers(party)
@@ -178,11 +187,11 @@
 
     def _older(self, seats: list[Seat], file: str, down: int) -> None:
         for seat in seats:
-            self.hands.older(seat, file, down)
+            self.backend.restart_with_file(seat, file, down)
 
     def _starve(self, seats: list[Seat], share: float, length: int) -> None:
         for seat in seats:
-            self.hands.starve(seat, share, length)
+            self.backend.starve(seat, share, length)
 
     def _skew(self, seats: list[Seat], step: int, length: int) -> None:
         for seat in seats:
@@ -239,7 +248,22 @@
         self._later(length, even)
 
 
-def sibling_paths(rows: list[Event]) -> bool:
+def client_path(number: int) -> str:
+    """The name of the path from clients to a dispatcher."""
+    return f"{CLIENT_PATH}{number}"
+
+
+def host_path(number: int, uid: str) -> str:
+    """The name of the path from a dispatcher to a host, or to the change log (`log`)."""
+    return f"d{number}>{uid}"
+
+
+def sibling_path(one: int, other: int) -> str:
+    """The name of the datagram path between two dispatchers; the lower number is the near party."""
+    return f"d{min(one, other)}~d{max(one, other)}"
+
+
+def needs_sibling_paths(rows: list[Event]) -> bool:
     """Whether a script has faults between dispatchers, so that paths between them are to be opened."""
     return any(
         row.kind in DATAGRAMS or all(str(value).startswith("d") for value in row.values[:2])
--- a/hoistplank/lab/fleet/processes.py
+++ b/hoistplank/lab/fleet/processes.py
@@ -3,29 +3,40 @@
 from __future__ import annotations
 
 import asyncio
+import math
 import signal
 import sys
 from collections.abc import Callable
-from pathlib import Path as File
+from itertools import combinations
+from pathlib import Path
 from typing import Any
 
 from hoistplank.fakes.deployment import free_port
 from hoistplank.lab.backends.sockets import Day, SocketSeat
-from hoistplank.lab.fleet.fault_injector import Direction, FleetTroubles, sibling_paths
+from hoistplank.lab.fleet.fault_injector import (
+    FleetFaultInjector,
+    PathDirection,
+    client_path,
+    host_path,
+    needs_sibling_paths,
+    sibling_path,
+)
 from hoistplank.lab.fleet.metrics import FleetMetrics
-from hoistplank.lab.fleet.relays import RelayLost, Relays
+from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
+from hoistplank.lab.fleet.relay_pool import RelayError, RelayPool
 from hoistplank.lab.fleet.scene import Scene
-from hoistplank.lab.fleet.virtual import VirtualPaths, watched
+from hoistplank.lab.fleet.virtual import VirtualPaths, observe
 from hoistplank.lab.model.servers import Server
 from hoistplank.lab.model.world import Seat
 from hoistplank.lab.model.world_settings import S
 
 STARVE_S = 0.02  # a core is taken away in slices of this
-OFFICE_FOR = 5  # dispatchers whose paths one relay process carries
+DISPATCHERS_PER_RELAY = 5  # whose paths one relay process carries
 # Danger: a machine that has other work holds any process up for a moment; an answer that much late over
 # a socket says nothing of the dispatcher. In virtual time the bound is the laboratory's.
 SLACK_US = 250_000
-STARTS = 3  # of a dispatcher whose port was taken meanwhile
+LOG_PATH_END = ">log"  # of the name of a path to the change log
+START_ATTEMPTS = 3  # of a dispatcher whose port was taken meanwhile
 
 
 class FleetSeat(SocketSeat):
@@ -34,31 +45,40 @@
     def __init__(self, day: FleetDay, number: int, zone: int) -> None:
         super().__init__(day, number, zone)
         self.fleet = day
-        self.operator: File | None = None
-        self.starving: asyncio.Task[None] | None = None
-        self.sibling = free_port()  # where it hears its siblings
+        self.operator: Path | None = None
+        self.starve_task: asyncio.Task[None] | None = None
+        self.sibling_port = free_port()  # where it receives its siblings' datagrams
 
     async def start(self) -> None:
         """As any dispatcher of the laboratory; another port is tried where its own was taken meanwhile."""
-        for left in range(STARTS - 1, -1, -1):
+        for left in range(START_ATTEMPTS - 1, -1, -1):
             try:
-                return await super().start()
-            except RuntimeError as wrong:
-                if left == 0 or "address already in use" not in str(wrong).lower():
-                    self.fleet.failed.append(f"dispatcher {self.number}: {wrong}")
+                await super().start()
+                break
+            except RuntimeError as error:
+                if left == 0 or "address already in use" not in str(error).lower():
+                    self.fleet.failures.append(f"dispatcher {self.number}: {error}")
                     raise
 
     def kill(self) -> None:
+        """Kill the process; it is starved no more."""
         super().kill()
         self.stop_starving()
 
     def stop_starving(self) -> None:
-        if self.starving is not None:
-            self.starving.cancel()
-            self.starving = None
+        """Give the process its whole core back."""
+        if self.starve_task is not None:
+            self.starve_task.cancel()
+            self.starve_task = None
 
-    async def starve(self, share: float, length_us: int) -> None:
-        """Its process stands still for a share of each slice; it is always left running."""
+    def begin_starving(self, share: float, length_us: int) -> None:
+        """Take a share of its core away for a time."""
+        self.stop_starving()
+        work = self._starve(share, length_us)
+        self.starve_task = asyncio.get_running_loop().create_task(work, name=f"starve d{self.number}")
+
+    async def _starve(self, share: float, length_us: int) -> None:
+        """Stop the process for a share of each slice; it is always left running."""
         process, loop = self.process, asyncio.get_running_loop()
         until = loop.time() + length_us / S
         while process is not None and process.returncode is None and loop.time() < until:
@@ -66,127 +86,145 @@
             await asyncio.sleep(STARVE_S)
 
     async def stop(self) -> None:
+        """End the process; note a failure where it did not end in order."""
         self.stop_starving()
         await super().stop()
         # Danger: one that breaks as it drains would pass for one that ended in order. (Ended by the signal
         # itself: it was still starting.)
         if self.process is not None and self.process.returncode not in (0, -signal.SIGKILL, -signal.SIGTERM):
-            self.fleet.failed.append(f"dispatcher {self.number} ended with {self.process.returncode}")
+            self.fleet.failures.append(f"dispatcher {self.number} ended with {self.process.returncode}")
 
 
 class FleetDay(Day):
     """One scene. `play` runs it to its end; `metrics` holds what all did together."""
 
-    def __init__(self, scene: Scene, seed: int, folder: File, beside: File) -> None:
-        self.scene, self.beside, self.failed = scene, beside, list[str]()
+    def __init__(self, scene: Scene, seed: int, folder: Path, scene_folder: Path) -> None:
+        self.scene = scene
+        self.scene_folder = scene_folder
+        self.failures: list[str] = []
         super().__init__(scene.shape(), seed, [], folder)
-        self.relays = Relays()
+        self.relays = RelayPool()
         self.world.truth.answers.slack_us = SLACK_US
         self.metrics = FleetMetrics(self.world.shape, [seat.zone for seat in self.seats])
         self.rows = scene.rows()
-        # What the change log tells is held here, not in a relay, so that the truth knows when it was told.
+        # What the change log sends is held here, not in a relay, so that the checkers know when it arrived.
         self.log_paths = self.world.paths = VirtualPaths(self.world)
-        watched(self.world, self.metrics)
-        FleetTroubles(self.world, self.rows, self, self.metrics).begin()
+        observe(self.world, self.metrics)
+        FleetFaultInjector(self.world, self.rows, self, self.metrics).begin()
 
     def seat(self, number: int, zone: int) -> SocketSeat:
+        """A dispatcher with the scene's operator's file."""
         seat = FleetSeat(self, number, zone)
         if self.scene.operator is not None:
-            seat.operator = self.beside / self.scene.operator
+            seat.operator = self.scene_folder / self.scene.operator
         return seat
 
     # Every path leads through a relay.
 
     async def reached(self, seat: SocketSeat, party: str, port: int) -> int:
-        return await self.relays.stream(f"d{seat.number}>{party}", port, seat.number)
+        """The relay's port for a host or the change log."""
+        return await self.relays.open_stream_path(host_path(seat.number, party), port, seat.number)
 
     def port_changed(self, seat: SocketSeat, server: Server, opened: bool) -> None:
-        self.relays.tell([f"d{seat.number}>{server.uid}"], "open" if opened else "shut")
+        """Refuse connections to a host whose process is gone."""
+        action = PathAction.OPEN if opened else PathAction.SHUT
+        self.relays.apply([host_path(seat.number, server.uid)], action)
 
     async def entered(self, seat: SocketSeat) -> int:
-        name = f"clients>d{seat.number}"
-        if name not in self.relays.where:
-            return await self.relays.stream(name, seat.port, seat.number)
-        self.relays.tell([name], "target", target=seat.port)
-        self.relays.tell([name], "open")
+        """The relay's port for clients; it stays the same over restarts."""
+        name = client_path(seat.number)
+        if name not in self.relays:
+            return await self.relays.open_stream_path(name, seat.port, seat.number)
+        self.relays.retarget(name, seat.port)
+        self.relays.apply([name], PathAction.OPEN)
         return seat.entry
 
     def entry_shut(self, seat: SocketSeat) -> None:
-        self.relays.tell([f"clients>d{seat.number}"], "shut")
+        """Refuse clients' connections to a dispatcher that was killed."""
+        self.relays.apply([client_path(seat.number)], PathAction.SHUT)
 
     def command(self, seat: SocketSeat) -> list[str]:
+        """`hoistplank run`, with its operator's file."""
         assert isinstance(seat, FleetSeat)
         command = [sys.executable, "-m", "hoistplank.cli.main", "run"]
         return command if seat.operator is None else [*command, "--operator", str(seat.operator)]
 
-    # What troubles do.
+    # What faults do.
 
-    def set_conditions(self, directions: list[Direction], **conditions: Any) -> None:
-        told: list[Direction] = [(name, back) for name, back in directions if back and name.endswith(">log")]
-        self.log_paths.set_conditions(told, **conditions)
-        for back in (False, True):
-            rest = [name for name, side in directions if side == back and (name, side) not in told]
-            self.relays.set_conditions(rest, back, **conditions)
+    def set_conditions(self, directions: list[PathDirection], **conditions: ConditionValue) -> None:
+        """Set conditions in the relays; those of what the change log sends in the model."""
+        from_log = [one for one in directions if one.backward and one.path.endswith(LOG_PATH_END)]
+        self.log_paths.set_conditions(from_log, **conditions)
+        for backward in (False, True):
+            others = [one.path for one in directions if one.backward == backward and one not in from_log]
+            self.relays.set_conditions(others, backward, **conditions)
         if "silent" in conditions:
             # Its heartbeats stand still as well.
-            self.relays.set_conditions([name for name, _ in told], True, silent=conditions["silent"])
+            self.relays.set_conditions([one.path for one in from_log], True, silent=conditions["silent"])
 
-    def tell(self, paths: list[str], do: str) -> None:
-        told = [(name, True) for name in paths if name.endswith(">log")]
-        if do in ("shut", "open"):
-            self.log_paths.set_conditions(told, silent=do == "shut")
-        self.relays.tell(paths, do)
+    def apply_to_paths(self, paths: list[str], action: PathAction) -> None:
+        """Apply an action in the relays; a change log that is shut off is silent in the model as well."""
+        from_log = [PathDirection(name, True) for name in paths if name.endswith(LOG_PATH_END)]
+        if action in (PathAction.SHUT, PathAction.OPEN):
+            self.log_paths.set_conditions(from_log, silent=action is PathAction.SHUT)
+        self.relays.apply(paths, action)
 
-    def older(self, seat: Seat, file: str, down_us: int) -> None:
+    def restart_with_file(self, seat: Seat, file: str, down_us: int) -> None:
+        """Kill a dispatcher; it comes back with another operator's file, which stands beside the scene."""
         assert isinstance(seat, FleetSeat)
-        seat.operator = self.beside / file
+        seat.operator = self.scene_folder / file
         self.world.crash_seat(seat, down_us)
 
     def starve(self, seat: Seat, share: float, length_us: int) -> None:
+        """Take a share of a dispatcher's core away for a time."""
         assert isinstance(seat, FleetSeat)
-        seat.stop_starving()
-        seat.starving = asyncio.ensure_future(seat.starve(share, length_us))
+        seat.begin_starving(share, length_us)
 
     # From start to end.
 
     async def begin(self) -> None:
-        many = max(1, (len(self.seats) + OFFICE_FOR - 1) // OFFICE_FOR)
-        await self.relays.start(many, self.world.streams.seed)
+        """Start the relays, then the dispatchers, then paths between dispatchers where a fault needs them."""
+        count = max(1, math.ceil(len(self.seats) / DISPATCHERS_PER_RELAY))
+        await self.relays.start(count, self.world.streams.seed)
         await super().begin()
-        if sibling_paths(self.rows):
-            for seat in self.seats:
-                for other in self.seats[seat.number + 1 :]:
-                    assert isinstance(seat, FleetSeat) and isinstance(other, FleetSeat)
-                    name = f"d{seat.number}~d{other.number}"
-                    await self.relays.datagrams(name, seat.sibling, other.sibling, seat.number)
+        if needs_sibling_paths(self.rows):
+            await self._open_sibling_paths()
+
+    async def _open_sibling_paths(self) -> None:
+        for one, other in combinations(self.seats, 2):
+            assert isinstance(one, FleetSeat) and isinstance(other, FleetSeat)
+            name = sibling_path(one.number, other.number)
+            await self.relays.open_datagram_path(name, one.sibling_port, other.sibling_port, one.number)
 
     async def end(self) -> None:
+        """End all dispatchers, then the relays."""
         await super().end()
         await self.relays.stop()
 
     async def finish(self) -> dict[str, Any]:
-        """What the relays tell of the day, before they end. Raises RelayLost."""
-        return await self.relays.stats()
+        """The relays' counters, before they end. Raises RelayError."""
+        found = await self.relays.statistics()
+        return {"chunks": found.chunks, "bytes": found.bytes, "cpu_s": found.cpu_s, "late_us": found.late_us}
 
 
 def play(
-    scene: Scene, seed: int, folder: File, beside: File, loop: Callable[[], Any] | None = None
+    scene: Scene, seed: int, folder: Path, scene_folder: Path, loop: Callable[[], Any] | None = None
 ) -> tuple[FleetDay, dict[str, Any]]:
-    """A scene on processes, in a loop of its own; the day, and what the relays tell of it.
+    """Play a scene on processes, in a loop of its own; return the day, and the relays' counters.
 
     Raises TooLate where the machine was too slow, RuntimeError where a dispatcher or a relay broke.
     """
 
-    async def whole() -> tuple[FleetDay, dict[str, Any]]:
-        day = FleetDay(scene, seed, folder, beside)
+    async def run() -> tuple[FleetDay, dict[str, Any]]:
+        day = FleetDay(scene, seed, folder, scene_folder)
         try:
             async with asyncio.timeout(day.world.last_end_us() / S + 60):
                 await day.play()
-        except (RelayLost, TimeoutError) as wrong:
-            raise RuntimeError(str(wrong) or "the day did not come to its end") from None
-        if day.failed:
-            raise RuntimeError(day.failed[0])
+        except (RelayError, TimeoutError) as error:
+            raise RuntimeError(str(error) or "the day did not come to its end") from error
+        if day.failures:
+            raise RuntimeError(day.failures[0])
         return day, day.told
 
     with asyncio.Runner(loop_factory=loop) as runner:
-        return runner.run(whole())
+        return runner.run(run())
--- a/hoistplank/lab/fleet/virtual.py
+++ b/hoistplank/lab/fleet/virtual.py
@@ -3,74 +3,93 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from hoistplank.lab.backends.virtual import VirtualSeat
-from hoistplank.lab.fleet.fault_injector import Direction, FleetTroubles
+from hoistplank.lab.fleet.fault_injector import FleetFaultInjector, PathDirection
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.path_conditions import UNIMPAIRED, StreamDirection, chance
+from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
 from hoistplank.lab.fleet.scene import Scene
 from hoistplank.lab.model.world import Seat, World
 from hoistplank.lab.policies import Make
 
-Call = tuple[Callable[..., None], tuple[Any, ...]]
-SAMPLE_US = 50_000
+SAMPLE_US = 50_000  # between two samples of what is shared
 
 
-class OnlyProcesses(Exception):
-    """A fault that virtual time has not; scenes that name one play on processes alone."""
+class NeedsProcessesError(Exception):
+    """A fault that virtual time does not have; scenes that name one play on processes alone."""
+
+    def __init__(self, what: str) -> None:
+        super().__init__(what)
+        self.what = what
+
+
+class Delivery(NamedTuple):
+    """Something that is under way: `call(*args)` once it has come through."""
+
+    call: Callable[..., None]
+    args: tuple[Any, ...]
 
 
 class VirtualPaths:
-    """All paths on the world's agenda. Each direction keeps its order, as one connection would."""
+    """All paths in virtual time. Each direction keeps its order, as one connection would."""
 
     def __init__(self, world: World) -> None:
-        self.world, self.streams = world, dict[Direction, StreamDirection[Call]]()
+        self.world = world
+        self.streams: dict[PathDirection, StreamDirection[Delivery]] = {}
 
-    def _stream(self, direction: Direction) -> StreamDirection[Call]:
-        found = self.streams.get(direction)
-        if found is None:
-            name = f"{direction[0]}/{'back' if direction[1] else 'there'}"
-            found = self.streams[direction] = StreamDirection(
-                UNIMPAIRED, chance(self.world.streams.seed, name)
-            )
-        return found
+    def _stream(self, direction: PathDirection) -> StreamDirection[Delivery]:
+        stream = self.streams.get(direction)
+        if stream is None:
+            name = f"{direction.path}/{'back' if direction.backward else 'there'}"
+            stream = StreamDirection(UNIMPAIRED, chance(self.world.streams.seed, name))
+            self.streams[direction] = stream
+        return stream
 
     def send(self, name: str, back: bool, at: int, call: Callable[..., None], *args: Any) -> None:
-        stream = self.streams.get((name, back))
+        """Call `call(*args)` once something sent at `at` (us) has come through a direction of a path."""
+        direction = PathDirection(name, back)
+        stream = self.streams.get(direction)
         if stream is None or stream.idle(at):
             # Nothing is set on this path, and nothing is under way there that this could overtake.
-            return self.world.agenda.at(at, call, *args)
-        if at > self.world.agenda.now:
-            return self.world.agenda.at(at, self._arrive, (name, back), (call, args))
-        self._arrive((name, back), (call, args))
+            self.world.agenda.at(at, call, *args)
+        elif at > self.world.agenda.now:
+            self.world.agenda.at(at, self._enter, direction, Delivery(call, args))
+        else:
+            self._enter(direction, Delivery(call, args))
 
-    def _arrive(self, direction: Direction, item: Call) -> None:
-        self._on(self._stream(direction).push(self.world.agenda.now, 1, item))
+    def _enter(self, direction: PathDirection, delivery: Delivery) -> None:
+        self._schedule(self._stream(direction).push(self.world.agenda.now, 1, delivery))
 
-    def _on(self, items: list[tuple[int, Call]]) -> None:
-        for at, (call, args) in items:
-            self.world.agenda.at(at, call, *args)
+    def _schedule(self, deliveries: list[tuple[int, Delivery]]) -> None:
+        for at, delivery in deliveries:
+            self.world.agenda.at(at, delivery.call, *delivery.args)
 
-    # What troubles do.
+    # What faults do.
 
-    def set_conditions(self, directions: list[Direction], **conditions: Any) -> None:
+    def set_conditions(self, directions: list[PathDirection], **conditions: ConditionValue) -> None:
+        """Change conditions of directions; what they no longer hold back goes on."""
         for direction in directions:
             stream = self._stream(direction)
-            self._on(stream.set_conditions(self.world.agenda.now, stream.conditions.changed(**conditions)))
+            changed = stream.conditions.changed(**conditions)
+            self._schedule(stream.set_conditions(self.world.agenda.now, changed))
 
-    def tell(self, paths: list[str], do: str) -> None:
-        raise OnlyProcesses(do)
+    def apply_to_paths(self, _paths: list[str], action: PathAction) -> None:
+        """Raises NeedsProcessesError."""
+        raise NeedsProcessesError(action.value)
 
-    def older(self, seat: Seat, file: str, down_us: int) -> None:
-        raise OnlyProcesses("older")
+    def restart_with_file(self, _seat: Seat, _file: str, _down_us: int) -> None:
+        """Raises NeedsProcessesError."""
+        raise NeedsProcessesError("older")
 
-    def starve(self, seat: Seat, share: float, length_us: int) -> None:
-        raise OnlyProcesses("starve")
+    def starve(self, _seat: Seat, _share: float, _length_us: int) -> None:
+        """Raises NeedsProcessesError."""
+        raise NeedsProcessesError("starve")
 
 
-def watched(world: World, metrics: FleetMetrics) -> None:
-    """Has the metrics hear of everything, and sample what is shared, to the day's end."""
+def observe(world: World, metrics: FleetMetrics) -> None:
+    """Feed the world's events to the metrics, and sample what is shared until the day's end."""
     world.clients.ear, world.truth.drains.heard = metrics, metrics.attempt
 
     def sample() -> None:
@@ -89,16 +108,16 @@
 
 
 def built(
-    scene: Scene, seed: int, make: Make, ear: type[FleetMetrics] = FleetMetrics
+    scene: Scene, seed: int, make: Make, metrics_type: type[FleetMetrics] = FleetMetrics
 ) -> tuple[World, FleetMetrics]:
-    """A scene's world and metrics, ready for `run`. Raises OnlyProcesses."""
+    """A scene's world and metrics, ready for `World.run`. Raises NeedsProcessesError."""
     if "virtual" not in scene.drives:
-        raise OnlyProcesses(scene.name)
+        raise NeedsProcessesError(scene.name)
     world = World(scene.shape(), seed)
     paths = world.paths = VirtualPaths(world)
     zones = [number % scene.locations for number in range(scene.locations * scene.dispatchers)]
-    metrics = ear(world.shape, zones)
+    metrics = metrics_type(world.shape, zones)
     world.seats.extend(VirtualSeat(world, number, zone, make) for number, zone in enumerate(zones))
-    FleetTroubles(world, scene.rows(), paths, metrics).begin()
-    watched(world, metrics)
+    FleetFaultInjector(world, scene.rows(), paths, metrics).begin()
+    observe(world, metrics)
     return world, metrics
--- a/hoistplank/lab/fleet/worker.py
+++ b/hoistplank/lab/fleet/worker.py
@@ -98,7 +98,7 @@
 
 
 def play(job: Job) -> dict[str, Any]:
-    """The result of a job, a void or broken run's too. Raises UnknownPolicy, OnlyProcesses."""
+    """The result of a job, a void or broken run's too. Raises UnknownPolicy, NeedsProcessesError."""
     began = time.perf_counter()
     if job.drive == "virtual":
         world, metrics = virtual.built(job.scene, job.seed, policy(job.policy))
@@ -143,7 +143,7 @@
     ends.start()
     try:
         found = play(job)
-    except (UnknownPolicy, virtual.OnlyProcesses) as wrong:
+    except (UnknownPolicy, virtual.NeedsProcessesError) as wrong:
         found = {
             "scene": job.scene.name,
             "drive": job.drive,
--- a/hoistplank/lab/scale/hollow_pairing.py
+++ b/hoistplank/lab/scale/hollow_pairing.py
@@ -27,7 +27,7 @@
 from hoistplank.fakes.settings import listing
 from hoistplank.fakes.wire import connected
 from hoistplank.lab.backends.orphans import with_parent
-from hoistplank.lab.fleet.relays import Relays
+from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.scale.fleet import Fleet, Seat
 from hoistplank.lab.scale.hollow_messages import (
     BeginAnew,
@@ -216,25 +216,25 @@
     def __init__(self, log: LogChild, fleet: Fleet) -> None:
         self.log, self.fleet = log, fleet
         self.replicas = Replicas(fleet)
-        self.relays = {kind: Relays() for kind in KINDS}
+        self.relays = {kind: RelayPool() for kind in KINDS}
 
     async def open(self) -> dict[str, int]:
-        """Raises ReplicaLost and RelayLost."""
+        """Raises ReplicaLost and RelayError."""
         paths = ReplicaPaths(self.fleet)
         paths.log_ports = list((await self.log.doors(paths.doors())).values())
         await self.replicas.start(paths, LIFETIME_S)
         ports = {}
         for kind, relays in self.relays.items():
             await relays.start(1, 1)
-            ports[kind] = await relays.stream(f"{kind}>c0", self.replicas.ports[0], 0)
+            ports[kind] = await relays.open_stream_path(f"{kind}>c0", self.replicas.ports[0], 0)
         return ports
 
     async def taken(self) -> dict[str, DoorUsage]:
         """Both directions together; pieces as they went through, in place of lines."""
         found = {}
         for kind, relays in self.relays.items():
-            stats = await relays.stats()
-            found[kind] = DoorUsage(bytes_out=int(stats["bytes"]), lines_out=int(stats["chunks"]))
+            carried = await relays.statistics()
+            found[kind] = DoorUsage(bytes_out=carried.bytes, lines_out=carried.chunks)
         return found
 
     async def close(self) -> None:
--- a/hoistplank/lab/scale/run.py
+++ b/hoistplank/lab/scale/run.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from itertools import count
 from random import Random
-from typing import Any
 
-from hoistplank.lab.fleet.relays import RelayLost
+from hoistplank.lab.fleet.relay_messages import RelayStatistics
+from hoistplank.lab.fleet.relay_pool import RelayError
 from hoistplank.lab.scale.faults import FaultPlayer, Strike
 from hoistplank.lab.scale.hollow_messages import (
     Acknowledged,
@@ -94,7 +94,7 @@
     strikes: list[Strike]
     false: list[FalseAcknowledgement]
     empty_kb: dict[int, int]
-    relays: dict[str, Any]
+    relays: RelayStatistics
     statuses: list[ReplicaStatus]
 
 
@@ -141,7 +141,7 @@
         try:
             await self._begin()
             relays = await self._play()
-        except (ChildLost, RelayLost, ReplicaLost, OSError) as wrong:
+        except (ChildLost, RelayError, ReplicaLost, OSError) as wrong:
             raise RunLost(str(wrong)) from wrong
         finally:
             await self._end()
@@ -203,7 +203,7 @@
         settings = self.fleet.settings(seat, self.scene.lifetime_us / S)
         return HollowSeat(number, seat.name, f"r{seat.region}", settings, self.paths.ports(seat))
 
-    async def _play(self) -> dict[str, Any]:
+    async def _play(self) -> RelayStatistics:
         self.began_us = monotonic_us()
         self.strikes = FaultPlayer(self, self.scene.faults, Random(f"{self.seed}/faults"))
         beside = [
@@ -224,7 +224,7 @@
             await asyncio.gather(*beside, playing, return_exceptions=True)
         await self._sample()
         await self._ask_replicas()
-        return await self.paths.stats()
+        return await self.paths.statistics()
 
     async def _telling(self, planned: list[Planned]) -> None:
         """Tells each event at its time, until the scene's end."""
@@ -295,8 +295,8 @@
         now_us = monotonic_us()
         self.usage.log.append(LogSample(now_us, log.cpu_s, log.rss_kb, log.late_us, log.doors))
         self.usage.own_late_us.append((now_us, self.lateness.taken()))
-        front, back = (await self.paths.stats())["bytes"], await self.paths.back_bytes()
-        self.usage.paths.append(PathSample(monotonic_us(), int(front), back))
+        front, back = (await self.paths.statistics()).bytes, await self.paths.back_bytes()
+        self.usage.paths.append(PathSample(monotonic_us(), front, back))
         if self.replicas is not None:
             self.usage.replicas += self.replicas.samples(monotonic_us())
 
--- a/hoistplank/lab/scale/run_paths.py
+++ b/hoistplank/lab/scale/run_paths.py
@@ -9,9 +9,10 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
-from hoistplank.lab.fleet.relays import Relays
+from hoistplank.lab.fleet.relay_messages import PathAction, RelayStatistics
+from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.scale.fleet import Fleet, Seat
 
 FRONT_RELAYS, BACK_RELAYS = 2, 1
@@ -42,8 +43,8 @@
     def set_refused(self, cut: Cut, refused: bool) -> None:
         """Connections break and are refused; or are taken again."""
 
-    async def stats(self) -> dict[str, Any]:
-        """What the relays of `front` carried. Raises RelayLost."""
+    async def statistics(self) -> RelayStatistics:
+        """The counters of the relays of `front`. Raises RelayError."""
 
     async def back_bytes(self) -> int:
         """What those of `back` carried."""
@@ -51,17 +52,21 @@
     async def stop(self) -> None: ...
 
 
-def _set_silent(relays: Relays, names: Iterable[str], silent: bool) -> None:
+def _set_silent(relays: RelayPool, names: Iterable[str], silent: bool) -> None:
     chosen = list(names)
     for back in (False, True):
         relays.set_conditions(chosen, back, silent=silent)
 
 
+def _refusal(refused: bool) -> PathAction:
+    return PathAction.SHUT if refused else PathAction.OPEN
+
+
 class LogPaths:
     """Each site's path to the change log."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.front = fleet, Relays()
+        self.fleet, self.front = fleet, RelayPool()
         self.site_ports: list[int] = []
 
     @staticmethod
@@ -73,10 +78,10 @@
         return [self.name(site) for site in range(self.fleet.sites)]
 
     async def open(self, doors: dict[str, int], seed: int) -> None:
-        """Raises RelayLost."""
+        """Raises RelayError."""
         await self.front.start(FRONT_RELAYS, seed)
         for site, name in enumerate(self.doors()):
-            self.site_ports.append(await self.front.stream(name, doors[name], site))
+            self.site_ports.append(await self.front.open_stream_path(name, doors[name], site))
 
     def ports(self, seat: Seat) -> list[int]:
         return [self.site_ports[seat.site]]
@@ -88,10 +93,11 @@
         _set_silent(self.front, self._names(cut), silent)
 
     def set_refused(self, cut: Cut, refused: bool) -> None:
-        self.front.tell(self._names(cut), "shut" if refused else "open")
+        self.front.apply(self._names(cut), _refusal(refused))
 
-    async def stats(self) -> dict[str, Any]:
-        return await self.front.stats()
+    async def statistics(self) -> RelayStatistics:
+        """The counters of the relays of `front`. Raises RelayError."""
+        return await self.front.statistics()
 
     async def back_bytes(self) -> int:
         return 0
@@ -105,7 +111,7 @@
     stands in each region."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.front, self.back = fleet, Relays(), Relays()
+        self.fleet, self.front, self.back = fleet, RelayPool(), RelayPool()
         self.site_ports: list[list[int]] = []
         self.log_ports: list[int] = []
         self.peer_ports: dict[tuple[int, int], int] = {}
@@ -119,19 +125,23 @@
         return [self.log_name(replica) for replica in range(self.fleet.regions)]
 
     async def open(self, doors: dict[str, int], replicas: list[int], seed: int) -> None:
-        """`replicas`: the port of each. Raises RelayLost."""
+        """`replicas`: the port of each. Raises RelayError."""
         await self.front.start(FRONT_RELAYS, seed)
         await self.back.start(BACK_RELAYS, seed + 1)
         for number, name in enumerate(self.doors()):
-            self.log_ports.append(await self.back.stream(name, doors[name], number))
+            self.log_ports.append(await self.back.open_stream_path(name, doors[name], number))
         for near in range(self.fleet.regions):
             for far, port in enumerate(replicas):
                 if near != far:
-                    self.peer_ports[near, far] = await self.back.stream(f"c{near}>c{far}", port, near)
+                    self.peer_ports[near, far] = await self.back.open_stream_path(
+                        f"c{near}>c{far}", port, near
+                    )
         for site in range(self.fleet.sites):
             names = [f"s{site:02d}>c{replica}" for replica in range(self.fleet.regions)]
             pairs = zip(names, replicas, strict=True)
-            self.site_ports.append([await self.front.stream(name, port, site) for name, port in pairs])
+            self.site_ports.append(
+                [await self.front.open_stream_path(name, port, site) for name, port in pairs]
+            )
 
     def ports(self, seat: Seat) -> list[int]:
         return self.site_ports[seat.site]
@@ -159,15 +169,16 @@
         _set_silent(self.back, self._back_names(cut), silent)
 
     def set_refused(self, cut: Cut, refused: bool) -> None:
-        do = "shut" if refused else "open"
-        self.front.tell(self._front_names(cut), do)
-        self.back.tell(self._back_names(cut), do)
+        action = _refusal(refused)
+        self.front.apply(self._front_names(cut), action)
+        self.back.apply(self._back_names(cut), action)
 
-    async def stats(self) -> dict[str, Any]:
-        return await self.front.stats()
+    async def statistics(self) -> RelayStatistics:
+        """The counters of the relays of `front`. Raises RelayError."""
+        return await self.front.statistics()
 
     async def back_bytes(self) -> int:
-        return int((await self.back.stats())["bytes"])
+        return (await self.back.statistics()).bytes
 
     async def stop(self) -> None:
         await self.front.stop()
--- a/hoistplank/lab/scale/run_verdict.py
+++ b/hoistplank/lab/scale/run_verdict.py
@@ -136,7 +136,7 @@
 
 def _late(played: Played, begin_us: int, end_us: int) -> dict[str, float]:
     late = played.usage.late_ms(begin_us, end_us)
-    return late | {"relays": played.relays["late_us"]["99"] / 1e3}
+    return late | {"relays": played.relays.late_us["99"] / 1e3}
 
 
 def _windows(played: Played, delays: Delays) -> list[Window]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -30,7 +30,8 @@
     StreamDirection,
     chance,
 )
-from hoistplank.lab.fleet.relays import Relays
+from hoistplank.lab.fleet.relay_messages import PathAction
+from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.fleet.scene import Scene, lasts, read
 from hoistplank.lab.fleet.worker import Job, told
 from hoistplank.lab.model.world_settings import S
@@ -107,10 +108,10 @@
     assert first == second
 
 
-# Relays, as processes.
+# RelayPool, as processes.
 
 
-def relayed(scene: Callable[[Relays, int], Awaitable[None]]) -> None:
+def relayed(scene: Callable[[RelayPool, int], Awaitable[None]]) -> None:
     """A scene with one relay process and a server that echoes."""
 
     async def whole() -> None:
@@ -125,14 +126,14 @@
                 writer.close()
 
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
-        relays = Relays()
+        relays = RelayPool()
         await relays.start(1, 3)
         try:
             await scene(relays, int(server.sockets[0].getsockname()[1]))
         finally:
             await relays.stop()
             server.close()
-        assert all(office.process.returncode == 0 for office in relays.offices)
+        assert all(relay.process.returncode == 0 for relay in relays.relays)
 
     asyncio.run(asyncio.wait_for(whole(), 30))
 
@@ -151,20 +152,20 @@
 
 
 def test_a_relay_carries_holds_one_direction_and_goes_on() -> None:
-    async def scene(relays: Relays, server: int) -> None:
-        port = await relays.stream("d0>c0-0", server, 0)
+    async def scene(relays: RelayPool, server: int) -> None:
+        port = await relays.open_stream_path("d0>c0-0", server, 0)
         reader, writer = await opened(port)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
         # What goes there is heard, what comes back is not.
         relays.set_conditions(["d0>c0-0"], True, silent=True)
-        await relays.stats()
+        await relays.statistics()
         writer.write(b"two")
         assert await silent(reader)
         relays.set_conditions(["d0>c0-0"], True, silent=False)
         assert await reader.readexactly(3) == b"two"
         relays.set_conditions(["d0>c0-0"], False, delay_us=200_000)
-        await relays.stats()
+        await relays.statistics()
         began = time.monotonic()
         writer.write(b"six")
         assert await reader.readexactly(3) == b"six" and time.monotonic() - began >= 0.19
@@ -173,26 +174,26 @@
 
 
 def test_a_relay_resets_refuses_and_lets_connections_die_without_a_word() -> None:
-    async def scene(relays: Relays, server: int) -> None:
-        port = await relays.stream("d0>c0-0", server, 0)
+    async def scene(relays: RelayPool, server: int) -> None:
+        port = await relays.open_stream_path("d0>c0-0", server, 0)
         reader, writer = await opened(port)
         writer.write(b"up")
         await reader.readexactly(2)
-        relays.tell(["d0>c0-0"], "deaden")
-        await relays.stats()
+        relays.apply(["d0>c0-0"], PathAction.DEADEN)
+        await relays.statistics()
         writer.write(b"dead")
         assert await silent(reader)
         fresh, other = await opened(port)
         other.write(b"new")
         assert await fresh.readexactly(3) == b"new"
-        relays.tell(["d0>c0-0"], "shut")
-        await relays.stats()
+        relays.apply(["d0>c0-0"], PathAction.SHUT)
+        await relays.statistics()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await fresh.readexactly(1)
         with pytest.raises(ConnectionRefusedError):
             await opened(port)
-        relays.tell(["d0>c0-0"], "open")
-        await relays.stats()
+        relays.apply(["d0>c0-0"], PathAction.OPEN)
+        await relays.statistics()
         again, last = await opened(port)
         last.write(b"back")
         assert await again.readexactly(4) == b"back"
@@ -201,9 +202,9 @@
 
 
 def test_a_party_that_is_gone_resets_what_the_relay_holds_for_it() -> None:
-    async def scene(relays: Relays, server: int) -> None:
+    async def scene(relays: RelayPool, server: int) -> None:
         # Nobody listens there: what was accepted breaks.
-        port = await relays.stream("d0>c0-1", free_port(), 0)
+        port = await relays.open_stream_path("d0>c0-1", free_port(), 0)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             reader, writer = await opened(port)
             writer.write(b"anybody")
@@ -221,12 +222,12 @@
             text=True,
         )
         assert child.stdout is not None
-        port = await relays.stream("d0>c0-2", int(child.stdout.readline()), 0)
+        port = await relays.open_stream_path("d0>c0-2", int(child.stdout.readline()), 0)
         reader, writer = await opened(port)
         writer.write(b"x")
         assert await reader.readexactly(1) == b"k"
         relays.set_conditions(["d0>c0-2"], False, delay_us=300_000)
-        await relays.stats()
+        await relays.statistics()
         writer.write(b"held")
         child.kill()
         child.wait()
@@ -236,29 +237,29 @@
     relayed(scene)
 
 
-def test_both_ends_that_close_at_once_leave_no_joint_behind() -> None:
-    async def scene(relays: Relays, server: int) -> None:
+def test_both_ends_that_close_at_once_leave_no_connection_behind() -> None:
+    async def scene(relays: RelayPool, server: int) -> None:
         async def brief(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.close()
 
         closing = await asyncio.start_server(brief, "127.0.0.1", 0)
-        port = await relays.stream("d0>c0-0", int(closing.sockets[0].getsockname()[1]), 0)
+        port = await relays.open_stream_path("d0>c0-0", int(closing.sockets[0].getsockname()[1]), 0)
         for _ in range(40):
             _, writer = await opened(port)
             writer.close()
         for _ in range(100):
-            found = await relays.offices[0].ask(do="stats")
-            if not found["joints"]:
+            found = await relays.relays[0].statistics()
+            if not found.connections:
                 break
             await asyncio.sleep(0.05)
-        assert found["joints"] == 0
+        assert found.connections == 0
         closing.close()
 
     relayed(scene)
 
 
 def test_datagrams_pass_between_two_parties_each_way_by_itself() -> None:
-    async def scene(relays: Relays, server: int) -> None:
+    async def scene(relays: RelayPool, server: int) -> None:
         loop, ends = asyncio.get_running_loop(), []
         for _ in range(2):
             end = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -266,13 +267,13 @@
             end.setblocking(False)
             ends.append(end)
         one, other = ends
-        ports = await relays.datagrams("d0~d1", one.getsockname()[1], other.getsockname()[1], 0)
+        ports = await relays.open_datagram_path("d0~d1", one.getsockname()[1], other.getsockname()[1], 0)
         await loop.sock_sendto(one, b"hello", ("127.0.0.1", ports[0]))
         data, sender = await loop.sock_recvfrom(other, 100)
         # It comes from where the receiver knows the sender: an answer finds its way.
         assert data == b"hello" and sender[1] == ports[1]
         relays.set_conditions(["d0~d1"], True, loss=1.0)
-        await relays.stats()
+        await relays.statistics()
         await loop.sock_sendto(other, b"lost", ("127.0.0.1", ports[1]))
         await loop.sock_sendto(one, b"there", ("127.0.0.1", ports[0]))
         assert await loop.sock_recv(other, 100) == b"there"
@@ -285,8 +286,8 @@
 
 
 def test_a_stream_through_a_relay_keeps_its_order_whatever_delays_are_drawn() -> None:
-    async def scene(relays: Relays, server: int) -> None:
-        port = await relays.stream("d0>c0-0", server, 0)
+    async def scene(relays: RelayPool, server: int) -> None:
+        port = await relays.open_stream_path("d0>c0-0", server, 0)
         reader, writer = await opened(port)
         sent = b"".join(n.to_bytes(4, "big") for n in range(3_000))
         relays.set_conditions(["d0>c0-0"], False, delay_us=900, spread_us=2_500)
@@ -305,10 +306,10 @@
 
 
 def test_a_party_that_stands_still_stops_its_sender_and_loses_nothing() -> None:
-    async def scene(relays: Relays, server: int) -> None:
-        port = await relays.stream("d0>c0-0", server, 0)
+    async def scene(relays: RelayPool, server: int) -> None:
+        port = await relays.open_stream_path("d0>c0-0", server, 0)
         relays.set_conditions(["d0>c0-0"], True, silent=True)
-        await relays.stats()
+        await relays.statistics()
         reader, writer = await opened(port)
         sent = Random(3).randbytes(40_000_000)
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -22,6 +22,7 @@
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
+from hoistplank.lab.fleet.relay_messages import PathAction, RelayStatistics
 from hoistplank.lab.scale import measurements, run_broken
 from hoistplank.lab.scale.faults import Strike
 from hoistplank.lab.scale.fleet import Fleet
@@ -418,8 +419,8 @@
         if not back:
             self.done.append((f"silent {silent}", set(names)))
 
-    def tell(self, names: list[str], do: str) -> None:
-        self.done.append((do, set(names)))
+    def apply(self, names: list[str], action: PathAction) -> None:
+        self.done.append((action.value, set(names)))
 
 
 def test_a_cut_of_sites_closes_their_paths_and_no_others() -> None:
@@ -462,7 +463,9 @@
     for second in (0, 1):
         usage.hollow.append(HollowSample(second * S, 0, 0.0, 100, 2, [late_us], audited=2))
     status = ReplicaStatus(2_000, "c0", 0, 1, in_force, 2)
-    return Played(made, 0, 10 * S, told, usage, [], [], {0: 100}, {"late_us": {"99": 0}}, [status])
+    return Played(
+        made, 0, 10 * S, told, usage, [], [], {0: 100}, RelayStatistics(late_us={"99": 0}), [status]
+    )
 
 
 def test_a_late_purge_fails_and_is_void_where_the_rig_was_late() -> None:
