--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -87,7 +87,7 @@
         uncached = world.shape.classes[request.class_index].uncached
         host = world.origin if uncached else self.hosts[key % len(self.hosts)]
         ask.source = world.parents[key % len(world.parents)].uid
-        world.agenda.at(world.agenda.now + world.shape.near_us, host.arrive, ask)
+        world.agenda.schedule(world.agenda.now + world.shape.near_us, host.arrive, ask)
 
 
 def events(seed: int) -> tuple[int, float]:
@@ -97,7 +97,7 @@
     world.seats.extend(Straight(world, n, 0) for n in range(shape.dispatchers))
     began = time.perf_counter()
     world.run()
-    return world.agenda.done, time.perf_counter() - began
+    return world.agenda.executed, time.perf_counter() - began
 
 
 def speed() -> dict[str, float]:
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -60,7 +60,7 @@
         "bookings_in_target": in_target / max(1, asked),
         "changes": sum(len(steward.changes) for steward in stewards),
         "dispatchers": len(world.seats),
-        "broken": len(world.truth.breaches),
+        "broken": len(world.truth.violations),
     }
 
 
--- a/hoistplank/lab/backends/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -27,7 +27,7 @@
 from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.model.clients import BACK, GONE, OFF, SERVED, Request
 from hoistplank.lab.model.faults import Event, Troubles
-from hoistplank.lab.model.objects import group
+from hoistplank.lab.model.objects import purge_group_of
 from hoistplank.lab.model.servers import DOWN, Ask, Server
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import S, Shape
@@ -139,7 +139,13 @@
         size = world.library.size_kb(class_index, number) / world.shape.flow_kb_s * 1e6
         place = (object_key, int(fields.get("blk", "0")))
         made = ask = Ask(
-            self.seat.number, self.seat.zone, class_index, place, group(number, world.shape), size, end
+            self.seat.number,
+            self.seat.zone,
+            class_index,
+            place,
+            purge_group_of(number, world.shape),
+            size,
+            end,
         )
         ask.source, ask.key = source, fields.get("uniq", "") or id[:12]
         ask.keep, ask.oldest_us = int(fields.get("shelf", "0")), int(fields.get("accept", "0")) * 1_000
@@ -149,7 +155,7 @@
         if self.server.zone == "hub":
             ask.extra_links = [world.zone_links[self.seat.zone]]
         asks[id] = ask
-        world.agenda.at(now + ask.back, self.server.arrive, ask)
+        world.agenda.schedule(now + ask.back, self.server.arrive, ask)
 
     def _end(
         self, id: str, ask: Ask, sent: int, writer: asyncio.StreamWriter, result: int, note: int, born: int
@@ -294,7 +300,7 @@
         for number, _, _ in rows:
             request = self.open.pop((at, number), None)
             if request is not None:
-                self.day.world.truth.answers.refused(request.id)
+                self.day.world.truth.answers.withdrawn(request.id)
                 self.day.world.clients.refused(request.id)
 
     def leave(self, request: Request) -> None:
@@ -497,7 +503,7 @@
     def moved(self) -> None:
         """Brings the world up to now, before what has just come in is told to it."""
         if self.began:
-            self.world.agenda.run(int((time.monotonic() - self.began) * 1e6))
+            self.world.agenda.run_until(int((time.monotonic() - self.began) * 1e6))
 
     async def play(self) -> float:
         """The score; raises TooLate where the machine was too slow, RuntimeError where a dispatcher broke."""
@@ -548,10 +554,10 @@
     async def _turn(self) -> None:
         agenda = self.world.agenda
         now = int((time.monotonic() - self.began) * 1e6)
-        due = agenda.next_at()
+        due = agenda.next_time()
         if due is not None and due <= now:
             self.lags.append(now - due)
-            agenda.run(now)
+            agenda.run_until(now)
         for seat in self.seats:
             for server_port in seat.server_ports.values():
                 if server_port.server.phase == DOWN and server_port.listening is not None:
@@ -560,7 +566,7 @@
                 elif server_port.server.phase != DOWN and server_port.listening is None:
                     await server_port.open()
                     self.port_changed(seat, server_port.server, True)
-        due = agenda.next_at() or now
+        due = agenda.next_time() or now
         await asyncio.sleep(min(0.002, max(0.0, (due - now) / S)))
 
 
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -84,7 +84,7 @@
             told = getattr(policy, "reduced_told", None)
             if told is not None:
                 told(self.agenda.now, self.plan.base)
-            self.agenda.at(self.agenda.now + self.plan.every_us, self._judge, self.runs)
+            self.agenda.schedule(self.agenda.now + self.plan.every_us, self._judge, self.runs)
         return policy
 
     # What the world tells.
@@ -93,7 +93,7 @@
         self.queue.append((call, args))
         if not self.planned:
             self.planned, self.planned_at = True, self.agenda.now
-            self.agenda.at(max(self.agenda.now, self.next_turn), self._turn)
+            self.agenda.schedule(max(self.agenda.now, self.next_turn), self._turn)
 
     def listed(self, form: str, entries: list[HostEntry]) -> None:
         self.tell(self._listed, form, entries)
@@ -142,7 +142,7 @@
 
     def _turn(self) -> None:
         if self.frozen_until > self.agenda.now and self.alive:
-            return self.agenda.at(self.frozen_until, self._turn)
+            return self.agenda.schedule(self.frozen_until, self._turn)
         self.planned = False
         if not self.alive:
             return
@@ -170,14 +170,14 @@
         told = getattr(self.policy, "reduced_told", None)
         if reduced is not None and told is not None:
             self.tell(told, reduced)
-        self.agenda.at(now + self.plan.every_us, self._judge, runs)
+        self.agenda.schedule(now + self.plan.every_us, self._judge, runs)
 
     def _act(self, now: int, decision: Decision) -> None:
         act = decision.act
         if act == "attempt":
             self._attempt(now, decision)
         elif act == "wake":
-            self.agenda.at(now + decision.wait_us, self._woken, decision.token, self.runs)
+            self.agenda.schedule(now + decision.wait_us, self._woken, decision.token, self.runs)
         elif act in ("reject", "fail"):
             self._answer(now, decision.request, BACK if act == "reject" else OFF, decision.wait_us)
         elif act == "withdraw":
@@ -251,9 +251,9 @@
             drains.attempt(now, self.number, decision.source, "source")
         server = attempt.server = world.servers[decision.host]
         way = world.shape.far_us if server.zone == HUB else world.shape.near_us
-        self.agenda.at(now + decision.within_us, attempt.late)
+        self.agenda.schedule(now + decision.within_us, attempt.late)
         if world.cut(self.place, server.zone):
-            return self.agenda.at(now + CONNECT_US, attempt.end, Result.NO_CONNECTION, 0, -1)
+            return self.agenda.schedule(now + CONNECT_US, attempt.end, Result.NO_CONNECTION, 0, -1)
         ask = attempt.ask = Ask(
             self.number,
             self.zone,
@@ -268,7 +268,7 @@
         if server.zone == HUB:
             ask.extra_links = [world.zone_links[self.zone]]
         if world.paths is None:
-            self.agenda.at(now + way, server.arrive, ask)
+            self.agenda.schedule(now + way, server.arrive, ask)
         else:
             world.paths.send(f"d{self.number}>{server.uid}", False, now + way, server.arrive, ask)
 
@@ -321,6 +321,6 @@
         repr([(one.uid, one.asked, one.refused, one.fell) for one in world.servers.values()]),
         repr(sorted(world.truth.counts.items())),
         repr([list(times) for times in utility.times]),
-        repr(world.agenda.done),
+        repr(world.agenda.executed),
     ]
     return hashlib.blake2b("\n".join(rows).encode(), digest_size=16).hexdigest()
--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -134,8 +134,8 @@
 
     def _excuse(self, seat: int, length: int) -> None:
         answers = self.world.truth.answers
-        answers.blinded(seat)
-        self._later(length, answers.seeing, seat)
+        answers.begin_excuse(seat)
+        self._later(length, answers.end_excuse, seat)
 
     def _loss(self, one: str, other: str, share: float, length: int) -> None:
         self._set(one, other, length, loss=share)
--- a/hoistplank/lab/fleet/virtual.py
+++ b/hoistplank/lab/fleet/virtual.py
@@ -53,9 +53,9 @@
         stream = self.streams.get(direction)
         if stream is None or stream.idle(at):
             # Nothing is set on this path, and nothing is under way there that this could overtake.
-            self.world.agenda.at(at, call, *args)
+            self.world.agenda.schedule(at, call, *args)
         elif at > self.world.agenda.now:
-            self.world.agenda.at(at, self._enter, direction, Delivery(call, args))
+            self.world.agenda.schedule(at, self._enter, direction, Delivery(call, args))
         else:
             self._enter(direction, Delivery(call, args))
 
@@ -64,7 +64,7 @@
 
     def _schedule(self, deliveries: list[tuple[int, Delivery]]) -> None:
         for at, delivery in deliveries:
-            self.world.agenda.at(at, delivery.call, *delivery.args)
+            self.world.agenda.schedule(at, delivery.call, *delivery.args)
 
     # What faults do.
 
@@ -90,21 +90,23 @@
 
 def observe(world: World, metrics: FleetMetrics) -> None:
     """Feed the world's events to the metrics, and sample what is shared until the day's end."""
-    world.clients.ear, world.truth.drains.heard = metrics, metrics.attempt
+    world.clients.ear, world.truth.drains.on_attempt = metrics, metrics.attempt
 
     def sample() -> None:
         now = world.agenda.now
         if now >= world.shape.start_us():
             for zone, link in enumerate(world.zone_links):
-                metrics.sample(f"link z{zone}", link.room * link.share, [float(link.open)])
+                metrics.sample(f"link z{zone}", link.capacity * link.capacity_share, [float(link.active)])
             for one in world.parents:
-                metrics.sample(f"link {one.uid}", one.link.room * one.link.share, [float(one.link.open)])
-            metrics.sample("cold hosts", 1.0, [world.truth.colds.fullest(now)])
+                metrics.sample(
+                    f"link {one.uid}", one.link.capacity * one.link.capacity_share, [float(one.link.active)]
+                )
+            metrics.sample("cold hosts", 1.0, [world.truth.colds.highest_load(now)])
             metrics.sample("origin", float(len(world.origin.free)), [float(len(world.origin.open))])
         if now < world.shape.last_us():
-            world.agenda.at(now + SAMPLE_US, sample)
+            world.agenda.schedule(now + SAMPLE_US, sample)
 
-    world.agenda.at(0, sample)
+    world.agenda.schedule(0, sample)
 
 
 def built(
--- a/hoistplank/lab/fleet/worker.py
+++ b/hoistplank/lab/fleet/worker.py
@@ -48,7 +48,7 @@
 def held(bound: Bound, world: World, metrics: FleetMetrics) -> tuple[float, bool]:
     """A bound's figure, and whether it holds."""
     if bound.measure == "cold":
-        figure = world.truth.colds.worst
+        figure = world.truth.colds.highest_ever
     else:
         figure = metrics.measure(bound.measure, bound.place, bound.low, bound.high)
     return figure, figure > bound.value if bound.above else figure < bound.value
@@ -75,7 +75,8 @@
     checked = [(str(bound), *held(bound, world, metrics)) for bound in scene.bounds]
     bounds = [{"bound": name, "figure": round(value, 4), "holds": good} for name, value, good in checked]
     breaches = [
-        f"rule {row.rule} at {row.at / S - scene.warm:.2f} s: {row.what}" for row in world.truth.breaches
+        f"rule {row.rule} at {row.at_us / S - scene.warm:.2f} s: {row.description}"
+        for row in world.truth.violations
     ]
     failures = breaches + metrics.unaccounted()
     failures += [f"{name}: {figure:.4f}" for name, figure, good in checked if not good]
--- a/hoistplank/lab/model/cache_storage.py
+++ b/hoistplank/lab/model/cache_storage.py
@@ -6,79 +6,79 @@
 
 from collections import OrderedDict
 
-Place = tuple[str, int]  # object and part
-RANKS = 3
+CacheKey = tuple[str, int]  # object and part
+RANK_COUNT = 3
 
 
-class Copy:
+class CachedCopy:
     """`born` is when the origin gave it out; `kb` its size."""
 
-    __slots__ = ("born", "kb", "rank")
+    __slots__ = ("created", "kb", "rank")
 
     def __init__(self, born: int, kb: float, rank: int) -> None:
-        self.born, self.kb, self.rank = born, kb, rank
+        self.created, self.kb, self.rank = born, kb, rank
 
 
-class Keep:
+class CacheStorage:
     """At most `most_kb` in all. A copy pushes out only its own rank or lower; where that is not enough it
     isn't kept.
     """
 
-    __slots__ = ("_held", "_ranks", "_where", "kb", "most_kb")
+    __slots__ = ("_used_by_rank", "_ranks", "_copies", "used_kb", "capacity_kb")
 
     def __init__(self, most_kb: float) -> None:
-        self.most_kb, self.kb = most_kb, 0.0
-        self._held = [0.0] * RANKS  # kB by rank
-        self._ranks: list[OrderedDict[Place, Copy]] = [OrderedDict() for _ in range(RANKS)]
-        self._where: dict[Place, Copy] = {}
+        self.capacity_kb, self.used_kb = most_kb, 0.0
+        self._used_by_rank = [0.0] * RANK_COUNT  # kB by rank
+        self._ranks: list[OrderedDict[CacheKey, CachedCopy]] = [OrderedDict() for _ in range(RANK_COUNT)]
+        self._copies: dict[CacheKey, CachedCopy] = {}
 
     def __len__(self) -> int:
-        return len(self._where)
+        return len(self._copies)
 
-    def look(self, place: Place) -> Copy | None:
+    def peek(self, place: CacheKey) -> CachedCopy | None:
         """The copy, untouched."""
-        return self._where.get(place)
+        return self._copies.get(place)
 
-    def use(self, place: Place, rank: int) -> None:
+    def touch(self, place: CacheKey, rank: int) -> None:
         """A hit: it is the latest of its rank, or of a new one."""
-        copy = self._where[place]
+        copy = self._copies[place]
         if rank and rank != copy.rank:
             del self._ranks[copy.rank - 1][place]
-            self._held[copy.rank - 1] -= copy.kb
-            self._held[rank - 1] += copy.kb
+            self._used_by_rank[copy.rank - 1] -= copy.kb
+            self._used_by_rank[rank - 1] += copy.kb
             copy.rank = rank
             self._ranks[rank - 1][place] = copy
         else:
             self._ranks[copy.rank - 1].move_to_end(place)
 
-    def put(self, place: Place, born: int, kb: float, rank: int) -> bool:
+    def put(self, place: CacheKey, born: int, kb: float, rank: int) -> bool:
         """Whether it is kept now. A copy older than the one that is held changes nothing."""
-        held = self._where.get(place)
+        held = self._copies.get(place)
         if held is not None:
-            if held.born >= born:
+            if held.created >= born:
                 return True
-            self.drop(place)
-        if not rank or kb > self.most_kb:
+            self.remove(place)
+        if not rank or kb > self.capacity_kb:
             return False
-        if kb > self.most_kb - self.kb + sum(self._held[:rank]):
+        if kb > self.capacity_kb - self.used_kb + sum(self._used_by_rank[:rank]):
             return False
         for row in self._ranks[:rank]:
-            while row and self.kb + kb > self.most_kb:
-                self.drop(next(iter(row)))
-        self._where[place] = self._ranks[rank - 1][place] = Copy(born, kb, rank)
-        self.kb += kb
-        self._held[rank - 1] += kb
+            while row and self.used_kb + kb > self.capacity_kb:
+                self.remove(next(iter(row)))
+        self._copies[place] = self._ranks[rank - 1][place] = CachedCopy(born, kb, rank)
+        self.used_kb += kb
+        self._used_by_rank[rank - 1] += kb
         return True
 
-    def drop(self, place: Place) -> None:
-        copy = self._where.pop(place, None)
+    def remove(self, place: CacheKey) -> None:
+        copy = self._copies.pop(place, None)
         if copy is not None:
             del self._ranks[copy.rank - 1][place]
-            self.kb -= copy.kb
-            self._held[copy.rank - 1] -= copy.kb
+            self.used_kb -= copy.kb
+            self._used_by_rank[copy.rank - 1] -= copy.kb
 
     def clear(self) -> None:
         for row in self._ranks:
             row.clear()
-        self._where.clear()
-        self.kb, self._held = 0.0, [0.0] * RANKS
+        self._copies.clear()
+        self.used_kb, self._used_by_rank = 0.0, [0.0] * RANK_COUNT
--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -11,9 +11,9 @@
 from typing import Protocol
 
 from hoistplank.interface import Note
-from hoistplank.lab.model.event_queue import Agenda
-from hoistplank.lab.model.objects import Library, group, name
-from hoistplank.lab.model.streams import Streams
+from hoistplank.lab.model.event_queue import EventQueue
+from hoistplank.lab.model.objects import ObjectCatalog, object_key_of, purge_group_of
+from hoistplank.lab.model.streams import RandomStreams
 from hoistplank.lab.model.world_settings import S, Shape
 
 SERVED, BACK, OFF, GONE = "served", "rejected", "failed", "nobody there"
@@ -145,15 +145,15 @@
     """All clients of a day. Arrivals end with the day's seconds; what is asked for then runs on."""
 
     def __init__(
-        self, agenda: Agenda, shape: Shape, streams: Streams, library: Library, front: Front
+        self, agenda: EventQueue, shape: Shape, streams: RandomStreams, library: ObjectCatalog, front: Front
     ) -> None:
         self.agenda, self.shape, self.library, self.front = agenda, shape, library, front
         self.utility, self.open = Utility(shape), dict[str, Request]()
         self.number, self.surge = 0, [1.0] * shape.zones
         self.ear: Ear | None = None
-        self._arrivals = [streams.of(f"arrivals of z{n}") for n in range(shape.zones)]
-        self._what = [streams.of(f"choices in z{n}") for n in range(shape.zones)]
-        self._moods = streams.of("moods")
+        self._arrivals = [streams.stream(f"arrivals of z{n}") for n in range(shape.zones)]
+        self._what = [streams.stream(f"choices in z{n}") for n in range(shape.zones)]
+        self._moods = streams.stream("moods")
         shares = list(accumulate(row.share for row in shape.classes))
         self._shares = [value / shares[-1] for value in shares]
 
@@ -165,7 +165,7 @@
         wait = self._arrivals[zone].exponential() * 1e6 / (self.shape.rate * self.surge[zone])
         at = self.agenda.now + max(1, int(wait))
         if at < self.shape.last_us():
-            self.agenda.at(at, self._arrive, zone)
+            self.agenda.schedule(at, self._arrive, zone)
 
     def _arrive(self, zone: int) -> None:
         self._next(zone)
@@ -175,15 +175,15 @@
         parts = 1
         while parts < row.parts and what.uniform() < row.stay:
             parts += 1
-        number = self.library.draw(now, class_index, zone)
-        session = Session(class_index, name(number), zone, group(number, shape), parts)
+        number = self.library.draw_object(now, class_index, zone)
+        session = Session(class_index, object_key_of(number), zone, purge_group_of(number, shape), parts)
         size = self.library.size_kb(class_index, number) / shape.flow_kb_s * 1e6
         for part in range(parts):
             at = now + part * row.gap_us
             if part == 0:
                 self._due(session, size)
             else:
-                self.agenda.at(at, self._due, session, size)
+                self.agenda.schedule(at, self._due, session, size)
 
     def _due(self, session: Session, size: float) -> None:
         """The time of a part has come: it is asked for once the one before has ended well."""
@@ -205,7 +205,7 @@
         # Some leave long before their time is up.
         request.until = self.agenda.now + int(row.deadline_us * (1.0 if mood > 0.02 else 0.2 + 20 * mood))
         # An answer that is written as the time ends is on its way for a moment more.
-        self.agenda.at(request.until + LAST_US, self._give_up, request)
+        self.agenda.schedule(request.until + LAST_US, self._give_up, request)
         self._send(request)
 
     def _send(self, request: Request) -> None:
@@ -222,7 +222,7 @@
         """Nobody took the connection: another dispatcher, a little later."""
         if request.tries > 8:
             return self._end(request, 0.0, GONE)
-        self.agenda.at(self.agenda.now + GOES_ON_US, self._send, request)
+        self.agenda.schedule(self.agenda.now + GOES_ON_US, self._send, request)
 
     def refused(self, id: str) -> None:
         """A try whose connection was refused after all: no dispatcher has seen it."""
@@ -254,7 +254,7 @@
             mood = self._moods.uniform()
             wait = wait_us if wait_us and mood < shape.honours else int(shape.backoff_us * (0.5 + mood))
             if now + wait + WAITS_US < request.until:
-                return self.agenda.at(now + wait, self._send, request)
+                return self.agenda.schedule(now + wait, self._send, request)
         self._end(request, 0.0, how)
 
     def _give_up(self, request: Request) -> None:
--- a/hoistplank/lab/model/event_queue.py
+++ b/hoistplank/lab/model/event_queue.py
@@ -6,28 +6,28 @@
 from heapq import heappop, heappush
 from typing import Any
 
-Call = Callable[..., None]
+Callback = Callable[..., None]
 
 
-class Agenda:
+class EventQueue:
     """`now` is whole microseconds from the day's start; `done` counts what has happened."""
 
-    __slots__ = ("_heap", "_turn", "done", "now")
+    __slots__ = ("_heap", "_sequence", "executed", "now")
 
     def __init__(self) -> None:
-        self.now, self.done = 0, 0
-        self._heap: list[tuple[int, int, Call, tuple[Any, ...]]] = []
-        self._turn = 0
+        self.now, self.executed = 0, 0
+        self._heap: list[tuple[int, int, Callback, tuple[Any, ...]]] = []
+        self._sequence = 0
 
-    def at(self, when: int, call: Call, *args: Any) -> None:
+    def schedule(self, when: int, call: Callback, *args: Any) -> None:
         """`call(*args)` at a time; what lies in the past happens next. Equal times keep their order."""
-        self._turn += 1
-        heappush(self._heap, (when, self._turn, call, args))
+        self._sequence += 1
+        heappush(self._heap, (when, self._sequence, call, args))
 
-    def next_at(self) -> int | None:
+    def next_time(self) -> int | None:
         return self._heap[0][0] if self._heap else None
 
-    def run(self, until: int) -> None:
+    def run_until(self, until: int) -> None:
         """All up to a time, that time included; `now` is that time afterwards."""
         heap, done = self._heap, 0
         while heap and heap[0][0] <= until:
@@ -36,5 +36,5 @@
                 self.now = when
             call(*args)
             done += 1
-        self.done += done
+        self.executed += done
         self.now = max(self.now, until)
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hoistplank.lab.model.objects import Hot
+from hoistplank.lab.model.objects import HotObjects
 from hoistplank.lab.model.servers import HUNG, SILENT, UP, Keeper, Server
-from hoistplank.lab.model.streams import Stream, Streams
+from hoistplank.lab.model.streams import RandomStream, RandomStreams
 from hoistplank.lab.model.world import Seat, World
 from hoistplank.lab.model.world_settings import HUB, Shape
 from hoistplank.operator_configuration.faults import Fault, Faults, Place
@@ -195,7 +195,7 @@
             kinds = [word for word in self.kinds[row.kind] if not isinstance(word, str)]
             pairs = zip(kinds, row.values, strict=True)
             struck = tuple(self._struck(kind, value) for kind, value in pairs)
-            self.agenda.at(start + row.at, self._strike, row, struck)
+            self.agenda.schedule(start + row.at, self._strike, row, struck)
 
     def _struck(self, kind: Kind, value: Any) -> Any:
         """What a word of a fault stands for in this world."""
@@ -206,7 +206,7 @@
         getattr(self, f"_{row.kind}")(*values)
 
     def _later(self, wait: int, call: Callable[..., None], *args: Any) -> None:
-        self.agenda.at(self.agenda.now + wait, call, *args)
+        self.agenda.schedule(self.agenda.now + wait, call, *args)
 
     def _targets(self, text: str) -> list[Server]:
         name, _, share = text.partition(":")
@@ -301,13 +301,13 @@
             self._later(length, self._widen, host, 1 / times)
 
     def _widen(self, host: Server, times: float) -> None:
-        host.link.turned(room=host.link.room * times)
+        host.link.resize(room=host.link.capacity * times)
 
     def _shrink(self, hosts: list[Server], times: float, length: int) -> None:
         for host in hosts:
             if isinstance(host, Keeper):
-                whole, host.keep.most_kb = host.keep.most_kb, host.keep.most_kb * times
-                self._later(length, setattr, host.keep, "most_kb", whole)
+                whole, host.keep.capacity_kb = host.keep.capacity_kb, host.keep.capacity_kb * times
+                self._later(length, setattr, host.keep, "capacity_kb", whole)
 
     def _share(self, name: str, hosts: list[Server], share: float, length: int) -> None:
         for host in hosts:
@@ -356,15 +356,15 @@
     # Clients and dispatchers.
 
     def _herd(self, class_name: str, share: float, objects: int, length: int) -> None:
-        hot = self.world.library.heat(self.classes.get(class_name, 0), share, max(1, objects))
+        hot = self.world.library.add_hot_objects(self.classes.get(class_name, 0), share, max(1, objects))
         self._later(length, self._cool, hot)
 
-    def _cool(self, hot: Hot) -> None:
+    def _cool(self, hot: HotObjects) -> None:
         self.world.library.hot.remove(hot)
 
     def _scan(self, share: float, length: int) -> None:
-        self.world.library.scan = share
-        self._later(length, setattr, self.world.library, "scan", 0.0)
+        self.world.library.scan_share = share
+        self._later(length, setattr, self.world.library, "scan_share", 0.0)
 
     def _surge(self, zone: str, times: float, length: int) -> None:
         number = int(zone[1:]) if zone[1:].isdecimal() else 0
@@ -378,11 +378,11 @@
 
     def _tail(self, class_name: str, share: float, times: float, length: int) -> None:
         number = self.classes.get(class_name, 0)
-        self.world.library.heavy[number] = (share, times)
+        self.world.library.enlarged[number] = (share, times)
         self._later(length, self._light, number)
 
     def _light(self, number: int) -> None:
-        self.world.library.heavy.pop(number, None)
+        self.world.library.enlarged.pop(number, None)
 
     def _kill(self, share: float, length: int) -> None:
         for seat in self._seats(share):
@@ -440,7 +440,7 @@
 RANGE = re.compile(r"\[([0-9.]+),([0-9.]+)\](s?)")
 
 
-def _filled(template: str, chance: Stream, seconds: float) -> str:
+def _filled(template: str, chance: RandomStream, seconds: float) -> str:
     def value(found: re.Match[str]) -> str:
         drawn = chance.between(float(found[1]), float(found[2]))
         return f"{int(min(drawn, 0.6 * seconds) * 1000)}ms" if found[3] else f"{drawn:.2f}"
@@ -452,7 +452,7 @@
     """The script of a day by name: `calm`, one of `DAYS`, several joined by '+', or `any` (one to three of
     them).
     """
-    chance = Streams(seed).of(f"day {day}")
+    chance = RandomStreams(seed).stream(f"day {day}")
     if day == "calm":
         return ""
     names = day.split("+")
--- a/hoistplank/lab/model/objects.py
+++ b/hoistplank/lab/model/objects.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from hoistplank.lab.model.streams import Stream, Streams
+from hoistplank.lab.model.streams import RandomStream, RandomStreams
 from hoistplank.lab.model.world_settings import S, Shape
 
-ONCE = 1 << 40  # ids from here on are asked for once only
-HOT = 1 << 44
+FIRST_ONE_TIME_NUMBER = 1 << 40  # ids from here on are asked for once only
+FIRST_HOT_NUMBER = 1 << 44
 
 
 @dataclass(slots=True)
-class Hot:
+class HotObjects:
     """A share of a traffic class's first parts goes to so many new objects."""
 
     class_index: int
@@ -24,19 +24,19 @@
 
 
 @dataclass(slots=True)
-class Library:
+class ObjectCatalog:
     """The objects of all traffic classes. `size` is the same wherever and whenever an object is asked for."""
 
     shape: Shape
-    streams: Streams
-    hot: list[Hot] = field(default_factory=list)
-    heavy: dict[int, tuple[float, float]] = field(
+    streams: RandomStreams
+    hot: list[HotObjects] = field(default_factory=list)
+    enlarged: dict[int, tuple[float, float]] = field(
         default_factory=dict
     )  # by traffic class: share of objects, times as large
-    scan: float = 0.0  # share of cached first parts that ask for an object once only
+    scan_share: float = 0.0  # share of cached first parts that ask for an object once only
     _ranks: list[list[float]] = field(init=False)
     _sizes: list[list[float]] = field(init=False)
-    _chance: list[Stream] = field(init=False)
+    _chance: list[RandomStream] = field(init=False)
     _once: int = 0
     _new: int = 0
 
@@ -45,25 +45,25 @@
         for row in self.shape.classes:
             ranks = list(accumulate(1.0 / (n + 1) ** row.zipf for n in range(row.objects)))
             self._ranks.append([value / ranks[-1] for value in ranks])
-            draw = self.streams.of(f"sizes of {row.name}")
+            draw = self.streams.stream(f"sizes of {row.name}")
             self._sizes.append(
                 [row.kb * 2.718281828459045 ** (row.spread * draw.normal()) for _ in range(1_024)]
             )
-            self._chance.append(self.streams.of(f"popularity of {row.name}"))
+            self._chance.append(self.streams.stream(f"popularity of {row.name}"))
 
     def size_kb(self, class_index: int, object_number: int) -> float:
         spot = (object_number * 0x9E3779B1 + class_index) & 0xFFFFF
-        share, times = self.heavy.get(class_index, (0.0, 1.0))
+        share, times = self.enlarged.get(class_index, (0.0, 1.0))
         return self._sizes[class_index][spot & 1_023] * (times if (spot >> 10) < share * 1_024 else 1.0)
 
-    def draw(self, now: int, class_index: int, zone: int) -> int:
+    def draw_object(self, now: int, class_index: int, zone: int) -> int:
         """The object that a client of a location asks for now."""
         row, chance = self.shape.classes[class_index], self._chance[class_index]
         # As many numbers for each request whatever they decide: what follows stays the same.
         which, local, other, spot = chance.uniform(), chance.uniform(), chance.uniform(), chance.uniform()
-        if not row.uncached and other < self.scan:
+        if not row.uncached and other < self.scan_share:
             self._once += 1
-            return ONCE + self._once
+            return FIRST_ONE_TIME_NUMBER + self._once
         for hot in self.hot:
             if hot.class_index == class_index and which < hot.share:
                 return hot.first + int(spot * hot.count)
@@ -72,17 +72,17 @@
         base = (rank * 7_919 + moved * (rank % 13 == 0)) % row.objects + class_index * 1_000_000
         return base + (zone + 1) * 100_000_000 if local < self.shape.local else base
 
-    def heat(self, class_index: int, share: float, count: int) -> Hot:
+    def add_hot_objects(self, class_index: int, share: float, count: int) -> HotObjects:
         """New objects that are much asked for from now on; returned so that it can be ended."""
         self._new += count
-        hot = Hot(class_index, share, HOT + self._new - count, count)
+        hot = HotObjects(class_index, share, FIRST_HOT_NUMBER + self._new - count, count)
         self.hot.append(hot)
         return hot
 
 
-def name(object_number: int) -> str:
+def object_key_of(object_number: int) -> str:
     return f"{object_number:016x}"
 
 
-def group(object_number: int, shape: Shape) -> int:
+def purge_group_of(object_number: int, shape: Shape) -> int:
     return object_number % shape.groups + 1
--- a/hoistplank/lab/model/rule_checker.py
+++ b/hoistplank/lab/model/rule_checker.py
@@ -13,78 +13,80 @@
 
 from hoistplank.lab.model.world_settings import S, Shape
 
-DRAIN_US, PURGE_US, SLACK_US = 250_000, 1_000_000, 50_000
-MOST_LINES = 50
-Tell = Callable[[int, int, str], None]  # rule, when (us), what was seen
+DRAIN_GRACE_US, PURGE_GRACE_US, ANSWER_SLACK_US = 250_000, 1_000_000, 50_000
+MAX_VIOLATIONS = 50
+ReportViolation = Callable[[int, int, str], None]  # rule, when (us), what was seen
 
 
 @dataclass(slots=True)
-class Breach:
+class Violation:
     """One broken rule: which, when (us), and what was seen."""
 
     rule: int
-    at: int
-    what: str
+    at_us: int
+    description: str
 
 
 @dataclass(slots=True)
-class Taken:
+class AcceptedRequest:
     """A request that a dispatcher took."""
 
-    seat: int
-    until: int
+    dispatcher: int
+    deadline: int
     answers: int = 0
     left: bool = False
     excused: bool = False
 
 
-class Answers:
+class AnswerChecker:
     """Rule one: exactly one whole answer to each request taken, before its time is up."""
 
-    def __init__(self, tell: Tell) -> None:
-        self.tell, self.open = tell, dict[str, Taken]()
-        self.slack_us = SLACK_US  # beyond its time that an answer may come; more on a shared machine
-        self.blind: dict[int, int] = {}  # dispatchers not to blame for answers now, by how many causes
+    def __init__(self, tell: ReportViolation) -> None:
+        self.report, self.open = tell, dict[str, AcceptedRequest]()
+        self.slack_us = ANSWER_SLACK_US  # beyond its time that an answer may come; more on a shared machine
+        self.excused_dispatchers: dict[
+            int, int
+        ] = {}  # dispatchers not to blame for answers now, by how many causes
 
-    def took(self, now: int, seat: int, request: str, until: int) -> None:
-        self.open[request] = Taken(seat, until, excused=seat in self.blind)
+    def accepted(self, now: int, seat: int, request: str, until: int) -> None:
+        self.open[request] = AcceptedRequest(seat, until, excused=seat in self.excused_dispatchers)
 
-    def refused(self, request: str) -> None:
+    def withdrawn(self, request: str) -> None:
         """Nobody took it after all."""
         self.open.pop(request, None)
 
-    def blinded(self, seat: int) -> None:
+    def begin_excuse(self, seat: int) -> None:
         """From now on what a dispatcher answers can't come, or it stands still: that is not its fault."""
-        self.blind[seat] = self.blind.get(seat, 0) + 1
-        self.killed(seat)
+        self.excused_dispatchers[seat] = self.excused_dispatchers.get(seat, 0) + 1
+        self.dispatcher_killed(seat)
 
-    def seeing(self, seat: int) -> None:
+    def end_excuse(self, seat: int) -> None:
         """One cause of that has ended; what is open still is excused."""
-        self.killed(seat)
-        self.blind[seat] -= 1
-        if not self.blind[seat]:
-            del self.blind[seat]
+        self.dispatcher_killed(seat)
+        self.excused_dispatchers[seat] -= 1
+        if not self.excused_dispatchers[seat]:
+            del self.excused_dispatchers[seat]
 
     def answered(self, now: int, request: str) -> None:
         row = self.open.get(request)
         if row is None:
-            return self.tell(1, now, f"an answer to {request}, which nobody has open")
+            return self.report(1, now, f"an answer to {request}, which nobody has open")
         row.answers += 1
         if row.answers > 1:
-            self.tell(1, now, f"answer {row.answers} to {request}")
-        elif now > row.until + self.slack_us and not (row.left or row.excused):
-            self.tell(1, now, f"{request} answered {(now - row.until) // 1000} ms after its time was up")
+            self.report(1, now, f"answer {row.answers} to {request}")
+        elif now > row.deadline + self.slack_us and not (row.left or row.excused):
+            self.report(1, now, f"{request} answered {(now - row.deadline) // 1000} ms after its time was up")
 
-    def left(self, now: int, request: str) -> None:
+    def client_left(self, now: int, request: str) -> None:
         """Its client went before the time was up; one that stays to the end is owed an answer."""
         row = self.open.get(request)
         if row is not None:
-            row.left = now < row.until
+            row.left = now < row.deadline
 
-    def killed(self, seat: int) -> None:
+    def dispatcher_killed(self, seat: int) -> None:
         """Its requests are nobody's fault but the killer's."""
         for row in self.open.values():
-            row.excused |= row.seat == seat
+            row.excused |= row.dispatcher == seat
 
     def sweep(self, now: int) -> None:
         """What is long past its time; done now and then, so that a day of millions of requests stays
@@ -93,182 +95,186 @@
         for request, row in self.open.items():
             # In the order of their taking: none that comes later is past its time where this one has 5 s to
             # go.
-            if row.until > now + 5 * S:
+            if row.deadline > now + 5 * S:
                 break
             # Danger: what was held back by the rig, or stood still, may be answered long after its time.
-            if row.until + S < now and (row.answers or not row.excused):
+            if row.deadline + S < now and (row.answers or not row.excused):
                 past.append(request)
         for request in past:
             row = self.open.pop(request)
             if not (row.answers or row.left or row.excused):
-                self.tell(1, now, f"no answer to {request} of dispatcher {row.seat}")
+                self.report(1, now, f"no answer to {request} of dispatcher {row.dispatcher}")
 
 
-class Effects:
+class EffectChecker:
     """Rule two: no effect twice, but for a repeat of a keyed request at the same origin within its
     window.
     """
 
-    def __init__(self, tell: Tell) -> None:
-        self.tell, self.ran = tell, dict[str, int]()
+    def __init__(self, tell: ReportViolation) -> None:
+        self.report, self.last_run = tell, dict[str, int]()
 
     def run(self, now: int, key: str, window_us: int) -> bool:
         """An effect is asked for; whether it runs, and is not known as a repeat."""
-        first = self.ran.get(key)
+        first = self.last_run.get(key)
         if first is not None and now - first <= window_us:
             return False
         if first is not None:
-            self.tell(2, now, f"the effect of {key} again after {(now - first) // 1000} ms")
-        self.ran[key] = now
+            self.report(2, now, f"the effect of {key} again after {(now - first) // 1000} ms")
+        self.last_run[key] = now
         return True
 
 
-class Drains:
+class DrainChecker:
     """Rule three: nothing new to a drained or gone host 250 ms after the dispatcher was told, as
     source too.
     """
 
-    def __init__(self, tell: Tell) -> None:
-        self.tell, self.told_at = tell, dict[tuple[int, str], int]()
-        self.heard: Callable[[int, int, str, str], None] | None = None  # of every attempt
+    def __init__(self, tell: ReportViolation) -> None:
+        self.report, self.notified_at = tell, dict[tuple[int, str], int]()
+        self.on_attempt: Callable[[int, int, str, str], None] | None = None  # of every attempt
 
-    def told(self, now: int, seat: int, host: str, state: str) -> None:
+    def dispatcher_notified(self, now: int, seat: int, host: str, state: str) -> None:
         if state == "up":
-            self.told_at.pop((seat, host), None)
+            self.notified_at.pop((seat, host), None)
         else:
-            self.told_at.setdefault((seat, host), now)
+            self.notified_at.setdefault((seat, host), now)
 
     def forget(self, seat: int) -> None:
-        for pair in [pair for pair in self.told_at if pair[0] == seat]:
-            del self.told_at[pair]
+        for pair in [pair for pair in self.notified_at if pair[0] == seat]:
+            del self.notified_at[pair]
 
     def attempt(self, now: int, seat: int, host: str, role: str) -> None:
-        if self.heard is not None:
-            self.heard(now, seat, host, role)
-        at = self.told_at.get((seat, host))
-        if at is not None and now - at > DRAIN_US:
-            self.tell(
+        if self.on_attempt is not None:
+            self.on_attempt(now, seat, host, role)
+        at = self.notified_at.get((seat, host))
+        if at is not None and now - at > DRAIN_GRACE_US:
+            self.report(
                 3, now, f"{host} as {role} from dispatcher {seat} {(now - at) // 1000} ms after it was told"
             )
 
 
 @dataclass(slots=True)
-class Warming:
+class WarmingHost:
     started: int
-    room: float
+    capacity: float
     work: deque[tuple[int, float, bool]] = field(default_factory=deque)
-    asked: float = 0.0
-    by_told: float = 0.0
-    said: bool = False
+    requested: float = 0.0
+    by_notified: float = 0.0
+    reported: bool = False
 
 
-class Colds:
+class ColdStartChecker:
     """Rule four: no cold host pushed over by all dispatchers together, fills at parents counted.
 
     The budget of any window is multiple x what the host can carry now x the window; broken where at least two
     thirds of the work came from dispatchers that had been told of its start.
     """
 
-    def __init__(self, shape: Shape, tell: Tell) -> None:
-        self.shape, self.tell = shape, tell
-        self.cold, self.starts = dict[str, Warming](), dict[tuple[int, str], int]()
-        self.worst = 0.0
+    def __init__(self, shape: Shape, tell: ReportViolation) -> None:
+        self.shape, self.report = shape, tell
+        self.warming, self.known_starts = dict[str, WarmingHost](), dict[tuple[int, str], int]()
+        self.highest_ever = 0.0
 
-    def started(self, now: int, host: str, room: float) -> None:
-        self.cold[host] = Warming(now, room)
+    def host_started(self, now: int, host: str, room: float) -> None:
+        self.warming[host] = WarmingHost(now, room)
 
-    def told(self, seat: int, host: str, started_us: int) -> None:
-        self.starts[seat, host] = max(self.starts.get((seat, host), 0), started_us)
+    def dispatcher_notified(self, seat: int, host: str, started_us: int) -> None:
+        self.known_starts[seat, host] = max(self.known_starts.get((seat, host), 0), started_us)
 
     def forget(self, seat: int) -> None:
-        for pair in [pair for pair in self.starts if pair[0] == seat]:
-            del self.starts[pair]
+        for pair in [pair for pair in self.known_starts if pair[0] == seat]:
+            del self.known_starts[pair]
 
-    def fullest(self, now: int) -> float:
+    def highest_load(self, now: int) -> float:
         """The most that a cold host is asked for now, as a share of what it can bear."""
         most, shape = 0.0, self.shape
-        for row in self.cold.values():
+        for row in self.warming.values():
             if now - row.started < shape.cold_us:
                 asked = sum(work for at, work, _ in row.work if at > now - shape.tip_us)
                 most = max(most, asked / self._budget(now, row))
         return most
 
-    def _budget(self, now: int, row: Warming) -> float:
+    def _budget(self, now: int, row: WarmingHost) -> float:
         shape = self.shape
         can = shape.cold_from + (1 - shape.cold_from) * (now - row.started) / shape.cold_us
-        return shape.tip_multiple * can * row.room * shape.tip_us
+        return shape.tip_multiple * can * row.capacity * shape.tip_us
 
-    def asked(self, now: int, seat: int, host: str, work_us: float) -> bool:
+    def work_arrived(self, now: int, seat: int, host: str, work_us: float) -> bool:
         """Work of a dispatcher that reached a host; whether it was more than the host can bear."""
-        row = self.cold.get(host)
+        row = self.warming.get(host)
         if row is None:
             return False
         shape = self.shape
         if now - row.started >= shape.cold_us:
-            del self.cold[host]
+            del self.warming[host]
             return False
-        told = self.starts.get((seat, host), -1) >= row.started
+        told = self.known_starts.get((seat, host), -1) >= row.started
         row.work.append((now, work_us, told))
-        row.asked += work_us
-        row.by_told += work_us * told
+        row.requested += work_us
+        row.by_notified += work_us * told
         while row.work[0][0] <= now - shape.tip_us:
             _, work, by_told = row.work.popleft()
-            row.asked -= work
-            row.by_told -= work * by_told
+            row.requested -= work
+            row.by_notified -= work * by_told
         budget = self._budget(now, row)
         # Danger: of few transfers a window holds one more or less by chance; one more is let pass.
-        over = row.asked > budget + work_us
-        self.worst = max(self.worst, row.asked / budget)
-        if over and not row.said and row.by_told >= row.asked * 2 / 3:
-            row.said = True
-            self.tell(4, now, f"{host}, cold, was sent {row.asked / budget:.2f} of what it can bear")
+        over = row.requested > budget + work_us
+        self.highest_ever = max(self.highest_ever, row.requested / budget)
+        if over and not row.reported and row.by_notified >= row.requested * 2 / 3:
+            row.reported = True
+            self.report(4, now, f"{host}, cold, was sent {row.requested / budget:.2f} of what it can bear")
         return over
 
 
-class Purges:
+class PurgeChecker:
     """Rule five: nothing older than a purge in answer to what was sent 1 s after the dispatcher was told."""
 
-    def __init__(self, tell: Tell) -> None:
-        self.tell, self.floors = tell, dict[tuple[int, str | int], deque[tuple[int, int]]]()
+    def __init__(self, tell: ReportViolation) -> None:
+        self.report, self.watermarks = tell, dict[tuple[int, str | int], deque[tuple[int, int]]]()
 
-    def told(self, now: int, seat: int, what: str | int, made: int) -> None:
-        row = self.floors.setdefault((seat, what), deque(maxlen=8))
+    def dispatcher_notified(self, now: int, seat: int, what: str | int, made: int) -> None:
+        row = self.watermarks.setdefault((seat, what), deque(maxlen=8))
         row.append((now, made))
 
     def forget(self, seat: int) -> None:
-        for pair in [pair for pair in self.floors if pair[0] == seat]:
-            del self.floors[pair]
+        for pair in [pair for pair in self.watermarks if pair[0] == seat]:
+            del self.watermarks[pair]
 
     def served(
         self, now: int, seat: int, request: str, object_key: str, group: int, sent: int, born: int
     ) -> None:
         for what in (object_key, group):
-            for told, made in self.floors.get((seat, what), ()):
-                if sent > told + PURGE_US and born < made:
-                    self.tell(
+            for told, made in self.watermarks.get((seat, what), ()):
+                if sent > told + PURGE_GRACE_US and born < made:
+                    self.report(
                         5,
                         now,
                         f"{request} answered by a copy {(made - born) // 1000} ms older than its purge",
                     )
 
 
-class Truth:
+class RuleChecker:
     """All five, and what they found."""
 
     def __init__(self, shape: Shape) -> None:
-        self.breaches: list[Breach] = []
+        self.violations: list[Violation] = []
         self.counts = dict.fromkeys((1, 2, 3, 4, 5), 0)
-        self.answers, self.effects, self.drains = Answers(self._tell), Effects(self._tell), Drains(self._tell)
-        self.colds, self.purges = Colds(shape, self._tell), Purges(self._tell)
-
-    def _tell(self, rule: int, at: int, what: str) -> None:
+        self.answers, self.effects, self.drains = (
+            AnswerChecker(self._report),
+            EffectChecker(self._report),
+            DrainChecker(self._report),
+        )
+        self.colds, self.purges = ColdStartChecker(shape, self._report), PurgeChecker(self._report)
+
+    def _report(self, rule: int, at: int, what: str) -> None:
         self.counts[rule] += 1
-        if len(self.breaches) < MOST_LINES:
-            self.breaches.append(Breach(rule, at, what))
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(Violation(rule, at, what))
 
-    def killed(self, seat: int) -> None:
+    def dispatcher_killed(self, seat: int) -> None:
         """A dispatcher's process is gone: it knows nothing any more, and what it had open is excused."""
-        self.answers.killed(seat)
+        self.answers.dispatcher_killed(seat)
         self.drains.forget(seat)
         self.colds.forget(seat)
         self.purges.forget(seat)
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -11,12 +11,12 @@
 from heapq import heapreplace
 
 from hoistplank.interface import Note, Result
-from hoistplank.lab.model.cache_storage import Copy, Keep, Place
-from hoistplank.lab.model.event_queue import Agenda
-from hoistplank.lab.model.links import Flow, Link
-from hoistplank.lab.model.objects import Library
-from hoistplank.lab.model.rule_checker import Truth
-from hoistplank.lab.model.streams import Stream
+from hoistplank.lab.model.cache_storage import CachedCopy, CacheKey, CacheStorage
+from hoistplank.lab.model.event_queue import EventQueue
+from hoistplank.lab.model.links import Link, Transfer
+from hoistplank.lab.model.objects import ObjectCatalog
+from hoistplank.lab.model.rule_checker import RuleChecker
+from hoistplank.lab.model.streams import RandomStream
 from hoistplank.lab.model.world_settings import BOX, ORIGIN, PARENT, Shape
 
 UP, SILENT, HUNG, DOWN = "up", "silent", "hung", "down"
@@ -52,7 +52,7 @@
     )
 
     def __init__(
-        self, seat: int, zone: int, class_index: int, place: Place, group: int, size_us: float, end: End
+        self, seat: int, zone: int, class_index: int, place: CacheKey, group: int, size_us: float, end: End
     ) -> None:
         self.seat, self.zone, self.class_index, self.place, self.group = seat, zone, class_index, place, group
         self.size_us, self.end = size_us, end
@@ -60,7 +60,7 @@
         self.join = self.renew = False
         self.alive, self.halves = True, 0
         self.found = (0, -1)  # note and birth of what a fill brought
-        self.flows: list[tuple[Link, Flow]] = []
+        self.flows: list[tuple[Link, Transfer]] = []
         self.extra_links: list[Link] = []  # links beside the server's own that the answer takes
         self.started: Callable[[], None] | None = None  # told when the answer begins to flow
         self.back = 0  # how long the answer is under way
@@ -69,7 +69,7 @@
         """The asker has left: what flows for it stops."""
         self.alive = False
         for link, flow in self.flows:
-            link.stop(flow)
+            link.cancel(flow)
 
 
 class Server:
@@ -83,7 +83,7 @@
         self.world, self.agenda, self.shape = world, world.agenda, world.shape
         self.uid, self.zone, self.cell, self.room = uid, zone, cell, room
         self.link = Link(world.agenda, room, world.shape.thrash)
-        self.chance: Stream = world.stream(f"server {uid}")
+        self.chance: RandomStream = world.stream(f"server {uid}")
         self.free = [0] * cores
         self.phase, self.listed, self.life, self.started_us, self.pushed = UP, "up", 0, 0, NEVER
         self.slow, self.lossy, self.spoils, self.resets, self.turns_away = 1.0, 0.0, 0.0, 0.0, 0.0
@@ -108,7 +108,7 @@
         self.phase, self.life, self.started_us = UP, self.life + 1, self.agenda.now
         self.free = [self.agenda.now] * len(self.free)
         self.paused_until = 0
-        self.world.truth.colds.started(self.agenda.now, self.uid, self.room)
+        self.world.truth.colds.host_started(self.agenda.now, self.uid, self.room)
         self._warm(self.life)
 
     def _warm(self, life: int) -> None:
@@ -116,13 +116,13 @@
             return
         shape, age = self.shape, self.agenda.now - self.started_us
         warm = min(1.0, age / max(1, shape.cold_us))
-        self.link.turned(share=(shape.cold_from + (1 - shape.cold_from) * warm) / self.slow)
+        self.link.resize(share=(shape.cold_from + (1 - shape.cold_from) * warm) / self.slow)
         if warm < 1:
-            self.agenda.at(self.agenda.now + 250_000, self._warm, life)
+            self.agenda.schedule(self.agenda.now + 250_000, self._warm, life)
 
     def slowed(self, times: float) -> None:
         """All its work takes so many times as long; 1 ends it."""
-        self.link.turned(share=self.link.share * self.slow / times)
+        self.link.resize(share=self.link.capacity_share * self.slow / times)
         self.slow = times
 
     # Asks.
@@ -134,7 +134,7 @@
         if self.phase == SILENT:
             if ask.seat not in self.linked and ask.seat >= 0:
                 # A connection that is to be made anew is not up in time; over one that is, silence.
-                self.agenda.at(now + 400_000, self._told, ask, Result.NO_CONNECTION, 0, -1)
+                self.agenda.schedule(now + 400_000, self._told, ask, Result.NO_CONNECTION, 0, -1)
             return
         self.linked.add(ask.seat)
         self.asked += 1
@@ -153,16 +153,16 @@
             return self._finish(ask, Result.FULL, 0, -1)
         done = begin + int(self._work_us() * self.slow * (0.5 + 0.5 * self.chance.exponential()))
         heapreplace(self.free, done)
-        self.agenda.at(done, self._worked, ask, self.life)
+        self.agenda.schedule(done, self._worked, ask, self.life)
 
     def _work_us(self) -> float:
         return self.shape.work_us
 
     def _pushed_over(self, ask: Ask) -> bool:
         """Falls over when it is cold and asked for more than it can bear; only truth's own budget decides."""
-        if self.uid not in self.world.truth.colds.cold:
+        if self.uid not in self.world.truth.colds.warming:
             return False
-        if ask.seat < 0 or not self.world.truth.colds.asked(
+        if ask.seat < 0 or not self.world.truth.colds.work_arrived(
             self.agenda.now, ask.seat, self.uid, self._costs(ask)
         ):
             return False
@@ -181,7 +181,7 @@
         if life != self.life or not ask.alive or self.phase == HUNG:
             return
         if self.paused_until > self.agenda.now:
-            return self.agenda.at(self.paused_until, self._worked, ask, life)
+            return self.agenda.schedule(self.paused_until, self._worked, ask, life)
         self.work(ask)
 
     def work(self, ask: Ask) -> None:
@@ -194,13 +194,15 @@
         links = [self.link, *ask.extra_links]
         ask.halves += len(links)
         for link in links:
-            ask.flows.append((link, link.begin(size_us, self._flowed, ask, note, born, self.life)))
+            ask.flows.append((link, link.start(size_us, self._flowed, ask, note, born, self.life)))
 
     def _flowed(self, ask: Ask, note: int, born: int, life: int) -> None:
         ask.halves -= 1
         if ask.halves == 0 and ask.alive and life == self.life:
             if self.paused_until > self.agenda.now:
-                return self.agenda.at(self.paused_until, self._finish, ask, Result.SUCCEEDED, note, born)
+                return self.agenda.schedule(
+                    self.paused_until, self._finish, ask, Result.SUCCEEDED, note, born
+                )
             self._finish(ask, Result.SUCCEEDED, note, born)
 
     def _finish(self, ask: Ask, result: int, note: int, born: int) -> None:
@@ -218,7 +220,7 @@
         self._told(ask, result, note, born)
 
     def _told(self, ask: Ask, result: int, note: int, born: int) -> None:
-        self.agenda.at(self.agenda.now + ask.back, ask.end, result, note, born)
+        self.agenda.schedule(self.agenda.now + ask.back, ask.end, result, note, born)
 
     def left(self, ask: Ask) -> None:
         """The asker takes it back."""
@@ -283,8 +285,8 @@
         self, world: Surroundings, uid: str, zone: str, kind: str, cell: int, room: float, keep_kb: float
     ) -> None:
         super().__init__(world, uid, zone, cell, room, world.shape.cores)
-        self.kind, self.keep = kind, Keep(keep_kb)
-        self.fills: dict[Place, Fill] = {}
+        self.kind, self.keep = kind, CacheStorage(keep_kb)
+        self.fills: dict[CacheKey, Fill] = {}
         self.filling = self.hits = self.filled = self.joined = 0
         # How long after a purge it drops its older copies: each in its own time.
         self.drops_after = int(world.shape.purge_takes_us * self.chance.uniform())
@@ -301,16 +303,16 @@
         row = self.shape.classes[ask.class_index]
         if row.uncached:
             return self._pass_on(ask)
-        copy = self.keep.look(ask.place)
+        copy = self.keep.peek(ask.place)
         if copy is not None and self._void(ask, copy):
-            self.keep.drop(ask.place)
+            self.keep.remove(ask.place)
             copy = None
         if copy is not None:
-            age = self.agenda.now - copy.born
+            age = self.agenda.now - copy.created
             most = ask.oldest_us or row.fresh_us
             if not most or age <= most:
                 self.hits += 1
-                self.keep.use(ask.place, ask.keep)
+                self.keep.touch(ask.place, ask.keep)
                 if (
                     ask.renew
                     and row.fresh_us
@@ -319,7 +321,7 @@
                 ):
                     self._fill(ask, ask.source, newer_than=age)
                 old = row.fresh_us and age > row.fresh_us
-                return self.send(ask, ask.size_us, Note.OLD if old else Note.HIT, copy.born)
+                return self.send(ask, ask.size_us, Note.OLD if old else Note.HIT, copy.created)
         source = self._source_of(ask)
         if not source:
             under = ask.place in self.fills
@@ -331,11 +333,11 @@
             return ""
         return self.world.origin.uid if self.kind == PARENT else ask.source
 
-    def _void(self, ask: Ask, copy: Copy) -> bool:
+    def _void(self, ask: Ask, copy: CachedCopy) -> bool:
         """Whether a purge has reached this copy here."""
         for what in (ask.place[0], ask.group):
             made = self.world.purged.get(what, -1)
-            if copy.born < made and self.agenda.now >= made + self.drops_after:
+            if copy.created < made and self.agenda.now >= made + self.drops_after:
                 return True
         return False
 
@@ -372,7 +374,7 @@
                 ask.started()
             for link in (self.link, *ask.extra_links):
                 ask.halves += 1
-                ask.flows.append((link, link.begin(ask.size_us, self._half, ask, self.life)))
+                ask.flows.append((link, link.start(ask.size_us, self._half, ask, self.life)))
 
     def _half(self, ask: Ask, life: int) -> None:
         if life != self.life:
@@ -390,7 +392,7 @@
             self._came_back(fill, asked, life, result, note, born)
 
         def began() -> None:
-            self.agenda.at(self.agenda.now + shape.far_us, self._began, fill, asked, life)
+            self.agenda.schedule(self.agenda.now + shape.far_us, self._began, fill, asked, life)
 
         asked = Ask(first.seat, first.zone, first.class_index, first.place, first.group, first.size_us, ended)
         asked.source, asked.oldest_us, asked.join = self.world.origin.uid, fill.oldest_us, True
@@ -402,9 +404,9 @@
         if source is None:
             return ended(Result.NO_CONNECTION, 0, -1)
         if self.world.cut(self.zone, source.zone):
-            return self.agenda.at(self.agenda.now + 400_000, ended, Result.NO_CONNECTION, 0, -1)
-        self.agenda.at(self.agenda.now + shape.far_us, source.arrive, asked)
-        self.agenda.at(self.agenda.now + shape.fill_timeout_us, self._overdue, fill, asked, life)
+            return self.agenda.schedule(self.agenda.now + 400_000, ended, Result.NO_CONNECTION, 0, -1)
+        self.agenda.schedule(self.agenda.now + shape.far_us, source.arrive, asked)
+        self.agenda.schedule(self.agenda.now + shape.fill_timeout_us, self._overdue, fill, asked, life)
 
     def _began(self, fill: Fill, asked: Ask, life: int) -> None:
         if life == self.life and fill.ask is asked and asked.alive and not fill.flowing:
@@ -441,7 +443,7 @@
             why = Note.ORIGIN_LOST
         for ask, _ in fill.waiting:
             for link, flow in ask.flows:
-                link.stop(flow)
+                link.cancel(flow)
             self._finish(ask, Result.FULL if why == Note.SOURCE_REFUSED else Result.ERROR, why, -1)
 
     def _pass_on(self, ask: Ask) -> None:
@@ -457,22 +459,22 @@
 
         further = Ask(ask.seat, ask.zone, ask.class_index, ask.place, ask.group, ask.size_us, ended)
         further.key, further.back = ask.key, self.shape.far_us
-        self.agenda.at(self.agenda.now + self.shape.far_us, origin.arrive, further)
+        self.agenda.schedule(self.agenda.now + self.shape.far_us, origin.arrive, further)
 
 
 class Surroundings:
     """What servers see of the world around them; the world is one."""
 
-    agenda: Agenda
+    agenda: EventQueue
     shape: Shape
-    truth: Truth
-    library: Library
+    truth: RuleChecker
+    library: ObjectCatalog
     servers: dict[str, Server]
     origin: Origin
     zone_links: list[Link]
     purged: dict[str | int, int]
 
-    def stream(self, name: str) -> Stream:
+    def stream(self, name: str) -> RandomStream:
         raise NotImplementedError
 
     def fell(self, server: Server) -> None:
--- a/hoistplank/lab/model/streams.py
+++ b/hoistplank/lab/model/streams.py
@@ -8,10 +8,10 @@
 
 import numpy as np
 
-DRAWN = 512  # numbers drawn in one call: a Generator asked for one at a time costs ten times as much
+BATCH = 512  # numbers drawn in one call: a Generator asked for one at a time costs ten times as much
 
 
-class Stream:
+class RandomStream:
     """Numbers of one process, in the order of its asking."""
 
     __slots__ = ("_exponential", "_generator", "_normal", "_uniform")
@@ -25,18 +25,18 @@
     def uniform(self) -> float:
         """From 0 up to, but without, 1."""
         if not self._uniform:
-            self._uniform = self._generator.random(DRAWN).tolist()
+            self._uniform = self._generator.random(BATCH).tolist()
         return self._uniform.pop()
 
     def exponential(self) -> float:
         """With the mean 1."""
         if not self._exponential:
-            self._exponential = self._generator.standard_exponential(DRAWN).tolist()
+            self._exponential = self._generator.standard_exponential(BATCH).tolist()
         return self._exponential.pop()
 
     def normal(self) -> float:
         if not self._normal:
-            self._normal = self._generator.standard_normal(DRAWN).tolist()
+            self._normal = self._generator.standard_normal(BATCH).tolist()
         return self._normal.pop()
 
     def below(self, count: int) -> int:
@@ -50,13 +50,15 @@
         return [int(n) for n in self._generator.permutation(count)]
 
 
-class Streams:
+class RandomStreams:
     """The streams of one seed. The same name gives the same numbers, whatever other names are asked for."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
-    def of(self, name: str) -> Stream:
+    def stream(self, name: str) -> RandomStream:
         words = blake2b(name.encode(), digest_size=16).digest()
         way = tuple(int.from_bytes(words[at : at + 4], "big") for at in range(0, 16, 4))
-        return Stream(np.random.Generator(np.random.PCG64(np.random.SeedSequence(self.seed, spawn_key=way))))
+        return RandomStream(
+            np.random.Generator(np.random.PCG64(np.random.SeedSequence(self.seed, spawn_key=way)))
+        )
--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -11,12 +11,12 @@
 
 from hoistplank.interface import HostEntry
 from hoistplank.lab.model.clients import GONE, Clients, Request
-from hoistplank.lab.model.event_queue import Agenda
+from hoistplank.lab.model.event_queue import EventQueue
 from hoistplank.lab.model.links import Link
-from hoistplank.lab.model.objects import Library
-from hoistplank.lab.model.rule_checker import Truth
+from hoistplank.lab.model.objects import ObjectCatalog
+from hoistplank.lab.model.rule_checker import RuleChecker
 from hoistplank.lab.model.servers import DOWN, SILENT, UP, Keeper, Origin, Server, Surroundings
-from hoistplank.lab.model.streams import Stream, Streams
+from hoistplank.lab.model.streams import RandomStream, RandomStreams
 from hoistplank.lab.model.world_settings import BOX, HUB, PARENT, S, Shape
 
 WATCHED = 48  # cache hosts whose load is kept by second
@@ -86,9 +86,9 @@
         at = max(self.last.get(seat.number, 0), now + int(self.late * self.chance.between(low, high)))
         self.last[seat.number] = at
         if self.world.paths is None:
-            self.world.agenda.at(at, self._reach, seat, what)
+            self.world.agenda.schedule(at, self._reach, seat, what)
         else:
-            self.world.agenda.at(at, self._over, seat, what)
+            self.world.agenda.schedule(at, self._over, seat, what)
 
     def _over(self, seat: Seat, what: Callable[[Seat], None]) -> None:
         assert self.world.paths is not None
@@ -107,7 +107,7 @@
     def stop(self) -> None:
         if self.up:
             self.up, self.stopped_at = False, self.world.agenda.now
-            self.world.agenda.at(self.stopped_at + LOST_US, self._lost, self.stopped_at)
+            self.world.agenda.schedule(self.stopped_at + LOST_US, self._lost, self.stopped_at)
 
     def _lost(self, stopped_at: int) -> None:
         if not self.up and self.stopped_at == stopped_at:
@@ -129,8 +129,8 @@
     """`seats` are put in by the drive, in order of their numbers, before `begin`."""
 
     def __init__(self, shape: Shape, seed: int) -> None:
-        self.agenda, self.shape, self.streams = Agenda(), shape, Streams(seed)
-        self.truth, self.library = Truth(shape), Library(shape, self.streams)
+        self.agenda, self.shape, self.streams = EventQueue(), shape, RandomStreams(seed)
+        self.truth, self.library = RuleChecker(shape), ObjectCatalog(shape, self.streams)
         self.purged: dict[str | int, int] = {}
         self.zone_links = [Link(self.agenda, shape.zone_link, shape.thrash) for _ in range(shape.zones)]
         self.origin = Origin(self, "origin", HUB, shape.origin_link, shape.origin_workers)
@@ -156,8 +156,8 @@
         self.loads: list[list[float]] = []
         self._carried = [0.0] * len(self.watched)
 
-    def stream(self, name: str) -> Stream:
-        return self.streams.of(name)
+    def stream(self, name: str) -> RandomStream:
+        return self.streams.stream(name)
 
     def note(self, what: str) -> None:
         """What was done to the world, for reports."""
@@ -175,14 +175,14 @@
         """A dispatcher hears of hosts; the checkers know of it before it does."""
         now = self.agenda.now
         for row in rows:
-            self.truth.drains.told(now, seat.number, row.host, row.state)
+            self.truth.drains.dispatcher_notified(now, seat.number, row.host, row.state)
             if row.state == "up":
-                self.truth.colds.told(seat.number, row.host, row.started_us)
+                self.truth.colds.dispatcher_notified(seat.number, row.host, row.started_us)
         if form in ("whole", "kept"):
             named = {row.host for row in rows}
             for uid in self.servers:
                 if uid not in named:
-                    self.truth.drains.told(now, seat.number, uid, "gone")
+                    self.truth.drains.dispatcher_notified(now, seat.number, uid, "gone")
         seat.listed(form, rows)
 
     def list_as(self, servers: list[Server], state: str) -> None:
@@ -201,7 +201,9 @@
         """
         server.stop(phase)
         life = server.life
-        self.agenda.at(self.agenda.now + back_after, self.back, server, life, warm or server is self.origin)
+        self.agenda.schedule(
+            self.agenda.now + back_after, self.back, server, life, warm or server is self.origin
+        )
 
     def back(self, server: Server, life: int, warm: bool) -> None:
         if server.life != life:
@@ -222,7 +224,7 @@
             if server.life == life:
                 self.list_as([server], "gone")
 
-        self.agenda.at(self.agenda.now + noticed_after, noticed)
+        self.agenda.schedule(self.agenda.now + noticed_after, noticed)
 
     def cut(self, one: str, other: str) -> bool:
         return bool(self.cuts) and frozenset((one, other)) in self.cuts
@@ -236,7 +238,7 @@
         self.purged[what] = made
 
         def told(seat: Seat) -> None:
-            self.truth.purges.told(self.agenda.now, seat.number, what, made)
+            self.truth.purges.dispatcher_notified(self.agenda.now, seat.number, what, made)
             seat.purge(object_key, group if not object_key else 0, made)
 
         self.log.tell(told)
@@ -247,18 +249,18 @@
         for seat in self.seats:
             self.tell_hosts(seat, "kept", self.entries())
         self.clients.begin()
-        self.agenda.at(S, self._sweep)
+        self.agenda.schedule(S, self._sweep)
 
     def _sweep(self) -> None:
         row = []
         for n, one in enumerate(self.watched):
-            carried = one.link.carried
+            carried = one.link.carried_us
             row.append((carried - self._carried[n]) / S / one.room)
             self._carried[n] = carried
         self.loads.append(row)
         self.truth.answers.sweep(self.agenda.now)
         if self.agenda.now < self.end_us() + 2 * S:
-            self.agenda.at(self.agenda.now + S, self._sweep)
+            self.agenda.schedule(self.agenda.now + S, self._sweep)
 
     def end_us(self) -> int:
         """When all that was asked for has ended one way or another."""
@@ -278,10 +280,10 @@
         collects = gc.isenabled()
         gc.disable()
         try:
-            self.agenda.run(self.end_us())
+            self.agenda.run_until(self.end_us())
             # Parts are asked one after another: a session whose parts each took long is still on its way.
             while self.clients.open and self.agenda.now < self.last_end_us():
-                self.agenda.run(self.agenda.now + S // 10)
+                self.agenda.run_until(self.agenda.now + S // 10)
         finally:
             if collects:
                 gc.enable()
@@ -290,7 +292,7 @@
         """A dispatcher's process is killed; its clients learn it at once, the front only later."""
         if not seat.alive:
             return
-        self.truth.killed(seat.number)
+        self.truth.dispatcher_killed(seat.number)
         seat.kill()
         lost = [request for request in self.clients.open.values() if request.seat == seat.number]
         for request in lost:
@@ -302,12 +304,12 @@
             for what, made in self.purged.items():
                 if self.agenda.now - made < self.shape.purge_takes_us:
                     object_key, group = (what, 0) if isinstance(what, str) else ("", what)
-                    self.truth.purges.told(self.agenda.now, seat.number, what, made)
+                    self.truth.purges.dispatcher_notified(self.agenda.now, seat.number, what, made)
                     seat.purge(object_key, group, made)
             self.tell_hosts(seat, "kept", self.entries())
             self.front.back(seat)
 
-        self.agenda.at(self.agenda.now + back_after, again)
+        self.agenda.schedule(self.agenda.now + back_after, again)
 
 
 @dataclass(frozen=True, slots=True)
@@ -352,7 +354,7 @@
         # The deadline that a dispatcher is given is the traffic class's, less what earlier tries took.
         until = request.asked_at + self.world.shape.classes[request.class_index].deadline_us
         now, paths = self.world.agenda.now, self.world.paths
-        self.world.truth.answers.took(now, seat.number, request.id, until)
+        self.world.truth.answers.accepted(now, seat.number, request.id, until)
         if self.world.clients.ear is not None:
             self.world.clients.ear.tried(now, request)
         if paths is None:
@@ -386,7 +388,7 @@
         return seats[-1]
 
     def abandon(self, request: Request) -> None:
-        self.world.truth.answers.left(self.world.agenda.now, request.id)
+        self.world.truth.answers.client_left(self.world.agenda.now, request.id)
         if request.seat >= 0:
             self.world.seats[request.seat].leave(request)
 
@@ -395,7 +397,7 @@
             if not seat.alive and seat in self._seats(seat.zone):
                 self._seats(seat.zone).remove(seat)
 
-        self.world.agenda.at(self.world.agenda.now + self.world.shape.notice_us, noticed)
+        self.world.agenda.schedule(self.world.agenda.now + self.world.shape.notice_us, noticed)
 
     def back(self, seat: Seat) -> None:
         if seat not in self._seats(seat.zone):
--- a/hoistplank/lab/worker.py
+++ b/hoistplank/lab/worker.py
@@ -58,12 +58,13 @@
         "loads": [[round(v, 3) for v in row] for row in world.loads[start : start + seconds]],
         "happened": [[round(at / S - start, 3), what] for at, what in world.happened],
         "breaches": [
-            f"rule {row.rule} at {row.at / S - start:.2f} s: {row.what}" for row in world.truth.breaches
+            f"rule {row.rule} at {row.at_us / S - start:.2f} s: {row.description}"
+            for row in world.truth.violations
         ],
         "broken": {str(rule): count for rule, count in world.truth.counts.items()},
-        "coldest": round(world.truth.colds.worst, 4),
+        "coldest": round(world.truth.colds.highest_ever, 4),
         "fell": sum(one.fell for one in world.servers.values()),
-        "events": world.agenda.done,
+        "events": world.agenda.executed,
         "took_s": round(took_s, 3),
         "digest": digest(world),
         "machine": f"{platform.machine()} python {platform.python_version()} numpy {np.__version__}",
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -10,14 +10,14 @@
 from hoistplank.interface import Note, Result
 from hoistplank.lab.backends.virtual import built, digest
 from hoistplank.lab.faulty_dispatchers import BROKEN
-from hoistplank.lab.model.cache_storage import Keep
+from hoistplank.lab.model.cache_storage import CacheStorage
 from hoistplank.lab.model.clients import LAST_US, SERVED, Clients, Request
-from hoistplank.lab.model.event_queue import Agenda
+from hoistplank.lab.model.event_queue import EventQueue
 from hoistplank.lab.model.faults import DAYS, KINDS, checked, drawn, script
 from hoistplank.lab.model.links import Link
-from hoistplank.lab.model.objects import Library
+from hoistplank.lab.model.objects import ObjectCatalog
 from hoistplank.lab.model.servers import Ask, Server
-from hoistplank.lab.model.streams import Streams
+from hoistplank.lab.model.streams import RandomStreams
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import S, Shape, sized
 from hoistplank.lab.policies import Make, UnknownPolicy, policy
@@ -52,12 +52,12 @@
 
 
 def test_streams_do_not_disturb_each_other() -> None:
-    one, other = Streams(5), Streams(5)
-    alone = [one.of("arrivals").uniform() for _ in range(5)]
+    one, other = RandomStreams(5), RandomStreams(5)
+    alone = [one.stream("arrivals").uniform() for _ in range(5)]
     for _ in range(700):
-        other.of("front").uniform()
-    assert alone == [other.of("arrivals").uniform() for _ in range(5)]
-    assert alone != [Streams(6).of("arrivals").uniform() for _ in range(5)]
+        other.stream("front").uniform()
+    assert alone == [other.stream("arrivals").uniform() for _ in range(5)]
+    assert alone != [RandomStreams(6).stream("arrivals").uniform() for _ in range(5)]
 
 
 def test_every_policy_meets_the_same_clients() -> None:
@@ -74,16 +74,16 @@
     st.floats(0.5, 6),
 )
 def test_a_link_gives_each_its_share_and_loses_none(flows: list[tuple[int, int]], room: float) -> None:
-    agenda, ended = Agenda(), list[tuple[int, int, int]]()
+    agenda, ended = EventQueue(), list[tuple[int, int, int]]()
     link = Link(agenda, room)
 
     def begin(at: int, size: int) -> None:
-        link.begin(size, lambda: ended.append((at, size, agenda.now)))
+        link.start(size, lambda: ended.append((at, size, agenda.now)))
 
     for at, size in flows:
-        agenda.at(at, begin, at, size)
-    agenda.run(60 * S)
-    assert len(ended) == len(flows) and link.open == 0
+        agenda.schedule(at, begin, at, size)
+    agenda.run_until(60 * S)
+    assert len(ended) == len(flows) and link.active == 0
     for at, size, end in ended:
         assert end >= at + size - 1, "quicker than its own pace"
     # All together no sooner than the link could carry them, and no later than one after another.
@@ -94,24 +94,24 @@
 
 
 def test_a_stopped_transfer_frees_its_share() -> None:
-    agenda, ended = Agenda(), list[str]()
+    agenda, ended = EventQueue(), list[str]()
     link = Link(agenda, 1.0)
-    first = link.begin(100_000, ended.append, "first")
-    link.begin(100_000, ended.append, "second")
-    agenda.run(100_000)
-    link.stop(first)
-    agenda.run(151_000)
+    first = link.start(100_000, ended.append, "first")
+    link.start(100_000, ended.append, "second")
+    agenda.run_until(100_000)
+    link.cancel(first)
+    agenda.run_until(151_000)
     assert ended == ["second"]
 
 
 def test_a_keep_evicts_its_lowest_rank_first_and_never_a_higher_one() -> None:
-    keep = Keep(30.0)
+    keep = CacheStorage(30.0)
     assert keep.put(("a", 0), 1, 10, 3) and keep.put(("b", 0), 1, 10, 1) and keep.put(("c", 0), 1, 10, 1)
-    keep.use(("b", 0), 0)
+    keep.touch(("b", 0), 0)
     assert keep.put(("d", 0), 1, 10, 2)
-    assert keep.look(("c", 0)) is None and keep.look(("b", 0)) is not None
+    assert keep.peek(("c", 0)) is None and keep.peek(("b", 0)) is not None
     assert keep.put(("e", 0), 1, 10, 2) and not keep.put(("f", 0), 1, 20, 1)
-    assert keep.look(("a", 0)) is not None and keep.kb == 30 and len(keep) == 3
+    assert keep.peek(("a", 0)) is not None and keep.used_kb == 30 and len(keep) == 3
     assert not keep.put(("g", 0), 1, 40, 3)
 
 
@@ -152,7 +152,7 @@
     text = drawn(day, 2, 6.0)
     world = played("module", text, 2)
     utility = world.clients.utility
-    assert not world.truth.breaches, f"{text}: {world.truth.breaches}"
+    assert not world.truth.violations, f"{text}: {world.truth.violations}"
     assert sum(utility.earned) + sum(utility.lost.values()) == pytest.approx(sum(utility.asked)), text
     assert not world.clients.open and (day == "calm") == (not world.happened)
 
@@ -164,7 +164,7 @@
     texts = [drawn(day, 2, 6.0) for day in DAYS]
     seen = {row.kind for text in [*texts, rest] for row in script(text)}
     assert seen == set(KINDS)
-    assert not played("module", rest, 2).truth.breaches
+    assert not played("module", rest, 2).truth.violations
 
 
 @pytest.mark.parametrize("name", sorted(BROKEN))
@@ -180,7 +180,7 @@
     world = built(shape, 2, broken(kind), script(text))
     world.run()
     assert world.truth.counts[rule] > 0, world.truth.counts
-    assert not played("module", text, 2, shape).truth.breaches
+    assert not played("module", text, 2, shape).truth.violations
 
 
 def test_a_cold_host_that_is_pushed_over_falls_and_comes_back() -> None:
@@ -214,9 +214,9 @@
     world = World(SMALL, 1)
     host, parent = world.caches[0], world.servers["p0"]
     told = asked(world, host, "x")
-    world.agenda.run(20_000)
+    world.agenda.run_until(20_000)
     parent.stop()
-    world.agenda.run(3 * S)
+    world.agenda.run_until(3 * S)
     assert [row[0] for row in told.ends] == [Result.ERROR] and not host.fills and host.filling == 0
 
 
@@ -224,27 +224,27 @@
     world = World(SMALL, 1)
     host = world.caches[0]
     first, second = asked(world, host, "x"), asked(world, host, "x", join=True)
-    world.agenda.run(30_000)
+    world.agenda.run_until(30_000)
     late = asked(world, host, "x", join=True, oldest_us=1)
-    world.agenda.run(3 * S)
+    world.agenda.run_until(3 * S)
     assert [told.ends[0][0] for told in (first, second, late)] == [Result.SUCCEEDED] * 3
     assert host.joined == 1 and host.filled == 2
 
 
 def test_a_herd_and_a_drain_on_one_tick() -> None:
     world = played("module", "(at 2s (herd page 0.9 objects 1 for 3s) (drain c0-0 for 3s))", 5)
-    assert not world.truth.breaches and world.clients.utility.score() > 0.5
+    assert not world.truth.violations and world.clients.utility.score() > 0.5
 
 
 def test_a_cold_host_that_falls_over_ends_every_ask_once() -> None:
     world = World(SMALL, 1)
     host = world.caches[0]
     world.crash(host, 1_000)
-    world.agenda.run(2_000)
-    assert host.phase == "up" and host.uid in world.truth.colds.cold
+    world.agenda.run_until(2_000)
+    assert host.phase == "up" and host.uid in world.truth.colds.warming
     told = [asked(world, host, f"{n:016x}") for n in range(600)]
     probed = asked(world, host, "0" * 16, source=host.uid)
-    world.agenda.run(20 * S)
+    world.agenda.run_until(20 * S)
     assert host.fell >= 1 and all(len(one.ends) == 1 for one in (*told, probed))
     assert {one.ends[0][0] for one in told} >= {Result.BROKEN, Result.NO_CONNECTION}
 
@@ -266,21 +266,21 @@
 
 @pytest.mark.parametrize("late", [False, True])
 def test_an_answer_written_as_the_client_gives_up_counts_once(late: bool) -> None:
-    agenda, streams, front = Agenda(), Streams(3), Nowhere()
+    agenda, streams, front = EventQueue(), RandomStreams(3), Nowhere()
     shape = sized(6, 2, 1, 20.0, seconds=2.0)
-    clients = Clients(agenda, shape, streams, Library(shape, streams), front)
+    clients = Clients(agenda, shape, streams, ObjectCatalog(shape, streams), front)
     clients.begin()
     while not front.taken:
-        agenda.run(agenda.next_at() or 0)
+        agenda.run_until(agenda.next_time() or 0)
     request = front.taken[0]
     end = request.until + LAST_US
-    agenda.at(end, clients.answered, request.id, SERVED)  # behind the giving up at the same microsecond
+    agenda.schedule(end, clients.answered, request.id, SERVED)  # behind the giving up at the same microsecond
     if not late:
-        agenda.at(end - 1, clients.answered, request.id, SERVED)
-    agenda.run(end + S)
+        agenda.schedule(end - 1, clients.answered, request.id, SERVED)
+    agenda.run_until(end + S)
     assert request.done and (request in front.left) == late
     utility = clients.utility
-    agenda.run(60 * S)
+    agenda.run_until(60 * S)
     assert sum(utility.earned) + sum(utility.lost.values()) == pytest.approx(sum(utility.asked))
 
 
@@ -290,10 +290,10 @@
     one = built(shape, 4, policy("module"), script("(at 0s (kill 0.5 for 8s))"))
     both.run()
     one.run()
-    assert not both.truth.breaches and not one.truth.breaches
+    assert not both.truth.violations and not one.truth.violations
     for world in (both, one):
         seconds = world.agenda.now / S
-        assert world.zone_links[0].carried / S <= shape.zone_link * seconds
+        assert world.zone_links[0].carried_us / S <= shape.zone_link * seconds
     # The one that lives gets all clients, but keeps a half of the link for the other: it must lose by it.
     assert one.clients.utility.score() <= both.clients.utility.score() + 0.02
     assert one.clients.utility.score() > 0.4
@@ -317,25 +317,25 @@
     # With the log's time taken as ours, twelve requests got copies older than their purge (clock ahead).
     for step in ("2s", "-2s"):
         text = f"(at 0s (clock 1 {step})) (at 2s (flush 1)) (at 4s (flush 1))"
-        assert not played("module", text, 2).truth.breaches, step
+        assert not played("module", text, 2).truth.violations, step
 
 
 def test_a_dispatcher_whose_core_is_full_serves_less() -> None:
     free = played("module", "", 3, SMALL).clients.utility.score()
     full = played("module", "", 3, replace(SMALL, cpu_us=12_000))
-    assert full.clients.utility.score() < free - 0.1 and not full.truth.breaches
+    assert full.clients.utility.score() < free - 0.1 and not full.truth.violations
 
 
 def test_a_copy_near_its_end_is_renewed_behind_its_answer() -> None:
     world = World(SMALL, 1)
     host = world.caches[0]
     asked(world, host, "x")
-    world.agenda.run(SMALL.classes[0].fresh_us * 9 // 10)
+    world.agenda.run_until(SMALL.classes[0].fresh_us * 9 // 10)
     plain = asked(world, host, "x")
-    world.agenda.run(world.agenda.now + S)
+    world.agenda.run_until(world.agenda.now + S)
     assert plain.ends[0][1] == Note.HIT and host.filled == 1
     renewed = asked(world, host, "x", renew=True)
-    world.agenda.run(world.agenda.now + S)
+    world.agenda.run_until(world.agenda.now + S)
     assert renewed.ends[0][1] == Note.HIT and host.filled == 2
-    born = host.keep.look(("x", 0))
-    assert born is not None and born.born > renewed.ends[0][2]
+    born = host.keep.peek(("x", 0))
+    assert born is not None and born.created > renewed.ends[0][2]
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -334,7 +334,7 @@
     shape = Cell("calm", "", 3, 1, "module", 1.0, 5.0, 0.5, 20, 1, "sockets", 0.5).shape()
     day = sockets.Day(shape, 1, [], tmp_path)
     for n in range(40):
-        day.world.agenda.at(n * 100_000, time.sleep, 0.06)
+        day.world.agenda.schedule(n * 100_000, time.sleep, 0.06)
     with pytest.raises(sockets.TooLate, match="ms late"):
         asyncio.run(asyncio.wait_for(day.play(), 40))
 
