--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -23,17 +23,17 @@
 from hoistplank.fakes.deployment import free_port
 from hoistplank.interface import HostEntry, Result
 from hoistplank.lab import runner
-from hoistplank.lab.backends.sockets import TooLate
-from hoistplank.lab.backends.virtual import built, digest
+from hoistplank.lab.backends.sockets import RunTooLateError
+from hoistplank.lab.backends.virtual import build_world, digest
 from hoistplank.lab.experiment import Cell, Experiment, read
 from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.load.crew import LATE_MS, load
 from hoistplank.lab.load.plan import mixes, plan
-from hoistplank.lab.model.clients import BACK, SERVED, Request
-from hoistplank.lab.model.faults import drawn, script
-from hoistplank.lab.model.servers import Ask
+from hoistplank.lab.model.clients import REJECTED, SERVED, Request
+from hoistplank.lab.model.faults import draw_day, script
+from hoistplank.lab.model.servers import ServerRequest
 from hoistplank.lab.model.world import World
-from hoistplank.lab.model.world_settings import Shape, sized
+from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
 from hoistplank.lab.policies import Make, policy
 from hoistplank.lab.results import load as load_results
 from hoistplank.lab.statistics import interval, spearman
@@ -52,13 +52,13 @@
         self.world, self.number, self.zone, self.alive = world, number, zone, True
         self.hosts = [one for one in world.caches if one.zone == f"z{zone}"]
 
-    def listed(self, form: str, entries: list[HostEntry]) -> None:
+    def update_hosts(self, form: str, entries: list[HostEntry]) -> None:
         return
 
     def purge(self, object_key: str, group: int, made: int) -> None:
         return
 
-    def leave(self, request: Request) -> None:
+    def client_left(self, request: Request) -> None:
         return
 
     def kill(self) -> None:
@@ -73,31 +73,37 @@
     def freeze(self, length_us: int) -> None:
         return
 
-    def take(self, request: Request) -> None:
+    def accept(self, request: Request) -> None:
         world, id = self.world, request.id
 
         def end(result: int, note: int, born: int) -> None:
-            world.truth.answers.answered(world.agenda.now, id)
-            world.clients.answered(id, SERVED if result == Result.SUCCEEDED else BACK, 0, note)
+            world.rules.answers.answered(world.events.now, id)
+            world.clients.answered(id, SERVED if result == Result.SUCCEEDED else REJECTED, 0, note)
 
         place = (request.object_key, request.part)
-        ask = Ask(self.number, self.zone, request.class_index, place, request.group, request.size_us, end)
-        ask.key, ask.join, ask.back = request.key, True, world.shape.near_us
+        server_request = ServerRequest(
+            self.number, self.zone, request.class_index, place, request.group, request.size_us, end
+        )
+        server_request.idempotency_key, server_request.may_join, server_request.return_delay_us = (
+            request.key,
+            True,
+            world.settings.zone_delay_us,
+        )
         key = int(request.object_key, 16) * 31 + request.part
-        uncached = world.shape.classes[request.class_index].uncached
+        uncached = world.settings.classes[request.class_index].uncached
         host = world.origin if uncached else self.hosts[key % len(self.hosts)]
-        ask.source = world.parents[key % len(world.parents)].uid
-        world.agenda.schedule(world.agenda.now + world.shape.near_us, host.arrive, ask)
+        server_request.source = world.parents[key % len(world.parents)].uid
+        world.events.schedule(world.events.now + world.settings.zone_delay_us, host.arrive, server_request)
 
 
 def events(seed: int) -> tuple[int, float]:
     """Events of a day without the Router, and the seconds that they took."""
-    shape = sized(12, 4, 1, 400.0, seconds=6.0 if QUICK else 30.0)
-    world = World(shape, seed)
-    world.seats.extend(Straight(world, n, 0) for n in range(shape.dispatchers))
+    settings = scaled_settings(12, 4, 1, 400.0, seconds=6.0 if QUICK else 30.0)
+    world = World(settings, seed)
+    world.dispatchers.extend(Straight(world, n, 0) for n in range(settings.dispatchers))
     began = time.perf_counter()
     world.run()
-    return world.agenda.executed, time.perf_counter() - began
+    return world.events.executed, time.perf_counter() - began
 
 
 def speed() -> dict[str, float]:
@@ -113,8 +119,8 @@
 
 def alike() -> bool:
     """One seed twice, with the module and every fault of two days."""
-    shape, text = sized(6, 2, 1, 60.0, seconds=6.0), drawn("vanish+flush", 4, 6.0)
-    first, second = (built(shape, 4, policy("module"), script(text)) for _ in range(2))
+    settings, text = scaled_settings(6, 2, 1, 60.0, seconds=6.0), draw_day("vanish+flush", 4, 6.0)
+    first, second = (build_world(settings, 4, policy("module"), script(text)) for _ in range(2))
     first.run()
     second.run()
     return digest(first) == digest(second)
@@ -123,13 +129,13 @@
 def big() -> dict[str, Any]:
     """1,000 hosts, 150 dispatchers, 1,200 requests a second; 60 s, in the quick form 3 s."""
     seconds, warm = (3.0, 2.0) if QUICK else (60.0, 6.0)
-    rate = 1.2 / Shape().parts()
+    rate = 1.2 / WorldSettings().requests_per_session()
     cell = Cell("calm", "", 1_000, 1, "module", seconds, rate, 0.75, 20, 3, "virtual", warm)
     found = play(Job(cell))
-    shape = cell.shape()
+    settings = cell.world_settings()
     return {
-        "hosts": shape.zones * shape.caches,
-        "dispatchers": shape.zones * shape.dispatchers,
+        "hosts": settings.zones * settings.caches,
+        "dispatchers": settings.zones * settings.dispatchers,
         "seconds": seconds,
         "took_s": found["took_s"],
         "score": round(found["score"], 3),
@@ -173,13 +179,13 @@
 def _agreed(seed: int) -> tuple[int, str, float, float] | str:
     seconds, warm = (3.0, 1.5) if QUICK else (8.0, 6.0)
     day = DAYS[seed % len(DAYS)]
-    text, why = drawn(day, seed, seconds), ""
+    text, why = draw_day(day, seed, seconds), ""
     cell = Cell(day, text, 6, seed, "module", seconds, 13.0, 0.75, 20, 2, "virtual", warm)
     for _ in range(2):
         try:
             real = play(Job(msgspec.structs.replace(cell, drive="sockets")))
             return seed, day, play(Job(cell))["score"], real["score"]
-        except TooLate as wrong:
+        except RunTooLateError as wrong:
             why = str(wrong)
     return why
 
@@ -215,11 +221,11 @@
     found = {}
     for name, (rule, kind) in BROKEN.items():
         rate, share = (200.0, 2.0) if rule == 4 else (60.0, 0.6)
-        shape = sized(6, 2, 1, rate, share, seconds=6.0)
+        settings = scaled_settings(6, 2, 1, rate, share, seconds=6.0)
         text = texts.get(rule, "(at 1s (crash caches:0.5 for 4s))")
-        world = built(shape, 2, made_by(kind), script(text))
+        world = build_world(settings, 2, made_by(kind), script(text))
         world.run()
-        found[name] = world.truth.counts[rule] > 0
+        found[name] = world.rules.counts[rule] > 0
     return found
 
 
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -26,12 +26,12 @@
 from hoistplank.degradation.admission import Admission, Bounds
 from hoistplank.fakes.deployment import Deployment
 from hoistplank.lab.backends.degradation_controller import Plan, plan
-from hoistplank.lab.backends.virtual import built
+from hoistplank.lab.backends.virtual import build_world
 from hoistplank.lab.load.crew import load
 from hoistplank.lab.load.plan import Step, mixes
 from hoistplank.lab.model.core import Core, Costs
-from hoistplank.lab.model.faults import drawn, script
-from hoistplank.lab.model.world_settings import Shape, sized
+from hoistplank.lab.model.faults import draw_day, script
+from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
 from hoistplank.lab.policies import policy
 from hoistplank.lab.profile import cpu_s
 from hoistplank.lab.statistics import difference
@@ -43,24 +43,24 @@
 LOADS = (0.5, 1.0, 1.5, 2.0, 3.0)
 
 
-def the_plan(shape: Shape) -> Plan:
+def the_plan(shape: WorldSettings) -> Plan:
     classes = {row.name: row.semantics for row in shape.site(0, 0).traffic_classes}
     return plan(PLAN_FILE.read_text(), classes)
 
 
-def played(shape: Shape, text: str, seed: int, levels: bool) -> dict[str, Any]:
-    world = built(shape, seed, policy("module"), script(text), the_plan(shape) if levels else None)
+def played(shape: WorldSettings, text: str, seed: int, levels: bool) -> dict[str, Any]:
+    world = build_world(shape, seed, policy("module"), script(text), the_plan(shape) if levels else None)
     world.run()
     utility = world.clients.utility
     names = [row.name for row in shape.classes]
     asked, in_target = utility.counts[names.index("booking")]
-    stewards = [steward for seat in world.seats for steward in getattr(seat, "stewards", [])]
+    stewards = [steward for seat in world.dispatchers for steward in getattr(seat, "stewards", [])]
     return {
         "score": utility.score(),
         "bookings_in_target": in_target / max(1, asked),
         "changes": sum(len(steward.changes) for steward in stewards),
-        "dispatchers": len(world.seats),
-        "broken": len(world.truth.violations),
+        "dispatchers": len(world.dispatchers),
+        "broken": len(world.rules.violations),
     }
 
 
@@ -78,7 +78,7 @@
 
 def _swing(period_s: float) -> dict[str, Any]:
     seconds = 150.0 if QUICK else 300.0
-    shape = sized(6, 2, 1, 40.0, load=0.8, seconds=seconds)
+    shape = scaled_settings(6, 2, 1, 40.0, load=0.8, seconds=seconds)
     found = played(shape, swing_text(period_s, seconds), 11, True)
     minutes = seconds / 60
     changes = found["changes"] / found["dispatchers"] / minutes
@@ -102,8 +102,8 @@
 
 def _pair(job: tuple[str, int]) -> dict[str, Any]:
     kind, seed = job
-    shape = sized(12, 3, 1, 120.0, load=1.0, seconds=12.0 if QUICK else 30.0)
-    text = drawn(kind, seed, shape.seconds)
+    shape = scaled_settings(12, 3, 1, 120.0, load=1.0, seconds=12.0 if QUICK else 30.0)
+    text = draw_day(kind, seed, shape.seconds)
     off, on = played(shape, text, seed, False), played(shape, text, seed, True)
     return {
         "kind": kind,
@@ -135,7 +135,7 @@
 
 
 def _booking_day(seed: int) -> dict[str, Any]:
-    shape = sized(12, 3, 1, 120.0, load=1.0, seconds=30.0 if QUICK else 40.0)
+    shape = scaled_settings(12, 3, 1, 120.0, load=1.0, seconds=30.0 if QUICK else 40.0)
     text = "(at 2s (slow origin 5x for 30s)) (at 4s (flush 0.6))"
     on, off = played(shape, text, seed, True), played(shape, text, seed, False)
     shares = {"on": round(on["bookings_in_target"], 4), "off": round(off["bookings_in_target"], 4)}
--- a/hoistplank/cli/lab.py
+++ b/hoistplank/cli/lab.py
@@ -70,21 +70,21 @@
     name: str, policy: str, size: int, seed: int, seconds: float, share: float, sockets: bool, as_json: bool
 ) -> None:
     """Play one day by NAME, or the script of a file. Exit code 1: a rule was broken, or the day was void."""
-    from hoistplank.lab.backends.sockets import TooLate
+    from hoistplank.lab.backends.sockets import RunTooLateError
     from hoistplank.lab.experiment import Cell
-    from hoistplank.lab.model.faults import drawn, script
+    from hoistplank.lab.model.faults import draw_day, script
     from hoistplank.lab.policies import UnknownPolicy
     from hoistplank.lab.worker import Job, play
 
     try:
-        text = Path(name).read_text() if Path(name).is_file() else drawn(name, seed, seconds)
+        text = Path(name).read_text() if Path(name).is_file() else draw_day(name, seed, seconds)
         script(text, name)
         drive = "sockets" if sockets else "virtual"
         cell = Cell(Path(name).stem, text, size, seed, policy, seconds, 20.0, share, 20, 3, drive)
         found = play(Job(cell))
     except (OSError, ValueError, Faults, UnknownPolicy) as wrong:
         return fail(str(wrong))
-    except (TooLate, RuntimeError) as wrong:
+    except (RunTooLateError, RuntimeError) as wrong:
         raise click.ClickException(str(wrong)) from None
     if as_json:
         click.echo(json.dumps(found))
--- a/hoistplank/lab/backends/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -25,23 +25,23 @@
 from hoistplank.fakes.wire import Client, connected
 from hoistplank.interface import HostEntry, Note, Result
 from hoistplank.lab.backends.orphans import with_parent
-from hoistplank.lab.model.clients import BACK, GONE, OFF, SERVED, Request
-from hoistplank.lab.model.faults import Event, Troubles
+from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, UNREACHABLE, Request
+from hoistplank.lab.model.faults import FaultInjector, ScheduledFault
 from hoistplank.lab.model.objects import purge_group_of
-from hoistplank.lab.model.servers import DOWN, Ask, Server
+from hoistplank.lab.model.servers import DOWN, Server, ServerRequest
 from hoistplank.lab.model.world import World
-from hoistplank.lab.model.world_settings import S, Shape
+from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings
 
-LINES = 8  # connections of the front to each dispatcher
-LATE_US = 20_000  # the world's own lateness at its 99th percentile, beyond which a day is void
+CONNECTIONS = 8  # connections of the front to each dispatcher
+MAX_LATE_US = 20_000  # the world's own lateness at its 99th percentile, beyond which a day is void
 READY_S = 15.0
 BODY = b"o" * 64
-WORDS = {
+WIRE_STATUS = {
     Result.MISS: "not_here",
     Result.FULL: "overload",
     Result.ERROR: "crashed",
 }
-DETAILS = {
+WIRE_DETAIL = {
     Note.HIT: "hit",
     Note.FILLED: "filled",
     Note.FROM_ORIGIN: "via_origin",
@@ -53,15 +53,15 @@
     Note.NO_PLACE: "no_slot",
     Note.ORIGIN_LOST: "origin_failed",
 }
-STATES = {"up": "ready", "draining": "draining", "gone": "gone"}
+WIRE_STATE = {"up": "ready", "draining": "draining", "gone": "gone"}
 
 
-class TooLate(Exception):
+class RunTooLateError(Exception):
     """The machine was too slow for the day to prove anything; its text and `late_us` say by how much."""
 
     def __init__(self, late_us: int) -> None:
         super().__init__(
-            f"the world ran {late_us // 1000} ms late (99th percentile), {LATE_US // 1000} are allowed"
+            f"the world ran {late_us // 1000} ms late (99th percentile), {MAX_LATE_US // 1000} are allowed"
         )
         self.late_us = late_us
 
@@ -69,16 +69,16 @@
 class ServerPort:
     """A server's listening port for one dispatcher, closed while its process is gone."""
 
-    def __init__(self, day: Day, seat: SocketSeat, server: Server) -> None:
-        self.day, self.seat, self.server, self.port = day, seat, server, 0
+    def __init__(self, day: SocketDay, dispatcher: SocketDispatcher, server: Server) -> None:
+        self.day, self.dispatcher, self.server, self.port = day, dispatcher, server, 0
         self.listening: asyncio.Server | None = None
-        self.kept: socket.socket | None = None  # holds the port while the process is gone
+        self.reservation: socket.socket | None = None  # holds the port while the process is gone
         self.writers: dict[asyncio.StreamWriter, None] = {}
 
     async def open(self) -> None:
-        if self.kept is None:
-            self.kept = held_port()
-            self.port = int(self.kept.getsockname()[1])
+        if self.reservation is None:
+            self.reservation = held_port()
+            self.port = int(self.reservation.getsockname()[1])
         self.listening = await asyncio.start_server(self._talk, "127.0.0.1", self.port, reuse_port=True)
 
     def close(self) -> None:
@@ -98,100 +98,124 @@
 
     async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers[writer] = None
-        asks: dict[str, Ask] = {}
+        open_requests: dict[str, ServerRequest] = {}
         try:
             while words := (await reader.readline()).decode().split():
-                self.day.moved()
+                self.day.advance()
                 if words[0] == "GET":
                     await reader.readexactly(int(words[3]) + 2)
-                    self._get(words[1], dict(p.split("=", 1) for p in words[2].split(",")), writer, asks)
-                elif words[0] == "DROP" and words[1] in asks:
-                    self.server.left(asks.pop(words[1]))
+                    self._get(
+                        words[1], dict(p.split("=", 1) for p in words[2].split(",")), writer, open_requests
+                    )
+                elif words[0] == "DROP" and words[1] in open_requests:
+                    self.server.cancel(open_requests.pop(words[1]))
                 elif words[0] in ("PING", "LOAD") and self.server.phase == "up":
                     writer.write(f"{words[1]} green - 0\r\n\r\n".encode())
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError, ValueError):
             pass  # the other side is gone, or the day is over
         finally:
-            for ask in asks.values():
-                self.server.left(ask)
+            for server_request in open_requests.values():
+                self.server.cancel(server_request)
             self.writers.pop(writer, None)
             writer.close()
 
     def _get(
-        self, id: str, fields: dict[str, str], writer: asyncio.StreamWriter, asks: dict[str, Ask]
+        self,
+        id: str,
+        fields: dict[str, str],
+        writer: asyncio.StreamWriter,
+        open_requests: dict[str, ServerRequest],
     ) -> None:
-        world, now = self.day.world, self.day.world.agenda.now
+        world, now = self.day.world, self.day.world.events.now
         class_index, object_key = self.day.classes[fields["queue"]], fields["path"]
-        uncached = world.shape.classes[class_index].uncached
+        uncached = world.settings.classes[class_index].uncached
         source = fields.get("parent", "") or ("" if uncached else self.server.uid)
         number = int(object_key, 16)
-        drains = world.truth.drains
-        drains.attempt(now, self.seat.number, self.server.uid, "host")
+        drains = world.rules.drains
+        drains.attempt(now, self.dispatcher.number, self.server.uid, "host")
         if source not in ("", self.server.uid):
-            drains.attempt(now, self.seat.number, source, "source")
+            drains.attempt(now, self.dispatcher.number, source, "source")
 
-        made: Ask
+        made: ServerRequest
 
-        def end(result: int, note: int, born: int) -> None:
-            asks.pop(id, None)
-            self._end(id, made, now, writer, result, note, born)
+        def end(result: int, note: int, created: int) -> None:
+            open_requests.pop(id, None)
+            self._end(id, made, now, writer, result, note, created)
 
-        size = world.library.size_kb(class_index, number) / world.shape.flow_kb_s * 1e6
+        size = world.catalog.size_kb(class_index, number) / world.settings.transfer_kb_s * 1e6
         place = (object_key, int(fields.get("blk", "0")))
-        made = ask = Ask(
-            self.seat.number,
-            self.seat.zone,
+        made = server_request = ServerRequest(
+            self.dispatcher.number,
+            self.dispatcher.zone,
             class_index,
             place,
-            purge_group_of(number, world.shape),
+            purge_group_of(number, world.settings),
             size,
             end,
         )
-        ask.source, ask.key = source, fields.get("uniq", "") or id[:12]
-        ask.keep, ask.oldest_us = int(fields.get("shelf", "0")), int(fields.get("accept", "0")) * 1_000
+        server_request.source, server_request.idempotency_key = source, fields.get("uniq", "") or id[:12]
+        server_request.cache_rank, server_request.max_age_us = (
+            int(fields.get("shelf", "0")),
+            int(fields.get("accept", "0")) * 1_000,
+        )
         hints = fields.get("hints", "").split("+")
-        ask.join, ask.renew = "wait-for" in hints, "background" in hints
-        ask.back = world.shape.far_us if self.server.zone == "hub" else 0
+        server_request.may_join, server_request.may_renew = "wait-for" in hints, "background" in hints
+        server_request.return_delay_us = world.settings.hub_delay_us if self.server.zone == "hub" else 0
         if self.server.zone == "hub":
-            ask.extra_links = [world.zone_links[self.seat.zone]]
-        asks[id] = ask
-        world.agenda.schedule(now + ask.back, self.server.arrive, ask)
+            server_request.extra_links = [world.zone_links[self.dispatcher.zone]]
+        open_requests[id] = server_request
+        world.events.schedule(now + server_request.return_delay_us, self.server.arrive, server_request)
 
     def _end(
-        self, id: str, ask: Ask, sent: int, writer: asyncio.StreamWriter, result: int, note: int, born: int
+        self,
+        id: str,
+        server_request: ServerRequest,
+        sent: int,
+        writer: asyncio.StreamWriter,
+        result: int,
+        note: int,
+        created: int,
     ) -> None:
         world = self.day.world
         if writer.is_closing():
             return
         if result in (Result.BROKEN, Result.NO_CONNECTION):
             return self._reset(writer)
-        detail = f"detail={DETAILS[note]}" if note in DETAILS else "-"
+        detail = f"detail={WIRE_DETAIL[note]}" if note in WIRE_DETAIL else "-"
         if result == Result.SPOILT:
             writer.write(f"{id} served detail= {len(BODY)}\r\n".encode() + BODY)
         elif result == Result.SUCCEEDED:
-            if not world.shape.classes[ask.class_index].uncached:
-                world.truth.purges.served(
-                    world.agenda.now, self.seat.number, id, ask.place[0], ask.group, sent, born
+            if not world.settings.classes[server_request.class_index].uncached:
+                world.rules.purges.served(
+                    world.events.now,
+                    self.dispatcher.number,
+                    id,
+                    server_request.cache_key[0],
+                    server_request.group,
+                    sent,
+                    created,
                 )
-            self.seat.notes[id] = note
-            dated = self.day.unix_ms(born - self.seat.skew_us)
-            head = f"{id} served {detail},digest={ask.place[0][:8]},dated={dated} {len(BODY)}\r\n"
+            self.dispatcher.notes[id] = note
+            dated = self.day.unix_ms(created - self.dispatcher.skew_us)
+            head = (
+                f"{id} served {detail},digest={server_request.cache_key[0][:8]},dated={dated} {len(BODY)}\r\n"
+            )
             writer.write(head.encode() + BODY + b"\r\n")
         else:
-            writer.write(f"{id} {WORDS.get(result, 'crashed')} {detail} 0\r\n\r\n".encode())
+            writer.write(f"{id} {WIRE_STATUS.get(result, 'crashed')} {detail} 0\r\n\r\n".encode())
 
 
-class SocketSeat:
+class SocketDispatcher:
     """A real dispatcher process, its change log, and the front's connections to it."""
 
-    def __init__(self, day: Day, number: int, zone: int) -> None:
+    def __init__(self, day: SocketDay, number: int, zone: int) -> None:
         self.day, self.number, self.zone = day, number, zone
         self.alive, self.seq, self.runs = False, 1, 0
         self.log: list[dict[str, Any]] = []
         self.server_ports: dict[str, ServerPort] = {}
-        self.clients: list[Client | None] = [None] * LINES
+        self.clients: list[Client | None] = [None] * CONNECTIONS
         self.waiting: dict[int, list[tuple[int, str, dict[str, str]]]] = {}  # by line, until it is up
-        self.numbers = [0] * LINES
+        self.numbers = [0] * CONNECTIONS
         self.open: dict[tuple[int, int], Request] = {}
         self.notes: dict[str, int] = {}
         self.process: asyncio.subprocess.Process | None = None
@@ -218,12 +242,12 @@
             "az": row.zone,
             "model": row.kind,
             "pod_group": row.cell,
-            "state": STATES[row.state],
+            "state": WIRE_STATE[row.state],
             "capacity_hint": row.units,
             "boot_ms": self._unix_ms(row.started_us) if row.started_us else 0,
         }
 
-    def listed(self, form: str, entries: list[HostEntry]) -> None:
+    def update_hosts(self, form: str, entries: list[HostEntry]) -> None:
         # a lost log it finds out by itself, what is kept it was started with
         if form not in ("failed", "kept"):
             rows = [self._target(row) for row in entries]
@@ -246,19 +270,19 @@
         process = self.process
         if process is not None and process.returncode is None:
             process.send_signal(signal.SIGSTOP)
-            asyncio.get_running_loop().call_later(length_us / S, self._thaw, process)
+            asyncio.get_running_loop().call_later(length_us / SECOND_US, self._thaw, process)
 
     @staticmethod
     def _thaw(process: asyncio.subprocess.Process) -> None:
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
 
-    def take(self, request: Request) -> None:
+    def accept(self, request: Request) -> None:
         self.turn += 1
-        at = self.turn % LINES
+        at = self.turn % CONNECTIONS
         self.numbers[at] = self.numbers[at] % 60_000 + 1
-        row = self.day.world.shape.classes[request.class_index]
-        left_ms = (request.asked_at + row.deadline_us - self.day.world.agenda.now) // 1_000
+        row = self.day.world.settings.classes[request.class_index]
+        left_ms = (request.asked_at + row.deadline_us - self.day.world.events.now) // 1_000
         fields = {
             "HTTP_X_CORRELATION_ID": request.id,
             "HTTP_X_SUBJECT": request.object_key,
@@ -300,10 +324,10 @@
         for number, _, _ in rows:
             request = self.open.pop((at, number), None)
             if request is not None:
-                self.day.world.truth.answers.withdrawn(request.id)
-                self.day.world.clients.refused(request.id)
+                self.day.world.rules.answers.withdrawn(request.id)
+                self.day.world.clients.connection_refused(request.id)
 
-    def leave(self, request: Request) -> None:
+    def client_left(self, request: Request) -> None:
         """Its answer, if one comes, is read and thrown away, as a web server would."""
 
     def kill(self) -> None:
@@ -312,8 +336,8 @@
             self.process.kill()
         self.open.clear()
         self.waiting.clear()
-        self.clients = [None] * LINES
-        self.day.entry_shut(self)
+        self.clients = [None] * CONNECTIONS
+        self.day.entry_closed(self)
 
     def restart(self) -> None:
         self.runs += 1
@@ -331,10 +355,10 @@
         for server in self.day.world.servers.values():
             server_port = self.server_ports[server.uid] = ServerPort(self.day, self, server)
             await server_port.open()
-            self.reach[server.uid] = await self.day.reached(self, server.uid, server_port.port)
+            self.reach[server.uid] = await self.day.port_for(self, server.uid, server_port.port)
         serving = await asyncio.start_server(self._talk_log, "127.0.0.1", 0)
         port = int(serving.sockets[0].getsockname()[1])
-        self.log_port = await self.day.reached(self, "log", port)
+        self.log_port = await self.day.port_for(self, "log", port)
 
     async def _talk_log(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -344,7 +368,7 @@
                     writer.write(json.dumps(event).encode() + b"\n")
             self.log_writers[writer] = None
             while not writer.is_closing():
-                if self.day.world.log.up:
+                if self.day.world.change_log.is_up:
                     writer.write(f"{self.seq}\n".encode())
                 await asyncio.sleep(0.9)
         except (OSError, IndexError, asyncio.CancelledError, ValueError):
@@ -359,7 +383,7 @@
         """
         day = self.day
         self.port = free_port()
-        rows = [self._target(row) for row in day.world.entries()]
+        rows = [self._target(row) for row in day.world.host_entries()]
         file = day.folder / f"dispatcher-{self.number}.json"
         known = {
             "seq": self.seq,
@@ -373,7 +397,7 @@
                     "changelog": f"127.0.0.1:{self.log_port}",
                     "seed": f"{day.world.streams.seed * 100 + self.number * 10 + self.runs:x}",
                     "limits": {"sockets": 1_024, "memory_mb": 192},
-                    "settings": day.world.shape.settings(self.zone, self.number),
+                    "settings": day.world.settings.dispatcher_settings(self.zone, self.number),
                     "known": known,
                 }
             )
@@ -397,11 +421,11 @@
                     status = (await client.answer())[1]
                 client.writer.close()
                 if status == 200 and await self._stays():
-                    self.entry = await day.entered(self)
+                    self.entry = await day.entry_port_for(self)
                     self.alive = True
                     # Danger: it may have been given up by the front while it started, and clients would never
                     # come to it again.
-                    day.world.front.back(self)
+                    day.world.load_balancer.dispatcher_restarted(self)
                     return
             await asyncio.sleep(0.02)
         raise RuntimeError(f"the dispatcher did not come up: {log.read_text()[-2_000:]}")
@@ -415,7 +439,7 @@
         try:
             while True:
                 number, status, head, _ = await client.answer()
-                self.day.moved()
+                self.day.advance()
                 request = self.open.pop((at, number), None)
                 if request is None:
                     continue
@@ -427,16 +451,16 @@
             self.clients[at] = None
             for key in [key for key in self.open if key[0] == at]:
                 request = self.open.pop(key)
-                self.day.world.clients.answered(request.id, GONE)
+                self.day.world.clients.answered(request.id, UNREACHABLE)
 
     def _answered(self, request: Request, id: str, status: int, head: bytes) -> None:
         world = self.day.world
-        world.truth.answers.answered(world.agenda.now, id)
+        world.rules.answers.answered(world.events.now, id)
         if status == 200:
             return world.clients.answered(id, SERVED, note=self.notes.pop(id, 0))
         told = dict(line.split(": ", 1) for line in head.decode().split("\r\n") if ": " in line)
         wait_us = int(told.get("X-Pushback-Ms", 0)) * 1_000
-        world.clients.answered(id, BACK if status == 503 else OFF, wait_us)
+        world.clients.answered(id, REJECTED if status == 503 else FAILED, wait_us)
 
     async def stop(self) -> None:
         """Ends the process and all that was opened for it."""
@@ -458,78 +482,86 @@
                 client.writer.close()
         for server_port in self.server_ports.values():
             server_port.close()
-            if server_port.kept is not None:
-                server_port.kept.close()
+            if server_port.reservation is not None:
+                server_port.reservation.close()
 
 
-class Day:
+class SocketDay:
     """One day on sockets. `play` runs it to its end and leaves the world as it was then."""
 
-    def __init__(self, shape: Shape, seed: int, rows: list[Event], folder: Path) -> None:
-        self.world, self.folder = World(shape, seed), folder
-        self.classes = {row.name: n for n, row in enumerate(shape.classes)}
-        Troubles(self.world, rows).begin()
-        self.seats = [self.seat(n, n % shape.zones) for n in range(shape.zones * shape.dispatchers)]
-        self.world.seats.extend(self.seats)
-        self.began, self.unix = 0.0, 0.0
+    def __init__(self, settings: WorldSettings, seed: int, rows: list[ScheduledFault], folder: Path) -> None:
+        self.world, self.folder = World(settings, seed), folder
+        self.classes = {row.name: n for n, row in enumerate(settings.classes)}
+        FaultInjector(self.world, rows).begin()
+        self.dispatchers = [
+            self.make_dispatcher(n, n % settings.zones) for n in range(settings.zones * settings.dispatchers)
+        ]
+        self.world.dispatchers.extend(self.dispatchers)
+        self.began_s, self.began_unix_s = 0.0, 0.0
         self.lags: list[int] = []
-        self.told: dict[str, Any] = {}  # what the drive has to say of itself at the end
+        self.backend_report: dict[str, Any] = {}  # what the drive has to say of itself at the end
 
-    def seat(self, number: int, zone: int) -> SocketSeat:
-        return SocketSeat(self, number, zone)
+    def make_dispatcher(self, number: int, zone: int) -> SocketDispatcher:
+        return SocketDispatcher(self, number, zone)
 
     def unix_ms(self, at: int) -> int:
-        return int(self.unix * 1_000 + at / 1_000)
+        return int(self.began_unix_s * 1_000 + at / 1_000)
 
     # Where a dispatcher and the others find each other: here each at its own port, with nothing between.
 
-    async def reached(self, seat: SocketSeat, party: str, port: int) -> int:
+    async def port_for(self, dispatcher: SocketDispatcher, party: str, port: int) -> int:
         """The port at which the dispatcher finds a server, or its change log (`log`)."""
         return port
 
-    def port_changed(self, seat: SocketSeat, server: Server, opened: bool) -> None:
+    def port_changed(self, dispatcher: SocketDispatcher, server: Server, opened: bool) -> None:
         """A server's port for that dispatcher has closed, or is there again."""
 
-    async def entered(self, seat: SocketSeat) -> int:
+    async def entry_port_for(self, dispatcher: SocketDispatcher) -> int:
         """The port at which clients find a dispatcher that has just come up."""
-        return seat.port
+        return dispatcher.port
 
-    def entry_shut(self, seat: SocketSeat) -> None:
+    def entry_closed(self, dispatcher: SocketDispatcher) -> None:
         """A dispatcher was killed."""
 
-    def command(self, seat: SocketSeat) -> list[str]:
+    def command(self, dispatcher: SocketDispatcher) -> list[str]:
         return [sys.executable, "-m", "hoistplank"]
 
-    def moved(self) -> None:
+    def advance(self) -> None:
         """Brings the world up to now, before what has just come in is told to it."""
-        if self.began:
-            self.world.agenda.run_until(int((time.monotonic() - self.began) * 1e6))
+        if self.began_s:
+            self.world.events.run_until(int((time.monotonic() - self.began_s) * 1e6))
 
     async def play(self) -> float:
         """The score; raises TooLate where the machine was too slow, RuntimeError where a dispatcher broke."""
-        self.unix = time.time()
+        self.began_unix_s = time.time()
         try:
             await self.begin()
-            self.began, self.unix = time.monotonic(), time.time()
+            self.began_s, self.began_unix_s = time.monotonic(), time.time()
             self.world.begin()
             while not self._over():
                 await self._turn()
-            for seat in self.seats:
-                if seat.process is not None and seat.process.returncode is not None and seat.alive:
-                    raise RuntimeError(f"dispatcher {seat.number} ended with {seat.process.returncode}")
-            self.told = await self.finish()
+            for dispatcher in self.dispatchers:
+                if (
+                    dispatcher.process is not None
+                    and dispatcher.process.returncode is not None
+                    and dispatcher.alive
+                ):
+                    raise RuntimeError(
+                        f"dispatcher {dispatcher.number} ended with {dispatcher.process.returncode}"
+                    )
+            self.backend_report = await self.finish()
         finally:
             await self.end()
         late = self.late_us()
-        if late > LATE_US:
-            raise TooLate(late)
+        if late > MAX_LATE_US:
+            raise RunTooLateError(late)
         return self.world.clients.utility.score()
 
     async def begin(self) -> None:
         """Ports first, then all processes at once."""
-        for seat in self.seats:
-            await seat.prepare()
-        await asyncio.gather(*(seat.start() for seat in self.seats))
+        for dispatcher in self.dispatchers:
+            await dispatcher.prepare()
+        await asyncio.gather(*(dispatcher.start() for dispatcher in self.dispatchers))
 
     async def finish(self) -> dict[str, Any]:
         """What is to be told of the day while all processes are still there."""
@@ -537,7 +569,7 @@
 
     async def end(self) -> None:
         """All processes end, however the day went."""
-        await asyncio.gather(*(seat.stop() for seat in self.seats))
+        await asyncio.gather(*(dispatcher.stop() for dispatcher in self.dispatchers))
 
     def late_us(self) -> int:
         """The world's own lateness at its 99th percentile."""
@@ -546,35 +578,42 @@
 
     def _over(self) -> bool:
         """All has been asked for and has ended, with half a second for what comes late."""
-        world, shape = self.world, self.world.shape
-        parts = max((row.parts - 1) * row.gap_us for row in shape.classes)
-        quiet = world.agenda.now > shape.last_us() + parts + S // 2 and not world.clients.open
-        return quiet or world.agenda.now >= (world.last_end_us() if world.clients.open else world.end_us())
+        world, settings = self.world, self.world.settings
+        parts = max((row.parts - 1) * row.part_interval_us for row in settings.classes)
+        quiet = (
+            world.events.now > settings.end_of_arrivals_us() + parts + SECOND_US // 2
+            and not world.clients.open
+        )
+        return quiet or world.events.now >= (world.last_end_us() if world.clients.open else world.end_us())
 
     async def _turn(self) -> None:
-        agenda = self.world.agenda
-        now = int((time.monotonic() - self.began) * 1e6)
+        agenda = self.world.events
+        now = int((time.monotonic() - self.began_s) * 1e6)
         due = agenda.next_time()
         if due is not None and due <= now:
             self.lags.append(now - due)
             agenda.run_until(now)
-        for seat in self.seats:
-            for server_port in seat.server_ports.values():
+        for dispatcher in self.dispatchers:
+            for server_port in dispatcher.server_ports.values():
                 if server_port.server.phase == DOWN and server_port.listening is not None:
                     server_port.close()
-                    self.port_changed(seat, server_port.server, False)
+                    self.port_changed(dispatcher, server_port.server, False)
                 elif server_port.server.phase != DOWN and server_port.listening is None:
                     await server_port.open()
-                    self.port_changed(seat, server_port.server, True)
+                    self.port_changed(dispatcher, server_port.server, True)
         due = agenda.next_time() or now
-        await asyncio.sleep(min(0.002, max(0.0, (due - now) / S)))
+        await asyncio.sleep(min(0.002, max(0.0, (due - now) / SECOND_US)))
 
 
 def play(
-    shape: Shape, seed: int, rows: list[Event], folder: Path, loop: Callable[[], Any] | None = None
+    settings: WorldSettings,
+    seed: int,
+    rows: list[ScheduledFault],
+    folder: Path,
+    loop: Callable[[], Any] | None = None,
 ) -> World:
     """A day on sockets in a loop of its own. Raises TooLate and RuntimeError."""
-    day = Day(shape, seed, rows, folder)
+    day = SocketDay(settings, seed, rows, folder)
     with asyncio.Runner(loop_factory=loop) as runner:
-        runner.run(asyncio.wait_for(day.play(), day.world.last_end_us() / S + 60))
+        runner.run(asyncio.wait_for(day.play(), day.world.last_end_us() / SECOND_US + 60))
     return day.world
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from hoistplank.lab.model.faults import DAYS, checked, drawn, events, script
-from hoistplank.lab.model.world_settings import Shape, sized
+from hoistplank.lab.model.faults import DAYS, draw_day, read_faults, script, unsupported
+from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
 from hoistplank.lab.policies import names
 from hoistplank.operator_configuration import schema
 from hoistplank.operator_configuration.faults import Fault, Faults, Place
@@ -53,11 +53,11 @@
     drive: str = "virtual"
     warm: float = 6.0
 
-    def shape(self) -> Shape:
+    def world_settings(self) -> WorldSettings:
         zones = max(1, round(self.size / self.location))
         many, rate = zones * self.dispatchers, self.rate * self.size
-        made = sized(self.size, many, zones, rate, self.load, seconds=self.seconds)
-        return msgspec.structs.replace(made, warm=self.warm)
+        made = scaled_settings(self.size, many, zones, rate, self.load, seconds=self.seconds)
+        return msgspec.structs.replace(made, warm_up_s=self.warm)
 
     def key(self) -> str:
         """The same for the same day, whatever experiment it stands in."""
@@ -129,7 +129,9 @@
         if title is None or isinstance(title, Form):
             faults.append(Fault(form.place, "a script without a name", "'(script NAME (at …) …)'"))
             continue
-        found[title.text] = "\n".join(row.written() for row in events(form.items[2:], form.place, faults))
+        found[title.text] = "\n".join(
+            row.written() for row in read_faults(form.items[2:], form.place, faults)
+        )
     return found
 
 
@@ -138,7 +140,7 @@
     for size in section["sizes"]:
         for day in [*days, *own]:
             for seed in section["seeds"]:
-                text = own[day] if day in own else drawn(day, seed, section["seconds"])
+                text = own[day] if day in own else draw_day(day, seed, section["seconds"])
                 for policy in section["policies"]:
                     cells.append(
                         Cell(
@@ -158,7 +160,7 @@
                     )
                 wrong += [
                     Fault(place, problem, f"what a world of {size} cache hosts has")
-                    for problem in checked(script(text), cells[-1].shape())
+                    for problem in unsupported(script(text), cells[-1].world_settings())
                 ]
     if wrong:
         raise Faults(wrong)
--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -7,8 +7,8 @@
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
 from hoistplank.lab.fleet.scene import DATAGRAMS, KINDS, PARTY, WHO
-from hoistplank.lab.model.faults import Event, Troubles
-from hoistplank.lab.model.world import Move, Seat, World
+from hoistplank.lab.model.faults import FaultInjector, ScheduledFault
+from hoistplank.lab.model.world import ClientMigration, Dispatcher, World
 from hoistplank.lab.model.world_settings import HUB
 from hoistplank.operator_configuration.schema import Kind
 
@@ -31,44 +31,46 @@
     def apply_to_paths(self, paths: list[str], action: PathAction) -> None:
         """Apply an action to both directions of paths. Processes only."""
 
-    def restart_with_file(self, seat: Seat, file: str, down_us: int) -> None:
+    def restart_with_file(self, dispatcher: Dispatcher, file: str, down_us: int) -> None:
         """Restart a dispatcher with another operator's file. Processes only."""
 
-    def starve(self, seat: Seat, share: float, length_us: int) -> None:
+    def starve(self, dispatcher: Dispatcher, share: float, length_us: int) -> None:
         """Take a share of a dispatcher's core away for a time. Processes only."""
 
 
-class FleetFaultInjector(Troubles):
+class FleetFaultInjector(FaultInjector):
     """Faults of processes, paths, places and clients; `backend` carries out what the model has not."""
 
     kinds = KINDS
 
-    def __init__(self, world: World, rows: list[Event], backend: FaultBackend, metrics: FleetMetrics) -> None:
+    def __init__(
+        self, world: World, rows: list[ScheduledFault], backend: FaultBackend, metrics: FleetMetrics
+    ) -> None:
         super().__init__(world, rows)
         self.backend = backend
         self.metrics = metrics
 
-    def _struck(self, kind: Kind, value: Any) -> Any:
-        return self._who(value) if kind is WHO else super()._struck(kind, value)
+    def _resolve(self, kind: Kind, value: Any) -> Any:
+        return self._who(value) if kind is WHO else super()._resolve(kind, value)
 
-    def _who(self, text: str) -> list[Seat]:
+    def _who(self, text: str) -> list[Dispatcher]:
         name, _, share = text.partition(":")
-        seats = self.world.seats
+        dispatchers = self.world.dispatchers
         if name.startswith("z"):
-            return [seat for seat in seats if seat.zone == int(name[1:])]
+            return [dispatcher for dispatcher in dispatchers if dispatcher.zone == int(name[1:])]
         if name == "dispatchers":
-            return self._seats(float(share)) if share else list(seats)
-        return [seats[int(name[1:])]]
+            return self._some_dispatchers(float(share)) if share else list(dispatchers)
+        return [dispatchers[int(name[1:])]]
 
     # Paths.
 
     def _dispatchers(self, party: str) -> list[int] | None:
         """The numbers of the dispatchers that a party stands for; None where it is something else."""
-        seats = self.world.seats
+        dispatchers = self.world.dispatchers
         if party == "dispatchers":
-            return [seat.number for seat in seats]
+            return [dispatcher.number for dispatcher in dispatchers]
         if party.startswith("dz"):
-            return [seat.number for seat in seats if seat.zone == int(party[2:])]
+            return [dispatcher.number for dispatcher in dispatchers if dispatcher.zone == int(party[2:])]
         return [int(party[1:])] if party.startswith("d") else None
 
     def _servers(self, party: str) -> list[str]:
@@ -132,10 +134,10 @@
             if name.startswith(CLIENT_PATH):
                 self._excuse(int(name.removeprefix(CLIENT_PATH)), length)
 
-    def _excuse(self, seat: int, length: int) -> None:
-        answers = self.world.truth.answers
-        answers.begin_excuse(seat)
-        self._later(length, answers.end_excuse, seat)
+    def _excuse(self, dispatcher: int, length: int) -> None:
+        answers = self.world.rules.answers
+        answers.begin_excuse(dispatcher)
+        self._later(length, answers.end_excuse, dispatcher)
 
     def _loss(self, one: str, other: str, share: float, length: int) -> None:
         self._set(one, other, length, loss=share)
@@ -155,9 +157,9 @@
     def _mark_unreachable(self, one: str, other: str, length: int, text: str) -> None:
         """Hosts that a dispatcher can't reach, or not hear, are a wrong choice for it."""
         for party, rest in ((one, other), (other, one)):
-            seats = self._dispatchers(party)
-            if seats is not None and rest not in ("clients", "log") and self._dispatchers(rest) is None:
-                self.metrics.struck(self.agenda.now, length, self._servers(rest), text, seats)
+            dispatchers = self._dispatchers(party)
+            if dispatchers is not None and rest not in ("clients", "log") and self._dispatchers(rest) is None:
+                self.metrics.mark_fault(self.events.now, length, self._servers(rest), text, dispatchers)
 
     def _cut(self, one: str, other: str, length: int) -> None:
         super()._cut(one, other, length)
@@ -167,36 +169,38 @@
                 party = f"d{zone}"
                 for pair in ((party, far), (far, party)):
                     self._set(*pair, length, silent=True)
-                seats = self._dispatchers(party)
-                self.metrics.struck(self.agenda.now, length, self._servers(far), f"cut {one} {other}", seats)
+                dispatchers = self._dispatchers(party)
+                self.metrics.mark_fault(
+                    self.events.now, length, self._servers(far), f"cut {one} {other}", dispatchers
+                )
 
     # Dispatcher processes.
 
-    def _down(self, seats: list[Seat], length: int) -> None:
-        for seat in seats:
-            self.world.crash_seat(seat, length)
+    def _down(self, dispatchers: list[Dispatcher], length: int) -> None:
+        for dispatcher in dispatchers:
+            self.world.crash_dispatcher(dispatcher, length)
 
-    def _freeze(self, seats: list[Seat], length: int) -> None:
-        for seat in seats:
-            self._excuse(seat.number, length)
-            seat.freeze(length)
+    def _freeze(self, dispatchers: list[Dispatcher], length: int) -> None:
+        for dispatcher in dispatchers:
+            self._excuse(dispatcher.number, length)
+            dispatcher.freeze(length)
 
-    def _restart(self, seats: list[Seat], within: int, down: int) -> None:
-        for seat in seats:
-            self._later(int(within * self.chance.uniform()), self.world.crash_seat, seat, down)
+    def _restart(self, dispatchers: list[Dispatcher], within: int, down: int) -> None:
+        for dispatcher in dispatchers:
+            self._later(int(within * self.random.uniform()), self.world.crash_dispatcher, dispatcher, down)
 
-    def _older(self, seats: list[Seat], file: str, down: int) -> None:
-        for seat in seats:
-            self.backend.restart_with_file(seat, file, down)
+    def _older(self, dispatchers: list[Dispatcher], file: str, down: int) -> None:
+        for dispatcher in dispatchers:
+            self.backend.restart_with_file(dispatcher, file, down)
 
-    def _starve(self, seats: list[Seat], share: float, length: int) -> None:
-        for seat in seats:
-            self.backend.starve(seat, share, length)
+    def _starve(self, dispatchers: list[Dispatcher], share: float, length: int) -> None:
+        for dispatcher in dispatchers:
+            self.backend.starve(dispatcher, share, length)
 
-    def _skew(self, seats: list[Seat], step: int, length: int) -> None:
-        for seat in seats:
-            seat.step_clock(step)
-            self._later(length, seat.step_clock, -step)
+    def _skew(self, dispatchers: list[Dispatcher], step: int, length: int) -> None:
+        for dispatcher in dispatchers:
+            dispatcher.step_clock(step)
+            self._later(length, dispatcher.step_clock, -step)
 
     # Places.
 
@@ -204,12 +208,14 @@
         world, hosts = self.world, self._targets(place)
         if what == "view":
             # The log tells that they are gone; they are well.
-            world.list_as(hosts, "gone")
-            self._later(length, world.list_as, hosts, "up")
+            world.set_listed_state(hosts, "gone")
+            self._later(length, world.set_listed_state, hosts, "up")
         if what == "link":
             self._cut(place, HUB, length)
         if what in ("caches", "all"):
-            self.metrics.struck(self.agenda.now, length, [host.uid for host in hosts], f"gone {place} {what}")
+            self.metrics.mark_fault(
+                self.events.now, length, [host.uid for host in hosts], f"gone {place} {what}"
+            )
             self._vanish(hosts, length, noticed)
         if what in ("dispatchers", "all"):
             self._down(self._who(place), length)
@@ -217,7 +223,7 @@
     def _hub(self, name: str, length: int, noticed: int) -> None:
         parents, half = self.world.parents, (len(self.world.parents) + 1) // 2
         hosts = parents[:half] if name == "h0" else parents[half:]
-        self.metrics.struck(self.agenda.now, length, [host.uid for host in hosts], f"hub {name}")
+        self.metrics.mark_fault(self.events.now, length, [host.uid for host in hosts], f"hub {name}")
         self._vanish([*hosts], length, noticed)
 
     def _flap(self, place: str, what: str, on: int, off: int, length: int) -> None:
@@ -228,18 +234,18 @@
     # Clients.
 
     def _move(self, home: str, to: str, share: float, after: int, spread: int, length: int) -> None:
-        front, begin = self.world.front, self.agenda.now
-        move = Move(int(home[1:]), int(to[1:]), share, begin + after, spread)
-        self._later(after, front.moves.append, move)
+        front, begin = self.world.load_balancer, self.events.now
+        move = ClientMigration(int(home[1:]), int(to[1:]), share, begin + after, spread)
+        self._later(after, front.migrations.append, move)
 
         def back() -> None:
-            if move in front.moves:
-                front.moves.remove(move)
+            if move in front.migrations:
+                front.migrations.remove(move)
 
         self._later(max(length, after + 1), back)
 
     def _uneven(self, place: str, times: float, length: int) -> None:
-        front, first = self.world.front, self._who(place)[0]
+        front, first = self.world.load_balancer, self._who(place)[0]
         front.weights[first.number] = times
 
         def even() -> None:
@@ -263,7 +269,7 @@
     return f"d{min(one, other)}~d{max(one, other)}"
 
 
-def needs_sibling_paths(rows: list[Event]) -> bool:
+def needs_sibling_paths(rows: list[ScheduledFault]) -> bool:
     """Whether a script has faults between dispatchers, so that paths between them are to be opened."""
     return any(
         row.kind in DATAGRAMS or all(str(value).startswith("d") for value in row.values[:2])
--- a/hoistplank/lab/fleet/faulty_dispatchers.py
+++ b/hoistplank/lab/fleet/faulty_dispatchers.py
@@ -7,7 +7,7 @@
 from hoistplank.interface import HostEntry
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import Scene, read
-from hoistplank.lab.fleet.virtual import built
+from hoistplank.lab.fleet.virtual import build_world
 from hoistplank.lab.model.clients import Request
 from hoistplank.lab.policies import ByHash, Make, Plain, policy
 
@@ -71,7 +71,7 @@
     """A rig that loses the end of one displaced try in three."""
 
     def answered(self, now: int, request: Request, how: str) -> None:
-        if request.zone != self.zones[request.seat] and request.number % 3 == 0:
+        if request.zone != self.zones[request.dispatcher] and request.number % 3 == 0:
             self.out.pop(request.id, None)
             return
         super().answered(now, request, how)
@@ -106,15 +106,15 @@
     found = {}
     for name, (bound, kind) in FLEET.items():
         scene = read(TEXT.format(name=name, bound=bound).encode(), name)
-        world, metrics = built(scene, seed, policy("module"))
+        world, metrics = build_world(scene, seed, policy("module"))
         world.run()
-        broken, its = built(scene, seed, _made(kind))
+        broken, its = build_world(scene, seed, _made(kind))
         broken.run()
         found[name] = _holds(scene, metrics), not _holds(scene, its)
     scene = read(TEXT.format(name="forgetful", bound="earned above 0").encode(), "forgetful")
-    world, metrics = built(scene, seed, policy("module"))
+    world, metrics = build_world(scene, seed, policy("module"))
     world.run()
-    lossy, losing = built(scene, seed, policy("module"), Forgetful)
+    lossy, losing = build_world(scene, seed, policy("module"), Forgetful)
     lossy.run()
     found["forgetful"] = not metrics.unaccounted(), bool(losing.unaccounted())
     return found
--- a/hoistplank/lab/fleet/metrics.py
+++ b/hoistplank/lab/fleet/metrics.py
@@ -11,51 +11,51 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hoistplank.lab.model.clients import BACK, GONE, LEFT, OFF, SERVED, Request
-from hoistplank.lab.model.world_settings import S, Shape
+from hoistplank.lab.model.clients import ABANDONED, FAILED, REJECTED, SERVED, UNREACHABLE, Request
+from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings
 
 BIN = 100_000  # of utility and refusals over time
-OUTCOMES = (SERVED, BACK, OFF, GONE, LEFT)
-ROW = 5  # attempts by which a choice counts as right
+OUTCOMES = (SERVED, REJECTED, FAILED, UNREACHABLE, ABANDONED)
+RIGHT_CHOICE_WINDOW = 5  # attempts by which a choice counts as right
 SENT_BEFORE_US = 2_000  # what was on its way when a fault began is no choice of after it
 
 
-def jain(values: list[float]) -> float:
+def jain_index(values: list[float]) -> float:
     """Jain's index of fairness: 1 where all are alike, 1 / n where one has all; 1 of nothing."""
     squares = sum(value * value for value in values)
     return sum(values) ** 2 / (len(values) * squares) if squares else 1.0
 
 
 @dataclass(slots=True)
-class Mark:
+class FaultMark:
     """A fault that makes hosts a wrong choice, from when to when, and for which dispatchers (None: all)."""
 
     begin: int
     end: int
     hosts: frozenset[str]
-    seats: frozenset[int] | None
+    dispatchers: frozenset[int] | None
     text: str
-    trail: dict[int, list[tuple[int, bool]]] = field(default_factory=dict)  # when, whether wrong
+    choices: dict[int, list[tuple[int, bool]]] = field(default_factory=dict)  # when, whether wrong
     attempts: int = 0  # at what it struck
 
-    def right_us(self, seat: int) -> int:
+    def first_right_choice_us(self, dispatcher: int) -> int:
         """From its beginning to a dispatcher's first right choice: the first attempt elsewhere of which the
         row of `ROW` has one wrong at most, since a try now and then at what was lost is how its return is
         found. The fault's whole length where there is none."""
-        trail = self.trail.get(seat, [])
+        trail = self.choices.get(dispatcher, [])
         for n, (at, wrong) in enumerate(trail):
-            row = trail[n : n + ROW]
+            row = trail[n : n + RIGHT_CHOICE_WINDOW]
             if not wrong and sum(bad for _, bad in row) <= 1:
                 return at - self.begin
         return (self.end - self.begin) if any(wrong for _, wrong in trail) else 0
 
     def slowest_us(self) -> int:
         """Of the slowest dispatcher."""
-        return max(map(self.right_us, self.trail), default=0)
+        return max(map(self.first_right_choice_us, self.choices), default=0)
 
 
 @dataclass(slots=True)
-class Shared:
+class SharedResource:
     """A thing that all hold parts of: the most they held together, how many samples were over the whole."""
 
     whole: float
@@ -75,25 +75,25 @@
 class FleetMetrics:
     """Collects the metrics as an observer of the world; `zones` are the dispatchers', by their numbers."""
 
-    def __init__(self, shape: Shape, zones: list[int]) -> None:
-        bins = int(shape.seconds * S / BIN) + 1
-        self.shape, self.zones, self.start = shape, zones, shape.start_us()
+    def __init__(self, settings: WorldSettings, zones: list[int]) -> None:
+        bins = int(settings.seconds * SECOND_US / BIN) + 1
+        self.settings, self.zones, self.start = settings, zones, settings.start_us()
         self.origin = "origin"  # what is never kept goes there whatever is lost: no choice of a host
-        self.asked_in = [[0.0] * bins for _ in range(shape.zones)]
-        self.earned_in = [[0.0] * bins for _ in range(shape.zones)]
-        self.refused_in = [[0] * bins for _ in shape.classes]
-        self.lost = {zone: defaultdict[str, float](float) for zone in range(shape.zones)}
+        self.asked_in = [[0.0] * bins for _ in range(settings.zones)]
+        self.earned_in = [[0.0] * bins for _ in range(settings.zones)]
+        self.refused_in = [[0] * bins for _ in settings.classes]
+        self.lost = {zone: defaultdict[str, float](float) for zone in range(settings.zones)}
         self.given_up = defaultdict[str, float](float)  # utility rejected in the end, by traffic class
         self.firsts = self.tries = self.attempts = 0
-        self.seen: set[int] = set()  # requests, by their numbers
-        self.by_seat = [[0, 0] for _ in zones]  # tries, of these served
+        self.seen_requests: set[int] = set()  # requests, by their numbers
+        self.by_dispatcher = [[0, 0] for _ in zones]  # tries, of these served
         self.answers: Counter[str] = Counter()
         self.out: dict[str, tuple[int, int]] = {}  # by try: home, where it went
         self.displaced: Counter[tuple[int, int]] = Counter()
-        self.became: Counter[tuple[int, int, str]] = Counter()
-        self.stray: list[str] = []
-        self.marks: list[Mark] = []
-        self.shared: defaultdict[str, Shared] = defaultdict(lambda: Shared(0.0))
+        self.displaced_outcomes: Counter[tuple[int, int, str]] = Counter()
+        self.stray_answers: list[str] = []
+        self.marks: list[FaultMark] = []
+        self.shared: defaultdict[str, SharedResource] = defaultdict(lambda: SharedResource(0.0))
 
     def _bin(self, at: int) -> int | None:
         return min((at - self.start) // BIN, len(self.asked_in[0]) - 1) if at >= self.start else None
@@ -103,62 +103,66 @@
     def asked(self, now: int, zone: int, class_index: int) -> None:
         spot = self._bin(now)
         if spot is not None:
-            self.asked_in[zone][spot] += self.shape.classes[class_index].utility
+            self.asked_in[zone][spot] += self.settings.classes[class_index].utility
 
     def tried(self, now: int, request: Request) -> None:
-        zone = self.zones[request.seat]
+        zone = self.zones[request.dispatcher]
         self.out[request.id] = request.zone, zone
         if request.zone != zone:
             self.displaced[request.zone, zone] += 1
         if now >= self.start:
             self.tries += 1
-            self.firsts += request.number not in self.seen
-            self.seen.add(request.number)
-            self.by_seat[request.seat][0] += 1
+            self.firsts += request.number not in self.seen_requests
+            self.seen_requests.add(request.number)
+            self.by_dispatcher[request.dispatcher][0] += 1
 
     def answered(self, now: int, request: Request, how: str) -> None:
         way = self.out.pop(request.id, None)
         if way is None:
-            self.stray.append(f"{request.id}: {how}, though nobody has it")
+            self.stray_answers.append(f"{request.id}: {how}, though nobody has it")
             return
         home, zone = way
         if home != zone:
-            self.became[home, zone, how] += 1
+            self.displaced_outcomes[home, zone, how] += 1
         spot = self._bin(now)
         if spot is not None:
             self.answers[how] += 1
-            self.by_seat[request.seat][1] += how == SERVED
-            if how == BACK:
+            self.by_dispatcher[request.dispatcher][1] += how == SERVED
+            if how == REJECTED:
                 self.refused_in[request.class_index][spot] += 1
 
     def ended(self, due_at: int, zone: int, class_index: int, share: float, cause: str) -> None:
         spot = self._bin(due_at)
         if spot is None:
             return
-        worth = self.shape.classes[class_index].utility
+        worth = self.settings.classes[class_index].utility
         self.earned_in[zone][spot] += worth * share
         if share < 1:
             self.lost[zone][cause] += worth * (1 - share)
-        if cause == BACK:
-            self.given_up[self.shape.classes[class_index].name] += worth
+        if cause == REJECTED:
+            self.given_up[self.settings.classes[class_index].name] += worth
 
     # What the hosts tell.
 
-    def attempt(self, now: int, seat: int, host: str, role: str) -> None:
+    def attempt(self, now: int, dispatcher: int, host: str, role: str) -> None:
         if role == "host" and now >= self.start:
             self.attempts += 1
         for mark in self.marks:
-            ours = (mark.seats is None or seat in mark.seats) and role == "host" and host != self.origin
+            ours = (
+                (mark.dispatchers is None or dispatcher in mark.dispatchers)
+                and role == "host"
+                and host != self.origin
+            )
             if ours and mark.begin + SENT_BEFORE_US < now < mark.end:
                 mark.attempts += host in mark.hosts
-                mark.trail.setdefault(seat, []).append((now, host in mark.hosts))
+                mark.choices.setdefault(dispatcher, []).append((now, host in mark.hosts))
 
-    def struck(
-        self, now: int, length: int, hosts: list[str], text: str, seats: list[int] | None = None
+    def mark_fault(
+        self, now: int, length: int, hosts: list[str], text: str, dispatchers: list[int] | None = None
     ) -> None:
         """From now on these hosts are a wrong choice for these dispatchers."""
-        whose = frozenset(seats) if seats is not None else None
-        self.marks.append(Mark(now, now + length, frozenset(hosts), whose, text))
+        whose = frozenset(dispatchers) if dispatchers is not None else None
+        self.marks.append(FaultMark(now, now + length, frozenset(hosts), whose, text))
 
     def sample(self, name: str, whole: float, parts: list[float]) -> None:
         """What all together hold now of a thing that is shared."""
@@ -179,22 +183,22 @@
         """The worst location's index of the shares that its dispatchers served of what came to them."""
         worst = 1.0
         for zone in set(self.zones):
-            rows = [row for row, where in zip(self.by_seat, self.zones, strict=True) if where == zone]
-            worst = min(worst, jain([served / tries for tries, served in rows if tries]))
+            rows = [row for row, where in zip(self.by_dispatcher, self.zones, strict=True) if where == zone]
+            worst = min(worst, jain_index([served / tries for tries, served in rows if tries]))
         return worst
 
     def unaccounted(self) -> list[str]:
         """Displaced tries whose end nobody knows, and ends of tries that nobody made; a sentence each."""
-        found = list(self.stray)
+        found = list(self.stray_answers)
         for (home, zone), many in sorted(self.displaced.items()):
-            known = sum(self.became[home, zone, how] for how in OUTCOMES)
+            known = sum(self.displaced_outcomes[home, zone, how] for how in OUTCOMES)
             if known != many:
                 found.append(f"{many - known} of {many} tries of z{home} at z{zone} have no end")
         return found
 
     def measure(self, name: str, place: str, low: int, high: int) -> float:
         """A scene's figure. Raises KeyError for what it does not know."""
-        zones = [int(place[1:])] if place.startswith("z") else list(range(self.shape.zones))
+        zones = [int(place[1:])] if place.startswith("z") else list(range(self.settings.zones))
         if name == "earned":
             return self.earned(zones, low, high)
         if name == "lost":
@@ -202,7 +206,7 @@
             lost = sum(self.lost[zone][place.replace("-", " ")] for zone in self.lost)
             return lost / asked if asked else 0.0
         if name == "displaced":
-            served = sum(many for (_, _, how), many in self.became.items() if how == SERVED)
+            served = sum(many for (_, _, how), many in self.displaced_outcomes.items() if how == SERVED)
             return served / max(1, sum(self.displaced.values()))
         if name == "amplified":
             return self.attempts / max(1, self.firsts)
@@ -213,11 +217,11 @@
         if name == "fair":
             return self.fair()
         if name == "fair-places":
-            return jain([self.earned([zone], low, high) for zone in zones])
+            return jain_index([self.earned([zone], low, high) for zone in zones])
         if name == "wrong":
-            return max((mark.slowest_us() for mark in self.marks), default=0) / S
+            return max((mark.slowest_us() for mark in self.marks), default=0) / SECOND_US
         if name == "refused":
-            return self.answers[BACK] / max(1, self.tries)
+            return self.answers[REJECTED] / max(1, self.tries)
         raise KeyError(name)
 
     def figures(self) -> dict[str, Any]:
@@ -226,7 +230,7 @@
             "asked_in": [[round(value, 3) for value in row] for row in self.asked_in],
             "earned_in": [[round(value, 3) for value in row] for row in self.earned_in],
             "refused_in": {
-                row.name: many for row, many in zip(self.shape.classes, self.refused_in, strict=True)
+                row.name: many for row, many in zip(self.settings.classes, self.refused_in, strict=True)
             },
             "lost_by_place": {
                 f"z{zone}": {cause: round(value, 3) for cause, value in rows.items()}
@@ -237,7 +241,7 @@
             "displaced": {
                 f"z{home} at z{zone}": {
                     "tries": many,
-                    **{how: self.became[home, zone, how] for how in OUTCOMES},
+                    **{how: self.displaced_outcomes[home, zone, how] for how in OUTCOMES},
                 }
                 for (home, zone), many in sorted(self.displaced.items())
             },
@@ -258,8 +262,11 @@
                 {
                     "what": mark.text,
                     "attempts": mark.attempts,
-                    "slowest_s": round(mark.slowest_us() / S, 3),
-                    "by_dispatcher": {str(n): round(mark.right_us(n) / S, 3) for n in sorted(mark.trail)},
+                    "slowest_s": round(mark.slowest_us() / SECOND_US, 3),
+                    "by_dispatcher": {
+                        str(n): round(mark.first_right_choice_us(n) / SECOND_US, 3)
+                        for n in sorted(mark.choices)
+                    },
                 }
                 for mark in self.marks
             ],
--- a/hoistplank/lab/fleet/pages.py
+++ b/hoistplank/lab/fleet/pages.py
@@ -12,7 +12,7 @@
 
 from hoistplank.lab.fleet.metrics import BIN
 from hoistplank.lab.fleet.virtual import SAMPLE_US
-from hoistplank.lab.model.world_settings import S
+from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.report import STYLE, Rows, cells_of, svg
 
 SMOOTH = 5  # bins of utility that a point of the plot stands for
@@ -35,7 +35,7 @@
         zip(row["fleet"]["asked_in"], row["fleet"]["earned_in"], strict=True)
     ):
         shares = [e / a if a else float("nan") for a, e in zip(_smooth(asked), _smooth(earned), strict=True)]
-        times = [(n + 0.5) * SMOOTH * BIN / S for n in range(len(shares))]
+        times = [(n + 0.5) * SMOOTH * BIN / SECOND_US for n in range(len(shares))]
         axes.plot(times, shares, label=f"z{zone}", lw=1.3)
     axes.set_ylim(0, 1.05)
     axes.set_ylabel("earned of asked")
@@ -46,7 +46,11 @@
     for class_name, many in row["fleet"]["refused_in"].items():
         rows = _smooth(many)
         axes.step(
-            [n * SMOOTH * BIN / S for n in range(len(rows))], rows, where="post", label=class_name, lw=1.1
+            [n * SMOOTH * BIN / SECOND_US for n in range(len(rows))],
+            rows,
+            where="post",
+            label=class_name,
+            lw=1.1,
         )
     axes.set_ylabel("rejected, tries")
     axes.legend(fontsize=7, ncols=3, loc="upper right")
@@ -56,7 +60,7 @@
     shared = {name: found for name, found in row["fleet"]["shared"].items() if name.startswith(start)}
     for name, found in shared.items():
         values = found["by_time"]
-        axes.plot([n * SAMPLE_US / S for n in range(len(values))], values, label=name, lw=0.9)
+        axes.plot([n * SAMPLE_US / SECOND_US for n in range(len(values))], values, label=name, lw=0.9)
     axes.axhline(1.0, color="#555", lw=0.8, ls="--")
     axes.set_ylabel(bound)
     axes.legend(fontsize=7, ncols=3, loc="upper right")
--- a/hoistplank/lab/fleet/processes.py
+++ b/hoistplank/lab/fleet/processes.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hoistplank.fakes.deployment import free_port
-from hoistplank.lab.backends.sockets import Day, SocketSeat
+from hoistplank.lab.backends.sockets import SocketDay, SocketDispatcher
 from hoistplank.lab.fleet.fault_injector import (
     FleetFaultInjector,
     PathDirection,
@@ -27,8 +27,8 @@
 from hoistplank.lab.fleet.scene import Scene
 from hoistplank.lab.fleet.virtual import VirtualPaths, observe
 from hoistplank.lab.model.servers import Server
-from hoistplank.lab.model.world import Seat
-from hoistplank.lab.model.world_settings import S
+from hoistplank.lab.model.world import Dispatcher
+from hoistplank.lab.model.world_settings import SECOND_US
 
 STARVE_S = 0.02  # a core is taken away in slices of this
 DISPATCHERS_PER_RELAY = 5  # whose paths one relay process carries
@@ -39,7 +39,7 @@
 START_ATTEMPTS = 3  # of a dispatcher whose port was taken meanwhile
 
 
-class FleetSeat(SocketSeat):
+class FleetDispatcher(SocketDispatcher):
     """A dispatcher of the fleet: its process, its folder, its operator's file."""
 
     def __init__(self, day: FleetDay, number: int, zone: int) -> None:
@@ -80,9 +80,9 @@
     async def _starve(self, share: float, length_us: int) -> None:
         """Stop the process for a share of each slice; it is always left running."""
         process, loop = self.process, asyncio.get_running_loop()
-        until = loop.time() + length_us / S
+        until = loop.time() + length_us / SECOND_US
         while process is not None and process.returncode is None and loop.time() < until:
-            self.freeze(int(share * STARVE_S * S))
+            self.freeze(int(share * STARVE_S * SECOND_US))
             await asyncio.sleep(STARVE_S)
 
     async def stop(self) -> None:
@@ -95,59 +95,61 @@
             self.fleet.failures.append(f"dispatcher {self.number} ended with {self.process.returncode}")
 
 
-class FleetDay(Day):
+class FleetDay(SocketDay):
     """One scene. `play` runs it to its end; `metrics` holds what all did together."""
 
     def __init__(self, scene: Scene, seed: int, folder: Path, scene_folder: Path) -> None:
         self.scene = scene
         self.scene_folder = scene_folder
         self.failures: list[str] = []
-        super().__init__(scene.shape(), seed, [], folder)
+        super().__init__(scene.world_settings(), seed, [], folder)
         self.relays = RelayPool()
-        self.world.truth.answers.slack_us = SLACK_US
-        self.metrics = FleetMetrics(self.world.shape, [seat.zone for seat in self.seats])
-        self.rows = scene.rows()
+        self.world.rules.answers.slack_us = SLACK_US
+        self.metrics = FleetMetrics(self.world.settings, [dispatcher.zone for dispatcher in self.dispatchers])
+        self.rows = scene.faults()
         # What the change log sends is held here, not in a relay, so that the checkers know when it arrived.
         self.log_paths = self.world.paths = VirtualPaths(self.world)
         observe(self.world, self.metrics)
         FleetFaultInjector(self.world, self.rows, self, self.metrics).begin()
 
-    def seat(self, number: int, zone: int) -> SocketSeat:
+    def make_dispatcher(self, number: int, zone: int) -> SocketDispatcher:
         """A dispatcher with the scene's operator's file."""
-        seat = FleetSeat(self, number, zone)
+        dispatcher = FleetDispatcher(self, number, zone)
         if self.scene.operator is not None:
-            seat.operator = self.scene_folder / self.scene.operator
-        return seat
+            dispatcher.operator = self.scene_folder / self.scene.operator
+        return dispatcher
 
     # Every path leads through a relay.
 
-    async def reached(self, seat: SocketSeat, party: str, port: int) -> int:
+    async def port_for(self, dispatcher: SocketDispatcher, party: str, port: int) -> int:
         """The relay's port for a host or the change log."""
-        return await self.relays.open_stream_path(host_path(seat.number, party), port, seat.number)
+        return await self.relays.open_stream_path(
+            host_path(dispatcher.number, party), port, dispatcher.number
+        )
 
-    def port_changed(self, seat: SocketSeat, server: Server, opened: bool) -> None:
+    def port_changed(self, dispatcher: SocketDispatcher, server: Server, opened: bool) -> None:
         """Refuse connections to a host whose process is gone."""
         action = PathAction.OPEN if opened else PathAction.SHUT
-        self.relays.apply([host_path(seat.number, server.uid)], action)
+        self.relays.apply([host_path(dispatcher.number, server.uid)], action)
 
-    async def entered(self, seat: SocketSeat) -> int:
+    async def entry_port_for(self, dispatcher: SocketDispatcher) -> int:
         """The relay's port for clients; it stays the same over restarts."""
-        name = client_path(seat.number)
+        name = client_path(dispatcher.number)
         if name not in self.relays:
-            return await self.relays.open_stream_path(name, seat.port, seat.number)
-        self.relays.retarget(name, seat.port)
+            return await self.relays.open_stream_path(name, dispatcher.port, dispatcher.number)
+        self.relays.retarget(name, dispatcher.port)
         self.relays.apply([name], PathAction.OPEN)
-        return seat.entry
+        return dispatcher.entry
 
-    def entry_shut(self, seat: SocketSeat) -> None:
+    def entry_closed(self, dispatcher: SocketDispatcher) -> None:
         """Refuse clients' connections to a dispatcher that was killed."""
-        self.relays.apply([client_path(seat.number)], PathAction.SHUT)
+        self.relays.apply([client_path(dispatcher.number)], PathAction.SHUT)
 
-    def command(self, seat: SocketSeat) -> list[str]:
+    def command(self, dispatcher: SocketDispatcher) -> list[str]:
         """`hoistplank run`, with its operator's file."""
-        assert isinstance(seat, FleetSeat)
+        assert isinstance(dispatcher, FleetDispatcher)
         command = [sys.executable, "-m", "hoistplank.cli.main", "run"]
-        return command if seat.operator is None else [*command, "--operator", str(seat.operator)]
+        return command if dispatcher.operator is None else [*command, "--operator", str(dispatcher.operator)]
 
     # What faults do.
 
@@ -169,30 +171,30 @@
             self.log_paths.set_conditions(from_log, silent=action is PathAction.SHUT)
         self.relays.apply(paths, action)
 
-    def restart_with_file(self, seat: Seat, file: str, down_us: int) -> None:
+    def restart_with_file(self, dispatcher: Dispatcher, file: str, down_us: int) -> None:
         """Kill a dispatcher; it comes back with another operator's file, which stands beside the scene."""
-        assert isinstance(seat, FleetSeat)
-        seat.operator = self.scene_folder / file
-        self.world.crash_seat(seat, down_us)
+        assert isinstance(dispatcher, FleetDispatcher)
+        dispatcher.operator = self.scene_folder / file
+        self.world.crash_dispatcher(dispatcher, down_us)
 
-    def starve(self, seat: Seat, share: float, length_us: int) -> None:
+    def starve(self, dispatcher: Dispatcher, share: float, length_us: int) -> None:
         """Take a share of a dispatcher's core away for a time."""
-        assert isinstance(seat, FleetSeat)
-        seat.begin_starving(share, length_us)
+        assert isinstance(dispatcher, FleetDispatcher)
+        dispatcher.begin_starving(share, length_us)
 
     # From start to end.
 
     async def begin(self) -> None:
         """Start the relays, then the dispatchers, then paths between dispatchers where a fault needs them."""
-        count = max(1, math.ceil(len(self.seats) / DISPATCHERS_PER_RELAY))
+        count = max(1, math.ceil(len(self.dispatchers) / DISPATCHERS_PER_RELAY))
         await self.relays.start(count, self.world.streams.seed)
         await super().begin()
         if needs_sibling_paths(self.rows):
             await self._open_sibling_paths()
 
     async def _open_sibling_paths(self) -> None:
-        for one, other in combinations(self.seats, 2):
-            assert isinstance(one, FleetSeat) and isinstance(other, FleetSeat)
+        for one, other in combinations(self.dispatchers, 2):
+            assert isinstance(one, FleetDispatcher) and isinstance(other, FleetDispatcher)
             name = sibling_path(one.number, other.number)
             await self.relays.open_datagram_path(name, one.sibling_port, other.sibling_port, one.number)
 
@@ -218,13 +220,13 @@
     async def run() -> tuple[FleetDay, dict[str, Any]]:
         day = FleetDay(scene, seed, folder, scene_folder)
         try:
-            async with asyncio.timeout(day.world.last_end_us() / S + 60):
+            async with asyncio.timeout(day.world.last_end_us() / SECOND_US + 60):
                 await day.play()
         except (RelayError, TimeoutError) as error:
             raise RuntimeError(str(error) or "the day did not come to its end") from error
         if day.failures:
             raise RuntimeError(day.failures[0])
-        return day, day.told
+        return day, day.backend_report
 
     with asyncio.Runner(loop_factory=loop) as runner:
         return runner.run(run())
--- a/hoistplank/lab/fleet/scene.py
+++ b/hoistplank/lab/fleet/scene.py
@@ -15,9 +15,18 @@
 import msgspec
 
 from hoistplank.lab.model import faults as days
-from hoistplank.lab.model.clients import BACK, GONE, LEFT, OFF
-from hoistplank.lab.model.faults import SHARE, SPAN, STEP, TARGET, TIMES, Event, checked, events
-from hoistplank.lab.model.world_settings import S, Shape, sized
+from hoistplank.lab.model.clients import ABANDONED, FAILED, REJECTED, UNREACHABLE
+from hoistplank.lab.model.faults import (
+    SHARE,
+    SPAN,
+    STEP,
+    TARGET,
+    TIMES,
+    ScheduledFault,
+    read_faults,
+    unsupported,
+)
+from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings, scaled_settings
 from hoistplank.operator_configuration import schema
 from hoistplank.operator_configuration.faults import Fault, Faults, Place
 from hoistplank.operator_configuration.schema import (
@@ -48,7 +57,7 @@
 WHAT = one_of("caches", "all", "dispatchers", "link", "view")
 RATE = number(1, 1_000_000)
 
-KINDS: days.Kinds = {
+KINDS: days.FaultWords = {
     **days.KINDS,
     # Dispatcher processes.
     "down": (WHO, "for", SPAN),  # killed; started again under the same name
@@ -94,7 +103,7 @@
     "refused": "share of tries rejected",
 }
 LOCAL = ("earned", "link")  # measures that may be of one location
-CAUSES = (BACK, OFF, GONE, LEFT, "served late", "served old", "client gave up")
+CAUSES = (REJECTED, FAILED, UNREACHABLE, ABANDONED, "served late", "served old", "client gave up")
 ATOM = Kind("a measure, a place, above or below, a value, as 'earned z1 above 0.8'", lambda atom: atom)
 SCENE = schema.Shape(
     (
@@ -105,8 +114,8 @@
         Field("parents", whole(1, 60), 4, doc="in all; the first half is hub h0, the rest h1"),
         Field("rate", number(1, 2_000), 30.0, doc="first parts a second of each location"),
         Field("load", number(0.05, 5), 0.4, doc="of what links can carry"),
-        Field("seconds", span("1s", "600s"), 8 * S),
-        Field("warm", span("0ms", "600s"), 3 * S, doc="before the first second; not counted"),
+        Field("seconds", span("1s", "600s"), 8 * SECOND_US),
+        Field("warm", span("0ms", "600s"), 3 * SECOND_US, doc="before the first second; not counted"),
         Field("drives", one_of("processes", "virtual"), ["processes", "virtual"], many=True),
         Field("operator", TEXT, None, doc="the dispatchers' operator's file, beside the scene"),
         Field("expect", ATOM, many=True, each=True, doc="MEASURE [PLACE] above|below VALUE [from T to T]"),
@@ -128,7 +137,7 @@
     def __str__(self) -> str:
         words = [self.measure, self.place, "above" if self.above else "below", f"{self.value:g}"]
         if self.high:
-            words.append(f"from {self.low / S:g}s to {self.high / S:g}s")
+            words.append(f"from {self.low / SECOND_US:g}s to {self.high / SECOND_US:g}s")
         return " ".join(word for word in words if word)
 
 
@@ -150,8 +159,8 @@
     script: str
     bounds: tuple[Bound, ...]
 
-    def shape(self) -> Shape:
-        made = sized(
+    def world_settings(self) -> WorldSettings:
+        made = scaled_settings(
             self.locations * self.caches,
             self.locations * self.dispatchers,
             self.locations,
@@ -163,23 +172,25 @@
         room = made.parent_link * made.parents / self.parents
         return msgspec.structs.replace(
             made,
-            warm=self.warm,
+            warm_up_s=self.warm,
             parents=self.parents,
             parent_link=max(4.0, room),
-            log_late_us=(20_000, 120_000),
+            log_delay_us=(20_000, 120_000),
         )
 
-    def rows(self) -> list[Event]:
+    def faults(self) -> list[ScheduledFault]:
         faults: list[Fault] = []
-        return events(parse(self.script.encode(), self.name).forms, Place(self.name, 1, 1), faults, KINDS)
+        return read_faults(
+            parse(self.script.encode(), self.name).forms, Place(self.name, 1, 1), faults, KINDS
+        )
 
     def files(self) -> list[str]:
         """The operator's files that it names, beside its own."""
-        older = [str(row.values[1]) for row in self.rows() if row.kind == "older"]
+        older = [str(row.values[1]) for row in self.faults() if row.kind == "older"]
         return [*([self.operator] if self.operator is not None else []), *older]
 
 
-def lasts(row: Event) -> int:
+def lasts(row: ScheduledFault) -> int:
     """How long a fault lasts (us), by its own words; 0 of one that is over at once."""
     kinds = KINDS[row.kind]
     named = {word: at for at, word in enumerate(kinds) if isinstance(word, str)}
@@ -240,7 +251,7 @@
     scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
     rest = tuple(item for item in form.items[1:] if item not in scripts)
     section = schema.read(SCENE, rest, form.place, faults)
-    rows = events(scripts, form.place, faults, KINDS)
+    rows = read_faults(scripts, form.place, faults, KINDS)
     bounds = [_bound(atoms, section.at("expect"), faults) for atoms in section["expect"]]
     if faults:
         raise Faults(sorted(faults, key=lambda fault: fault.place))
@@ -253,8 +264,8 @@
         section["parents"],
         section["rate"],
         section["load"],
-        section["seconds"] / S,
-        section["warm"] / S,
+        section["seconds"] / SECOND_US,
+        section["warm"] / SECOND_US,
         tuple(section["drives"]),
         section["operator"],
         "\n".join(row.written() for row in rows),
@@ -293,7 +304,7 @@
     places, faults = [f"z{n}" for n in range(scene.locations)], list[Fault]()
     for bound in scene.bounds:
         wants = ""
-        if bound.high > scene.seconds * S:
+        if bound.high > scene.seconds * SECOND_US:
             wants = f"a window within the {scene.seconds:g} s of the scene"
         elif bound.high and bound.measure not in ("earned", "fair-places"):
             wants = "no window: this measure is of the whole scene"
@@ -307,19 +318,21 @@
     return faults
 
 
-def _unmet(scene: Scene, rows: list[Event]) -> list[tuple[int, str, str]]:
+def _unmet(scene: Scene, rows: list[ScheduledFault]) -> list[tuple[int, str, str]]:
     """What the script asks for that this fleet does not have: which fault, what was found, what would do."""
     found: list[tuple[int, str, str]] = []
     many = scene.locations * scene.dispatchers
-    shape = scene.shape()
+    settings = scene.world_settings()
     hosts = {f"c{zone}-{n}" for zone in range(scene.locations) for n in range(scene.caches)}
     known = hosts | {f"z{n}" for n in range(scene.locations)} | {f"d{n}" for n in range(many)}
     known |= {f"p{n}" for n in range(scene.parents)} | {f"dz{n}" for n in range(scene.locations)}
     known |= {"clients", "log", "origin", "hub", "dispatchers", "caches", "parents"}
     told = f"{scene.locations} times {scene.caches} caches, {many} dispatchers, {scene.parents} parents"
     for n, row in enumerate(rows):
-        if row.at >= scene.seconds * S:
-            found.append((n, f"'({row.text})' at {row.at / S:g}s", f"a time within the {scene.seconds:g} s"))
+        if row.at >= scene.seconds * SECOND_US:
+            found.append(
+                (n, f"'({row.text})' at {row.at / SECOND_US:g}s", f"a time within the {scene.seconds:g} s")
+            )
         kinds = [word for word in KINDS[row.kind] if not isinstance(word, str)]
         for kind, value in zip(kinds, row.values, strict=True):
             if kind in (WHO, PARTY, PLACE, TARGET):
@@ -339,11 +352,11 @@
             found.append((n, f"'({row.text})'", "a path between a dispatcher and hosts"))
         if row.kind == "move" and row.values[0] == row.values[1]:
             found.append((n, f"'({row.text})'", "two different locations"))
-        found += [(n, wrong, "what this fleet has") for wrong in checked([row], shape)]
+        found += [(n, wrong, "what this fleet has") for wrong in unsupported([row], settings)]
     return found
 
 
-def _path(row: Event) -> bool:
+def _path(row: ScheduledFault) -> bool:
     """Whether there is a path between the two parties of a fault: one end is a dispatcher's."""
     one, other = str(row.values[0]), str(row.values[1])
     ours = [word.startswith("d") for word in (one, other)]
--- a/hoistplank/lab/fleet/virtual.py
+++ b/hoistplank/lab/fleet/virtual.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from hoistplank.lab.backends.virtual import VirtualSeat
+from hoistplank.lab.backends.virtual import VirtualDispatcher
 from hoistplank.lab.fleet.fault_injector import FleetFaultInjector, PathDirection
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.path_conditions import UNIMPAIRED, StreamDirection, chance
 from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
 from hoistplank.lab.fleet.scene import Scene
-from hoistplank.lab.model.world import Seat, World
+from hoistplank.lab.model.world import Dispatcher, World
 from hoistplank.lab.policies import Make
 
 SAMPLE_US = 50_000  # between two samples of what is shared
@@ -53,18 +53,18 @@
         stream = self.streams.get(direction)
         if stream is None or stream.idle(at):
             # Nothing is set on this path, and nothing is under way there that this could overtake.
-            self.world.agenda.schedule(at, call, *args)
-        elif at > self.world.agenda.now:
-            self.world.agenda.schedule(at, self._enter, direction, Delivery(call, args))
+            self.world.events.schedule(at, call, *args)
+        elif at > self.world.events.now:
+            self.world.events.schedule(at, self._enter, direction, Delivery(call, args))
         else:
             self._enter(direction, Delivery(call, args))
 
     def _enter(self, direction: PathDirection, delivery: Delivery) -> None:
-        self._schedule(self._stream(direction).push(self.world.agenda.now, 1, delivery))
+        self._schedule(self._stream(direction).push(self.world.events.now, 1, delivery))
 
     def _schedule(self, deliveries: list[tuple[int, Delivery]]) -> None:
         for at, delivery in deliveries:
-            self.world.agenda.schedule(at, delivery.call, *delivery.args)
+            self.world.events.schedule(at, delivery.call, *delivery.args)
 
     # What faults do.
 
@@ -73,53 +73,57 @@
         for direction in directions:
             stream = self._stream(direction)
             changed = stream.conditions.changed(**conditions)
-            self._schedule(stream.set_conditions(self.world.agenda.now, changed))
+            self._schedule(stream.set_conditions(self.world.events.now, changed))
 
     def apply_to_paths(self, _paths: list[str], action: PathAction) -> None:
         """Raises NeedsProcessesError."""
         raise NeedsProcessesError(action.value)
 
-    def restart_with_file(self, _seat: Seat, _file: str, _down_us: int) -> None:
+    def restart_with_file(self, _seat: Dispatcher, _file: str, _down_us: int) -> None:
         """Raises NeedsProcessesError."""
         raise NeedsProcessesError("older")
 
-    def starve(self, _seat: Seat, _share: float, _length_us: int) -> None:
+    def starve(self, _seat: Dispatcher, _share: float, _length_us: int) -> None:
         """Raises NeedsProcessesError."""
         raise NeedsProcessesError("starve")
 
 
 def observe(world: World, metrics: FleetMetrics) -> None:
     """Feed the world's events to the metrics, and sample what is shared until the day's end."""
-    world.clients.ear, world.truth.drains.on_attempt = metrics, metrics.attempt
+    world.clients.observer, world.rules.drains.on_attempt = metrics, metrics.attempt
 
     def sample() -> None:
-        now = world.agenda.now
-        if now >= world.shape.start_us():
+        now = world.events.now
+        if now >= world.settings.start_us():
             for zone, link in enumerate(world.zone_links):
                 metrics.sample(f"link z{zone}", link.capacity * link.capacity_share, [float(link.active)])
             for one in world.parents:
                 metrics.sample(
                     f"link {one.uid}", one.link.capacity * one.link.capacity_share, [float(one.link.active)]
                 )
-            metrics.sample("cold hosts", 1.0, [world.truth.colds.highest_load(now)])
-            metrics.sample("origin", float(len(world.origin.free)), [float(len(world.origin.open))])
-        if now < world.shape.last_us():
-            world.agenda.schedule(now + SAMPLE_US, sample)
+            metrics.sample("cold hosts", 1.0, [world.rules.colds.highest_load(now)])
+            metrics.sample(
+                "origin", float(len(world.origin.core_free_at)), [float(len(world.origin.open_requests))]
+            )
+        if now < world.settings.end_of_arrivals_us():
+            world.events.schedule(now + SAMPLE_US, sample)
 
-    world.agenda.schedule(0, sample)
+    world.events.schedule(0, sample)
 
 
-def built(
+def build_world(
     scene: Scene, seed: int, make: Make, metrics_type: type[FleetMetrics] = FleetMetrics
 ) -> tuple[World, FleetMetrics]:
     """A scene's world and metrics, ready for `World.run`. Raises NeedsProcessesError."""
     if "virtual" not in scene.drives:
         raise NeedsProcessesError(scene.name)
-    world = World(scene.shape(), seed)
+    world = World(scene.world_settings(), seed)
     paths = world.paths = VirtualPaths(world)
     zones = [number % scene.locations for number in range(scene.locations * scene.dispatchers)]
-    metrics = metrics_type(world.shape, zones)
-    world.seats.extend(VirtualSeat(world, number, zone, make) for number, zone in enumerate(zones))
-    FleetFaultInjector(world, scene.rows(), paths, metrics).begin()
+    metrics = metrics_type(world.settings, zones)
+    world.dispatchers.extend(
+        VirtualDispatcher(world, number, zone, make) for number, zone in enumerate(zones)
+    )
+    FleetFaultInjector(world, scene.faults(), paths, metrics).begin()
     observe(world, metrics)
     return world, metrics
--- a/hoistplank/lab/fleet/worker.py
+++ b/hoistplank/lab/fleet/worker.py
@@ -17,13 +17,13 @@
 import msgspec
 import uvloop
 
-from hoistplank.lab.backends.sockets import TooLate
+from hoistplank.lab.backends.sockets import RunTooLateError
 from hoistplank.lab.experiment import Cell
 from hoistplank.lab.fleet import processes, virtual
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import Bound, Scene, lasts
 from hoistplank.lab.model.world import World
-from hoistplank.lab.model.world_settings import S
+from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.policies import UnknownPolicy, policy
 from hoistplank.lab.worker import result
 
@@ -48,7 +48,7 @@
 def held(bound: Bound, world: World, metrics: FleetMetrics) -> tuple[float, bool]:
     """A bound's figure, and whether it holds."""
     if bound.measure == "cold":
-        figure = world.truth.colds.highest_ever
+        figure = world.rules.colds.highest_ever
     else:
         figure = metrics.measure(bound.measure, bound.place, bound.low, bound.high)
     return figure, figure > bound.value if bound.above else figure < bound.value
@@ -75,8 +75,8 @@
     checked = [(str(bound), *held(bound, world, metrics)) for bound in scene.bounds]
     bounds = [{"bound": name, "figure": round(value, 4), "holds": good} for name, value, good in checked]
     breaches = [
-        f"rule {row.rule} at {row.at_us / S - scene.warm:.2f} s: {row.description}"
-        for row in world.truth.violations
+        f"rule {row.rule} at {row.at_us / SECOND_US - scene.warm:.2f} s: {row.description}"
+        for row in world.rules.violations
     ]
     failures = breaches + metrics.unaccounted()
     failures += [f"{name}: {figure:.4f}" for name, figure, good in checked if not good]
@@ -91,7 +91,9 @@
         "failures": failures,
         "fleet": metrics.figures()
         | {
-            "marks": [[row.at / S, (row.at + lasts(row)) / S, row.text] for row in scene.rows()],
+            "marks": [
+                [row.at / SECOND_US, (row.at + lasts(row)) / SECOND_US, row.text] for row in scene.faults()
+            ],
             "bounds": bounds,
         },
         "rig": rig,
@@ -102,7 +104,7 @@
     """The result of a job, a void or broken run's too. Raises UnknownPolicy, NeedsProcessesError."""
     began = time.perf_counter()
     if job.drive == "virtual":
-        world, metrics = virtual.built(job.scene, job.seed, policy(job.policy))
+        world, metrics = virtual.build_world(job.scene, job.seed, policy(job.policy))
         world.run()
         return told(job, world, metrics, time.perf_counter() - began, {})
     name = {"scene": job.scene.name, "drive": job.drive, "seed": job.seed, "policy": job.policy}
@@ -110,7 +112,7 @@
     place.mkdir(parents=True)
     try:
         day, rig = processes.play(job.scene, job.seed, place, Path(job.beside), uvloop.new_event_loop)
-    except TooLate as wrong:
+    except RunTooLateError as wrong:
         return {**name, "how": VOID, "why": str(wrong), "rig": {"late_us": wrong.late_us}}
     except RuntimeError as wrong:
         return {**name, "how": BROKE, "why": str(wrong)}
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 from hoistplank.lab.model.objects import HotObjects
-from hoistplank.lab.model.servers import HUNG, SILENT, UP, Keeper, Server
+from hoistplank.lab.model.servers import HUNG, SILENT, UP, CachingServer, Server
 from hoistplank.lab.model.streams import RandomStream, RandomStreams
-from hoistplank.lab.model.world import Seat, World
-from hoistplank.lab.model.world_settings import HUB, Shape
+from hoistplank.lab.model.world import Dispatcher, World
+from hoistplank.lab.model.world_settings import HUB, WorldSettings
 from hoistplank.operator_configuration.faults import Fault, Faults, Place
 from hoistplank.operator_configuration.schema import Kind, matching, nearest, number, span, whole
 from hoistplank.operator_configuration.text import Atom, Form, parse, quote
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class ScheduledFault:
     """One fault: when (us from the day's first second), which, its values in order, and how it was
     written.
     """
@@ -99,10 +99,10 @@
         return f"(at {self.at}us ({self.text}))" if self.at else f"(at 0s ({self.text}))"
 
 
-Kinds = dict[str, tuple[str | Kind, ...]]
+FaultWords = dict[str, tuple[str | Kind, ...]]
 
 
-def _event(at: int, form: Form, faults: list[Fault], kinds: Kinds) -> Event | None:
+def _event(at: int, form: Form, faults: list[Fault], kinds: FaultWords) -> ScheduledFault | None:
     words = kinds.get(form.name)
     if words is None:
         faults.append(
@@ -127,16 +127,16 @@
                 faults.append(Fault(item.place, str(item), word.wants))
     atoms = [item for item in form.items if isinstance(item, Atom)]
     text = " ".join(quote(atom.text) if atom.quoted else atom.text for atom in atoms)
-    return Event(at, form.name, tuple(values), text)
+    return ScheduledFault(at, form.name, tuple(values), text)
 
 
-def events(
-    forms: tuple[Atom | Form, ...], place: Place, faults: list[Fault], kinds: Kinds = KINDS
-) -> list[Event]:
+def read_faults(
+    forms: tuple[Atom | Form, ...], place: Place, faults: list[Fault], kinds: FaultWords = KINDS
+) -> list[ScheduledFault]:
     """The `(at …)` forms of a script, in the order of their times; what is wrong is added to `faults`.
     `kinds`: the faults that it may hold, and their words.
     """
-    found: list[Event] = []
+    found: list[ScheduledFault] = []
     for form in forms:
         if not isinstance(form, Form) or form.name != "at":
             faults.append(Fault(form.place, str(form), "'(at TIME (FAULT …))'"))
@@ -165,48 +165,48 @@
     return sorted(found, key=lambda event: event.at)
 
 
-def script(text: str, file: str = "script") -> list[Event]:
+def script(text: str, file: str = "script") -> list[ScheduledFault]:
     """A script by itself. Raises `Faults` with all that is wrong."""
     try:
         forms = parse(text.encode(), file).forms
     except Fault as wrong:
         raise Faults([wrong]) from None
     faults: list[Fault] = []
-    found = events(forms, Place(file, 1, 1), faults)
+    found = read_faults(forms, Place(file, 1, 1), faults)
     if faults:
         raise Faults(faults)
     return found
 
 
-class Troubles:
+class FaultInjector:
     """Carries a script out on a world. `chance` chooses who is struck: the same for every policy."""
 
-    kinds: Kinds = KINDS
+    kinds: FaultWords = KINDS
 
-    def __init__(self, world: World, rows: list[Event]) -> None:
-        self.world, self.agenda, self.rows = world, world.agenda, rows
-        self.chance = world.stream("faults")
-        self.classes = {row.name: n for n, row in enumerate(world.shape.classes)}
+    def __init__(self, world: World, rows: list[ScheduledFault]) -> None:
+        self.world, self.events, self.rows = world, world.events, rows
+        self.random = world.stream("faults")
+        self.classes = {row.name: n for n, row in enumerate(world.settings.classes)}
 
     def begin(self) -> None:
-        start = self.world.shape.start_us()
+        start = self.world.settings.start_us()
         for row in self.rows:
             # Chosen now, before anything has happened, so that no policy can change the choice.
             kinds = [word for word in self.kinds[row.kind] if not isinstance(word, str)]
             pairs = zip(kinds, row.values, strict=True)
-            struck = tuple(self._struck(kind, value) for kind, value in pairs)
-            self.agenda.schedule(start + row.at, self._strike, row, struck)
+            struck = tuple(self._resolve(kind, value) for kind, value in pairs)
+            self.events.schedule(start + row.at, self._inject, row, struck)
 
-    def _struck(self, kind: Kind, value: Any) -> Any:
+    def _resolve(self, kind: Kind, value: Any) -> Any:
         """What a word of a fault stands for in this world."""
         return self._targets(value) if kind is TARGET else value
 
-    def _strike(self, row: Event, values: tuple[Any, ...]) -> None:
-        self.world.note(row.text)
+    def _inject(self, row: ScheduledFault, values: tuple[Any, ...]) -> None:
+        self.world.record_fault(row.text)
         getattr(self, f"_{row.kind}")(*values)
 
     def _later(self, wait: int, call: Callable[..., None], *args: Any) -> None:
-        self.agenda.schedule(self.agenda.now + wait, call, *args)
+        self.events.schedule(self.events.now + wait, call, *args)
 
     def _targets(self, text: str) -> list[Server]:
         name, _, share = text.partition(":")
@@ -221,79 +221,79 @@
         else:
             many = [world.servers[name]] if name in world.servers else []
         if share:
-            order = self.chance.shuffled(len(many))
+            order = self.random.shuffled(len(many))
             many = [many[n] for n in sorted(order[: max(1, round(float(share) * len(many)))])]
         return many
 
-    def _seats(self, share: float) -> list[Seat]:
-        seats = self.world.seats
-        order = self.chance.shuffled(len(seats))
-        return [seats[n] for n in sorted(order[: max(1, round(share * len(seats)))])]
+    def _some_dispatchers(self, share: float) -> list[Dispatcher]:
+        dispatchers = self.world.dispatchers
+        order = self.random.shuffled(len(dispatchers))
+        return [dispatchers[n] for n in sorted(order[: max(1, round(share * len(dispatchers)))])]
 
     # Hosts.
 
     def _drain(self, hosts: list[Server], length: int) -> None:
-        self.world.list_as(hosts, "draining")
-        self._later(length, self.world.list_as, hosts, "up")
+        self.world.set_listed_state(hosts, "draining")
+        self._later(length, self.world.set_listed_state, hosts, "up")
 
     def _deploy(self, hosts: list[Server], batch: float, drain: int) -> None:
         size = max(1, round(batch * len(hosts)))
-        step = drain + self.world.shape.down_us
+        step = drain + self.world.settings.restart_us
         for n, at in enumerate(range(0, len(hosts), size)):
             self._later(n * step, self._renew, hosts[at : at + size], drain)
 
     def _renew(self, hosts: list[Server], drain: int) -> None:
-        self.world.list_as(hosts, "draining")
+        self.world.set_listed_state(hosts, "draining")
         for host in hosts:
-            self._later(drain, self.world.crash, host, self.world.shape.down_us)
+            self._later(drain, self.world.crash_server, host, self.world.settings.restart_us)
 
     def _vanish(self, hosts: list[Server], length: int, noticed: int) -> None:
         for host in hosts:
-            self.world.vanish(host, length, noticed)
+            self.world.silence_server(host, length, noticed)
 
     def _crash(self, hosts: list[Server], length: int) -> None:
         for host in hosts:
-            self.world.crash(host, length)
+            self.world.crash_server(host, length)
 
     def _stall(self, hosts: list[Server], length: int, phase: str = HUNG) -> None:
         for host in hosts:
             if host.phase == UP:
                 host.phase = phase
-                self._later(length, self._woken, host, host.life)
+                self._later(length, self._woken, host, host.incarnation)
 
-    def _woken(self, host: Server, life: int) -> None:
-        if host.life == life:
+    def _woken(self, host: Server, incarnation: int) -> None:
+        if host.incarnation == incarnation:
             host.phase = UP
             # What it took meanwhile is worked off now, late.
-            for ask in list(host.open):
-                if not ask.flows and not ask.halves:
-                    host.work(ask)
+            for request in list(host.open_requests):
+                if not request.transfers and not request.pending_parts:
+                    host.process(request)
 
     def _halfopen(self, hosts: list[Server], length: int) -> None:
         self._stall(hosts, length, SILENT)
 
     def _pause(self, hosts: list[Server], pause: int, every: int, length: int) -> None:
-        until = self.agenda.now + length
+        until = self.events.now + length
 
         def once(host: Server) -> None:
-            host.paused_until = self.agenda.now + pause
-            if self.agenda.now + every < until:
+            host.paused_until = self.events.now + pause
+            if self.events.now + every < until:
                 self._later(every, once, host)
 
         for host in hosts:
-            self._later(int(every * self.chance.uniform()), once, host)
+            self._later(int(every * self.random.uniform()), once, host)
 
     def _slow(self, hosts: list[Server], times: float, length: int) -> None:
         for host in hosts:
-            host.slowed(times)
-            self._later(length, host.slowed, 1.0)
+            host.slow_down(times)
+            self._later(length, host.slow_down, 1.0)
 
     def _age(self, hosts: list[Server], times: float, over: int, length: int) -> None:
         steps = 10
         for host in hosts:
             for n in range(1, steps + 1):
-                self._later(over * n // steps, host.slowed, 1 + (times - 1) * n / steps)
-            self._later(max(length, over) + 1, host.slowed, 1.0)
+                self._later(over * n // steps, host.slow_down, 1 + (times - 1) * n / steps)
+            self._later(max(length, over) + 1, host.slow_down, 1.0)
 
     def _link(self, hosts: list[Server], times: float, length: int) -> None:
         for host in hosts:
@@ -301,102 +301,104 @@
             self._later(length, self._widen, host, 1 / times)
 
     def _widen(self, host: Server, times: float) -> None:
-        host.link.resize(room=host.link.capacity * times)
+        host.link.resize(capacity=host.link.capacity * times)
 
     def _shrink(self, hosts: list[Server], times: float, length: int) -> None:
         for host in hosts:
-            if isinstance(host, Keeper):
-                whole, host.keep.capacity_kb = host.keep.capacity_kb, host.keep.capacity_kb * times
-                self._later(length, setattr, host.keep, "capacity_kb", whole)
+            if isinstance(host, CachingServer):
+                whole, host.storage.capacity_kb = host.storage.capacity_kb, host.storage.capacity_kb * times
+                self._later(length, host.storage.set_capacity, whole)
 
-    def _share(self, name: str, hosts: list[Server], share: float, length: int) -> None:
+    def _set_share(
+        self, set_share: Callable[[Server, float], None], hosts: list[Server], share: float, length: int
+    ) -> None:
         for host in hosts:
-            setattr(host, name, share)
-            self._later(length, setattr, host, name, 0.0)
+            set_share(host, share)
+            self._later(length, set_share, host, 0.0)
 
     def _reset(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("resets", hosts, share, length)
+        self._set_share(Server.set_reset_share, hosts, share, length)
 
     def _spoil(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("spoils", hosts, share, length)
+        self._set_share(Server.set_corrupt_share, hosts, share, length)
 
     def _lose(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("lossy", hosts, share, length)
+        self._set_share(Server.set_loss_share, hosts, share, length)
 
     def _refuse(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("turns_away", hosts, share, length)
+        self._set_share(Server.set_reject_share, hosts, share, length)
 
     # Paths, log, purges.
 
     def _cut(self, one: str, other: str, length: int) -> None:
         pair = frozenset((one, other))
-        self.world.cuts.add(pair)
-        self._later(length, self.world.cuts.discard, pair)
+        self.world.cut_zones.add(pair)
+        self._later(length, self.world.cut_zones.discard, pair)
 
     def _loglate(self, times: float, length: int) -> None:
-        self.world.log.late = times
-        self._later(length, setattr, self.world.log, "late", 1.0)
+        self.world.change_log.set_delay_factor(times)
+        self._later(length, self.world.change_log.set_delay_factor, 1.0)
 
     def _logstop(self, length: int) -> None:
-        self.world.log.stop()
-        self._later(length, self.world.log.start)
+        self.world.change_log.stop()
+        self._later(length, self.world.change_log.start)
 
     def _loggap(self, length: int) -> None:
-        self.world.log.stop()
-        self._later(length, self.world.log.start, True)
+        self.world.change_log.stop()
+        self._later(length, self.world.change_log.start, True)
 
     def _purge(self, group: int) -> None:
-        self.world.purge("", group % self.world.shape.groups + 1)
+        self.world.purge("", group % self.world.settings.groups + 1)
 
     def _flush(self, share: float) -> None:
-        groups = self.world.shape.groups
-        for n in self.chance.shuffled(groups)[: max(1, round(share * groups))]:
+        groups = self.world.settings.groups
+        for n in self.random.shuffled(groups)[: max(1, round(share * groups))]:
             self.world.purge("", n + 1)
 
     # Clients and dispatchers.
 
     def _herd(self, class_name: str, share: float, objects: int, length: int) -> None:
-        hot = self.world.library.add_hot_objects(self.classes.get(class_name, 0), share, max(1, objects))
+        hot = self.world.catalog.add_hot_objects(self.classes.get(class_name, 0), share, max(1, objects))
         self._later(length, self._cool, hot)
 
     def _cool(self, hot: HotObjects) -> None:
-        self.world.library.hot.remove(hot)
+        self.world.catalog.hot.remove(hot)
 
     def _scan(self, share: float, length: int) -> None:
-        self.world.library.scan_share = share
-        self._later(length, setattr, self.world.library, "scan_share", 0.0)
+        self.world.catalog.set_scan_share(share)
+        self._later(length, self.world.catalog.set_scan_share, 0.0)
 
     def _surge(self, zone: str, times: float, length: int) -> None:
         number = int(zone[1:]) if zone[1:].isdecimal() else 0
-        surge = self.world.clients.surge
+        surge = self.world.clients.arrival_factor
         if zone[0] == "z" and number < len(surge):
             surge[number] = times
             self._later(length, self._calm, number)
 
     def _calm(self, zone: int) -> None:
-        self.world.clients.surge[zone] = 1.0
+        self.world.clients.arrival_factor[zone] = 1.0
 
     def _tail(self, class_name: str, share: float, times: float, length: int) -> None:
         number = self.classes.get(class_name, 0)
-        self.world.library.enlarged[number] = (share, times)
+        self.world.catalog.enlarged[number] = (share, times)
         self._later(length, self._light, number)
 
     def _light(self, number: int) -> None:
-        self.world.library.enlarged.pop(number, None)
+        self.world.catalog.enlarged.pop(number, None)
 
     def _kill(self, share: float, length: int) -> None:
-        for seat in self._seats(share):
-            self.world.crash_seat(seat, length)
+        for dispatcher in self._some_dispatchers(share):
+            self.world.crash_dispatcher(dispatcher, length)
 
     def _clock(self, share: float, step: int) -> None:
-        for seat in self._seats(share):
-            seat.step_clock(step)
+        for dispatcher in self._some_dispatchers(share):
+            dispatcher.step_clock(step)
 
 
-def checked(rows: list[Event], shape: Shape) -> list[str]:
+def unsupported(rows: list[ScheduledFault], settings: WorldSettings) -> list[str]:
     """What a script asks for that this world does not have, a sentence each."""
-    classes = {row.name for row in shape.classes}
-    zones = {HUB, *(f"z{n}" for n in range(shape.zones))}
+    classes = {row.name for row in settings.classes}
+    zones = {HUB, *(f"z{n}" for n in range(settings.zones))}
     wrong = []
     for row in rows:
         if row.kind in ("herd", "tail") and row.values[0] not in classes:
@@ -440,29 +442,29 @@
 RANGE = re.compile(r"\[([0-9.]+),([0-9.]+)\](s?)")
 
 
-def _filled(template: str, chance: RandomStream, seconds: float) -> str:
+def _filled(template: str, random: RandomStream, seconds: float) -> str:
     def value(found: re.Match[str]) -> str:
-        drawn = chance.between(float(found[1]), float(found[2]))
-        return f"{int(min(drawn, 0.6 * seconds) * 1000)}ms" if found[3] else f"{drawn:.2f}"
+        draw_day = random.between(float(found[1]), float(found[2]))
+        return f"{int(min(draw_day, 0.6 * seconds) * 1000)}ms" if found[3] else f"{draw_day:.2f}"
 
     return RANGE.sub(value, template)
 
 
-def drawn(day: str, seed: int, seconds: float) -> str:
+def draw_day(day: str, seed: int, seconds: float) -> str:
     """The script of a day by name: `calm`, one of `DAYS`, several joined by '+', or `any` (one to three of
     them).
     """
-    chance = RandomStreams(seed).stream(f"day {day}")
+    random = RandomStreams(seed).stream(f"day {day}")
     if day == "calm":
         return ""
     names = day.split("+")
     if day == "any":
-        order, every = chance.shuffled(len(DAYS)), sorted(DAYS)
-        names = [every[n] for n in order[: 1 + chance.below(3)]]
+        order, every = random.shuffled(len(DAYS)), sorted(DAYS)
+        names = [every[n] for n in order[: 1 + random.below(3)]]
     rows = []
     for name in names:
         if name not in DAYS:
             raise ValueError(f"no day '{name}'; there are calm, any, {', '.join(sorted(DAYS))}")
-        at = int(chance.between(0.1, 0.3) * seconds * 1000)
-        rows.append(f"(at {at}ms {_filled(DAYS[name], chance, seconds)})")
+        at = int(random.between(0.1, 0.3) * seconds * 1000)
+        rows.append(f"(at {at}ms {_filled(DAYS[name], random, seconds)})")
     return "\n".join(rows)
--- a/hoistplank/lab/model/links.py
+++ b/hoistplank/lab/model/links.py
@@ -38,8 +38,8 @@
         "overload_loss",
     )
 
-    def __init__(self, agenda: EventQueue, room: float, thrash: float = 0.0) -> None:
-        self._agenda, self.capacity, self.capacity_share, self.overload_loss = agenda, room, 1.0, thrash
+    def __init__(self, agenda: EventQueue, capacity: float, thrash: float = 0.0) -> None:
+        self._agenda, self.capacity, self.capacity_share, self.overload_loss = agenda, capacity, 1.0, thrash
         self._got, self._rate, self._at, self._due, self._turn = 0.0, 1.0, 0, FAR, 0
         self._heap: list[Transfer] = []
         self.active, self.carried_us = 0, 0.0
@@ -55,9 +55,9 @@
 
     def _pace(self) -> None:
         """The pace that follows from what is open now, and the time at which the next transfer ends."""
-        room, many, rate = self.capacity * self.capacity_share, self.active, 1.0
-        if many > room:
-            over = many / max(1e-6, room)
+        capacity, many, rate = self.capacity * self.capacity_share, self.active, 1.0
+        if many > capacity:
+            over = many / max(1e-6, capacity)
             rate = 1 / (over * (1 + self.overload_loss * (over - 1)))
         self._rate = rate
         heap = self._heap
@@ -74,24 +74,24 @@
         """A transfer; `call(*args)` at its end."""
         self._move()
         self._turn += 1
-        flow: Transfer = [self._got + size_us, self._turn, call, args]
-        heappush(self._heap, flow)
+        transfer: Transfer = [self._got + size_us, self._turn, call, args]
+        heappush(self._heap, transfer)
         self.active += 1
         self._pace()
-        return flow
+        return transfer
 
-    def cancel(self, flow: Transfer) -> None:
+    def cancel(self, transfer: Transfer) -> None:
         """Ends a transfer early, without a call; one that has ended is left alone."""
-        if flow[2] is not None:
+        if transfer[2] is not None:
             self._move()
-            flow[2] = None
+            transfer[2] = None
             self.active -= 1
             self._pace()
 
-    def resize(self, room: float | None = None, share: float | None = None) -> None:
+    def resize(self, capacity: float | None = None, share: float | None = None) -> None:
         """Another width, or another share of it (cold, slowed); what is under way goes on at the new pace."""
         self._move()
-        self.capacity = self.capacity if room is None else room
+        self.capacity = self.capacity if capacity is None else capacity
         self.capacity_share = self.capacity_share if share is None else share
         self._pace()
 
@@ -102,10 +102,10 @@
         self._move()
         heap, ended = self._heap, []
         while heap and (heap[0][2] is None or heap[0][0] <= self._got + 0.5):
-            flow = heappop(heap)
-            if flow[2] is not None:
-                ended.append((flow[2], flow[3]))
-                flow[2] = None
+            transfer = heappop(heap)
+            if transfer[2] is not None:
+                ended.append((transfer[2], transfer[3]))
+                transfer[2] = None
                 self.active -= 1
         self._pace()
         for call, args in ended:
--- a/hoistplank/lab/model/objects.py
+++ b/hoistplank/lab/model/objects.py
@@ -7,7 +7,7 @@
 from itertools import accumulate
 
 from hoistplank.lab.model.streams import RandomStream, RandomStreams
-from hoistplank.lab.model.world_settings import S, Shape
+from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings
 
 FIRST_ONE_TIME_NUMBER = 1 << 40  # ids from here on are asked for once only
 FIRST_HOT_NUMBER = 1 << 44
@@ -27,7 +27,7 @@
 class ObjectCatalog:
     """The objects of all traffic classes. `size` is the same wherever and whenever an object is asked for."""
 
-    shape: Shape
+    settings: WorldSettings
     streams: RandomStreams
     hot: list[HotObjects] = field(default_factory=list)
     enlarged: dict[int, tuple[float, float]] = field(
@@ -42,12 +42,12 @@
 
     def __post_init__(self) -> None:
         self._ranks, self._sizes, self._chance = [], [], []
-        for row in self.shape.classes:
+        for row in self.settings.classes:
             ranks = list(accumulate(1.0 / (n + 1) ** row.zipf for n in range(row.objects)))
             self._ranks.append([value / ranks[-1] for value in ranks])
             draw = self.streams.stream(f"sizes of {row.name}")
             self._sizes.append(
-                [row.kb * 2.718281828459045 ** (row.spread * draw.normal()) for _ in range(1_024)]
+                [row.kb * 2.718281828459045 ** (row.size_sigma * draw.normal()) for _ in range(1_024)]
             )
             self._chance.append(self.streams.stream(f"popularity of {row.name}"))
 
@@ -58,7 +58,7 @@
 
     def draw_object(self, now: int, class_index: int, zone: int) -> int:
         """The object that a client of a location asks for now."""
-        row, chance = self.shape.classes[class_index], self._chance[class_index]
+        row, chance = self.settings.classes[class_index], self._chance[class_index]
         # As many numbers for each request whatever they decide: what follows stays the same.
         which, local, other, spot = chance.uniform(), chance.uniform(), chance.uniform(), chance.uniform()
         if not row.uncached and other < self.scan_share:
@@ -68,9 +68,13 @@
             if hot.class_index == class_index and which < hot.share:
                 return hot.first + int(spot * hot.count)
         rank = bisect_right(self._ranks[class_index], spot)
-        moved = int(now * self.shape.drift / S)
+        moved = int(now * self.settings.drift / SECOND_US)
         base = (rank * 7_919 + moved * (rank % 13 == 0)) % row.objects + class_index * 1_000_000
-        return base + (zone + 1) * 100_000_000 if local < self.shape.local else base
+        return base + (zone + 1) * 100_000_000 if local < self.settings.local_share else base
+
+    def set_scan_share(self, share: float) -> None:
+        """Have this share of cached first parts ask for an object that nobody asks for again."""
+        self.scan_share = share
 
     def add_hot_objects(self, class_index: int, share: float, count: int) -> HotObjects:
         """New objects that are much asked for from now on; returned so that it can be ended."""
@@ -84,5 +88,5 @@
     return f"{object_number:016x}"
 
 
-def purge_group_of(object_number: int, shape: Shape) -> int:
-    return object_number % shape.groups + 1
+def purge_group_of(object_number: int, settings: WorldSettings) -> int:
+    return object_number % settings.groups + 1
--- a/hoistplank/lab/model/rule_checker.py
+++ b/hoistplank/lab/model/rule_checker.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from hoistplank.lab.model.world_settings import S, Shape
+from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings
 
 DRAIN_GRACE_US, PURGE_GRACE_US, ANSWER_SLACK_US = 250_000, 1_000_000, 50_000
 MAX_VIOLATIONS = 50
@@ -41,31 +41,33 @@
 class AnswerChecker:
     """Rule one: exactly one whole answer to each request taken, before its time is up."""
 
-    def __init__(self, tell: ReportViolation) -> None:
-        self.report, self.open = tell, dict[str, AcceptedRequest]()
+    def __init__(self, report: ReportViolation) -> None:
+        self.report, self.open = report, dict[str, AcceptedRequest]()
         self.slack_us = ANSWER_SLACK_US  # beyond its time that an answer may come; more on a shared machine
         self.excused_dispatchers: dict[
             int, int
         ] = {}  # dispatchers not to blame for answers now, by how many causes
 
-    def accepted(self, now: int, seat: int, request: str, until: int) -> None:
-        self.open[request] = AcceptedRequest(seat, until, excused=seat in self.excused_dispatchers)
+    def accepted(self, now: int, dispatcher: int, request: str, until: int) -> None:
+        self.open[request] = AcceptedRequest(
+            dispatcher, until, excused=dispatcher in self.excused_dispatchers
+        )
 
     def withdrawn(self, request: str) -> None:
         """Nobody took it after all."""
         self.open.pop(request, None)
 
-    def begin_excuse(self, seat: int) -> None:
+    def begin_excuse(self, dispatcher: int) -> None:
         """From now on what a dispatcher answers can't come, or it stands still: that is not its fault."""
-        self.excused_dispatchers[seat] = self.excused_dispatchers.get(seat, 0) + 1
-        self.dispatcher_killed(seat)
+        self.excused_dispatchers[dispatcher] = self.excused_dispatchers.get(dispatcher, 0) + 1
+        self.dispatcher_killed(dispatcher)
 
-    def end_excuse(self, seat: int) -> None:
+    def end_excuse(self, dispatcher: int) -> None:
         """One cause of that has ended; what is open still is excused."""
-        self.dispatcher_killed(seat)
-        self.excused_dispatchers[seat] -= 1
-        if not self.excused_dispatchers[seat]:
-            del self.excused_dispatchers[seat]
+        self.dispatcher_killed(dispatcher)
+        self.excused_dispatchers[dispatcher] -= 1
+        if not self.excused_dispatchers[dispatcher]:
+            del self.excused_dispatchers[dispatcher]
 
     def answered(self, now: int, request: str) -> None:
         row = self.open.get(request)
@@ -83,10 +85,10 @@
         if row is not None:
             row.left = now < row.deadline
 
-    def dispatcher_killed(self, seat: int) -> None:
+    def dispatcher_killed(self, dispatcher: int) -> None:
         """Its requests are nobody's fault but the killer's."""
         for row in self.open.values():
-            row.excused |= row.dispatcher == seat
+            row.excused |= row.dispatcher == dispatcher
 
     def sweep(self, now: int) -> None:
         """What is long past its time; done now and then, so that a day of millions of requests stays
@@ -95,10 +97,10 @@
         for request, row in self.open.items():
             # In the order of their taking: none that comes later is past its time where this one has 5 s to
             # go.
-            if row.deadline > now + 5 * S:
+            if row.deadline > now + 5 * SECOND_US:
                 break
             # Danger: what was held back by the rig, or stood still, may be answered long after its time.
-            if row.deadline + S < now and (row.answers or not row.excused):
+            if row.deadline + SECOND_US < now and (row.answers or not row.excused):
                 past.append(request)
         for request in past:
             row = self.open.pop(request)
@@ -111,8 +113,8 @@
     window.
     """
 
-    def __init__(self, tell: ReportViolation) -> None:
-        self.report, self.last_run = tell, dict[str, int]()
+    def __init__(self, report: ReportViolation) -> None:
+        self.report, self.last_run = report, dict[str, int]()
 
     def run(self, now: int, key: str, window_us: int) -> bool:
         """An effect is asked for; whether it runs, and is not known as a repeat."""
@@ -130,27 +132,29 @@
     source too.
     """
 
-    def __init__(self, tell: ReportViolation) -> None:
-        self.report, self.notified_at = tell, dict[tuple[int, str], int]()
+    def __init__(self, report: ReportViolation) -> None:
+        self.report, self.notified_at = report, dict[tuple[int, str], int]()
         self.on_attempt: Callable[[int, int, str, str], None] | None = None  # of every attempt
 
-    def dispatcher_notified(self, now: int, seat: int, host: str, state: str) -> None:
+    def dispatcher_notified(self, now: int, dispatcher: int, host: str, state: str) -> None:
         if state == "up":
-            self.notified_at.pop((seat, host), None)
+            self.notified_at.pop((dispatcher, host), None)
         else:
-            self.notified_at.setdefault((seat, host), now)
+            self.notified_at.setdefault((dispatcher, host), now)
 
-    def forget(self, seat: int) -> None:
-        for pair in [pair for pair in self.notified_at if pair[0] == seat]:
+    def forget(self, dispatcher: int) -> None:
+        for pair in [pair for pair in self.notified_at if pair[0] == dispatcher]:
             del self.notified_at[pair]
 
-    def attempt(self, now: int, seat: int, host: str, role: str) -> None:
+    def attempt(self, now: int, dispatcher: int, host: str, role: str) -> None:
         if self.on_attempt is not None:
-            self.on_attempt(now, seat, host, role)
-        at = self.notified_at.get((seat, host))
+            self.on_attempt(now, dispatcher, host, role)
+        at = self.notified_at.get((dispatcher, host))
         if at is not None and now - at > DRAIN_GRACE_US:
             self.report(
-                3, now, f"{host} as {role} from dispatcher {seat} {(now - at) // 1000} ms after it was told"
+                3,
+                now,
+                f"{host} as {role} from dispatcher {dispatcher} {(now - at) // 1000} ms after it was told",
             )
 
 
@@ -171,49 +175,52 @@
     thirds of the work came from dispatchers that had been told of its start.
     """
 
-    def __init__(self, shape: Shape, tell: ReportViolation) -> None:
-        self.shape, self.report = shape, tell
+    def __init__(self, settings: WorldSettings, report: ReportViolation) -> None:
+        self.settings, self.report = settings, report
         self.warming, self.known_starts = dict[str, WarmingHost](), dict[tuple[int, str], int]()
         self.highest_ever = 0.0
 
-    def host_started(self, now: int, host: str, room: float) -> None:
-        self.warming[host] = WarmingHost(now, room)
+    def host_started(self, now: int, host: str, capacity: float) -> None:
+        self.warming[host] = WarmingHost(now, capacity)
 
-    def dispatcher_notified(self, seat: int, host: str, started_us: int) -> None:
-        self.known_starts[seat, host] = max(self.known_starts.get((seat, host), 0), started_us)
+    def dispatcher_notified(self, dispatcher: int, host: str, started_us: int) -> None:
+        self.known_starts[dispatcher, host] = max(self.known_starts.get((dispatcher, host), 0), started_us)
 
-    def forget(self, seat: int) -> None:
-        for pair in [pair for pair in self.known_starts if pair[0] == seat]:
+    def forget(self, dispatcher: int) -> None:
+        for pair in [pair for pair in self.known_starts if pair[0] == dispatcher]:
             del self.known_starts[pair]
 
     def highest_load(self, now: int) -> float:
         """The most that a cold host is asked for now, as a share of what it can bear."""
-        most, shape = 0.0, self.shape
+        most, settings = 0.0, self.settings
         for row in self.warming.values():
-            if now - row.started < shape.cold_us:
-                asked = sum(work for at, work, _ in row.work if at > now - shape.tip_us)
+            if now - row.started < settings.warm_up_us:
+                asked = sum(work for at, work, _ in row.work if at > now - settings.overload_window_us)
                 most = max(most, asked / self._budget(now, row))
         return most
 
     def _budget(self, now: int, row: WarmingHost) -> float:
-        shape = self.shape
-        can = shape.cold_from + (1 - shape.cold_from) * (now - row.started) / shape.cold_us
-        return shape.tip_multiple * can * row.capacity * shape.tip_us
+        settings = self.settings
+        can = (
+            settings.cold_start_share
+            + (1 - settings.cold_start_share) * (now - row.started) / settings.warm_up_us
+        )
+        return settings.overload_multiple * can * row.capacity * settings.overload_window_us
 
-    def work_arrived(self, now: int, seat: int, host: str, work_us: float) -> bool:
+    def work_arrived(self, now: int, dispatcher: int, host: str, work_us: float) -> bool:
         """Work of a dispatcher that reached a host; whether it was more than the host can bear."""
         row = self.warming.get(host)
         if row is None:
             return False
-        shape = self.shape
-        if now - row.started >= shape.cold_us:
+        settings = self.settings
+        if now - row.started >= settings.warm_up_us:
             del self.warming[host]
             return False
-        told = self.known_starts.get((seat, host), -1) >= row.started
+        told = self.known_starts.get((dispatcher, host), -1) >= row.started
         row.work.append((now, work_us, told))
         row.requested += work_us
         row.by_notified += work_us * told
-        while row.work[0][0] <= now - shape.tip_us:
+        while row.work[0][0] <= now - settings.overload_window_us:
             _, work, by_told = row.work.popleft()
             row.requested -= work
             row.by_notified -= work * by_told
@@ -230,34 +237,34 @@
 class PurgeChecker:
     """Rule five: nothing older than a purge in answer to what was sent 1 s after the dispatcher was told."""
 
-    def __init__(self, tell: ReportViolation) -> None:
-        self.report, self.watermarks = tell, dict[tuple[int, str | int], deque[tuple[int, int]]]()
+    def __init__(self, report: ReportViolation) -> None:
+        self.report, self.watermarks = report, dict[tuple[int, str | int], deque[tuple[int, int]]]()
 
-    def dispatcher_notified(self, now: int, seat: int, what: str | int, made: int) -> None:
-        row = self.watermarks.setdefault((seat, what), deque(maxlen=8))
+    def dispatcher_notified(self, now: int, dispatcher: int, what: str | int, made: int) -> None:
+        row = self.watermarks.setdefault((dispatcher, what), deque(maxlen=8))
         row.append((now, made))
 
-    def forget(self, seat: int) -> None:
-        for pair in [pair for pair in self.watermarks if pair[0] == seat]:
+    def forget(self, dispatcher: int) -> None:
+        for pair in [pair for pair in self.watermarks if pair[0] == dispatcher]:
             del self.watermarks[pair]
 
     def served(
-        self, now: int, seat: int, request: str, object_key: str, group: int, sent: int, born: int
+        self, now: int, dispatcher: int, request: str, object_key: str, group: int, sent: int, created: int
     ) -> None:
         for what in (object_key, group):
-            for told, made in self.watermarks.get((seat, what), ()):
-                if sent > told + PURGE_GRACE_US and born < made:
+            for told, made in self.watermarks.get((dispatcher, what), ()):
+                if sent > told + PURGE_GRACE_US and created < made:
                     self.report(
                         5,
                         now,
-                        f"{request} answered by a copy {(made - born) // 1000} ms older than its purge",
+                        f"{request} answered by a copy {(made - created) // 1000} ms older than its purge",
                     )
 
 
 class RuleChecker:
     """All five, and what they found."""
 
-    def __init__(self, shape: Shape) -> None:
+    def __init__(self, settings: WorldSettings) -> None:
         self.violations: list[Violation] = []
         self.counts = dict.fromkeys((1, 2, 3, 4, 5), 0)
         self.answers, self.effects, self.drains = (
@@ -265,16 +272,16 @@
             EffectChecker(self._report),
             DrainChecker(self._report),
         )
-        self.colds, self.purges = ColdStartChecker(shape, self._report), PurgeChecker(self._report)
+        self.colds, self.purges = ColdStartChecker(settings, self._report), PurgeChecker(self._report)
 
     def _report(self, rule: int, at: int, what: str) -> None:
         self.counts[rule] += 1
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(Violation(rule, at, what))
 
-    def dispatcher_killed(self, seat: int) -> None:
+    def dispatcher_killed(self, dispatcher: int) -> None:
         """A dispatcher's process is gone: it knows nothing any more, and what it had open is excused."""
-        self.answers.dispatcher_killed(seat)
-        self.drains.forget(seat)
-        self.colds.forget(seat)
-        self.purges.forget(seat)
+        self.answers.dispatcher_killed(dispatcher)
+        self.drains.forget(dispatcher)
+        self.colds.forget(dispatcher)
+        self.purges.forget(dispatcher)
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -17,58 +17,71 @@
 from hoistplank.lab.model.objects import ObjectCatalog
 from hoistplank.lab.model.rule_checker import RuleChecker
 from hoistplank.lab.model.streams import RandomStream
-from hoistplank.lab.model.world_settings import BOX, ORIGIN, PARENT, Shape
+from hoistplank.lab.model.world_settings import CACHE_HOST, ORIGIN, PARENT, WorldSettings
 
 UP, SILENT, HUNG, DOWN = "up", "silent", "hung", "down"
-End = Callable[[int, int, int], None]  # result, note, born
+OnComplete = Callable[[int, int, int], None]  # result, note, born
 NEVER = -(1 << 60)
-RENEW_FROM = 0.8  # of its fresh time: from here on a copy may be renewed behind its answer
+RENEW_AFTER_SHARE = 0.8  # of its fresh time: from here on a copy may be renewed behind its answer
 
 
-class Ask:
+class ServerRequest:
     """An attempt, or a fill that a server asks of its source. Sizes in microseconds at full pace."""
 
     __slots__ = (
-        "alive",
-        "back",
-        "end",
-        "flows",
-        "found",
+        "active",
+        "return_delay_us",
+        "on_complete",
+        "transfers",
+        "fill_result",
         "group",
-        "halves",
-        "join",
-        "keep",
-        "key",
-        "oldest_us",
-        "place",
-        "renew",
-        "seat",
+        "pending_parts",
+        "may_join",
+        "cache_rank",
+        "idempotency_key",
+        "max_age_us",
+        "cache_key",
+        "may_renew",
+        "dispatcher",
         "size_us",
         "source",
-        "started",
+        "on_first_byte",
         "class_index",
         "extra_links",
         "zone",
     )
 
     def __init__(
-        self, seat: int, zone: int, class_index: int, place: CacheKey, group: int, size_us: float, end: End
+        self,
+        dispatcher: int,
+        zone: int,
+        class_index: int,
+        cache_key: CacheKey,
+        group: int,
+        size_us: float,
+        end: OnComplete,
     ) -> None:
-        self.seat, self.zone, self.class_index, self.place, self.group = seat, zone, class_index, place, group
-        self.size_us, self.end = size_us, end
-        self.source, self.keep, self.oldest_us, self.key = "", 2, 0, ""
-        self.join = self.renew = False
-        self.alive, self.halves = True, 0
-        self.found = (0, -1)  # note and birth of what a fill brought
-        self.flows: list[tuple[Link, Transfer]] = []
+        self.dispatcher, self.zone, self.class_index, self.cache_key, self.group = (
+            dispatcher,
+            zone,
+            class_index,
+            cache_key,
+            group,
+        )
+        self.size_us, self.on_complete = size_us, end
+        self.source, self.cache_rank, self.max_age_us, self.idempotency_key = "", 2, 0, ""
+        self.may_join = self.may_renew = False
+        self.active, self.pending_parts = True, 0
+        self.fill_result = (0, -1)  # note and birth of what a fill brought
+        self.transfers: list[tuple[Link, Transfer]] = []
         self.extra_links: list[Link] = []  # links beside the server's own that the answer takes
-        self.started: Callable[[], None] | None = None  # told when the answer begins to flow
-        self.back = 0  # how long the answer is under way
+        self.on_first_byte: Callable[[], None] | None = None  # told when the answer begins to flow
+        self.return_delay_us = 0  # how long the answer is under way
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """The asker has left: what flows for it stops."""
-        self.alive = False
-        for link, flow in self.flows:
+        self.active = False
+        for link, flow in self.transfers:
             link.cancel(flow)
 
 
@@ -79,153 +92,191 @@
 
     kind = ""
 
-    def __init__(self, world: Surroundings, uid: str, zone: str, cell: int, room: float, cores: int) -> None:
-        self.world, self.agenda, self.shape = world, world.agenda, world.shape
-        self.uid, self.zone, self.cell, self.room = uid, zone, cell, room
-        self.link = Link(world.agenda, room, world.shape.thrash)
-        self.chance: RandomStream = world.stream(f"server {uid}")
-        self.free = [0] * cores
-        self.phase, self.listed, self.life, self.started_us, self.pushed = UP, "up", 0, 0, NEVER
-        self.slow, self.lossy, self.spoils, self.resets, self.turns_away = 1.0, 0.0, 0.0, 0.0, 0.0
-        self.paused_until, self.linked = 0, set[int]()
-        self.open: dict[Ask, None] = {}
-        self.asked = self.refused = self.fell = 0
+    def __init__(
+        self, world: ServerEnvironment, uid: str, zone: str, cell: int, capacity: float, cores: int
+    ) -> None:
+        self.world, self.events, self.settings = world, world.events, world.settings
+        self.uid, self.zone, self.cell, self.capacity = uid, zone, cell, capacity
+        self.link = Link(world.events, capacity, world.settings.overload_loss)
+        self.random: RandomStream = world.stream(f"server {uid}")
+        self.core_free_at = [0] * cores
+        self.phase, self.listed_state, self.incarnation, self.started_us, self.last_overload_at = (
+            UP,
+            "up",
+            0,
+            0,
+            NEVER,
+        )
+        self.slowdown, self.loss_share, self.corrupt_share, self.reset_share, self.reject_share = (
+            1.0,
+            0.0,
+            0.0,
+            0.0,
+            0.0,
+        )
+        self.paused_until, self.connected_dispatchers = 0, set[int]()
+        self.open_requests: dict[ServerRequest, None] = {}
+        self.received = self.rejected = self.overload_crashes = 0
 
     # Faults and phases.
 
     def stop(self, phase: str = DOWN) -> None:
         """The process ends: what it has open breaks, what it kept is gone."""
-        self.phase, self.life = phase, self.life + 1
-        broken, self.open = list(self.open), {}
-        self.linked.clear()
-        for ask in broken:
-            ask.drop()
+        self.phase, self.incarnation = phase, self.incarnation + 1
+        broken, self.open_requests = list(self.open_requests), {}
+        self.connected_dispatchers.clear()
+        for request in broken:
+            request.cancel()
             if phase == DOWN:
-                self._told(ask, Result.BROKEN, 0, -1)
+                self._complete(request, Result.BROKEN, 0, -1)
 
     def start(self) -> None:
         """A new process: cold, empty, told to the log by the world."""
-        self.phase, self.life, self.started_us = UP, self.life + 1, self.agenda.now
-        self.free = [self.agenda.now] * len(self.free)
+        self.phase, self.incarnation, self.started_us = UP, self.incarnation + 1, self.events.now
+        self.core_free_at = [self.events.now] * len(self.core_free_at)
         self.paused_until = 0
-        self.world.truth.colds.host_started(self.agenda.now, self.uid, self.room)
-        self._warm(self.life)
+        self.world.rules.colds.host_started(self.events.now, self.uid, self.capacity)
+        self._update_warmth(self.incarnation)
 
-    def _warm(self, life: int) -> None:
-        if life != self.life:
+    def _update_warmth(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
-        shape, age = self.shape, self.agenda.now - self.started_us
-        warm = min(1.0, age / max(1, shape.cold_us))
-        self.link.resize(share=(shape.cold_from + (1 - shape.cold_from) * warm) / self.slow)
+        settings, age = self.settings, self.events.now - self.started_us
+        warm = min(1.0, age / max(1, settings.warm_up_us))
+        self.link.resize(
+            share=(settings.cold_start_share + (1 - settings.cold_start_share) * warm) / self.slowdown
+        )
         if warm < 1:
-            self.agenda.schedule(self.agenda.now + 250_000, self._warm, life)
+            self.events.schedule(self.events.now + 250_000, self._update_warmth, incarnation)
 
-    def slowed(self, times: float) -> None:
+    def slow_down(self, times: float) -> None:
         """All its work takes so many times as long; 1 ends it."""
-        self.link.resize(share=self.link.capacity_share * self.slow / times)
-        self.slow = times
+        self.link.resize(share=self.link.capacity_share * self.slowdown / times)
+        self.slowdown = times
+
+    def set_reset_share(self, share: float) -> None:
+        """Cut this share of answers off with a reset."""
+        self.reset_share = share
+
+    def set_corrupt_share(self, share: float) -> None:
+        """Corrupt this share of answers."""
+        self.corrupt_share = share
+
+    def set_loss_share(self, share: float) -> None:
+        """Never send this share of answers."""
+        self.loss_share = share
 
-    # Asks.
+    def set_reject_share(self, share: float) -> None:
+        """Reject this share of requests though there is capacity."""
+        self.reject_share = share
 
-    def arrive(self, ask: Ask) -> None:
-        now = self.agenda.now
+    # Requests.
+
+    def arrive(self, request: ServerRequest) -> None:
+        now = self.events.now
         if self.phase == DOWN:
-            return self._told(ask, Result.NO_CONNECTION, 0, -1)
+            return self._complete(request, Result.NO_CONNECTION, 0, -1)
         if self.phase == SILENT:
-            if ask.seat not in self.linked and ask.seat >= 0:
+            if request.dispatcher not in self.connected_dispatchers and request.dispatcher >= 0:
                 # A connection that is to be made anew is not up in time; over one that is, silence.
-                self.agenda.schedule(now + 400_000, self._told, ask, Result.NO_CONNECTION, 0, -1)
+                self.events.schedule(now + 400_000, self._complete, request, Result.NO_CONNECTION, 0, -1)
             return
-        self.linked.add(ask.seat)
-        self.asked += 1
-        if self._pushed_over(ask):
+        self.connected_dispatchers.add(request.dispatcher)
+        self.received += 1
+        if self._overloads(request):
             return
-        self.open[ask] = None
+        self.open_requests[request] = None
         if self.phase == HUNG:
             return
-        begin = self.free[0]
+        begin = self.core_free_at[0]
         if begin < now:
             begin = now
         if begin < self.paused_until:
             begin = self.paused_until
-        if begin - now > self.shape.queue_us or (self.turns_away and self.chance.uniform() < self.turns_away):
-            self.refused += 1
-            return self._finish(ask, Result.FULL, 0, -1)
-        done = begin + int(self._work_us() * self.slow * (0.5 + 0.5 * self.chance.exponential()))
-        heapreplace(self.free, done)
-        self.agenda.schedule(done, self._worked, ask, self.life)
+        if begin - now > self.settings.max_queue_us or (
+            self.reject_share and self.random.uniform() < self.reject_share
+        ):
+            self.rejected += 1
+            return self._finish(request, Result.FULL, 0, -1)
+        done = begin + int(self._work_us() * self.slowdown * (0.5 + 0.5 * self.random.exponential()))
+        heapreplace(self.core_free_at, done)
+        self.events.schedule(done, self._work_done, request, self.incarnation)
 
     def _work_us(self) -> float:
-        return self.shape.work_us
+        return self.settings.work_us
 
-    def _pushed_over(self, ask: Ask) -> bool:
+    def _overloads(self, request: ServerRequest) -> bool:
         """Falls over when it is cold and asked for more than it can bear; only truth's own budget decides."""
-        if self.uid not in self.world.truth.colds.warming:
+        if self.uid not in self.world.rules.colds.warming:
             return False
-        if ask.seat < 0 or not self.world.truth.colds.work_arrived(
-            self.agenda.now, ask.seat, self.uid, self._costs(ask)
+        if request.dispatcher < 0 or not self.world.rules.colds.work_arrived(
+            self.events.now, request.dispatcher, self.uid, self._transfer_us(request)
         ):
             return False
-        if self.agenda.now - self.pushed < self.shape.tip_us:
+        if self.events.now - self.last_overload_at < self.settings.overload_window_us:
             return False
-        self.pushed, self.fell = self.agenda.now, self.fell + 1
-        self._told(ask, Result.BROKEN, 0, -1)
-        self.world.fell(self)
+        self.last_overload_at, self.overload_crashes = self.events.now, self.overload_crashes + 1
+        self._complete(request, Result.BROKEN, 0, -1)
+        self.world.server_overloaded(self)
         return True
 
-    def _costs(self, ask: Ask) -> float:
-        row = self.shape.classes[ask.class_index]
-        return 0.0 if row.uncached else row.kb / self.shape.flow_kb_s * 1e6
+    def _transfer_us(self, request: ServerRequest) -> float:
+        row = self.settings.classes[request.class_index]
+        return 0.0 if row.uncached else row.kb / self.settings.transfer_kb_s * 1e6
 
-    def _worked(self, ask: Ask, life: int) -> None:
-        if life != self.life or not ask.alive or self.phase == HUNG:
+    def _work_done(self, request: ServerRequest, incarnation: int) -> None:
+        if incarnation != self.incarnation or not request.active or self.phase == HUNG:
             return
-        if self.paused_until > self.agenda.now:
-            return self.agenda.schedule(self.paused_until, self._worked, ask, life)
-        self.work(ask)
+        if self.paused_until > self.events.now:
+            return self.events.schedule(self.paused_until, self._work_done, request, incarnation)
+        self.process(request)
 
-    def work(self, ask: Ask) -> None:
+    def process(self, request: ServerRequest) -> None:
         raise NotImplementedError
 
-    def send(self, ask: Ask, size_us: float, note: int, born: int) -> None:
+    def respond(self, request: ServerRequest, size_us: float, note: int, created: int) -> None:
         """Lets an answer flow out, over its extra links as well; the slowest decides."""
-        if ask.started is not None:
-            ask.started()
-        links = [self.link, *ask.extra_links]
-        ask.halves += len(links)
+        if request.on_first_byte is not None:
+            request.on_first_byte()
+        links = [self.link, *request.extra_links]
+        request.pending_parts += len(links)
         for link in links:
-            ask.flows.append((link, link.start(size_us, self._flowed, ask, note, born, self.life)))
-
-    def _flowed(self, ask: Ask, note: int, born: int, life: int) -> None:
-        ask.halves -= 1
-        if ask.halves == 0 and ask.alive and life == self.life:
-            if self.paused_until > self.agenda.now:
-                return self.agenda.schedule(
-                    self.paused_until, self._finish, ask, Result.SUCCEEDED, note, born
+            request.transfers.append(
+                (link, link.start(size_us, self._transfer_done, request, note, created, self.incarnation))
+            )
+
+    def _transfer_done(self, request: ServerRequest, note: int, created: int, incarnation: int) -> None:
+        request.pending_parts -= 1
+        if request.pending_parts == 0 and request.active and incarnation == self.incarnation:
+            if self.paused_until > self.events.now:
+                return self.events.schedule(
+                    self.paused_until, self._finish, request, Result.SUCCEEDED, note, created
                 )
-            self._finish(ask, Result.SUCCEEDED, note, born)
+            self._finish(request, Result.SUCCEEDED, note, created)
 
-    def _finish(self, ask: Ask, result: int, note: int, born: int) -> None:
+    def _finish(self, request: ServerRequest, result: int, note: int, created: int) -> None:
         """The answer is whole here; on its way it may still be spoilt, cut off or lost."""
-        if self.open.pop(ask, self) is self or not ask.alive:
+        if self.open_requests.pop(request, self) is self or not request.active:
             return  # its process has ended meanwhile, or the asker has left
         if self.phase == HUNG:
             return
-        if self.resets and self.chance.uniform() < self.resets:
-            return self._told(ask, Result.BROKEN, 0, -1)
-        if self.lossy and self.chance.uniform() < self.lossy:
+        if self.reset_share and self.random.uniform() < self.reset_share:
+            return self._complete(request, Result.BROKEN, 0, -1)
+        if self.loss_share and self.random.uniform() < self.loss_share:
             return
-        if result == Result.SUCCEEDED and self.spoils and self.chance.uniform() < self.spoils:
-            return self._told(ask, Result.SPOILT, 0, -1)
-        self._told(ask, result, note, born)
+        if result == Result.SUCCEEDED and self.corrupt_share and self.random.uniform() < self.corrupt_share:
+            return self._complete(request, Result.SPOILT, 0, -1)
+        self._complete(request, result, note, created)
 
-    def _told(self, ask: Ask, result: int, note: int, born: int) -> None:
-        self.agenda.schedule(self.agenda.now + ask.back, ask.end, result, note, born)
+    def _complete(self, request: ServerRequest, result: int, note: int, created: int) -> None:
+        self.events.schedule(
+            self.events.now + request.return_delay_us, request.on_complete, result, note, created
+        )
 
-    def left(self, ask: Ask) -> None:
+    def cancel(self, request: ServerRequest) -> None:
         """The asker takes it back."""
-        self.open.pop(ask, None)
-        ask.drop()
+        self.open_requests.pop(request, None)
+        request.cancel()
 
 
 class Origin(Server):
@@ -233,254 +284,328 @@
 
     kind = ORIGIN
 
-    def __init__(self, world: Surroundings, uid: str, zone: str, room: float, workers: int) -> None:
-        super().__init__(world, uid, zone, 0, room, workers)
-        self.came: deque[int] = deque()
-        self.falls = 0
+    def __init__(self, world: ServerEnvironment, uid: str, zone: str, capacity: float, workers: int) -> None:
+        super().__init__(world, uid, zone, 0, capacity, workers)
+        self.arrivals: deque[int] = deque()
+        self.crashes = 0
 
     def _work_us(self) -> float:
-        shape = self.shape
-        queued = max(0, self.free[0] - self.agenda.now)
-        return shape.origin_us * (1 + shape.origin_crowd * min(1.0, queued / max(1, shape.origin_queue_us)))
-
-    def _pushed_over(self, ask: Ask) -> bool:
-        shape, now = self.shape, self.agenda.now
-        came = self.came
+        settings = self.settings
+        queued = max(0, self.core_free_at[0] - self.events.now)
+        return settings.origin_us * (
+            1 + settings.origin_slowdown * min(1.0, queued / max(1, settings.origin_queue_us))
+        )
+
+    def _overloads(self, request: ServerRequest) -> bool:
+        settings, now = self.settings, self.events.now
+        came = self.arrivals
         came.append(now)
-        while came[0] <= now - shape.origin_fall_us:
+        while came[0] <= now - settings.origin_overload_window_us:
             came.popleft()
-        can = len(self.free) / shape.origin_us * shape.origin_fall_us
-        if len(came) <= shape.origin_fall_multiple * can or self.falls >= 2:
+        can = len(self.core_free_at) / settings.origin_us * settings.origin_overload_window_us
+        if len(came) <= settings.origin_overload_multiple * can or self.crashes >= 2:
             return False
-        self.falls += 1
+        self.crashes += 1
         came.clear()
-        self._told(ask, Result.BROKEN, 0, -1)
-        self.world.fell(self)
+        self._complete(request, Result.BROKEN, 0, -1)
+        self.world.server_overloaded(self)
         return True
 
-    def work(self, ask: Ask) -> None:
-        row = self.shape.classes[ask.class_index]
+    def process(self, request: ServerRequest) -> None:
+        row = self.settings.classes[request.class_index]
         if row.uncached:
-            self.world.truth.effects.run(self.agenda.now, ask.key, row.window_us)
-        self.send(ask, ask.size_us, Note.FROM_ORIGIN, self.agenda.now)
+            self.world.rules.effects.run(self.events.now, request.idempotency_key, row.window_us)
+        self.respond(request, request.size_us, Note.FROM_ORIGIN, self.events.now)
 
 
 class Fill:
     """One transfer from a source, and all that wait for it."""
 
-    __slots__ = ("ask", "first", "floor", "flowing", "oldest_us", "source", "tries", "waiting")
+    __slots__ = (
+        "request",
+        "first",
+        "oldest_created",
+        "streaming",
+        "max_age_us",
+        "source",
+        "attempts",
+        "waiting",
+    )
 
-    def __init__(self, first: Ask, source: str, floor: int, oldest_us: int) -> None:
-        self.first, self.source, self.oldest_us = first, source, oldest_us
-        self.floor = floor  # nothing that it brings is older
-        self.waiting: list[tuple[Ask, int]] = []
-        self.ask: Ask | None = None
-        self.tries, self.flowing = 0, False
+    def __init__(self, first: ServerRequest, source: str, oldest_created: int, max_age_us: int) -> None:
+        self.first, self.source, self.max_age_us = first, source, max_age_us
+        self.oldest_created = oldest_created  # nothing that it brings is older
+        self.waiting: list[tuple[ServerRequest, int]] = []
+        self.request: ServerRequest | None = None
+        self.attempts, self.streaming = 0, False
 
 
-class Keeper(Server):
+class CachingServer(Server):
     """A cache host or a parent: answers from its keep, joins fills, fills from a source, renews behind."""
 
     def __init__(
-        self, world: Surroundings, uid: str, zone: str, kind: str, cell: int, room: float, keep_kb: float
+        self,
+        world: ServerEnvironment,
+        uid: str,
+        zone: str,
+        kind: str,
+        cell: int,
+        capacity: float,
+        storage_kb: float,
     ) -> None:
-        super().__init__(world, uid, zone, cell, room, world.shape.cores)
-        self.kind, self.keep = kind, CacheStorage(keep_kb)
+        super().__init__(world, uid, zone, cell, capacity, world.settings.cores)
+        self.kind, self.storage = kind, CacheStorage(storage_kb)
         self.fills: dict[CacheKey, Fill] = {}
-        self.filling = self.hits = self.filled = self.joined = 0
+        self.active_fills = self.hits = self.completed_fills = self.joined_requests = 0
         # How long after a purge it drops its older copies: each in its own time.
-        self.drops_after = int(world.shape.purge_takes_us * self.chance.uniform())
+        self.purge_delay_us = int(world.settings.purge_delay_us * self.random.uniform())
 
     def stop(self, phase: str = DOWN) -> None:
         super().stop(phase)
-        self.keep.clear()
+        self.storage.clear()
         for fill in self.fills.values():
-            if fill.ask is not None:
-                fill.ask.drop()
-        self.fills, self.filling = {}, 0
+            if fill.request is not None:
+                fill.request.cancel()
+        self.fills, self.active_fills = {}, 0
 
-    def work(self, ask: Ask) -> None:
-        row = self.shape.classes[ask.class_index]
+    def process(self, request: ServerRequest) -> None:
+        row = self.settings.classes[request.class_index]
         if row.uncached:
-            return self._pass_on(ask)
-        copy = self.keep.peek(ask.place)
-        if copy is not None and self._void(ask, copy):
-            self.keep.remove(ask.place)
+            return self._forward_uncached(request)
+        copy = self.storage.peek(request.cache_key)
+        if copy is not None and self._is_purged(request, copy):
+            self.storage.remove(request.cache_key)
             copy = None
         if copy is not None:
-            age = self.agenda.now - copy.created
-            most = ask.oldest_us or row.fresh_us
+            age = self.events.now - copy.created
+            most = request.max_age_us or row.fresh_us
             if not most or age <= most:
                 self.hits += 1
-                self.keep.touch(ask.place, ask.keep)
+                self.storage.touch(request.cache_key, request.cache_rank)
                 if (
-                    ask.renew
+                    request.may_renew
                     and row.fresh_us
-                    and age > RENEW_FROM * row.fresh_us
-                    and ask.place not in self.fills
+                    and age > RENEW_AFTER_SHARE * row.fresh_us
+                    and request.cache_key not in self.fills
                 ):
-                    self._fill(ask, ask.source, newer_than=age)
+                    self._fill(request, request.source, newer_than=age)
                 old = row.fresh_us and age > row.fresh_us
-                return self.send(ask, ask.size_us, Note.OLD if old else Note.HIT, copy.created)
-        source = self._source_of(ask)
+                return self.respond(request, request.size_us, Note.OLD if old else Note.HIT, copy.created)
+        source = self._source_of(request)
         if not source:
-            under = ask.place in self.fills
-            return self._finish(ask, Result.MISS, Note.JOINED if under else 0, -1)
-        self._fill(ask, source)
+            under = request.cache_key in self.fills
+            return self._finish(request, Result.MISS, Note.JOINED if under else 0, -1)
+        self._fill(request, source)
 
-    def _source_of(self, ask: Ask) -> str:
-        if ask.source == self.uid:
+    def _source_of(self, request: ServerRequest) -> str:
+        if request.source == self.uid:
             return ""
-        return self.world.origin.uid if self.kind == PARENT else ask.source
+        return self.world.origin.uid if self.kind == PARENT else request.source
 
-    def _void(self, ask: Ask, copy: CachedCopy) -> bool:
+    def _is_purged(self, request: ServerRequest, copy: CachedCopy) -> bool:
         """Whether a purge has reached this copy here."""
-        for what in (ask.place[0], ask.group):
-            made = self.world.purged.get(what, -1)
-            if copy.created < made and self.agenda.now >= made + self.drops_after:
+        for what in (request.cache_key[0], request.group):
+            made = self.world.purge_times.get(what, -1)
+            if copy.created < made and self.events.now >= made + self.purge_delay_us:
                 return True
         return False
 
-    def _fill(self, ask: Ask, source: str, newer_than: int = 0) -> None:
+    def _fill(self, request: ServerRequest, source: str, newer_than: int = 0) -> None:
         """A fill that the ask waits for; one that renews a copy of an age has nobody waiting."""
-        under = self.fills.get(ask.place)
-        joins = ask.join or self.kind == PARENT
+        under = self.fills.get(request.cache_key)
+        joins = request.may_join or self.kind == PARENT
         # Danger: a fill that began before a purge brings a copy older than the request may get.
-        floor = self.agenda.now - ask.oldest_us if ask.oldest_us else NEVER
-        if under is not None and joins and under.floor >= floor:
-            self.joined += 1
-            return self._wait(under, ask, Note.JOINED)
-        if self.filling >= self.shape.fill_places:
-            return self._finish(ask, Result.FULL, Note.NO_PLACE, -1)
+        oldest_created = self.events.now - request.max_age_us if request.max_age_us else NEVER
+        if under is not None and joins and under.oldest_created >= oldest_created:
+            self.joined_requests += 1
+            return self._add_waiter(under, request, Note.JOINED)
+        if self.active_fills >= self.settings.max_fills:
+            return self._finish(request, Result.FULL, Note.NO_PLACE, -1)
         # Danger: a source whose copy is as old would renew nothing.
-        fill = Fill(ask, source, floor, max(1, newer_than - 1) if newer_than else ask.oldest_us)
-        self.filling += 1
+        fill = Fill(
+            request, source, oldest_created, max(1, newer_than - 1) if newer_than else request.max_age_us
+        )
+        self.active_fills += 1
         if under is None:
-            self.fills[ask.place] = fill
+            self.fills[request.cache_key] = fill
         if not newer_than:
-            self._wait(fill, ask, Note.FILLED)
-        self._ask_source(fill)
+            self._add_waiter(fill, request, Note.FILLED)
+        self._request_from_source(fill)
 
-    def _wait(self, fill: Fill, ask: Ask, note: int) -> None:
-        fill.waiting.append((ask, note))
-        ask.halves += 1
-        if fill.flowing:
-            self._flow(ask)
+    def _add_waiter(self, fill: Fill, request: ServerRequest, note: int) -> None:
+        fill.waiting.append((request, note))
+        request.pending_parts += 1
+        if fill.streaming:
+            self._start_streaming(request)
 
-    def _flow(self, ask: Ask) -> None:
+    def _start_streaming(self, request: ServerRequest) -> None:
         """What comes in goes out at once: the answer's own way begins when the fill's bytes do."""
-        if ask.alive and ask in self.open:
-            if ask.started is not None:
-                ask.started()
-            for link in (self.link, *ask.extra_links):
-                ask.halves += 1
-                ask.flows.append((link, link.start(ask.size_us, self._half, ask, self.life)))
-
-    def _half(self, ask: Ask, life: int) -> None:
-        if life != self.life:
+        if request.active and request in self.open_requests:
+            if request.on_first_byte is not None:
+                request.on_first_byte()
+            for link in (self.link, *request.extra_links):
+                request.pending_parts += 1
+                request.transfers.append(
+                    (link, link.start(request.size_us, self._part_done, request, self.incarnation))
+                )
+
+    def _part_done(self, request: ServerRequest, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
-        ask.halves -= 1
-        if ask.halves == 0 and ask.alive:
-            self._finish(ask, Result.SUCCEEDED, *ask.found)
+        request.pending_parts -= 1
+        if request.pending_parts == 0 and request.active:
+            self._finish(request, Result.SUCCEEDED, *request.fill_result)
 
-    def _ask_source(self, fill: Fill) -> None:
-        first, shape = fill.first, self.shape
-        fill.tries += 1
-        life = self.life
+    def _request_from_source(self, fill: Fill) -> None:
+        first, settings = fill.first, self.settings
+        fill.attempts += 1
+        incarnation = self.incarnation
 
-        def ended(result: int, note: int, born: int) -> None:
-            self._came_back(fill, asked, life, result, note, born)
+        def ended(result: int, note: int, created: int) -> None:
+            self._fill_ended(fill, source_request, incarnation, result, note, created)
 
         def began() -> None:
-            self.agenda.schedule(self.agenda.now + shape.far_us, self._began, fill, asked, life)
-
-        asked = Ask(first.seat, first.zone, first.class_index, first.place, first.group, first.size_us, ended)
-        asked.source, asked.oldest_us, asked.join = self.world.origin.uid, fill.oldest_us, True
-        asked.back, asked.started, asked.keep = shape.far_us, began, 2
-        if self.kind == BOX:
-            asked.extra_links = [self.world.zone_links[first.zone]]
-        fill.ask = asked
+            self.events.schedule(
+                self.events.now + settings.hub_delay_us, self._source_began, fill, source_request, incarnation
+            )
+
+        source_request = ServerRequest(
+            first.dispatcher,
+            first.zone,
+            first.class_index,
+            first.cache_key,
+            first.group,
+            first.size_us,
+            ended,
+        )
+        source_request.source, source_request.max_age_us, source_request.may_join = (
+            self.world.origin.uid,
+            fill.max_age_us,
+            True,
+        )
+        source_request.return_delay_us, source_request.on_first_byte, source_request.cache_rank = (
+            settings.hub_delay_us,
+            began,
+            2,
+        )
+        if self.kind == CACHE_HOST:
+            source_request.extra_links = [self.world.zone_links[first.zone]]
+        fill.request = source_request
         source = self.world.servers.get(fill.source)
         if source is None:
             return ended(Result.NO_CONNECTION, 0, -1)
-        if self.world.cut(self.zone, source.zone):
-            return self.agenda.schedule(self.agenda.now + 400_000, ended, Result.NO_CONNECTION, 0, -1)
-        self.agenda.schedule(self.agenda.now + shape.far_us, source.arrive, asked)
-        self.agenda.schedule(self.agenda.now + shape.fill_timeout_us, self._overdue, fill, asked, life)
-
-    def _began(self, fill: Fill, asked: Ask, life: int) -> None:
-        if life == self.life and fill.ask is asked and asked.alive and not fill.flowing:
-            fill.flowing = True
-            for ask, _ in fill.waiting:
-                self._flow(ask)
-
-    def _overdue(self, fill: Fill, asked: Ask, life: int) -> None:
-        if life == self.life and fill.ask is asked and not fill.flowing:
-            asked.drop()
-            self._came_back(fill, asked, life, Result.LATE, 0, -1)
-
-    def _came_back(self, fill: Fill, asked: Ask, life: int, result: int, note: int, born: int) -> None:
-        if life != self.life or fill.ask is not asked:
+        if self.world.is_cut(self.zone, source.zone):
+            return self.events.schedule(self.events.now + 400_000, ended, Result.NO_CONNECTION, 0, -1)
+        self.events.schedule(self.events.now + settings.hub_delay_us, source.arrive, source_request)
+        self.events.schedule(
+            self.events.now + settings.fill_timeout_us,
+            self._fill_timed_out,
+            fill,
+            source_request,
+            incarnation,
+        )
+
+    def _source_began(self, fill: Fill, source_request: ServerRequest, incarnation: int) -> None:
+        if (
+            incarnation == self.incarnation
+            and fill.request is source_request
+            and source_request.active
+            and not fill.streaming
+        ):
+            fill.streaming = True
+            for request, _ in fill.waiting:
+                self._start_streaming(request)
+
+    def _fill_timed_out(self, fill: Fill, source_request: ServerRequest, incarnation: int) -> None:
+        if incarnation == self.incarnation and fill.request is source_request and not fill.streaming:
+            source_request.cancel()
+            self._fill_ended(fill, source_request, incarnation, Result.LATE, 0, -1)
+
+    def _fill_ended(
+        self,
+        fill: Fill,
+        source_request: ServerRequest,
+        incarnation: int,
+        result: int,
+        note: int,
+        created: int,
+    ) -> None:
+        if incarnation != self.incarnation or fill.request is not source_request:
             return
-        fill.ask = None
-        wanted = any(ask.alive and ask in self.open for ask, _ in fill.waiting)
-        again = wanted and not fill.flowing and fill.tries < self.shape.fill_tries
+        fill.request = None
+        wanted = any(request.active and request in self.open_requests for request, _ in fill.waiting)
+        again = wanted and not fill.streaming and fill.attempts < self.settings.fill_attempts
         if result != Result.SUCCEEDED and again:
-            return self._ask_source(fill)
-        self.filling -= 1
-        if self.fills.get(fill.first.place) is fill:
-            del self.fills[fill.first.place]
+            return self._request_from_source(fill)
+        self.active_fills -= 1
+        if self.fills.get(fill.first.cache_key) is fill:
+            del self.fills[fill.first.cache_key]
         if result == Result.SUCCEEDED:
-            self.filled += 1
+            self.completed_fills += 1
             first = fill.first
-            self.keep.put(first.place, born, first.size_us * self.shape.flow_kb_s / 1e6, first.keep)
-            for ask, kind in fill.waiting:
-                ask.found = (note if kind == Note.FILLED and note == Note.FROM_ORIGIN else kind, born)
-                self._half(ask, life)
+            self.storage.put(
+                first.cache_key, created, first.size_us * self.settings.transfer_kb_s / 1e6, first.cache_rank
+            )
+            for request, kind in fill.waiting:
+                request.fill_result = (
+                    note if kind == Note.FILLED and note == Note.FROM_ORIGIN else kind,
+                    created,
+                )
+                self._part_done(request, incarnation)
             return
         why = {Result.FULL: Note.SOURCE_REFUSED, Result.MISS: Note.SOURCE_LACKS}.get(result, Note.SOURCE_LOST)
         if fill.source == self.world.origin.uid:
             why = Note.ORIGIN_LOST
-        for ask, _ in fill.waiting:
-            for link, flow in ask.flows:
+        for request, _ in fill.waiting:
+            for link, flow in request.transfers:
                 link.cancel(flow)
-            self._finish(ask, Result.FULL if why == Note.SOURCE_REFUSED else Result.ERROR, why, -1)
+            self._finish(request, Result.FULL if why == Note.SOURCE_REFUSED else Result.ERROR, why, -1)
 
-    def _pass_on(self, ask: Ask) -> None:
+    def _forward_uncached(self, request: ServerRequest) -> None:
         """A request that is never kept goes on to the origin; an answer that does not come is not asked for
         again.
         """
-        origin, life = self.world.origin, self.life
+        origin, incarnation = self.world.origin, self.incarnation
 
-        def ended(result: int, note: int, born: int) -> None:
-            if life == self.life:
+        def ended(result: int, note: int, created: int) -> None:
+            if incarnation == self.incarnation:
                 lost = result not in (Result.SUCCEEDED, Result.FULL)
-                self._finish(ask, Result.ERROR if lost else result, Note.ORIGIN_LOST if lost else 0, born)
+                self._finish(
+                    request, Result.ERROR if lost else result, Note.ORIGIN_LOST if lost else 0, created
+                )
 
-        further = Ask(ask.seat, ask.zone, ask.class_index, ask.place, ask.group, ask.size_us, ended)
-        further.key, further.back = ask.key, self.shape.far_us
-        self.agenda.schedule(self.agenda.now + self.shape.far_us, origin.arrive, further)
+        further = ServerRequest(
+            request.dispatcher,
+            request.zone,
+            request.class_index,
+            request.cache_key,
+            request.group,
+            request.size_us,
+            ended,
+        )
+        further.idempotency_key, further.return_delay_us = request.idempotency_key, self.settings.hub_delay_us
+        self.events.schedule(self.events.now + self.settings.hub_delay_us, origin.arrive, further)
 
 
-class Surroundings:
+class ServerEnvironment:
     """What servers see of the world around them; the world is one."""
 
-    agenda: EventQueue
-    shape: Shape
-    truth: RuleChecker
-    library: ObjectCatalog
+    events: EventQueue
+    settings: WorldSettings
+    rules: RuleChecker
+    catalog: ObjectCatalog
     servers: dict[str, Server]
     origin: Origin
     zone_links: list[Link]
-    purged: dict[str | int, int]
+    purge_times: dict[str | int, int]
 
     def stream(self, name: str) -> RandomStream:
         raise NotImplementedError
 
-    def fell(self, server: Server) -> None:
+    def server_overloaded(self, server: Server) -> None:
         """A server was pushed over."""
         raise NotImplementedError
 
-    def cut(self, one: str, other: str) -> bool:
+    def is_cut(self, one: str, other: str) -> bool:
         """Whether the path between two zones is cut."""
         raise NotImplementedError
--- a/hoistplank/lab/model/world_settings.py
+++ b/hoistplank/lab/model/world_settings.py
@@ -10,8 +10,8 @@
 from hoistplank.interface import Site
 from hoistplank.settings_reader import Fields, flat, site
 
-S = 1_000_000
-BOX, PARENT, ORIGIN = "box", "parent", "origin"
+SECOND_US = 1_000_000
+CACHE_HOST, PARENT, ORIGIN = "box", "parent", "origin"
 HUB = "hub"
 
 
@@ -25,24 +25,31 @@
     target_us: int = 300_000
     target_stretch: float = 2.0
     deadline_us: int = 2_500_000
-    late_share: float = 0.2
+    late_value: float = 0.2
     semantics: str = "idempotent"
     group: str = "all"
     window_us: int = 0
-    spread: float = 0.7  # sigma of the logarithm of sizes
+    size_sigma: float = 0.7  # sigma of the logarithm of sizes
     objects: int = 4_000
     zipf: float = 1.0
     parts: int = 1
-    gap_us: int = 400_000
-    stay: float = 0.9  # the chance that a client asks for a next part
+    part_interval_us: int = 400_000
+    next_part_chance: float = 0.9  # the chance that a client asks for a next part
     fresh_us: int = 0
-    grace_us: int = 0
-    old_share: float = 0.0
+    stale_us: int = 0
+    stale_value: float = 0.0
     uncached: bool = False
 
 
 PAGE = TrafficClass(
-    name="page", share=0.55, kb=40.0, fresh_us=20 * S, grace_us=20 * S, old_share=0.7, objects=800, zipf=1.15
+    name="page",
+    share=0.55,
+    kb=40.0,
+    fresh_us=20 * SECOND_US,
+    stale_us=20 * SECOND_US,
+    stale_value=0.7,
+    objects=800,
+    zipf=1.15,
 )
 VIDEO = TrafficClass(
     name="video",
@@ -50,7 +57,7 @@
     kb=300.0,
     utility=1.5,
     target_us=500_000,
-    deadline_us=4 * S,
+    deadline_us=4 * SECOND_US,
     objects=100,
     zipf=1.2,
     parts=6,
@@ -63,11 +70,11 @@
     utility=4.0,
     target_us=600_000,
     target_stretch=0.0,
-    deadline_us=3 * S,
+    deadline_us=3 * SECOND_US,
     semantics="deduplicated",
-    window_us=5 * S,
+    window_us=5 * SECOND_US,
     uncached=True,
-    spread=0.3,
+    size_sigma=0.3,
 )
 PAYMENT = TrafficClass(
     name="payment",
@@ -76,106 +83,106 @@
     utility=6.0,
     target_us=800_000,
     target_stretch=0.0,
-    deadline_us=3 * S,
+    deadline_us=3 * SECOND_US,
     semantics="at_most_once",
     uncached=True,
-    spread=0.3,
+    size_sigma=0.3,
 )
 CLASSES = (PAGE, VIDEO, TILE, BOOKING, PAYMENT)
 
 
-class Shape(msgspec.Struct, frozen=True, kw_only=True):
+class WorldSettings(msgspec.Struct, frozen=True, kw_only=True):
     """The size of a world and how its machines are made. `link` figures are in transfers at full pace."""
 
     seconds: float = 20.0
-    warm: float = 6.0  # seconds before the day's first, in which caches fill and nothing is counted
+    warm_up_s: float = 6.0  # seconds before the day's first, in which caches fill and nothing is counted
     zones: int = 1
     caches: int = 6  # of each zone
     parents: int = 2
     dispatchers: int = 2  # of each zone
     rate: float = 120.0  # first parts a second of each zone
     classes: tuple[TrafficClass, ...] = CLASSES
-    flow_kb_s: float = 1_000.0
-    link: float = 8.0
+    transfer_kb_s: float = 1_000.0
+    cache_link: float = 8.0
     parent_link: float = 16.0
     zone_link: float = 20.0
     origin_link: float = 40.0
-    thrash: float = 0.04  # of a link's room that is lost for each time that its transfers are over it
+    overload_loss: float = 0.04  # of a link's room that is lost for each time that its transfers are over it
     cores: int = 4
     work_us: int = 400  # of a core, for each attempt
-    queue_us: int = 250_000
-    keep_kb: float = 80_000.0
-    parent_keep_kb: float = 400_000.0
-    fill_places: int = 32
-    fill_timeout_us: int = 2 * S
-    fill_tries: int = 2
+    max_queue_us: int = 250_000
+    cache_kb: float = 80_000.0
+    parent_cache_kb: float = 400_000.0
+    max_fills: int = 32
+    fill_timeout_us: int = 2 * SECOND_US
+    fill_attempts: int = 2
     origin_workers: int = 16
     origin_us: int = 25_000
-    origin_queue_us: int = S
-    origin_crowd: float = 1.0  # how much slower an origin is whose queue is as long as it may be
-    origin_fall_multiple: float = 2.5
-    origin_fall_us: int = 3 * S
-    origin_down_us: int = 4 * S
-    cold_from: float = 0.2
-    cold_us: int = 10 * S
-    tip_us: int = 1_500_000
-    tip_multiple: float = 2.5
-    down_us: int = 3 * S  # how long a host that fell over, or was killed, is away
-    near_us: int = 300
-    far_us: int = 12_000
-    log_late_us: tuple[int, int] = (30_000, 300_000)
-    purge_takes_us: int = 3 * S
+    origin_queue_us: int = SECOND_US
+    origin_slowdown: float = 1.0  # how much slower an origin is whose queue is as long as it may be
+    origin_overload_multiple: float = 2.5
+    origin_overload_window_us: int = 3 * SECOND_US
+    origin_restart_us: int = 4 * SECOND_US
+    cold_start_share: float = 0.2
+    warm_up_us: int = 10 * SECOND_US
+    overload_window_us: int = 1_500_000
+    overload_multiple: float = 2.5
+    restart_us: int = 3 * SECOND_US  # how long a host that fell over, or was killed, is away
+    zone_delay_us: int = 300
+    hub_delay_us: int = 12_000
+    log_delay_us: tuple[int, int] = (30_000, 300_000)
+    purge_delay_us: int = 3 * SECOND_US
     groups: int = 32
-    local: float = 0.15  # of the objects asked for: wanted in this location alone
+    local_share: float = 0.15  # of the objects asked for: wanted in this location alone
     drift: float = 2.0  # ranks a second by which popularity moves on
     retries: int = 1
     backoff_us: int = 60_000
-    honours: float = 0.8  # clients that wait as long as they are told
-    notice_us: int = S  # until the front sends no more to a dispatcher that is gone
+    honours_retry_after: float = 0.8  # clients that wait as long as they are told
+    crash_detection_us: int = SECOND_US  # until the front sends no more to a dispatcher that is gone
     tick_us: int = 1_000
-    cpu_us: int = 0  # of a dispatcher's core for each event; 0: not counted
+    event_cpu_us: int = 0  # of a dispatcher's core for each event; 0: not counted
 
     def start_us(self) -> int:
         """The day's first moment, on the world's clock: faults and figures count from here."""
-        return int(self.warm * S)
+        return int(self.warm_up_s * SECOND_US)
 
-    def last_us(self) -> int:
+    def end_of_arrivals_us(self) -> int:
         """The last moment at which a client comes."""
-        return int((self.warm + self.seconds) * S)
+        return int((self.warm_up_s + self.seconds) * SECOND_US)
 
     def mean_kb(self) -> float:
         """Of a transfer, with all parts of a traffic class counted."""
         kb = many = 0.0
         for row in self.classes:
-            parts = sum(row.stay**n for n in range(row.parts))
-            kb += row.share * parts * row.kb * exp(row.spread * row.spread / 2)
+            parts = sum(row.next_part_chance**n for n in range(row.parts))
+            kb += row.share * parts * row.kb * exp(row.size_sigma * row.size_sigma / 2)
             many += row.share * parts
         return kb / many
 
-    def parts(self) -> float:
+    def requests_per_session(self) -> float:
         """Requests for each first part."""
-        return sum(row.share * sum(row.stay**n for n in range(row.parts)) for row in self.classes)
+        return sum(row.share * sum(row.next_part_chance**n for n in range(row.parts)) for row in self.classes)
 
-    def settings(self, zone: int, index: int) -> dict[str, Any]:
+    def dispatcher_settings(self, zone: int, index: int) -> dict[str, Any]:
         """What a dispatcher is told at its start, by the platform's names and units."""
         total = self.zones * self.dispatchers
         classes = [
             {
                 "name": row.name,
-                "target": row.target_us / S,
+                "target": row.target_us / SECOND_US,
                 "aim_stretch": row.target_stretch,
-                "give_up": row.deadline_us / S,
+                "give_up": row.deadline_us / SECOND_US,
                 "semantics": row.semantics,
                 "group": row.group,
-                "dedup_window": row.window_us / S,
+                "dedup_window": row.window_us / SECOND_US,
                 "gain": row.utility,
-                "late_value": row.late_share,
+                "late_value": row.late_value,
             }
             for row in self.classes
         ]
         return {
             "areas": [HUB, *(f"z{n}" for n in range(self.zones))],
-            "models": [BOX, PARENT, ORIGIN],
+            "models": [CACHE_HOST, PARENT, ORIGIN],
             "zone": f"z{zone}",
             "group_size": total,
             "index": index,
@@ -184,19 +191,19 @@
                 "second_tier_kind": 1,
                 "master_kind": 2,
                 "uncached": [row.uncached for row in self.classes],
-                "lifetime_by_class": [row.fresh_us / S for row in self.classes],
-                "class_grace": [row.grace_us / S for row in self.classes],
-                "worth_when_old": [row.old_share for row in self.classes],
+                "lifetime_by_class": [row.fresh_us / SECOND_US for row in self.classes],
+                "class_grace": [row.stale_us / SECOND_US for row in self.classes],
+                "worth_when_old": [row.stale_value for row in self.classes],
                 "may_pass_by": True,
                 "joins": True,
                 "notes_given": "all",
-                "stream_kb_per_s": self.flow_kb_s,
-                "zone_link_kb_per_s": [0.0, *([self.zone_link * self.flow_kb_s] * self.zones)],
+                "stream_kb_per_s": self.transfer_kb_s,
+                "zone_link_kb_per_s": [0.0, *([self.zone_link * self.transfer_kb_s] * self.zones)],
                 "instances_by_zone": [0, *([self.dispatchers] * self.zones)],
-                "parent_starts_at": self.cold_from,
-                "parent_ramp": self.cold_us / S,
-                "parent_fall_multiple": self.tip_multiple,
-                "purge_takes": self.purge_takes_us / S,
+                "parent_starts_at": self.cold_start_share,
+                "parent_ramp": self.warm_up_us / SECOND_US,
+                "parent_fall_multiple": self.overload_multiple,
+                "purge_takes": self.purge_delay_us / SECOND_US,
             },
             "limits": {
                 "connect_timeout": 0.4,
@@ -210,26 +217,26 @@
             },
             "rules": {
                 "stop_sending_within": 0.25,
-                "cold_from": self.cold_from,
-                "cold": self.cold_us / S,
-                "fall_multiple": self.tip_multiple,
-                "tip_after": self.tip_us / S,
+                "cold_from": self.cold_start_share,
+                "cold": self.warm_up_us / SECOND_US,
+                "fall_multiple": self.overload_multiple,
+                "tip_after": self.overload_window_us / SECOND_US,
                 "answer_slack": 0.01,
             },
             "discovery": "automatic",
             "weights": "nominal",
-            "round": self.tick_us / S,
+            "round": self.tick_us / SECOND_US,
         }
 
     def site(self, zone: int, index: int) -> Site:
         facts = Fields([])
-        facts.pairs = flat(self.settings(zone, index))
+        facts.pairs = flat(self.dispatcher_settings(zone, index))
         return site(facts)
 
 
-def sized(
+def scaled_settings(
     caches: int, dispatchers: int, zones: int, rate: float, load: float = 0.6, seconds: float = 20.0
-) -> Shape:
+) -> WorldSettings:
     """A world of a size in all, its links as wide as the rate needs at this load (0.6: usual, 1: full).
 
     Of all bytes that clients of a location ask for at full load, its link carries 28 %, a parent's 30 % of
@@ -237,9 +244,11 @@
     first, as it does on the bench: with the caches' or the origin's first, two choices beat the plain hash,
     which they don't there. A host has room for two transfers at the least, whatever the rate.
     """
-    base = Shape()
+    base = WorldSettings()
     here, each = max(1, caches // zones), rate / zones
-    transfers = each * base.parts() * base.mean_kb() / base.flow_kb_s  # under way in a location, at full pace
+    transfers = (
+        each * base.requests_per_session() * base.mean_kb() / base.transfer_kb_s
+    )  # under way in a location, at full pace
     parents = max(2, zones // 2)
     objects = tuple(
         msgspec.structs.replace(row, objects=max(200, int(row.objects * min(4.0, each / base.rate))))
@@ -255,11 +264,11 @@
         parents=parents,
         rate=each,
         classes=objects,
-        link=max(2.0, 1.3 * transfers / here / load),
+        cache_link=max(2.0, 1.3 * transfers / here / load),
         zone_link=max(4.0, 0.28 * transfers / load),
         parent_link=max(4.0, 0.3 * transfers * zones / parents / load),
         origin_link=max(8.0, 0.2 * transfers * zones / load),
-        keep_kb=max(4_000.0, base.keep_kb * base.caches * (each / base.rate) / here),
-        parent_keep_kb=max(20_000.0, base.parent_keep_kb * base.parents * (rate / base.rate) / parents),
-        origin_workers=max(8, int(2.2 * rate * (uncached + 0.12) * base.origin_us / S / load)),
+        cache_kb=max(4_000.0, base.cache_kb * base.caches * (each / base.rate) / here),
+        parent_cache_kb=max(20_000.0, base.parent_cache_kb * base.parents * (rate / base.rate) / parents),
+        origin_workers=max(8, int(2.2 * rate * (uncached + 0.12) * base.origin_us / SECOND_US / load)),
     )
--- a/hoistplank/lab/policies.py
+++ b/hoistplank/lab/policies.py
@@ -324,9 +324,9 @@
 
     def _sound(self, i: int) -> bool:
         one = self.world.servers.get(self.names[i])
-        if one is None or one.phase != UP or one.paused_until > self.world.agenda.now:
+        if one is None or one.phase != UP or one.paused_until > self.world.events.now:
             return False
-        return one.slow < 2 and one.link.capacity > 0.5 * one.room and one.lossy < 0.3
+        return one.slowdown < 2 and one.link.capacity > 0.5 * one.capacity and one.loss_share < 0.3
 
     def _usable(self, now: int, host: int) -> bool:
         return self.states[host] == "up" and self._sound(host)
--- a/hoistplank/lab/scale/faults.py
+++ b/hoistplank/lab/scale/faults.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from hoistplank.lab.model.faults import Event
+from hoistplank.lab.model.faults import ScheduledFault
 from hoistplank.lab.scale.fleet import Fleet, Seat
 from hoistplank.lab.scale.run_paths import Cut
 from hoistplank.lab.scale.scene import S, lasts_us
@@ -64,7 +64,7 @@
 class FaultPlayer:
     """Strikes at the times of the scene. `chance` chooses who is struck."""
 
-    def __init__(self, rig: Rig, faults: tuple[Event, ...], chance: Random) -> None:
+    def __init__(self, rig: Rig, faults: tuple[ScheduledFault, ...], chance: Random) -> None:
         self.rig, self.faults, self.chance = rig, faults, chance
         self.strikes: list[Strike] = []
 
@@ -72,7 +72,7 @@
         """Until the last fault has ended."""
         await asyncio.gather(*(self._play(fault) for fault in self.faults))
 
-    async def _play(self, fault: Event) -> None:
+    async def _play(self, fault: ScheduledFault) -> None:
         await asyncio.sleep(max(0, fault.at - self.rig.now_us()) / S)
         begin_us = self.rig.now_us()
         struck = await getattr(self, f"_{fault.kind.replace('-', '_')}")(lasts_us(fault) / S, *fault.values)
--- a/hoistplank/lab/scale/scene.py
+++ b/hoistplank/lab/scale/scene.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from hoistplank.lab.model.faults import COUNT, SHARE, SPAN, TIMES, Event, Kinds, events
+from hoistplank.lab.model.faults import COUNT, SHARE, SPAN, TIMES, FaultWords, ScheduledFault, read_faults
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.operator_configuration import schema
 from hoistplank.operator_configuration.faults import Fault, Faults, Place
@@ -25,7 +25,7 @@
 LEAST_SLACK_US = 2 * S  # a scene goes on for so long after its last fault has ended
 ZONE = matching(r"z\d{1,3}", "a zone, as z0")
 
-KINDS: Kinds = {
+KINDS: FaultWords = {
     "changes": (COUNT, "within", SPAN),  # configuration changes beside those of the steady pace
     "machines": (COUNT, "for", SPAN),  # so many dispatchers are gone, and come back with nothing
     "rack": (SHARE, "for", SPAN),  # a share of all dispatchers at once, as `machines`
@@ -93,7 +93,7 @@
     host_restarts_s: float
     lifetime_us: int
     budgets: Budgets
-    faults: tuple[Event, ...] = ()
+    faults: tuple[ScheduledFault, ...] = ()
 
     def steady_us(self) -> int:
         """Until the first fault."""
@@ -114,7 +114,7 @@
     scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
     rest = tuple(item for item in form.items[1:] if item not in scripts)
     section = schema.read(SCENE, rest, form.place, faults)
-    rows = events(scripts, form.place, faults, KINDS)
+    rows = read_faults(scripts, form.place, faults, KINDS)
     if faults:
         raise Faults(sorted(faults, key=lambda fault: fault.place))
     scene = _scene(section, rows)
@@ -125,7 +125,7 @@
     return scene
 
 
-def _scene(section: schema.Section, rows: list[Event]) -> Scene:
+def _scene(section: schema.Section, rows: list[ScheduledFault]) -> Scene:
     fleet = Fleet(*(section[name] for name in ("dispatchers", "sites", "zones", "regions", "hosts")))
     budgets = Budgets(
         section["purge-within"],
@@ -153,7 +153,7 @@
     )
 
 
-def lasts_us(fault: Event) -> int:
+def lasts_us(fault: ScheduledFault) -> int:
     """How long a fault lasts by its own words; 0 of one that is over at once."""
     words = KINDS[fault.kind]
     spans = [word for word in words if not isinstance(word, str)]
--- a/hoistplank/lab/scale/scene_schedule.py
+++ b/hoistplank/lab/scale/scene_schedule.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from hoistplank.lab.model.faults import Event
+from hoistplank.lab.model.faults import ScheduledFault
 from hoistplank.lab.scale.scene import S, Scene
 
 DRAIN_US, AWAY_US = 1 * S, 1 * S  # of a cache host that is restarted
@@ -50,7 +50,7 @@
     return sorted([*purges, *changes, *hosts], key=lambda row: row.at_us)
 
 
-def _apart(scene: Scene) -> list[Event]:
+def _apart(scene: Scene) -> list[ScheduledFault]:
     return [fault for fault in scene.faults if fault.kind == "apart"]
 
 
