--- a/hoistplank/lab/worker.py
+++ b/hoistplank/lab/worker.py
@@ -17,11 +17,11 @@
 import uvloop
 
 from hoistplank.lab.backends import sockets
-from hoistplank.lab.backends.virtual import built, digest
+from hoistplank.lab.backends.virtual import build_world, digest
 from hoistplank.lab.experiment import Cell
 from hoistplank.lab.model.faults import script
 from hoistplank.lab.model.world import World
-from hoistplank.lab.model.world_settings import S
+from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.policies import UnknownPolicy, policy
 
 # ms, upper ends
@@ -37,11 +37,11 @@
 
 def result(cell: Cell, world: World, took_s: float) -> dict[str, Any]:
     """All that reports need of a day; plain values only."""
-    utility, shape = world.clients.utility, world.shape
-    seconds = int(shape.seconds)
-    start = shape.start_us() // S
+    utility, settings = world.clients.utility, world.settings
+    seconds = int(settings.seconds)
+    start = settings.start_us() // SECOND_US
     times = {}
-    for row, took in zip(shape.classes, utility.times, strict=True):
+    for row, took in zip(settings.classes, utility.latencies_us, strict=True):
         counted, _ = np.histogram(np.asarray(took) / 1_000, [0, *BINS, 1e9])
         times[row.name] = [int(n) for n in counted]
     return {
@@ -50,21 +50,21 @@
         "score": utility.score(),
         "asked": [round(value, 4) for value in utility.asked[:seconds]],
         "earned": [round(value, 4) for value in utility.earned[:seconds]],
-        "tracks": {row.name: values for row, values in zip(shape.classes, utility.by_class, strict=True)},
-        "lost": dict(utility.lost),
-        "ends": dict(utility.ends),
+        "tracks": {row.name: values for row, values in zip(settings.classes, utility.by_class, strict=True)},
+        "lost": dict(utility.lost_by_cause),
+        "ends": dict(utility.outcomes),
         "times": times,
-        "hosts": [one.uid for one in world.watched],
-        "loads": [[round(v, 3) for v in row] for row in world.loads[start : start + seconds]],
-        "happened": [[round(at / S - start, 3), what] for at, what in world.happened],
+        "hosts": [one.uid for one in world.monitored],
+        "loads": [[round(v, 3) for v in row] for row in world.monitored_loads[start : start + seconds]],
+        "happened": [[round(at / SECOND_US - start, 3), what] for at, what in world.fault_log],
         "breaches": [
-            f"rule {row.rule} at {row.at_us / S - start:.2f} s: {row.description}"
-            for row in world.truth.violations
+            f"rule {row.rule} at {row.at_us / SECOND_US - start:.2f} s: {row.description}"
+            for row in world.rules.violations
         ],
-        "broken": {str(rule): count for rule, count in world.truth.counts.items()},
-        "coldest": round(world.truth.colds.highest_ever, 4),
-        "fell": sum(one.fell for one in world.servers.values()),
-        "events": world.agenda.executed,
+        "broken": {str(rule): count for rule, count in world.rules.counts.items()},
+        "coldest": round(world.rules.colds.highest_ever, 4),
+        "fell": sum(one.overload_crashes for one in world.servers.values()),
+        "events": world.events.executed,
         "took_s": round(took_s, 3),
         "digest": digest(world),
         "machine": f"{platform.machine()} python {platform.python_version()} numpy {np.__version__}",
@@ -77,10 +77,10 @@
     rows = script(cell.text)
     if cell.drive == "sockets":
         with tempfile.TemporaryDirectory() as folder:
-            world = sockets.play(cell.shape(), cell.seed, rows, Path(folder), uvloop.new_event_loop)
+            world = sockets.play(cell.world_settings(), cell.seed, rows, Path(folder), uvloop.new_event_loop)
     else:
         texts = {name: Path(path) for name, path in job.texts.items()}
-        world = built(cell.shape(), cell.seed, policy(cell.policy, texts), rows)
+        world = build_world(cell.world_settings(), cell.seed, policy(cell.policy, texts), rows)
         world.run()
     return result(cell, world, time.perf_counter() - began)
 
@@ -89,7 +89,7 @@
     job = msgspec.json.decode(sys.stdin.buffer.read(), type=Job)
     try:
         found = play(job)
-    except sockets.TooLate as wrong:
+    except sockets.RunTooLateError as wrong:
         found = {"void": str(wrong)}
     except (UnknownPolicy, RuntimeError) as wrong:
         found = {"wrong": str(wrong)}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from hoistplank.cli.main import main
 from hoistplank.fakes.deployment import free_port
 from hoistplank.lab.fleet import faulty_dispatchers, processes, runner, virtual, worker
-from hoistplank.lab.fleet.metrics import FleetMetrics, Shared, jain
+from hoistplank.lab.fleet.metrics import FleetMetrics, SharedResource, jain_index
 from hoistplank.lab.fleet.path_conditions import (
     UNIMPAIRED,
     DatagramDirection,
@@ -34,7 +34,7 @@
 from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.fleet.scene import Scene, lasts, read
 from hoistplank.lab.fleet.worker import Job, told
-from hoistplank.lab.model.world_settings import S
+from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.policies import policy
 from hoistplank.operator_configuration.faults import Faults
 
@@ -87,7 +87,9 @@
 
     assert len(played(PathConditions(loss=0.4))) == pytest.approx(1_200, abs=80)
     assert len(played(PathConditions(double=0.3))) == pytest.approx(2_600, abs=80)
-    late = [at for at, data in played(PathConditions(tardy=0.2, tardy_us=2 * S)) if at >= 2 * S]
+    late = [
+        at for at, data in played(PathConditions(tardy=0.2, tardy_us=2 * SECOND_US)) if at >= 2 * SECOND_US
+    ]
     assert len(late) == pytest.approx(400, abs=60)
     changed = [
         data for n, (_, data) in enumerate(played(PathConditions(flip=0.5))) if data != n.to_bytes(4, "big")
@@ -372,7 +374,9 @@
     found = runner.scenes([str(SCENES)])
     assert len(found) >= 12 and len({scene.name for scene, _ in found}) == len(found)
     for scene, _ in found:
-        assert scene.doc and all(row.at + lasts(row) <= (scene.seconds + 2) * S for row in scene.rows())
+        assert scene.doc and all(
+            row.at + lasts(row) <= (scene.seconds + 2) * SECOND_US for row in scene.faults()
+        )
     with pytest.raises(Faults, match="no scene 'none'"):
         runner.scenes([str(SCENES)], "none")
     with pytest.raises(Faults, match="can't be read"):
@@ -389,7 +393,7 @@
 @pytest.mark.parametrize("name", PLAYED)
 def test_scenes_hold_in_virtual_time(name: str) -> None:
     job = Job(scene=by_name(name), drive="virtual", seed=1, folder="", beside="")
-    world, metrics = virtual.built(job.scene, 1, policy("module"))
+    world, metrics = virtual.build_world(job.scene, 1, policy("module"))
     world.run()
     found = told(job, world, metrics, 0.0, {})
     assert found["failures"] == [] and found["visits"] > 100
@@ -397,7 +401,7 @@
 
 def test_one_seed_gives_one_trace_and_another_seed_another_one() -> None:
     def trace(seed: int) -> Any:
-        world, metrics = virtual.built(by_name("place-lost"), seed, policy("module"))
+        world, metrics = virtual.build_world(by_name("place-lost"), seed, policy("module"))
         world.run()
         return metrics.figures()
 
@@ -406,24 +410,24 @@
 
 def test_a_path_s_silence_and_a_stall_act_in_virtual_time_as_they_say() -> None:
     text = "(scene a (seconds 4s) (warm 2s) (at 1s ({})) (expect earned above 0))"
-    calm, usual = virtual.built(read(b"(scene a (seconds 4s) (warm 2s))", "a"), 1, policy("module"))
+    calm, usual = virtual.build_world(read(b"(scene a (seconds 4s) (warm 2s))", "a"), 1, policy("module"))
     calm.run()
     for fault in ("hush z0 d0 for 2s", "freeze d0 for 2s", "hush clients d0 for 2s"):
-        world, metrics = virtual.built(read(text.format(fault).encode(), "a"), 1, policy("module"))
+        world, metrics = virtual.build_world(read(text.format(fault).encode(), "a"), 1, policy("module"))
         late = [0]
 
         def answered(
             now: int, request: Any, how: str, metrics: FleetMetrics = metrics, late: list[int] = late
         ) -> None:
-            if request.seat == 0 and 3_050_000 < now < 4_900_000 and how == "served":
+            if request.dispatcher == 0 and 3_050_000 < now < 4_900_000 and how == "served":
                 late[0] += 1
             FleetMetrics.answered(metrics, now, request, how)
 
         metrics.answered = answered  # type: ignore[method-assign]
         world.run()
         # The others go on; of this one nothing comes, or nothing of its caches.
-        assert sum(world.truth.counts.values()) == 0 and metrics.unaccounted() == []
-        assert metrics.by_seat[0][1] < usual.by_seat[0][1], fault
+        assert sum(world.rules.counts.values()) == 0 and metrics.unaccounted() == []
+        assert metrics.by_dispatcher[0][1] < usual.by_dispatcher[0][1], fault
         if fault.startswith("freeze"):
             assert late[0] == 0, fault
 
@@ -436,8 +440,8 @@
 
 
 def test_sums_and_fairness_are_counted_by_the_truth() -> None:
-    assert jain([1, 1, 1]) == 1 and jain([1, 0, 0, 0]) == 0.25 and jain([]) == 1
-    held = Shared(4.0)
+    assert jain_index([1, 1, 1]) == 1 and jain_index([1, 0, 0, 0]) == 0.25 and jain_index([]) == 1
+    held = SharedResource(4.0)
     for parts in ([1.0, 2.0], [3.0, 2.0], [4.0]):
         held.sample(parts)
     assert (held.most, held.over, held.samples) == (1.25, 1, 3)
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -8,38 +8,38 @@
 from msgspec.structs import replace
 
 from hoistplank.interface import Note, Result
-from hoistplank.lab.backends.virtual import built, digest
+from hoistplank.lab.backends.virtual import build_world, digest
 from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.model.cache_storage import CacheStorage
-from hoistplank.lab.model.clients import LAST_US, SERVED, Clients, Request
+from hoistplank.lab.model.clients import ANSWER_GRACE_US, SERVED, Clients, Request
 from hoistplank.lab.model.event_queue import EventQueue
-from hoistplank.lab.model.faults import DAYS, KINDS, checked, drawn, script
+from hoistplank.lab.model.faults import DAYS, KINDS, draw_day, script, unsupported
 from hoistplank.lab.model.links import Link
 from hoistplank.lab.model.objects import ObjectCatalog
-from hoistplank.lab.model.servers import Ask, Server
+from hoistplank.lab.model.servers import Server, ServerRequest
 from hoistplank.lab.model.streams import RandomStreams
 from hoistplank.lab.model.world import World
-from hoistplank.lab.model.world_settings import S, Shape, sized
+from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings, scaled_settings
 from hoistplank.lab.policies import Make, UnknownPolicy, policy
 from hoistplank.operator_configuration.faults import Faults
 from hoistplank.routing.clock_offset import LogClock
 
-SMALL = sized(6, 2, 1, 60.0, seconds=6.0)
+SMALL = scaled_settings(6, 2, 1, 60.0, seconds=6.0)
 
 
 def broken(kind: Any) -> Make:
     return lambda site, seed, world: kind(site, seed)
 
 
-def played(name: str, text: str = "", seed: int = 1, shape: Shape = SMALL) -> World:
-    world = built(shape, seed, policy(name), script(text))
+def played(name: str, text: str = "", seed: int = 1, shape: WorldSettings = SMALL) -> World:
+    world = build_world(shape, seed, policy(name), script(text))
     world.run()
     return world
 
 
 def test_a_seed_gives_one_day_on_any_machine() -> None:
     # A policy that no change of the module touches; where the model changes on purpose, so does this line.
-    text = drawn("crash+herd", 7, 6.0)
+    text = draw_day("crash+herd", 7, 6.0)
     world = played("hash", text, 7)
     assert digest(world) == digest(played("hash", text, 7))
     assert digest(world) == "09f1183039291cd39d35a5245254a09e"
@@ -47,7 +47,7 @@
 
 
 def test_the_module_plays_one_day_twice_alike() -> None:
-    text = drawn("vanish+flush", 3, 6.0)
+    text = draw_day("vanish+flush", 3, 6.0)
     assert digest(played("module", text, 3)) == digest(played("module", text, 3))
 
 
@@ -82,7 +82,7 @@
 
     for at, size in flows:
         agenda.schedule(at, begin, at, size)
-    agenda.run_until(60 * S)
+    agenda.run_until(60 * SECOND_US)
     assert len(ended) == len(flows) and link.active == 0
     for at, size, end in ended:
         assert end >= at + size - 1, "quicker than its own pace"
@@ -137,34 +137,36 @@
 
 def test_a_script_that_this_world_can_not_play() -> None:
     rows = script("(at 1s (herd pgae 0.5 objects 1 for 2s)) (at 2s (cut z9 hub for 1s))")
-    assert len(checked(rows, SMALL)) == 2 and not checked(script(drawn("any", 4, 6.0)), SMALL)
+    assert len(unsupported(rows, SMALL)) == 2 and not unsupported(script(draw_day("any", 4, 6.0)), SMALL)
 
 
 def test_an_unknown_policy_or_day_names_what_there_is() -> None:
     with pytest.raises(UnknownPolicy, match="without-silence"):
         policy("modul")
     with pytest.raises(ValueError, match="origin-slow"):
-        drawn("origin-slwo", 1, 6.0)
+        draw_day("origin-slwo", 1, 6.0)
 
 
 @pytest.mark.parametrize("day", ["calm", *sorted(DAYS)])
 def test_each_day_keeps_the_rules_and_accounts_for_every_request(day: str) -> None:
-    text = drawn(day, 2, 6.0)
+    text = draw_day(day, 2, 6.0)
     world = played("module", text, 2)
     utility = world.clients.utility
-    assert not world.truth.violations, f"{text}: {world.truth.violations}"
-    assert sum(utility.earned) + sum(utility.lost.values()) == pytest.approx(sum(utility.asked)), text
-    assert not world.clients.open and (day == "calm") == (not world.happened)
+    assert not world.rules.violations, f"{text}: {world.rules.violations}"
+    assert sum(utility.earned) + sum(utility.lost_by_cause.values()) == pytest.approx(
+        sum(utility.asked)
+    ), text
+    assert not world.clients.open and (day == "calm") == (not world.fault_log)
 
 
 def test_every_kind_of_fault_is_in_some_day_or_here() -> None:
     rest = """(at 1s (refuse c0-1 0.5 for 1s) (purge group 3) (clock 0.5 -2s))
       (at 1s (logstop for 3s) (stall z0:0.5 for 1s))
       (at 2s (drain cell-0 for 1s) (reset parents 0.3 for 2s))"""
-    texts = [drawn(day, 2, 6.0) for day in DAYS]
+    texts = [draw_day(day, 2, 6.0) for day in DAYS]
     seen = {row.kind for text in [*texts, rest] for row in script(text)}
     assert seen == set(KINDS)
-    assert not played("module", rest, 2).truth.violations
+    assert not played("module", rest, 2).rules.violations
 
 
 @pytest.mark.parametrize("name", sorted(BROKEN))
@@ -176,20 +178,26 @@
         4: "(at 500ms (crash caches:0.17 for 500ms))",
         5: "(at 1s (flush 1)) (at 3s (flush 1))",
     }.get(rule, "(at 1s (crash caches:0.5 for 4s))")
-    shape = sized(6, 2, 1, 60.0, seconds=6.0) if rule != 4 else sized(6, 2, 1, 200.0, load=2.0, seconds=6.0)
-    world = built(shape, 2, broken(kind), script(text))
+    shape = (
+        scaled_settings(6, 2, 1, 60.0, seconds=6.0)
+        if rule != 4
+        else scaled_settings(6, 2, 1, 200.0, load=2.0, seconds=6.0)
+    )
+    world = build_world(shape, 2, broken(kind), script(text))
     world.run()
-    assert world.truth.counts[rule] > 0, world.truth.counts
-    assert not played("module", text, 2, shape).truth.violations
+    assert world.rules.counts[rule] > 0, world.rules.counts
+    assert not played("module", text, 2, shape).rules.violations
 
 
 def test_a_cold_host_that_is_pushed_over_falls_and_comes_back() -> None:
-    shape = sized(6, 2, 1, 200.0, load=2.0, seconds=6.0)
-    world = built(
+    shape = scaled_settings(6, 2, 1, 200.0, load=2.0, seconds=6.0)
+    world = build_world(
         shape, 2, broken(BROKEN["loves-new"][1]), script("(at 500ms (crash caches:0.17 for 500ms))")
     )
     world.run()
-    assert any(one.fell for one in world.caches) and all(one.phase == "up" for one in world.caches)
+    assert any(one.overload_crashes for one in world.caches) and all(
+        one.phase == "up" for one in world.caches
+    )
 
 
 class Told:
@@ -202,7 +210,7 @@
 
 def asked(world: World, host: Server, object_key: str, **more: Any) -> Told:
     told = Told()
-    ask = Ask(0, 0, 0, (object_key, 0), 1, 40_000.0, told)
+    ask = ServerRequest(0, 0, 0, (object_key, 0), 1, 40_000.0, told)
     ask.source = "p0"
     for name, value in more.items():
         setattr(ask, name, value)
@@ -214,38 +222,38 @@
     world = World(SMALL, 1)
     host, parent = world.caches[0], world.servers["p0"]
     told = asked(world, host, "x")
-    world.agenda.run_until(20_000)
+    world.events.run_until(20_000)
     parent.stop()
-    world.agenda.run_until(3 * S)
-    assert [row[0] for row in told.ends] == [Result.ERROR] and not host.fills and host.filling == 0
+    world.events.run_until(3 * SECOND_US)
+    assert [row[0] for row in told.ends] == [Result.ERROR] and not host.fills and host.active_fills == 0
 
 
 def test_requests_join_a_fill_unless_it_began_before_what_they_may_get() -> None:
     world = World(SMALL, 1)
     host = world.caches[0]
-    first, second = asked(world, host, "x"), asked(world, host, "x", join=True)
-    world.agenda.run_until(30_000)
-    late = asked(world, host, "x", join=True, oldest_us=1)
-    world.agenda.run_until(3 * S)
+    first, second = asked(world, host, "x"), asked(world, host, "x", may_join=True)
+    world.events.run_until(30_000)
+    late = asked(world, host, "x", may_join=True, max_age_us=1)
+    world.events.run_until(3 * SECOND_US)
     assert [told.ends[0][0] for told in (first, second, late)] == [Result.SUCCEEDED] * 3
-    assert host.joined == 1 and host.filled == 2
+    assert host.joined_requests == 1 and host.completed_fills == 2
 
 
 def test_a_herd_and_a_drain_on_one_tick() -> None:
     world = played("module", "(at 2s (herd page 0.9 objects 1 for 3s) (drain c0-0 for 3s))", 5)
-    assert not world.truth.violations and world.clients.utility.score() > 0.5
+    assert not world.rules.violations and world.clients.utility.score() > 0.5
 
 
 def test_a_cold_host_that_falls_over_ends_every_ask_once() -> None:
     world = World(SMALL, 1)
     host = world.caches[0]
-    world.crash(host, 1_000)
-    world.agenda.run_until(2_000)
-    assert host.phase == "up" and host.uid in world.truth.colds.warming
+    world.crash_server(host, 1_000)
+    world.events.run_until(2_000)
+    assert host.phase == "up" and host.uid in world.rules.colds.warming
     told = [asked(world, host, f"{n:016x}") for n in range(600)]
     probed = asked(world, host, "0" * 16, source=host.uid)
-    world.agenda.run_until(20 * S)
-    assert host.fell >= 1 and all(len(one.ends) == 1 for one in (*told, probed))
+    world.events.run_until(20 * SECOND_US)
+    assert host.overload_crashes >= 1 and all(len(one.ends) == 1 for one in (*told, probed))
     assert {one.ends[0][0] for one in told} >= {Result.BROKEN, Result.NO_CONNECTION}
 
 
@@ -267,44 +275,47 @@
 @pytest.mark.parametrize("late", [False, True])
 def test_an_answer_written_as_the_client_gives_up_counts_once(late: bool) -> None:
     agenda, streams, front = EventQueue(), RandomStreams(3), Nowhere()
-    shape = sized(6, 2, 1, 20.0, seconds=2.0)
+    shape = scaled_settings(6, 2, 1, 20.0, seconds=2.0)
     clients = Clients(agenda, shape, streams, ObjectCatalog(shape, streams), front)
     clients.begin()
     while not front.taken:
         agenda.run_until(agenda.next_time() or 0)
     request = front.taken[0]
-    end = request.until + LAST_US
+    end = request.give_up_at + ANSWER_GRACE_US
     agenda.schedule(end, clients.answered, request.id, SERVED)  # behind the giving up at the same microsecond
     if not late:
         agenda.schedule(end - 1, clients.answered, request.id, SERVED)
-    agenda.run_until(end + S)
+    agenda.run_until(end + SECOND_US)
     assert request.done and (request in front.left) == late
     utility = clients.utility
-    agenda.run_until(60 * S)
-    assert sum(utility.earned) + sum(utility.lost.values()) == pytest.approx(sum(utility.asked))
+    agenda.run_until(60 * SECOND_US)
+    assert sum(utility.earned) + sum(utility.lost_by_cause.values()) == pytest.approx(sum(utility.asked))
 
 
 def test_two_dispatchers_meet_only_in_the_load_they_cause() -> None:
-    shape = sized(6, 2, 1, 120.0, load=0.9, seconds=8.0)
-    both = built(shape, 4, policy("module"))
-    one = built(shape, 4, policy("module"), script("(at 0s (kill 0.5 for 8s))"))
+    shape = scaled_settings(6, 2, 1, 120.0, load=0.9, seconds=8.0)
+    both = build_world(shape, 4, policy("module"))
+    one = build_world(shape, 4, policy("module"), script("(at 0s (kill 0.5 for 8s))"))
     both.run()
     one.run()
-    assert not both.truth.violations and not one.truth.violations
+    assert not both.rules.violations and not one.rules.violations
     for world in (both, one):
-        seconds = world.agenda.now / S
-        assert world.zone_links[0].carried_us / S <= shape.zone_link * seconds
+        seconds = world.events.now / SECOND_US
+        assert world.zone_links[0].carried_us / SECOND_US <= shape.zone_link * seconds
     # The one that lives gets all clients, but keeps a half of the link for the other: it must lose by it.
     assert one.clients.utility.score() <= both.clients.utility.score() + 0.02
     assert one.clients.utility.score() > 0.4
 
 
 @settings(deadline=None)
-@given(st.integers(-5 * S, 5 * S), st.lists(st.tuples(st.integers(0, S), st.integers(0, 2 * S)), min_size=1))
+@given(
+    st.integers(-5 * SECOND_US, 5 * SECOND_US),
+    st.lists(st.tuples(st.integers(0, SECOND_US), st.integers(0, 2 * SECOND_US)), min_size=1),
+)
 def test_a_log_dated_by_another_clock_is_never_taken_as_older_than_it_is(
     ahead: int, rows: list[tuple[int, int]]
 ) -> None:
-    clock, true = LogClock(), 100 * S
+    clock, true = LogClock(), 100 * SECOND_US
     for wait, late in rows:
         true += wait
         heard = true + late + ahead  # by our clock, which runs ahead of the log's
@@ -317,25 +328,25 @@
     # With the log's time taken as ours, twelve requests got copies older than their purge (clock ahead).
     for step in ("2s", "-2s"):
         text = f"(at 0s (clock 1 {step})) (at 2s (flush 1)) (at 4s (flush 1))"
-        assert not played("module", text, 2).truth.violations, step
+        assert not played("module", text, 2).rules.violations, step
 
 
 def test_a_dispatcher_whose_core_is_full_serves_less() -> None:
     free = played("module", "", 3, SMALL).clients.utility.score()
-    full = played("module", "", 3, replace(SMALL, cpu_us=12_000))
-    assert full.clients.utility.score() < free - 0.1 and not full.truth.violations
+    full = played("module", "", 3, replace(SMALL, event_cpu_us=12_000))
+    assert full.clients.utility.score() < free - 0.1 and not full.rules.violations
 
 
 def test_a_copy_near_its_end_is_renewed_behind_its_answer() -> None:
     world = World(SMALL, 1)
     host = world.caches[0]
     asked(world, host, "x")
-    world.agenda.run_until(SMALL.classes[0].fresh_us * 9 // 10)
+    world.events.run_until(SMALL.classes[0].fresh_us * 9 // 10)
     plain = asked(world, host, "x")
-    world.agenda.run_until(world.agenda.now + S)
-    assert plain.ends[0][1] == Note.HIT and host.filled == 1
-    renewed = asked(world, host, "x", renew=True)
-    world.agenda.run_until(world.agenda.now + S)
-    assert renewed.ends[0][1] == Note.HIT and host.filled == 2
-    born = host.keep.peek(("x", 0))
+    world.events.run_until(world.events.now + SECOND_US)
+    assert plain.ends[0][1] == Note.HIT and host.completed_fills == 1
+    renewed = asked(world, host, "x", may_renew=True)
+    world.events.run_until(world.events.now + SECOND_US)
+    assert renewed.ends[0][1] == Note.HIT and host.completed_fills == 2
+    born = host.storage.peek(("x", 0))
     assert born is not None and born.created > renewed.ends[0][2]
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -170,7 +170,11 @@
     assert len(cells) == 2 * 3 * 2 and len({cell.key() for cell in cells}) == 12
     for pair in {(cell.day, cell.seed) for cell in cells}:
         mine = [cell for cell in cells if (cell.day, cell.seed) == pair]
-        assert len(mine) == 2 and mine[0].text == mine[1].text and mine[0].shape() == mine[1].shape()
+        assert (
+            len(mine) == 2
+            and mine[0].text == mine[1].text
+            and mine[0].world_settings() == mine[1].world_settings()
+        )
     assert {cell.text for cell in cells if cell.day == "late"} == {"(at 1000000us (slow origin 3x for 1s))"}
 
 
@@ -308,7 +312,7 @@
     for _ in range(3):
         try:
             return play(Job(cell))
-        except sockets.TooLate as wrong:
+        except sockets.RunTooLateError as wrong:
             late = wrong
     raise late
 
@@ -331,11 +335,11 @@
 
 
 def test_a_day_on_which_the_machine_was_too_slow_proves_nothing(tmp_path: Path) -> None:
-    shape = Cell("calm", "", 3, 1, "module", 1.0, 5.0, 0.5, 20, 1, "sockets", 0.5).shape()
-    day = sockets.Day(shape, 1, [], tmp_path)
+    shape = Cell("calm", "", 3, 1, "module", 1.0, 5.0, 0.5, 20, 1, "sockets", 0.5).world_settings()
+    day = sockets.SocketDay(shape, 1, [], tmp_path)
     for n in range(40):
-        day.world.agenda.schedule(n * 100_000, time.sleep, 0.06)
-    with pytest.raises(sockets.TooLate, match="ms late"):
+        day.world.events.schedule(n * 100_000, time.sleep, 0.06)
+    with pytest.raises(sockets.RunTooLateError, match="ms late"):
         asyncio.run(asyncio.wait_for(day.play(), 40))
 
 
