--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -25,9 +25,16 @@
 from benchmarks.verdict import verdict
 from hoistplank.authorization.keyfiles import Ring, append_revocation, private_key
 from hoistplank.authorization.revocations import Revocation
-from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text
+from hoistplank.fakes.certificate_authority import FakeCertificateAuthority, TokenSigner, operator_text
 from hoistplank.fakes.deployment import Deployment, free_port
-from hoistplank.fakes.load import Line, Sent, answered, flood, lines, paced
+from hoistplank.fakes.flood import Flood, FloodPlan
+from hoistplank.fakes.load import (
+    LoadConnection,
+    SentRequest,
+    call_at_rate,
+    open_connections,
+    wait_answered,
+)
 
 QUICK = os.environ.get("QUICK") == "1"
 SEED = 7
@@ -45,10 +52,10 @@
     """A deployment whose dispatcher knows its callers; keys are changed by the operators' own code."""
 
     def __init__(self, folder: Path, callers: bool = True, tokens: str = "", **words: Any) -> None:
-        self.authority, self.ring = Authority(folder), Ring(folder / "ring")
+        self.authority, self.ring = FakeCertificateAuthority(folder), Ring(folder / "ring")
         self.tls = free_port()
         (folder / "revoked.jsonl").touch()
-        self.signers: dict[str, Signer] = {}
+        self.signers: dict[str, TokenSigner] = {}
         self.made("k0")
         self.ring.move("k0", "publish", 0)
         self.ring.move("k0", "sign", 0)
@@ -58,11 +65,11 @@
         )
         super().__init__(folder, operator=str(file) if callers else "", **words)
 
-    def made(self, kid: str) -> Signer:
+    def made(self, kid: str) -> TokenSigner:
         """Another private key in the ring, known to nobody yet."""
         self.ring.make(kid, "EdDSA", time.time_ns() // 1000)
         file = self.ring.folder / f"{kid}.pem"
-        self.signers[kid] = Signer(kid, key=private_key(file, file.read_bytes()))
+        self.signers[kid] = TokenSigner(kid, key=private_key(file, file.read_bytes()))
         return self.signers[kid]
 
     def move(self, kid: str, event: str) -> None:
@@ -82,7 +89,7 @@
         """The ids that any cache host saw, and when first (Unix seconds)."""
         out: dict[str, float] = {}
         for server in self.servers:
-            for at, id, _ in server.seen:
+            for at, id, _ in server.answers:
                 out[id] = min(at, out.get(id, at))
         return out
 
@@ -100,7 +107,7 @@
     word."""
 
     def __init__(self) -> None:
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
         self.rules: dict[str, Rule] = {}
 
     def told(self, taken: dict[str, float]) -> dict[str, int]:
@@ -108,12 +115,12 @@
         for one in self.sent:
             rule = self.rules[one.kind]
             if one.status == 0:
-                out["lost"] += one.id in taken or one.at < min(rule.good_until, rule.bad_from)
-            if one.at >= rule.bad_from:
+                out["lost"] += one.id in taken or one.sent_at < min(rule.good_until, rule.bad_from)
+            if one.sent_at >= rule.bad_from:
                 out["wrongly_allowed"] += one.status == 200 or one.id in taken
-            elif one.at < rule.good_until and one.refusal:
+            elif one.sent_at < rule.good_until and one.rejection:
                 out["wrongly_refused"] += 1
-            out["rejected_by_module"] += one.status in (502, 503) and not one.refusal
+            out["rejected_by_module"] += one.status in (502, 503) and not one.rejection
         return dict(out)
 
 
@@ -122,12 +129,12 @@
     revocations."""
     chance, checker = Random(SEED), Checker()
     seconds = requests / rate
-    plain = await lines(place.address, 6)
-    coast, serial = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
-    kept, _ = place.authority.leaf("kept.pem", ["uri:hoistplank:coast"])
-    secure = await lines(("127.0.0.1", place.tls), 3, place.authority.context(kept))
-    doomed = await lines(("127.0.0.1", place.tls), 2, place.authority.context(coast))
-    forger = Signer("k0")
+    plain = await open_connections(place.address, 6)
+    coast, serial = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
+    kept, _ = place.authority.issue("kept.pem", ["uri:hoistplank:coast"])
+    secure = await open_connections(("127.0.0.1", place.tls), 3, place.authority.client_context(kept))
+    doomed = await open_connections(("127.0.0.1", place.tls), 2, place.authority.client_context(coast))
+    forger = TokenSigner("k0")
     always, never = Rule(), Rule(good_until=0.0, bad_from=0.0)
     checker.rules = {
         "foreign": never,
@@ -173,7 +180,7 @@
             "REMOTE_ADDR": f"10.1.{chance.randrange(60)}.1",
         }
 
-    async def again(line: Line, kind: str, words: dict[str, str], first: Sent) -> None:
+    async def again(line: LoadConnection, kind: str, words: dict[str, str], first: SentRequest) -> None:
         """A caller that is told when to come back does so; its last answer counts."""
         turns = 0
         while not first.done.is_set():
@@ -183,7 +190,7 @@
                 break
         sent = first
         for _ in range(8):
-            if sent.refusal != "key not known yet":
+            if sent.rejection != "key not known yet":
                 break
             waited[0] += 1
             await asyncio.sleep(max(0.05, sent.pushback_ms / 1e3))
@@ -208,7 +215,7 @@
             line = secure[n % 3]
         elif kind == "doomed":
             line = doomed[n % 2]
-            if line.ended:
+            if line.is_closed:
                 return
         elif kind == "foreign":
             words = fields(1) | {"HTTP_AUTHORIZATION": f"Bearer {pools[next(reversed(pools))][1]}"}
@@ -234,7 +241,7 @@
             hold(kid)
             if turn == 1:
                 now = time.monotonic()
-                place.authority.crl([serial])
+                place.authority.write_revocation_list([serial])
                 revoked_at["doomed"] = now
                 checker.rules["doomed"] = Rule(now, now + GRACE_S)
             for kind, row in (
@@ -254,11 +261,11 @@
             del pools[before]
 
     telling = asyncio.create_task(story(), name="story")
-    count = await paced(rate, max(seconds, 3 * GRACE_S * 1.3 + 6 * seconds / 14 + 1.0), send)
+    count = await call_at_rate(rate, max(seconds, 3 * GRACE_S * 1.3 + 6 * seconds / 14 + 1.0), send)
     await telling
     while retries:
         await asyncio.sleep(0.05)
-    await answered(checker.sent)
+    await wait_answered(checker.sent)
     taken = place.taken()
     unix = time.time() - time.monotonic()
     late = {
@@ -266,7 +273,7 @@
             [
                 taken[one.id] - unix - at
                 for one in checker.sent
-                if one.kind == kind and one.id in taken and one.at > at
+                if one.kind == kind and one.id in taken and one.sent_at > at
             ],
             default=0.0,
         )
@@ -283,7 +290,7 @@
         "revoked_to_last_taken_s": round(max(late.values()), 3),
         "kinds": dict(Counter(o.kind for o in checker.sent)),
         "statuses": {str(k): v for k, v in sorted(Counter(o.status for o in checker.sent).items())},
-        "causes": dict(Counter(o.refusal for o in checker.sent if o.refusal)),
+        "causes": dict(Counter(o.rejection for o in checker.sent if o.rejection)),
     }
 
 
@@ -297,9 +304,9 @@
             checker = Checker()
             checker.rules = {"good": Rule(), "forged": Rule(0.0, 0.0)}
             async with place:
-                ways = await lines(place.address, 1)
+                ways = await open_connections(place.address, 1)
                 for n in range(40):
-                    signer = place.signers["k0"] if n % 2 else Signer("k0")
+                    signer = place.signers["k0"] if n % 2 else TokenSigner("k0")
                     token = signer.token("coast-1", audience=wrong)
                     kind = "good" if n % 2 else "forged"
                     checker.sent.append(
@@ -311,7 +318,7 @@
                         )
                     )
                     await asyncio.sleep(0.005)
-                await answered(checker.sent)
+                await wait_answered(checker.sent)
                 await ways[0].close()
             found[name] = checker.told(place.taken())[name] >= 15
     return found
@@ -319,9 +326,9 @@
 
 async def _usual(
     place: Place, tokens: list[str], rate: float, seconds: float, seed: int, group: int = 1
-) -> list[Sent]:
-    chance, out = Random(seed), list[Sent]()
-    ways = await lines(place.address, 4)
+) -> list[SentRequest]:
+    chance, out = Random(seed), list[SentRequest]()
+    ways = await open_connections(place.address, 4)
 
     def send(n: int) -> None:
         books = n % 25 == 0
@@ -342,16 +349,16 @@
             )
         )
 
-    await paced(rate, seconds, send)
-    await answered(out, 3)
+    await call_at_rate(rate, seconds, send)
+    await wait_answered(out, 3)
     for way in ways:
         await way.close()
     return out
 
 
-def earned(sent: list[Sent]) -> float:
+def earned(sent: list[SentRequest]) -> float:
     worth = {"page": (1.0, GOAL_S), "booking": (3.0, 0.7)}
-    got = sum(worth[o.kind][0] for o in sent if o.status == 200 and o.took <= worth[o.kind][1])
+    got = sum(worth[o.kind][0] for o in sent if o.status == 200 and o.latency_s <= worth[o.kind][1])
     return got / sum(worth[o.kind][0] for o in sent)
 
 
@@ -391,7 +398,7 @@
     open cap."""
     calm, rough, crowd = list[float](), list[float](), Counter[str]()
     with tempfile.TemporaryDirectory() as folder:
-        place = Place(Path(folder), takes_s=0.12)
+        place = Place(Path(folder), work_s=0.12)
         place.settings["limits"]["open_cap"] = 24
         async with place:
             tokens = {
@@ -408,8 +415,8 @@
 
             for n in range(300):
                 for server in [*place.caches, place.parent]:
-                    server.hold(f"{n:016x}")
-                    server.hold(f"{1_000 + n:016x}")
+                    server.store_copy(f"{n:016x}")
+                    server.store_copy(f"{1_000 + n:016x}")
             await both(99)
             for turn in range(rounds):
                 calm.append(await both(turn))
@@ -429,13 +436,13 @@
 
 
 async def _block(
-    place: Place, ways: list[Line], words: dict[str, str], requests: int, chance: Random
+    place: Place, ways: list[LoadConnection], words: dict[str, str], requests: int, chance: Random
 ) -> float:
     """CPU of the dispatcher a request, in microseconds, over requests kept eight at a time on kept
     connections."""
     before, left = place.cpu_ns(), requests
 
-    async def loop(way: Line) -> None:
+    async def loop(way: LoadConnection) -> None:
         nonlocal left
         while left > 0:
             left -= 1
@@ -457,15 +464,15 @@
     with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as two:
         bare, known = Place(Path(one), callers=False), Place(Path(two))
         async with bare, known:
-            leaf, _ = known.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
+            leaf, _ = known.authority.issue("coast.pem", ["uri:hoistplank:coast"])
             words = {"HTTP_X_TAG": "1"}
             bearer = words | {"HTTP_AUTHORIZATION": f"Bearer {known.signers['k0'].token('coast-1')}"}
             kinds = {
-                "plain": (bare, await lines(bare.address, 8), words),
-                "token": (known, await lines(known.address, 8), bearer),
+                "plain": (bare, await open_connections(bare.address, 8), words),
+                "token": (known, await open_connections(known.address, 8), bearer),
                 "tls": (
                     known,
-                    await lines(("127.0.0.1", known.tls), 8, known.authority.context(leaf)),
+                    await open_connections(("127.0.0.1", known.tls), 8, known.authority.client_context(leaf)),
                     words,
                 ),
             }
@@ -478,7 +485,7 @@
                     place, ways, given = kinds[name]
                     found[name].append(await _block(place, ways, given, requests, chance))
             before = known.resident_kb()
-            more = await lines(("127.0.0.1", known.tls), 150, known.authority.context(leaf))
+            more = await open_connections(("127.0.0.1", known.tls), 150, known.authority.client_context(leaf))
             for way in more:
                 sent = way.send("page", f"{chance.getrandbits(64):016x}", "page", words)
                 await asyncio.wait_for(sent.done.wait(), 5)
@@ -526,7 +533,7 @@
     from hoistplank.authorization import jws
     from hoistplank.authorization.keyfiles import parse_keys
 
-    signer = Signer("k0")
+    signer = TokenSigner("k0")
     token = signer.token("coast-1")
     key = parse_keys(Path("ring.json"), json.dumps({"keys": [signer.jwk()]}).encode()).keys["k0"]
     other = OKPKey.import_key({name: signer.jwk()[name] for name in ("kty", "crv", "x")})
@@ -592,12 +599,13 @@
     """The part of a measurement that another process plays."""
     if words[0] == "flood":
         _, port, tls, seconds, claims, kid = words
-        return await flood(
-            ("127.0.0.1", int(port)), 2_000, 200, ("127.0.0.1", int(tls)), float(seconds), claims, kid
+        plan = FloodPlan(
+            ("127.0.0.1", int(port)), ("127.0.0.1", int(tls)), 2_000, 200, float(seconds), claims, kid
         )
+        return await Flood(plan).run()
     _, port, seconds, file = words
-    tokens, chance, out = json.loads(Path(file).read_text()), Random(SEED), list[Sent]()
-    ways = await lines(("127.0.0.1", int(port)), 8)
+    tokens, chance, out = json.loads(Path(file).read_text()), Random(SEED), list[SentRequest]()
+    ways = await open_connections(("127.0.0.1", int(port)), 8)
 
     def send(n: int) -> None:
         out.append(
@@ -613,11 +621,11 @@
             )
         )
 
-    await paced(2_660, float(seconds), send)
-    await answered(out, 3)
+    await call_at_rate(2_660, float(seconds), send)
+    await wait_answered(out, 3)
     return {
         f"{status} {cause}".strip(): count
-        for (status, cause), count in Counter((one.status, one.refusal) for one in out).items()
+        for (status, cause), count in Counter((one.status, one.rejection) for one in out).items()
     }
 
 
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -25,9 +25,9 @@
 
 from benchmarks import starters
 from benchmarks.verdict import verdict
-from hoistplank.fakes.cache_host import Server
+from hoistplank.fakes.cache_host import FakeCacheServer
 from hoistplank.fakes.deployment import Deployment, free_port
-from hoistplank.fakes.load import Line, Sent, answered, lines, paced
+from hoistplank.fakes.load import LoadConnection, SentRequest, call_at_rate, open_connections, wait_answered
 from hoistplank.fakes.wire import serve
 from hoistplank.store.folder import Folder
 from hoistplank.store.schemas import History, KeptHost, KeptList
@@ -66,8 +66,8 @@
     def __init__(
         self, folder: Path, age_s: float, share: float, mode: str, dispatchers: int, seed: int
     ) -> None:
-        super().__init__(folder, hosts=BOXES, takes_s=TRANSFER_S * 4)
-        self.units, self.age_s, self.mode, self.dispatchers = UNITS, age_s, mode, dispatchers
+        super().__init__(folder, hosts=BOXES, work_s=TRANSFER_S * 4)
+        self.capacity_hint, self.age_s, self.mode, self.dispatchers = UNITS, age_s, mode, dispatchers
         self.settings |= {"group_size": dispatchers}
         self.settings["family_info"] |= {"instances_by_zone": [0, dispatchers], "purge_takes": PURGE_TAKES_S}
         self.settings["classes"][0] |= {"give_up": 2.5}
@@ -85,10 +85,10 @@
         for n, one in enumerate(self.absent):
             await one.start(bool(n % 2))
         for server in self.drained:
-            server.ping = "red"
+            server.health = "red"
         for object_key in range(400):
             for server in [*self.caches, self.parent]:
-                server.hold(f"{object_key:016x}")
+                server.store_copy(f"{object_key:016x}")
         self.log_port = free_port()
         rows = [
             KeptHost(
@@ -157,9 +157,9 @@
                 await child.wait()
 
 
-def overload(server: Server, since: float) -> float:
+def overload(server: FakeCacheServer, since: float) -> float:
     """The most work of any window of the rule, against what a host that is cold since then may get in it."""
-    times = [at for at, _, _ in server.seen]
+    times = [at for at, _, _ in server.answers]
     worst, first = 0.0, 0
     for last, at in enumerate(times):
         while times[first] <= at - WINDOW_S:
@@ -174,11 +174,11 @@
 async def scene(
     age_s: float, share: float, seconds: float, mode: str, dispatchers: int, seed: int
 ) -> dict[str, Any]:
-    chance, sent = Random(seed), list[Sent]()
+    chance, sent = Random(seed), list[SentRequest]()
     with tempfile.TemporaryDirectory() as folder:
         began, began_unix = time.monotonic(), time.time()
         async with Place(Path(folder), age_s, share, mode, dispatchers, seed) as place:
-            ways: dict[int, Line] = {}
+            ways: dict[int, LoadConnection] = {}
             started = time.monotonic()
 
             async def connect(n: int) -> None:
@@ -186,16 +186,16 @@
                 address = place.children[n][1]
                 while time.monotonic() - began < seconds:
                     with contextlib.suppress(OSError):
-                        if n not in ways or ways[n].ended:
-                            ways[n] = (await lines(address, 1))[0]
+                        if n not in ways or ways[n].is_closed:
+                            ways[n] = (await open_connections(address, 1))[0]
                     await asyncio.sleep(0.02)
 
             connecting = [asyncio.create_task(connect(n), name="connect") for n in range(dispatchers)]
 
             def send(n: int) -> None:
                 way = ways.get(n % dispatchers)
-                one = Sent("", "page", time.monotonic())
-                if way is not None and not way.ended:
+                one = SentRequest("", "page", time.monotonic())
+                if way is not None and not way.is_closed:
                     one = way.send(
                         "page",
                         f"{chance.getrandbits(64):016x}",
@@ -210,13 +210,13 @@
                 nonlocal drained_told
                 await asyncio.sleep(seconds / 2)
                 first = 2 if mode == "trusting" else 1  # that one holds the configuration's event 1
-                place.changelog.tell(
+                place.change_log.publish(
                     {
                         "seq": first,
                         "fleet": {
                             "rev": 1,
                             "all": True,
-                            "targets": place.targets({one.uid: "draining" for one in place.drained}),
+                            "targets": place.endpoint_entries({one.uid: "draining" for one in place.drained}),
                         },
                     }
                 )
@@ -224,10 +224,10 @@
                 now = time.time()
                 for n in range(100):
                     place.directory.purged[f"{n:016x}"] = (int(now * 1e3), now + 1.0 + LOG_BACK_S)
-                    place.changelog.tell(
+                    place.change_log.publish(
                         {"seq": first + 1 + n, "invalidate": {"object": f"{n:016x}", "time": int(now * 1e3)}}
                     )
-                await serve(place.changelog.talk, place.log_port)
+                await serve(place.change_log.serve_connection, place.log_port)
                 drained_told = time.time()
                 # The hosts themselves drop what was purged some time later, as the settings say they do.
                 await asyncio.sleep(PURGE_TAKES_S - 0.5)
@@ -237,8 +237,8 @@
                             del server.copies[key]
 
             coming = asyncio.create_task(back(), name="log")
-            await paced(RATE, seconds, send)
-            await answered(sent, 3)
+            await call_at_rate(RATE, seconds, send)
+            await wait_answered(sent, 3)
             for task in [*connecting, coming]:
                 task.cancel()
             await asyncio.gather(*connecting, coming, return_exceptions=True)
@@ -246,7 +246,7 @@
                 await way.close()
             log = (Path(folder) / "dispatcher.log").read_text()
     live = [one for one in place.caches if one not in place.drained]
-    good = [one.at + one.took - started for one in sent if one.status == 200]
+    good = [one.sent_at + one.latency_s - started for one in sent if one.status == 200]
     after = (
         7.2 + GRACE_S
     )  # a log that is down is asked again within a second; counts as told 7 s later at the latest
@@ -256,25 +256,25 @@
         "mode": mode,
         "dispatchers": dispatchers,
         "visits": len(sent),
-        "in_time": round(sum(one.status == 200 and one.took <= GOAL_S for one in sent) / len(sent), 4),
+        "in_time": round(sum(one.status == 200 and one.latency_s <= GOAL_S for one in sent) / len(sent), 4),
         "in_time_after_first": round(
             sum(
-                one.status == 200 and one.took <= GOAL_S
+                one.status == 200 and one.latency_s <= GOAL_S
                 for one in sent
-                if good and one.at - started >= min(good)
+                if good and one.sent_at - started >= min(good)
             )
-            / max(1, sum(1 for one in sent if good and one.at - started >= min(good))),
+            / max(1, sum(1 for one in sent if good and one.sent_at - started >= min(good))),
             4,
         ),
         "first_served_s": round(min(good), 3) if good else None,
         "to_absent": sum(one.gets for one in place.absent),
         "absent": len(place.absent),
         "most_to_one_absent": max((one.gets for one in place.absent), default=0),
-        "to_drained_before": sum(at <= drained_told for one in place.drained for at, _, _ in one.seen),
+        "to_drained_before": sum(at <= drained_told for one in place.drained for at, _, _ in one.answers),
         "to_drained_late": sum(
-            at > drained_told + min(after, 1.5 + GRACE_S) for one in place.drained for at, _, _ in one.seen
+            at > drained_told + min(after, 1.5 + GRACE_S) for one in place.drained for at, _, _ in one.answers
         ),
-        "stale": len(place.directory.stale),
+        "stale": len(place.directory.stale_answers),
         "cold_load": round(max((overload(one, began_unix) for one in live), default=0.0), 3),
         "provisional": "phase='provisional'" in log,
         "broken": log.count("Traceback"),
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -16,16 +16,17 @@
 import sys
 import tempfile
 import time
+from dataclasses import asdict
 from pathlib import Path
 from random import Random
 from typing import Any
 
 from benchmarks.verdict import verdict
 from hoistplank.choice import Router
-from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.fakes.first_choice import first_choice
-from hoistplank.fakes.proxy import Proxy
-from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.proxy import FakeProxy
+from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
 from hoistplank.program.configuration import Configuration, read
@@ -48,16 +49,17 @@
     """A change log and a control process that follows it, `hosts` cache hosts in `zones` locations."""
 
     def __init__(self, folder: Path, hosts: int, zones: int = 1) -> None:
-        self.folder, self.log, self.seq = folder, ChangeLog(), 1
-        self.targets = [
-            target(f"box-{n}", "box", 9_000 + n) | {"az": ZONE if n % zones == 0 else f"z{n % zones + 1}"}
+        self.folder, self.log, self.seq = folder, FakeChangeLog(), 1
+        self.endpoint_entries = [
+            endpoint_entry(f"box-{n}", "box", 9_000 + n)
+            | {"az": ZONE if n % zones == 0 else f"z{n % zones + 1}"}
             for n in range(hosts)
         ]
-        self.targets += [target("p", "parent", 8_100), target("o", "origin", 8_101)]
+        self.endpoint_entries += [endpoint_entry("p", "parent", 8_100), endpoint_entry("o", "origin", 8_101)]
 
     def configuration(self) -> Configuration:
         file = self.folder / "config.json"
-        known = {"seq": 1, "results": [listing(1, self.targets, whole=True)]}
+        known = {"seq": 1, "results": [fleet_event(1, self.endpoint_entries, whole=True)]}
         file.write_text(
             json.dumps(
                 {
@@ -73,7 +75,7 @@
         return read({"EDGE_CONFIG": str(file)})
 
     async def __aenter__(self) -> Place:
-        self.port = await serve(self.log.talk)
+        self.port = await serve(self.log.serve_connection)
         self.control = Control(self.configuration())
         await self.control.serve("127.0.0.1:0")
         self.task = asyncio.create_task(self.control.run())
@@ -86,13 +88,13 @@
 
     def say(self, uid: str, state: str) -> float:
         self.seq += 1
-        row = next(row for row in self.targets if row["uid"] == uid) | {"state": state}
-        self.log.tell(listing(self.seq, [row]))
+        row = next(row for row in self.endpoint_entries if row["uid"] == uid) | {"state": state}
+        self.log.publish(fleet_event(self.seq, [row]))
         return time.monotonic()
 
     def purge(self, group: int) -> float:
         self.seq += 1
-        self.log.tell({"seq": self.seq, "invalidate": {"bucket": group, "time": time.time() * 1_000}})
+        self.log.publish({"seq": self.seq, "invalidate": {"bucket": group, "time": time.time() * 1_000}})
         return time.monotonic()
 
 
@@ -101,7 +103,7 @@
 
 async def crew(port: int, count: int, extension: bool, seconds: float, name: str) -> dict[str, Any]:
     """`count` proxies for so long: when each held what, and each choice of the host that drains."""
-    proxies = [Proxy(f"127.0.0.1:{port}", f"{name}-{n}", ZONE, extension) for n in range(count)]
+    proxies = [FakeProxy(f"127.0.0.1:{port}", f"{name}-{n}", ZONE, extension) for n in range(count)]
     for proxy in proxies if name.startswith("broken") else ():
         proxy.refuses = lambda kind, response, p=proxy: "no news" if p.hosts else ""  # type: ignore[misc]
     tasks = [asyncio.create_task(proxy.run()) for proxy in proxies]
@@ -123,9 +125,9 @@
                 for uid, row in proxy.hosts.items() if before else ():
                     if uid in before and before[uid][0] != row[0]:
                         seen.setdefault(f"{uid} {'up' if row[0] else 'down'}", []).append(now)
-            if state.get("floors") is not proxy.floors:
-                state["floors"] = proxy.floors
-                for group in proxy.floors:
+            if state.get("floors") is not proxy.purge_watermarks:
+                state["floors"] = proxy.purge_watermarks
+                for group in proxy.purge_watermarks:
                     if group not in state:
                         state[group] = now
                         seen.setdefault(group, []).append(now)
@@ -134,13 +136,14 @@
             uid = proxy.choose(*asked[chance.randrange(len(asked))])
             if uid == DRAINED:
                 sent.append(time.monotonic())
-            if "group.40" not in proxy.floors:
+            if "group.40" not in proxy.purge_watermarks:
                 stale["group.40"] = time.monotonic()
         await asyncio.sleep(0.002)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    counts = {key: sum(proxy.counts[key] for proxy in proxies) for key in proxies[0].counts}
+    each = [asdict(proxy.counts) for proxy in proxies]
+    counts = {name: sum(row[name] for row in each) for name in each[0]}
     return {"seen": seen, "sent": sent, "stale": stale, "counts": counts, "full": full, "began": began}
 
 
@@ -260,8 +263,8 @@
     """Choices of both proxies against the module's own, step by step over a deploy, at equal knowledge."""
     with tempfile.TemporaryDirectory() as folder:
         async with Place(Path(folder), hosts) as place:
-            plain = Proxy(f"127.0.0.1:{place.control.port}", "plain", ZONE, False)
-            extension = Proxy(f"127.0.0.1:{place.control.port}", "extension", ZONE, True)
+            plain = FakeProxy(f"127.0.0.1:{place.control.port}", "plain", ZONE, False)
+            extension = FakeProxy(f"127.0.0.1:{place.control.port}", "extension", ZONE, True)
             tasks = [asyncio.create_task(proxy.run()) for proxy in (plain, extension)]
             router, now, number = Router(place.control.site, 1), 100 * S, 0
             chance, known = Random(SEED), object_keys(requests // 4)
@@ -305,7 +308,7 @@
                     at = first_choice(router, now, number, "page", object_key, part)
                     equal["plain"] += plain.choose(object_key, part) == at
                     equal["extension"] += extension.choose(object_key, part) == at
-                    plain.want(object_key, part)
+                    plain.request_virtual_host(object_key, part)
                     asked.add((object_key, part))
                     if number % 20 == 0:
                         await asyncio.sleep(0.001)
--- a/hoistplank/cli/demo.py
+++ b/hoistplank/cli/demo.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from hoistplank.fakes.deployment import Deployment
-from hoistplank.fakes.wire import Client, connected
+from hoistplank.fakes.wire import FastCgiClient, connect
 
 RATE = 120.0  # requests a second: a small part of what a core carries
 THINGS = 300
@@ -28,9 +28,9 @@
     times, statuses, out = HdrHistogram(1, 60_000_000, 3), Counter[int](), dict[int, float]()
     clients = [await place.client() for _ in range(4)]
 
-    async def read(client: Client) -> None:
+    async def read(client: FastCgiClient) -> None:
         while True:
-            number, status, _, _ = await client.answer()
+            number, status, _, _ = await client.read_answer()
             times.record_value(max(1, int((time.monotonic() - out.pop(number)) * 1e6)))
             statuses[status] += 1
 
@@ -61,16 +61,16 @@
         await asyncio.gather(*readers, return_exceptions=True)
         for client in clients:
             client.writer.close()
-    notes = Counter(note for server in place.servers for _, _, note in server.seen)
+    notes = Counter(note for server in place.servers for _, _, note in server.answers)
     return {
         "visits": number,
         "answered": sum(statuses.values()),
         "served": statuses[200],
-        "from": {server.uid: len(server.seen) for server in place.servers},
+        "from": {server.uid: len(server.answers) for server in place.servers},
         "how": dict(notes),
         "ms": {f"p{q:g}": round(times.get_value_at_percentile(q) / 1e3, 1) for q in (50, 99)},
         "drained": drained.uid,
-        "to it 250 ms after the drain": sum(at > drained_at + 0.25 for at, _, _ in drained.seen),
+        "to it 250 ms after the drain": sum(at > drained_at + 0.25 for at, _, _ in drained.answers),
     }
 
 
@@ -154,9 +154,9 @@
     host, _, port = address.rpartition(":")
 
     async def scene() -> tuple[int, int, bytes, bytes]:
-        client = await connected((host, int(port)), context)
+        client = await connect((host, int(port)), context)
         client.send(1, class_name, fields)
-        return await asyncio.wait_for(client.answer(), 5)
+        return await asyncio.wait_for(client.read_answer(), 5)
 
     try:
         _, status, head, body = asyncio.run(scene())
--- a/hoistplank/fakes/__init__.py
+++ b/hoistplank/fakes/__init__.py
@@ -1,2 +1,1 @@
-"""What stands in on loopback for the systems around a dispatcher: for the demo, the tests and the
-measurements."""
+"""Test doubles on loopback for the systems around a dispatcher, for the demo, tests and benchmarks."""
--- a/hoistplank/fakes/cache_host.py
+++ b/hoistplank/fakes/cache_host.py
@@ -1,5 +1,4 @@
-"""Cache hosts, parents and an origin that keep copies and fill misses from the source that a request
-names."""
+"""Fake cache hosts, parents and an origin, which cache copies and fill misses over loopback."""
 
 from __future__ import annotations
 
@@ -8,19 +7,41 @@
 import time
 from collections import OrderedDict
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from hoistplank.fakes.wire import serve
 
+FILL_ID = "fill"  # the request id of a fill, which no dispatcher sends
+BOOKING_WINDOW_S = 3.0  # in which the origin runs a booking with one key once
+COPY_BYTES = 20_000
+
+PartKey = tuple[str, str]  # an object's key and the number of its part
+
+
+class StoredCopy(NamedTuple):
+    """A part's bytes, and when the origin gave them out (Unix ms)."""
+
+    body: bytes
+    dated_ms: int
+
+
+class SentAnswer(NamedTuple):
+    """An answer as it was sent: when (Unix s), to which request, with which cache status."""
+
+    at: float
+    request_id: str
+    cache_status: str
+
 
 @dataclass(slots=True)
-class Directory:
-    """Where each stands: a fill goes to a source that is named by its uid."""
+class ServerDirectory:
+    """The servers of a deployment: a fill goes to a source that is named by its uid."""
 
     ports: dict[str, int] = field(default_factory=dict)
-    purged: dict[str, tuple[int, float]] = field(
-        default_factory=dict
-    )  # object: Unix ms, and until when old ones may go
-    stale: list[str] = field(default_factory=list)  # requests that were answered with what was purged by then
+    # By object: when it was purged (Unix ms), and until when (Unix s) older copies may still be served.
+    purged: dict[str, tuple[int, float]] = field(default_factory=dict)
+    # The requests that got a copy older than its purge after that time.
+    stale_answers: list[str] = field(default_factory=list)
 
 
 def content(object_key: str, part: str, size: int) -> bytes:
@@ -29,32 +50,47 @@
     return (block * (size // len(block) + 1))[:size]
 
 
-class Server:
-    """One cache host, parent or origin. `takes_s` is how long it works on an answer of its own.
+def _now_ms() -> int:
+    return int(time.time() * 1e3)
+
 
-    Bookings (requests with `uniq`) run at the origin once for each key within three seconds; `ran` counts the
-    runs of
-    each key, which is the truth that a checker looks at.
+class FakeCacheServer:
+    """One cache host (`box`), `parent` or `origin`. `work_s`: how long it works on an answer of its own.
+
+    Bookings (requests with `uniq`) run at the origin once for each key within `BOOKING_WINDOW_S`;
+    `runs_by_key` holds the times of the runs, which a checker compares with what was answered.
     """
 
-    def __init__(self, uid: str, kind: str, directory: Directory, takes_s: float, keeps: int = 2_000) -> None:
-        self.uid, self.kind, self.directory, self.takes_s, self.keeps = uid, kind, directory, takes_s, keeps
-        self.copies: OrderedDict[tuple[str, str], tuple[bytes, int]] = OrderedDict()
-        self.filling: dict[tuple[str, str], asyncio.Future[tuple[bytes, int]]] = {}
-        self.seen: list[tuple[float, str, str]] = []  # when, the request's id, the note of its answer
-        self.ran: dict[str, list[float]] = {}
+    def __init__(
+        self, uid: str, kind: str, directory: ServerDirectory, work_s: float, max_copies: int = 2_000
+    ) -> None:
+        self.uid = uid
+        self.kind = kind
+        self.directory = directory
+        self.work_s = work_s
+        self.max_copies = max_copies
+        self.copies: OrderedDict[PartKey, StoredCopy] = OrderedDict()
+        self.fills: dict[PartKey, asyncio.Future[StoredCopy]] = {}
+        self.answers: list[SentAnswer] = []
+        self.runs_by_key: dict[str, list[float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.port, self.ping = 0, "green"
-        self.size = 20_000
+        self.port = 0
+        self.health = "green"
+        self.copy_bytes = COPY_BYTES
 
     async def start(self) -> None:
-        self.port = self.directory.ports[self.uid] = await serve(self.talk)
+        """Listen on a free port, which the directory then names."""
+        self.port = self.directory.ports[self.uid] = await serve(self.serve_connection)
 
-    def hold(self, object_key: str, part: str = "0") -> None:
-        """A copy that it has from the start."""
-        self.copies[object_key, part] = (content(object_key, part, self.size), int(time.time() * 1e3))
+    def store_copy(self, object_key: str, part: str = "0") -> None:
+        """Store a copy, as if it had been filled now."""
+        self.copies[object_key, part] = self._new_copy((object_key, part))
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def _new_copy(self, key: PartKey) -> StoredCopy:
+        return StoredCopy(content(*key, self.copy_bytes), _now_ms())
+
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the requests of one connection until it ends; answers may overtake each other."""
         try:
             while line := (await reader.readline()).decode().split():
                 if line[0] == "GET":
@@ -64,97 +100,102 @@
                     self.tasks.add(task)
                     task.add_done_callback(self.tasks.discard)
                 elif line[0] in ("PING", "LOAD"):
-                    writer.write(f"{line[1]} {self.ping} - 0\r\n\r\n".encode())
+                    writer.write(f"{line[1]} {self.health} - 0\r\n\r\n".encode())
         finally:
             for task in list(self.tasks):
                 if writer.is_closing():
                     task.cancel()
 
     async def _answer(
-        self, id: str, fields: dict[str, str], body: bytes, writer: asyncio.StreamWriter
+        self, request_id: str, fields: dict[str, str], body: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        object_key, part = fields.get("path", ""), fields.get("blk", "0")
-        if key := fields.get("uniq"):
-            await asyncio.sleep(self.takes_s)
-            runs = self.ran.setdefault(key, [])
-            if not runs or time.monotonic() - runs[-1] > 3.0:
-                runs.append(time.monotonic())
-            self._write(
-                id, "filled", hashlib.sha256(key.encode() + body).digest(), int(time.time() * 1e3), writer
-            )
+        if idempotency_key := fields.get("uniq"):
+            receipt = await self._run_booking(idempotency_key, body)
+            self._write(request_id, "filled", receipt, writer)
             return
-        note, place = "hit", (object_key, part)
-        held = self._young(place, fields)
-        if held is None:
-            held, note = await self._filled(place, fields)
+        key, cache_status = (fields.get("path", ""), fields.get("blk", "0")), "hit"
+        copy = self._fresh_copy(key, fields)
+        if copy is not None:
+            self.copies.move_to_end(key)
+            await asyncio.sleep(self.work_s / 4)
         else:
-            self.copies.move_to_end(place)
-            await asyncio.sleep(self.takes_s / 4)
-        if held is None:
-            writer.write(f"{id} not_here - 0\r\n\r\n".encode())
+            copy, cache_status = await self._fill_or_join(key, fields)
+        if copy is None:
+            writer.write(f"{request_id} not_here - 0\r\n\r\n".encode())
             return
+        self._check_purge(request_id, key[0], copy)
+        self._write(request_id, cache_status, copy, writer)
+
+    async def _run_booking(self, idempotency_key: str, body: bytes) -> StoredCopy:
+        await asyncio.sleep(self.work_s)
+        runs = self.runs_by_key.setdefault(idempotency_key, [])
+        if not runs or time.monotonic() - runs[-1] > BOOKING_WINDOW_S:
+            runs.append(time.monotonic())
+        return StoredCopy(hashlib.sha256(idempotency_key.encode() + body).digest(), _now_ms())
+
+    def _check_purge(self, request_id: str, object_key: str, copy: StoredCopy) -> None:
         made_ms, until = self.directory.purged.get(object_key, (0, 0.0))
-        if held[1] < made_ms and time.time() > until and id != "fill":
-            self.directory.stale.append(id)
-        self._write(id, note, held[0], held[1], writer)
-
-    def _young(self, place: tuple[str, str], fields: dict[str, str]) -> tuple[bytes, int] | None:
-        """The copy that is kept, if it is no older than the request takes it."""
-        held, most_ms = self.copies.get(place), int(fields.get("accept", "0"))
-        return None if held is not None and most_ms and time.time() * 1e3 - held[1] > most_ms else held
-
-    async def _filled(
-        self, place: tuple[str, str], fields: dict[str, str]
-    ) -> tuple[tuple[bytes, int] | None, str]:
-        under_way = self.filling.get(place)
+        if copy.dated_ms < made_ms and time.time() > until and request_id != FILL_ID:
+            self.directory.stale_answers.append(request_id)
+
+    def _fresh_copy(self, key: PartKey, fields: dict[str, str]) -> StoredCopy | None:
+        """The copy in the cache, if it is no older than the request accepts."""
+        copy, max_age_ms = self.copies.get(key), int(fields.get("accept", "0"))
+        if copy is not None and max_age_ms and time.time() * 1e3 - copy.dated_ms > max_age_ms:
+            return None
+        return copy
+
+    async def _fill_or_join(self, key: PartKey, fields: dict[str, str]) -> tuple[StoredCopy | None, str]:
+        """A copy from the source, and the answer's cache status; joins a fill that is under way."""
+        under_way = self.fills.get(key)
         if under_way is not None:
             return await asyncio.shield(under_way), "joined"
         source = fields.get("parent", "")
         if self.kind != "origin" and source not in self.directory.ports:
             return None, ""
-        filling = self.filling[place] = asyncio.get_running_loop().create_future()
+        fill = self.fills[key] = asyncio.get_running_loop().create_future()
         try:
-            await asyncio.sleep(self.takes_s)
-            if self.kind == "origin":
-                found = (content(*place, self.size), int(time.time() * 1e3))
-            else:
-                found = await self._fetched(source, place, fields)
-            self.copies[place] = found
-            if len(self.copies) > self.keeps:
-                self.copies.popitem(last=False)
-            filling.set_result(found)
-            return found, "filled"
-        except (OSError, ValueError, asyncio.IncompleteReadError) as wrong:
-            filling.set_exception(wrong)
-            filling.exception()  # looked at: those that joined raise it themselves
+            await asyncio.sleep(self.work_s)
+            copy = self._new_copy(key) if self.kind == "origin" else await self._fetch(source, key, fields)
+        except (OSError, ValueError, asyncio.IncompleteReadError) as error:
+            fill.set_exception(error)
+            fill.exception()  # marks it as retrieved: those that joined raise it themselves
             return None, ""
         finally:
-            self.filling.pop(place, None)
-
-    async def _fetched(
-        self, source: str, place: tuple[str, str], fields: dict[str, str]
-    ) -> tuple[bytes, int]:
+            self.fills.pop(key, None)
+        self.copies[key] = copy
+        if len(self.copies) > self.max_copies:
+            self.copies.popitem(last=False)
+        fill.set_result(copy)
+        return copy, "filled"
+
+    async def _fetch(self, source: str, key: PartKey, fields: dict[str, str]) -> StoredCopy:
         """One fill over a connection of its own; a parent fills from the origin."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.directory.ports[source])
         try:
             origin = next(uid for uid in self.directory.ports if uid.startswith("origin"))
-            asked = {"queue": fields.get("queue", ""), "path": place[0], "blk": place[1], "parent": origin}
+            sent = {"queue": fields.get("queue", ""), "path": key[0], "blk": key[1], "parent": origin}
             if "accept" in fields:
-                asked["accept"] = fields["accept"]
-            words = ",".join(f"{name}={value}" for name, value in asked.items())
-            writer.write(f"GET fill {words} 0\r\n\r\n".encode())
+                sent["accept"] = fields["accept"]
+            encoded = ",".join(f"{name}={value}" for name, value in sent.items())
+            writer.write(f"GET {FILL_ID} {encoded} 0\r\n\r\n".encode())
             line = (await reader.readline()).decode().split()
             body = (await reader.readexactly(int(line[3]) + 2))[:-2]
             if line[1] != "served":
                 raise ValueError(f"the source said {line[1]}")
-            return body, int(dict(part.split("=") for part in line[2].split(","))["dated"])
+            details = dict(part.split("=") for part in line[2].split(","))
+            return StoredCopy(body, int(details["dated"]))
         finally:
             writer.close()
 
-    def _write(self, id: str, note: str, body: bytes, dated: int, writer: asyncio.StreamWriter) -> None:
-        if id != "fill":
-            self.seen.append((time.time(), id, note))
-        digest = hashlib.sha256(body).hexdigest()[:16]
-        if not writer.is_closing():
-            writer.write(f"{id} served detail={note},digest={digest},dated={dated} {len(body)}\r\n".encode())
-            writer.write(body + b"\r\n")
+    def _write(
+        self, request_id: str, cache_status: str, copy: StoredCopy, writer: asyncio.StreamWriter
+    ) -> None:
+        if request_id != FILL_ID:
+            self.answers.append(SentAnswer(time.time(), request_id, cache_status))
+        digest = hashlib.sha256(copy.body).hexdigest()[:16]
+        if writer.is_closing():
+            return
+        details = f"detail={cache_status},digest={digest},dated={copy.dated_ms}"
+        writer.write(f"{request_id} served {details} {len(copy.body)}\r\n".encode())
+        writer.write(copy.body + b"\r\n")
--- a/hoistplank/fakes/certificate_authority.py
+++ b/hoistplank/fakes/certificate_authority.py
@@ -1,7 +1,6 @@
-"""A stand-in for the issuers of callers' credentials: a certificate authority with revocation lists, and a
-signer of tokens.
+"""Fake issuers of credentials: a certificate authority with revocation lists, and a signer of tokens.
 
-The signer makes tokens by hand, without the library that the program uses, so that it can make wrong ones
+The signer builds tokens by hand, without the library that the program uses, so that it can build wrong ones
 too.
 """
 
@@ -21,30 +20,32 @@
 from cryptography.hazmat.primitives.asymmetric.utils import decode_dss_signature
 from cryptography.x509.oid import NameOID
 
-Private = ed25519.Ed25519PrivateKey | ec.EllipticCurvePrivateKey
+PrivateKey = ed25519.Ed25519PrivateKey | ec.EllipticCurvePrivateKey
 
 
-def pem(key: Private) -> bytes:
+def private_key_pem(key: PrivateKey) -> bytes:
+    """A private key as unencrypted PKCS #8 in PEM."""
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
 
 
-def b64(data: bytes) -> str:
+def base64url(data: bytes) -> str:
+    """Base64 in the URL-safe alphabet, without padding (RFC 7515, section 2)."""
     return base64.urlsafe_b64encode(data).rstrip(b"=").decode()
 
 
-class Authority:
-    """A CA whose files stand in a folder: `ca.pem`, `server.pem` and `server.key`, `clients.crl`."""
+class FakeCertificateAuthority:
+    """A CA whose files are in a folder: `ca.pem`, `server.pem` and `server.key`, `clients.crl`."""
 
-    def __init__(self, folder: Path, name: str = "stand-in CA") -> None:
+    def __init__(self, folder: Path, name: str = "fake CA") -> None:
         self.folder, self.key = folder, ec.generate_private_key(ec.SECP256R1())
         self.name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-        self.own = self._signed(self.name, self.key.public_key(), [], 1, authority=True)
+        self.certificate = self._signed(self.name, self.key.public_key(), [], 1, authority=True)
         self.serial = 1
-        (folder / "ca.pem").write_bytes(self.own.public_bytes(serialization.Encoding.PEM))
-        self.server()
-        self.crl([])
+        (folder / "ca.pem").write_bytes(self.certificate.public_bytes(serialization.Encoding.PEM))
+        self.renew_server()
+        self.write_revocation_list([])
 
     def _signed(
         self,
@@ -70,9 +71,11 @@
             made = made.add_extension(x509.SubjectAlternativeName(names), critical=False)
         return made.sign(self.key, hashes.SHA256())
 
-    def leaf(self, file: str, names: list[str], days: float = 30) -> tuple[Path, int]:
-        """A certificate for `uri:…` and `dns:…` names, with its key in the same file; its path and its
-        serial."""
+    def issue(self, file: str, names: list[str], days: float = 30) -> tuple[Path, int]:
+        """Issue a certificate for `uri:…` and `dns:…` names, with its key in the same file.
+
+        Returns the file's path and the serial number.
+        """
         key = ec.generate_private_key(ec.SECP256R1())
         self.serial += 1
         listed: list[x509.GeneralName] = [
@@ -82,13 +85,13 @@
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, file)])
         made = self._signed(subject, key.public_key(), listed, self.serial, days=days)
         path = self.folder / file
-        path.write_bytes(pem(key) + made.public_bytes(serialization.Encoding.PEM))
+        path.write_bytes(private_key_pem(key) + made.public_bytes(serialization.Encoding.PEM))
         path.chmod(0o600)
         return path, self.serial
 
-    def server(self) -> None:
-        """Another chain and key for the server, at once in the files that it is started with."""
-        path, _ = self.leaf("server.both", ["dns:localhost"])
+    def renew_server(self) -> None:
+        """Replace the chain and key in the files that the server is started with, each file at once."""
+        path, _ = self.issue("server.both", ["dns:localhost"])
         key, _, chain = path.read_bytes().partition(b"-----BEGIN CERTIFICATE-----")
         for file, data in (("server.key", key), ("server.pem", b"-----BEGIN CERTIFICATE-----" + chain)):
             beside = self.folder / f".{file}"
@@ -96,7 +99,8 @@
             beside.chmod(0o600)
             beside.replace(self.folder / file)
 
-    def crl(self, serials: list[int], lasts_s: float = 86_400) -> None:
+    def write_revocation_list(self, serials: list[int], lasts_s: float = 86_400) -> None:
+        """Replace `clients.crl` by a list of these serial numbers that is valid for so long from now."""
         now = datetime.now(UTC)
         made = x509.CertificateRevocationListBuilder().issuer_name(self.name)
         made = made.last_update(now - timedelta(days=2)).next_update(now + timedelta(seconds=lasts_s))
@@ -111,44 +115,51 @@
         beside.write_bytes(made.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
         beside.replace(self.folder / "clients.crl")
 
-    def context(self, certificate: Path | None = None) -> ssl.SSLContext:
-        """What a client connects with."""
+    def client_context(self, certificate: Path | None = None) -> ssl.SSLContext:
+        """A TLS context that trusts this CA, with a client's certificate where one is given."""
         made = ssl.create_default_context(cafile=str(self.folder / "ca.pem"))
         if certificate is not None:
             made.load_cert_chain(certificate)
         return made
 
 
-class Signer:
-    """Signs tokens with one key; `header` and `claims` override what a good token has, None leaves it out."""
+class TokenSigner:
+    """Signs tokens with one key (EdDSA or ES256)."""
 
-    def __init__(self, kid: str, algorithm: str = "EdDSA", key: Private | None = None) -> None:
+    def __init__(self, kid: str, algorithm: str = "EdDSA", key: PrivateKey | None = None) -> None:
         self.kid, self.algorithm = kid, algorithm
-        self.key: Private = key or (
+        self.key: PrivateKey = key or (
             ed25519.Ed25519PrivateKey.generate()
             if algorithm == "EdDSA"
             else ec.generate_private_key(ec.SECP256R1())
         )
 
     def jwk(self, state: str = "signing") -> dict[str, Any]:
+        """The public key as a row of a key set (RFC 7517), with its lifecycle state."""
         public = self.key.public_key()
         if isinstance(public, ed25519.Ed25519PublicKey):
-            shape = {"kty": "OKP", "crv": "Ed25519", "x": b64(public.public_bytes_raw())}
+            shape = {"kty": "OKP", "crv": "Ed25519", "x": base64url(public.public_bytes_raw())}
         else:
             at = public.public_numbers()
-            shape = {"kty": "EC", "crv": "P-256", "x": b64(at.x.to_bytes(32)), "y": b64(at.y.to_bytes(32))}
+            shape = {
+                "kty": "EC",
+                "crv": "P-256",
+                "x": base64url(at.x.to_bytes(32)),
+                "y": base64url(at.y.to_bytes(32)),
+            }
         return {"kid": self.kid, "alg": self.algorithm, "use": "sig", "state": state, **shape}
 
     def sign(self, data: bytes) -> bytes:
+        """The signature in the form of RFC 7518 (for ES256, r and s of 32 bytes each)."""
         if isinstance(self.key, ed25519.Ed25519PrivateKey):
             return self.key.sign(data)
         r, s = decode_dss_signature(self.key.sign(data, ec.ECDSA(hashes.SHA256())))
         return r.to_bytes(32) + s.to_bytes(32)
 
     def raw(self, header: str, claims: str) -> str:
-        """A token over texts that need not be what they should be."""
-        signed = f"{b64(header.encode())}.{b64(claims.encode())}"
-        return f"{signed}.{b64(self.sign(signed.encode()))}"
+        """A signed token over any two texts, valid or not."""
+        signed = f"{base64url(header.encode())}.{base64url(claims.encode())}"
+        return f"{signed}.{base64url(self.sign(signed.encode()))}"
 
     def token(
         self,
@@ -159,14 +170,15 @@
         header: dict[str, Any] | None = None,
         **claims: Any,
     ) -> str:
+        """A token; `header` and `claims` override a good token's fields, None leaves a field out."""
         head = {"alg": self.algorithm, "kid": self.kid} | (header or {})
-        said = {"iss": issuer, "aud": audience, "sub": subject, "exp": int(time.time() + lasts_s)} | claims
-        kept = {name: value for name, value in said.items() if value is not None}
-        return self.raw(json.dumps(head), json.dumps(kept))
+        payload = {"iss": issuer, "aud": audience, "sub": subject, "exp": int(time.time() + lasts_s)} | claims
+        present = {name: value for name, value in payload.items() if value is not None}
+        return self.raw(json.dumps(head), json.dumps(present))
 
 
-def write_keys(path: Path, *rows: dict[str, Any]) -> None:
-    """A key set, whole or not at all."""
+def write_key_set(path: Path, *rows: dict[str, Any]) -> None:
+    """Replace a key set's file at once."""
     path.parent.mkdir(parents=True, exist_ok=True)
     beside = path.with_name(f".{path.name}")
     beside.write_text(json.dumps({"keys": list(rows)}))
--- a/hoistplank/fakes/deployment.py
+++ b/hoistplank/fakes/deployment.py
@@ -1,5 +1,4 @@
-"""A small deployment on loopback: change log, three cache hosts, a parent, an origin, and a dispatcher beside
-them."""
+"""A small deployment on loopback: a change log, cache hosts, a parent, an origin and a real dispatcher."""
 
 from __future__ import annotations
 
@@ -16,28 +15,30 @@
 from pathlib import Path
 from typing import Any, Self
 
-from hoistplank.fakes.cache_host import Directory, Server
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import SETTINGS, listing, target
-from hoistplank.fakes.wire import Client, connected, serve
+from hoistplank.fakes.cache_host import FakeCacheServer, ServerDirectory
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
+from hoistplank.fakes.wire import FastCgiClient, connect, serve
 
-READY_S = 15.0
+READY_S = 15.0  # within which a dispatcher must serve
+STOP_S = 8.0  # within which it must end after SIGTERM
 
-
-FIRST_PORT, PORTS = 10_000, 22_000
+LOWEST_PORT = 10_000
+PORT_COUNT = 22_000
 _drawn = count()
 
 
-def held_port() -> socket.socket:
-    """A socket bound to a free port of loopback that never listens: connections are refused, and a server may
-    take the port with `reuse_port` and leave it again.
+def reserve_port() -> socket.socket:
+    """A socket that is bound to a free port of loopback and never listens.
+
+    Connections are refused, and a server may take the port with `reuse_port` and leave it again.
 
     Danger: a port that nobody holds may become the near end of anybody's connection, and is gone.
     """
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    held.bind(("127.0.0.1", 0))
-    return held
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation
 
 
 def free_port() -> int:
@@ -46,66 +47,70 @@
     Danger: one of the system's own is taken by anybody's next connection before it is listened on; and two
     processes that draw at a time would draw the same. Each begins where its number puts it.
     """
-    for _ in range(PORTS):
-        port = FIRST_PORT + (os.getpid() * 97 + next(_drawn)) % PORTS
+    for _ in range(PORT_COUNT):
+        port = LOWEST_PORT + (os.getpid() * 97 + next(_drawn)) % PORT_COUNT
         with contextlib.suppress(OSError), socket.socket() as probe:
             probe.bind(("127.0.0.1", port))
             return port
-    raise RuntimeError(f"no free port from {FIRST_PORT} on")
+    raise RuntimeError(f"no free port from {LOWEST_PORT} on")
 
 
-def settings(**changes: Any) -> dict[str, Any]:
-    """The small site with a parent, and limits that a load can be played against."""
+def deployment_settings(**changes: Any) -> dict[str, Any]:
+    """The small site's settings with a parent; `changes` by dotted paths, as `limits.open_cap`."""
     out = copy.deepcopy(SETTINGS)
     out["family_info"]["second_tier_kind"] = 1
     out["limits"]["open_cap"] = 400
     for path, value in changes.items():
-        *way, last = path.split(".")
-        place = out
-        for step in way:
-            place = place[step]
-        place[last] = value
+        *parents, last = path.split(".")
+        section = out
+        for name in parents:
+            section = section[name]
+        section[last] = value
     return out
 
 
 class Deployment:
-    """`folder` holds the dispatcher's configuration and log. Use as an async context; all is gone at its
-    end."""
+    """All servers and one dispatcher process; `folder` holds the dispatcher's configuration and log.
+
+    Use it as an async context manager: all is ended when the context is left.
+    """
 
     def __init__(
         self,
         folder: Path,
         hosts: int = 3,
-        takes_s: float = 0.01,
+        work_s: float = 0.01,
         operator: str = "",
-        size: int = 20_000,
+        copy_bytes: int = 20_000,
         command: tuple[str, ...] = ("-m", "hoistplank"),
         **changes: Any,
     ) -> None:
-        self.folder, self.operator, self.settings = folder, operator, settings(**changes)
-        self.directory, self.changelog, self.seq = Directory(), ChangeLog(), 1
-        self.caches = [Server(f"cache-{n}", "box", self.directory, takes_s) for n in range(hosts)]
-        self.parent = Server("parent-0", "parent", self.directory, takes_s)
-        self.origin = Server("origin-0", "origin", self.directory, takes_s * 2)
+        self.folder, self.operator, self.settings = folder, operator, deployment_settings(**changes)
+        self.directory, self.change_log, self.seq = ServerDirectory(), FakeChangeLog(), 1
+        self.caches = [FakeCacheServer(f"cache-{n}", "box", self.directory, work_s) for n in range(hosts)]
+        self.parent = FakeCacheServer("parent-0", "parent", self.directory, work_s)
+        self.origin = FakeCacheServer("origin-0", "origin", self.directory, work_s * 2)
         self.servers = [*self.caches, self.parent, self.origin]
         for server in self.servers:
-            server.size = size
+            server.copy_bytes = copy_bytes
         self.address = ("127.0.0.1", 0)
-        self.log_up, self.units, self.command = True, 100.0, command
+        self.capacity_hint = 100.0
+        self.command = command
         self.process: asyncio.subprocess.Process | None = None
 
-    def targets(self, states: dict[str, str] | None = None) -> list[dict[str, Any]]:
-        """All servers as the change log lists them, some in a state other than ready."""
+    def endpoint_entries(self, states: dict[str, str] | None = None) -> list[dict[str, Any]]:
+        """All servers as the change log lists them; `states` names those that are not ready."""
         rows = [
-            target(one.uid, one.kind, one.port, (states or {}).get(one.uid, "ready")) for one in self.servers
+            endpoint_entry(one.uid, one.kind, one.port, (states or {}).get(one.uid, "ready"))
+            for one in self.servers
         ]
-        return [row | {"capacity_hint": self.units} for row in rows]
+        return [row | {"capacity_hint": self.capacity_hint} for row in rows]
 
     def configure(self, known: bool = True, name: str = "demo-0", seed: str = "7f") -> None:
-        """Writes the dispatcher's configuration, with or without the list of the start."""
+        """Write the dispatcher's configuration, with or without an endpoint list to start from."""
         self.address = ("127.0.0.1", free_port())
         self.configuration = self.folder / f"{name}.json"
-        rows = [listing(1, self.targets(), whole=True)] if known else []
+        rows = [fleet_event(1, self.endpoint_entries(), whole=True)] if known else []
         self.configuration.write_text(
             json.dumps(
                 {
@@ -123,16 +128,18 @@
     async def __aenter__(self) -> Self:
         for server in self.servers:
             await server.start()
-        self.log_port = await serve(self.changelog.talk)
+        self.log_port = await serve(self.change_log.serve_connection)
         self.configure()
         await self.start()
         return self
 
     async def start(self) -> None:
-        """Starts the dispatcher and waits until it serves; raises RuntimeError with its last lines if it
-        doesn't."""
-        known = ("EDGE_", "HOISTPLANK_")
-        environment = {name: value for name, value in os.environ.items() if not name.startswith(known)}
+        """Start the dispatcher and wait until it serves.
+
+        Raises RuntimeError with the end of its log if it does not within `READY_S`.
+        """
+        own_prefixes = ("EDGE_", "HOISTPLANK_")
+        environment = {name: value for name, value in os.environ.items() if not name.startswith(own_prefixes)}
         environment["EDGE_CONFIG"] = str(self.configuration)
         if self.operator:
             environment["HOISTPLANK_OPERATOR"] = self.operator
@@ -145,7 +152,7 @@
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 client = await self.client()
                 client.send(1, "", script="/-/healthy")
-                status = (await client.answer())[1]
+                status = (await client.read_answer())[1]
                 client.writer.close()
                 if status == 200:
                     return
@@ -153,24 +160,27 @@
         log_text = (self.folder / "dispatcher.log").read_text()[-2_000:]
         raise RuntimeError(f"the dispatcher did not come up: {log_text}")
 
-    async def client(self) -> Client:
-        return await connected(self.address)
+    async def client(self) -> FastCgiClient:
+        """Open a client connection to the dispatcher."""
+        return await connect(self.address)
 
-    def tell(self, **event: Any) -> None:
+    def publish(self, **event: Any) -> None:
+        """Publish an event under the change log's next number."""
         self.seq += 1
-        self.changelog.tell({"seq": self.seq, **event})
+        self.change_log.publish({"seq": self.seq, **event})
 
-    def set_state(self, server: Server, state: str) -> None:
-        """What the change log says of one from now on: ready, draining or gone."""
-        self.tell(
+    def set_state(self, server: FakeCacheServer, state: str) -> None:
+        """Publish a server's state: ready, draining or gone."""
+        self.publish(
             fleet={
                 "rev": self.seq,
                 "all": False,
-                "targets": [target(server.uid, server.kind, server.port, state)],
+                "targets": [endpoint_entry(server.uid, server.kind, server.port, state)],
             }
         )
 
     async def reload(self) -> None:
+        """Have the dispatcher read its files again."""
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
 
@@ -178,7 +188,7 @@
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
             try:
-                await asyncio.wait_for(self.process.wait(), 8)
+                await asyncio.wait_for(self.process.wait(), STOP_S)
             except TimeoutError:
                 self.process.kill()
                 await self.process.wait()
--- a/hoistplank/fakes/proxy.py
+++ b/hoistplank/fakes/proxy.py
@@ -1,8 +1,8 @@
-"""Stand-in proxies that follow a control service over incremental aggregated discovery, from the v3 protocol.
+"""Fake xDS proxies that follow a control service over incremental aggregated discovery (v3, delta).
 
-One has standard policies only: a virtual host on demand (VHDS) for what it is asked for, whose route names a
-host as a subset, and a ring over healthy endpoints for what it has no route for yet. One with the extension
-understands the metadata `hoistplank` of endpoints and ranks hosts by the core's own formula.
+A proxy without the extension has standard policies only: a virtual host on demand (VHDS) for each object,
+whose route names a host as a subset, and a hash ring over healthy endpoints until that route is there. One
+with the extension reads the endpoints' metadata `hoistplank` and ranks hosts by the core's own formula.
 """
 
 from __future__ import annotations
@@ -12,8 +12,9 @@
 import time
 from bisect import bisect
 from collections.abc import Callable
+from dataclasses import dataclass
 from hashlib import blake2b
-from typing import Any
+from typing import Any, NamedTuple
 
 import grpc
 from envoy.config.cluster.v3 import cluster_pb2
@@ -26,15 +27,39 @@
 from hoistplank.xds.resources import CLUSTER, ENDPOINT, PURGES, ROUTES, RUNTIME, VHOST
 from hoistplank.xds.service import refusal
 
-RING = 64  # points of a host of weight 100
+HEALTHY = 1  # of an endpoint's health status
+POINTS_PER_HOST = 64  # on the hash ring, of a host whose share is 1
+RECONNECT_S = 0.05
 
 
 def _hash(text: str) -> int:
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-class Proxy:
-    """One follower. `refuses(kind, response)` answers why a response is refused, or ""."""
+class ProxyEndpoint(NamedTuple):
+    """A host of the pool, as the control service sent it."""
+
+    is_healthy: bool
+    weight: float
+    share: float
+
+
+@dataclass(slots=True)
+class ProxyCounts:
+    """What a proxy has received: responses and their bytes, refused ones, and streams it has opened."""
+
+    responses: int = 0
+    bytes: int = 0
+    refused: int = 0
+    streams: int = 0
+
+
+def _accept_all(_type_url: str, _response: Any) -> str:
+    return ""
+
+
+class FakeProxy:
+    """One proxy. `refuses(type_url, response)` returns why it refuses a response, or "" to accept it."""
 
     def __init__(
         self,
@@ -44,30 +69,33 @@
         extension: bool = False,
         refuses: Callable[[str, Any], str] | None = None,
     ) -> None:
-        self.address, self.node, self.zone, self.extension = address, node, zone, extension
-        self.refuses = refuses or (lambda kind, response: "")
-        self.hosts: dict[str, tuple[bool, float, float]] = {}  # uid -> healthy, weight, share
+        self.address = address
+        self.node = node
+        self.zone = zone
+        self.extension = extension
+        self.refuses = refuses or _accept_all
+        self.hosts: dict[str, ProxyEndpoint] = {}  # by uid
         self.clusters: set[str] = set()
-        self.vhosts: dict[str, str] = {}
-        self.floors: dict[str, int] = {}
-        self.versions: dict[str, dict[str, str]] = {}  # type -> name -> version that it holds
-        self.fresh_until = 0.0  # endpoints stand until then (monotonic)
+        self.virtual_hosts: dict[str, str] = {}  # name -> uid of the host that its route names
+        self.purge_watermarks: dict[str, int] = {}
+        self.versions: dict[str, dict[str, str]] = {}  # type URL -> resource name -> version
+        self.fresh_until = 0.0  # endpoints may be used until then (monotonic s)
         self.ring: list[tuple[int, str]] = []
-        self.counts = {"responses": 0, "bytes": 0, "refused": 0, "streams": 0}
-        self.heard = asyncio.Event()  # something was taken in
-        self.stalled = asyncio.Event()
-        self.stalled.set()
-        self.calls: Any = None
+        self.counts = ProxyCounts()
+        self.changed = asyncio.Event()  # set after each response that was accepted
+        self.may_read = asyncio.Event()  # cleared by a test to stall the stream
+        self.may_read.set()
+        self.call: Any = None
         self.dropped = False
         self._out: asyncio.Queue[Any] = asyncio.Queue()
 
-    # What it does with what it holds.
+    # Choices.
 
     def _pool(self) -> dict[str, float]:
-        """uid -> weight, of those that may be used. Danger: a stale pool is used for ever after a cut."""
+        """The weight of each host that may be used. Danger: a stale pool is used for ever after a cut."""
         if time.monotonic() > self.fresh_until:
             return {}
-        return {uid: weight * share for uid, (up, weight, share) in self.hosts.items() if up}
+        return {uid: host.weight * host.share for uid, host in self.hosts.items() if host.is_healthy}
 
     def choose(self, object_key: str, part: int) -> str:
         """The cache host for an object's part; "" where it may use none."""
@@ -76,30 +104,33 @@
             return ""
         if self.extension:
             return order(key_of(object_key, part), pool)[0]
-        uid = self.vhosts.get(name_of(object_key, part, self.zone), "")
+        uid = self.virtual_hosts.get(virtual_host_name(object_key, part, self.zone), "")
         if uid in pool:
             return uid
         if not self.ring:
-            self.ring = sorted(
-                (_hash(f"{uid}-{n}"), uid)
-                for uid, (up, _, share) in self.hosts.items()
-                if up
-                for n in range(max(1, round(RING * share)))
-            )
+            self.ring = self._build_ring()
         at = bisect(self.ring, (_hash(f"{object_key}/{part}"), ""))
         return self.ring[at % len(self.ring)][1] if self.ring else ""
 
-    def want(self, object_key: str, part: int) -> None:
-        """Asks for an object's virtual host, as a proxy does at the first request for it."""
-        name = name_of(object_key, part, self.zone)
-        if name not in self.vhosts:
+    def _build_ring(self) -> list[tuple[int, str]]:
+        points = []
+        for uid, host in self.hosts.items():
+            if host.is_healthy:
+                count = max(1, round(POINTS_PER_HOST * host.share))
+                points += [(_hash(f"{uid}-{number}"), uid) for number in range(count)]
+        return sorted(points)
+
+    def request_virtual_host(self, object_key: str, part: int) -> None:
+        """Subscribe to an object's virtual host, as a proxy does at the first request for it."""
+        name = virtual_host_name(object_key, part, self.zone)
+        if name not in self.virtual_hosts:
             self._send(VHOST, more=[name])
 
     # The stream.
 
     def _send(
         self,
-        kind: str,
+        type_url: str,
         more: list[str] | None = None,
         nonce: str = "",
         error: str = "",
@@ -108,7 +139,7 @@
         self._out.put_nowait(
             discovery_pb2.DeltaDiscoveryRequest(
                 node={"id": self.node, "locality": {"zone": self.zone}},
-                type_url=kind,
+                type_url=type_url,
                 resource_names_subscribe=more or [],
                 initial_resource_versions=held or {},
                 response_nonce=nonce,
@@ -121,7 +152,7 @@
             yield await self._out.get()
 
     async def run(self) -> None:
-        """Follows until it is cancelled; a stream that ends is taken up again with what is held."""
+        """Follow until it is cancelled; after a stream's end, resume with the versions that are held."""
         while True:
             try:
                 with contextlib.suppress(grpc.RpcError):
@@ -130,78 +161,80 @@
                 if not self.dropped:
                     raise
             self.dropped = False
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(RECONNECT_S)
 
     async def follow(self) -> None:
-        """One stream; raises grpc.RpcError when it ends badly."""
+        """Follow over one stream. Raises grpc.RpcError when it ends with an error."""
         self._out = asyncio.Queue()
-        self.counts["streams"] += 1
-        own = [("grpc.use_local_subchannel_pool", 1)]  # a connection of its own, as another process has
-        async with grpc.aio.insecure_channel(self.address, options=own) as way:
-            self.calls = ads_pb2_grpc.AggregatedDiscoveryServiceStub(way).DeltaAggregatedResources(
+        self.counts.streams += 1
+        options = [("grpc.use_local_subchannel_pool", 1)]  # a connection of its own, as another process has
+        async with grpc.aio.insecure_channel(self.address, options=options) as channel:
+            self.call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources(
                 self._requests()
             )
             self._send(CLUSTER, held=self.versions.get(CLUSTER))
             names = [f"caches-{self.zone}"]
             self._send(ENDPOINT, more=names, held=self.versions.get(ENDPOINT))
             self._send(RUNTIME, more=[PURGES], held=self.versions.get(RUNTIME))
-            if self.vhosts:
-                self._send(VHOST, more=sorted(self.vhosts), held=self.versions.get(VHOST))
-            async for response in self.calls:
-                await self.stalled.wait()
+            if self.virtual_hosts:
+                self._send(VHOST, more=sorted(self.virtual_hosts), held=self.versions.get(VHOST))
+            async for response in self.call:
+                await self.may_read.wait()
                 self._take(response)
 
-    def drop(self) -> None:
-        """Ends the stream now, whatever is half-way."""
-        if self.calls is not None:
+    def drop_stream(self) -> None:
+        """End the stream now, whatever is under way."""
+        if self.call is not None:
             self.dropped = True
-            self.calls.cancel()
+            self.call.cancel()
 
     def _take(self, response: Any) -> None:
-        kind = response.type_url
-        self.counts["responses"] += 1
-        self.counts["bytes"] += response.ByteSize()
-        wrong = self.refuses(kind, response)
-        if wrong:
-            self.counts["refused"] += 1
-            self._send(kind, nonce=response.nonce, error=wrong)
+        type_url = response.type_url
+        self.counts.responses += 1
+        self.counts.bytes += response.ByteSize()
+        problem = self.refuses(type_url, response)
+        if problem:
+            self.counts.refused += 1
+            self._send(type_url, nonce=response.nonce, error=problem)
             return
-        held = self.versions.setdefault(kind, {})
+        held = self.versions.setdefault(type_url, {})
         for resource in response.resources:
             held[resource.name] = resource.version
             if resource.HasField("resource"):
-                self._apply(kind, resource.name, resource.resource.value)
-            if kind == ENDPOINT:
+                self._apply(type_url, resource.name, resource.resource.value)
+            if type_url == ENDPOINT:
                 self.fresh_until = time.monotonic() + resource.ttl.seconds
         for name in response.removed_resources:
             held.pop(name, None)
-            self.vhosts.pop(name, None)
+            self.virtual_hosts.pop(name, None)
             self.clusters.discard(name)
-        self._send(kind, nonce=response.nonce)
-        self.heard.set()
+        self._send(type_url, nonce=response.nonce)
+        self.changed.set()
 
-    def _apply(self, kind: str, name: str, data: bytes) -> None:
-        if kind == CLUSTER:
+    def _apply(self, type_url: str, name: str, data: bytes) -> None:
+        if type_url == CLUSTER:
             self.clusters.add(cluster_pb2.Cluster.FromString(data).name)
-        elif kind == ENDPOINT:
-            self.hosts = {}
-            for locality in endpoint_pb2.ClusterLoadAssignment.FromString(data).endpoints:
-                for row in locality.lb_endpoints:
-                    told = row.metadata.filter_metadata
-                    mine = told["hoistplank"]
-                    self.hosts[told["envoy.lb"]["uid"]] = (
-                        row.health_status == 1,
-                        mine["weight"],
-                        mine["share"],
-                    )
-            self.ring = []  # made when a choice needs it
-        elif kind == VHOST:
+        elif type_url == ENDPOINT:
+            self._apply_endpoints(endpoint_pb2.ClusterLoadAssignment.FromString(data))
+        elif type_url == VHOST:
             action = route_components_pb2.VirtualHost.FromString(data).routes[0].route
-            self.vhosts[name] = action.metadata_match.filter_metadata["envoy.lb"]["uid"]
-        elif kind == RUNTIME:
+            self.virtual_hosts[name] = action.metadata_match.filter_metadata["envoy.lb"]["uid"]
+        elif type_url == RUNTIME:
             layer = rtds_pb2.Runtime.FromString(data).layer
-            self.floors = {name: int(layer[name]) for name in layer}
-
-
-def name_of(object_key: str, part: int, zone: str) -> str:
+            self.purge_watermarks = {name: int(layer[name]) for name in layer}
+
+    def _apply_endpoints(self, assignment: Any) -> None:
+        self.hosts = {}
+        for locality in assignment.endpoints:
+            for endpoint in locality.lb_endpoints:
+                metadata = endpoint.metadata.filter_metadata
+                own = metadata["hoistplank"]
+                is_healthy = endpoint.health_status == HEALTHY
+                uid = metadata["envoy.lb"]["uid"]
+                self.hosts[uid] = ProxyEndpoint(is_healthy, own["weight"], own["share"])
+        self.ring = []  # built when a choice needs it
+
+
+def virtual_host_name(object_key: str, part: int, zone: str) -> str:
+    """The name of the virtual host of an object's part for the proxies of a zone."""
     return f"{ROUTES}/{object_key}.{part}@{zone}"
--- a/hoistplank/fakes/settings.py
+++ b/hoistplank/fakes/settings.py
@@ -1,4 +1,4 @@
-"""A small site's settings, and events of its change log, by the names and units of the platform's page."""
+"""Settings of a small site and events of its change log, by the platform's own names and units."""
 
 from __future__ import annotations
 
@@ -62,7 +62,8 @@
 }
 
 
-def target(uid: str, model: str, port: int, state: str = "ready") -> dict[str, Any]:
+def endpoint_entry(uid: str, model: str, port: int, state: str = "ready") -> dict[str, Any]:
+    """A host as the change log lists it; `model` is `box` (a cache host), `parent` or `origin`."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -75,5 +76,6 @@
     }
 
 
-def listing(seq: int, targets: list[dict[str, Any]], whole: bool = False) -> dict[str, Any]:
+def fleet_event(seq: int, targets: list[dict[str, Any]], whole: bool = False) -> dict[str, Any]:
+    """A change-log event with endpoints: only those that changed, or with `whole` all there are."""
     return {"seq": seq, "fleet": {"rev": seq, "all": whole, "targets": targets}}
--- a/hoistplank/lab/backends/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from hoistplank.fakes.deployment import free_port, held_port
-from hoistplank.fakes.wire import Client, connected
+from hoistplank.fakes.deployment import free_port, reserve_port
+from hoistplank.fakes.wire import FastCgiClient, connect
 from hoistplank.interface import HostEntry, Note, Result
 from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, UNREACHABLE, Request
@@ -77,7 +77,7 @@
 
     async def open(self) -> None:
         if self.reservation is None:
-            self.reservation = held_port()
+            self.reservation = reserve_port()
             self.port = int(self.reservation.getsockname()[1])
         self.listening = await asyncio.start_server(self._talk, "127.0.0.1", self.port, reuse_port=True)
 
@@ -213,7 +213,7 @@
         self.alive, self.seq, self.runs = False, 1, 0
         self.log: list[dict[str, Any]] = []
         self.server_ports: dict[str, ServerPort] = {}
-        self.clients: list[Client | None] = [None] * CONNECTIONS
+        self.clients: list[FastCgiClient | None] = [None] * CONNECTIONS
         self.waiting: dict[int, list[tuple[int, str, dict[str, str]]]] = {}  # by line, until it is up
         self.numbers = [0] * CONNECTIONS
         self.open: dict[tuple[int, int], Request] = {}
@@ -309,9 +309,9 @@
         Danger: a dispatcher ends a line that has not spoken within its time, and what was sent just then is
         taken by nobody; a line that speaks at once is never ended so.
         """
-        client: Client | None = None
+        client: FastCgiClient | None = None
         with contextlib.suppress(OSError):
-            client = await connected(("127.0.0.1", self.entry))
+            client = await connect(("127.0.0.1", self.entry))
         rows = self.waiting.pop(at, []) if runs == self.runs else []
         if client is not None and self.alive and runs == self.runs:
             self.clients[at] = client
@@ -416,9 +416,9 @@
             # Danger: where another took the port meanwhile, who listens there may never answer.
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
                 async with asyncio.timeout(1):
-                    client = await connected(("127.0.0.1", self.port))
+                    client = await connect(("127.0.0.1", self.port))
                     client.send(1, "", script="/-/healthy")
-                    status = (await client.answer())[1]
+                    status = (await client.read_answer())[1]
                 client.writer.close()
                 if status == 200 and await self._stays():
                     self.entry = await day.entry_port_for(self)
@@ -435,10 +435,10 @@
         await asyncio.sleep(0.05)
         return self.process is not None and self.process.returncode is None
 
-    async def _read(self, at: int, client: Client) -> None:
+    async def _read(self, at: int, client: FastCgiClient) -> None:
         try:
             while True:
-                number, status, head, _ = await client.answer()
+                number, status, head, _ = await client.read_answer()
                 self.day.advance()
                 request = self.open.pop((at, number), None)
                 if request is None:
--- a/hoistplank/lab/fleet/relayed_paths.py
+++ b/hoistplank/lab/fleet/relayed_paths.py
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any, cast
 
-from hoistplank.fakes.deployment import held_port
+from hoistplank.fakes.deployment import reserve_port
 from hoistplank.lab.fleet.path_conditions import UNIMPAIRED, DatagramDirection, chance
 from hoistplank.lab.fleet.relay_counters import RelayCounters, now_us
 from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
@@ -61,7 +61,7 @@
         """Listen, if it does not yet; return the port. It stays the same over `shut` and `open`."""
         if self._server is None:
             if self._reservation is None:
-                self._reservation = held_port()
+                self._reservation = reserve_port()
                 self.port = int(self._reservation.getsockname()[1])
             loop = asyncio.get_running_loop()
             self._server = await loop.create_server(
--- a/hoistplank/lab/scale/broken.py
+++ b/hoistplank/lab/scale/broken.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.lab.scale.hollow import BeforeTurn, HollowDispatcher, HollowOwner, ReportingOwner
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.router_task import Event, Listed, Purged
@@ -142,18 +142,18 @@
 }
 
 
-class HoldsBack(ChangeLog):
+class HoldsBack(FakeChangeLog):
     """Hands each event on some seconds late."""
 
-    def tell(self, event: dict[str, Any]) -> None:
-        asyncio.get_running_loop().call_later(HELD_S, super().tell, event)
+    def publish(self, event: dict[str, Any]) -> None:
+        asyncio.get_running_loop().call_later(HELD_S, super().publish, event)
 
 
-class RepeatsLines(ChangeLog):
+class RepeatsLines(FakeChangeLog):
     """Tells each event many times over; a follower takes the first and passes over the rest."""
 
-    def _line(self, event: dict[str, Any]) -> bytes:
-        return super()._line(event) * REPEATS
+    def _encoded(self, event: dict[str, Any]) -> bytes:
+        return super()._encoded(event) * REPEATS
 
 
-LOGS: dict[str, type[ChangeLog]] = {"holds-back": HoldsBack, "repeats-lines": RepeatsLines}
+LOGS: dict[str, type[FakeChangeLog]] = {"holds-back": HoldsBack, "repeats-lines": RepeatsLines}
--- a/hoistplank/lab/scale/hollow_pairing.py
+++ b/hoistplank/lab/scale/hollow_pairing.py
@@ -24,8 +24,8 @@
 import numpy as np
 
 from hoistplank.fakes.deployment import free_port
-from hoistplank.fakes.settings import listing
-from hoistplank.fakes.wire import connected
+from hoistplank.fakes.settings import fleet_event
+from hoistplank.fakes.wire import connect
 from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.scale.fleet import Fleet, Seat
@@ -169,9 +169,9 @@
         while time.monotonic() < until and self.process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
                 async with asyncio.timeout(1):
-                    client = await connected(self.address)
+                    client = await connect(self.address)
                     client.send(1, "", script="/-/healthy")
-                    status = (await client.answer())[1]
+                    status = (await client.read_answer())[1]
                 client.writer.close()
                 if status == 200:
                     return
@@ -257,7 +257,7 @@
         self.alone: list[HollowChild] = []
         self.shared: list[HollowChild] = []
         rows = [*self.fleet.hub_rows(), *(self.fleet.host_row(n, 0, 100.0) for n in range(plan.hosts))]
-        self.first = listing(1, rows, whole=True)
+        self.first = fleet_event(1, rows, whole=True)
         self.known = {"seq": 1, "results": [self.first]}
 
     def _heard(self, report: Report) -> None:
@@ -298,7 +298,7 @@
         self.number += 1
         if self.number % HOST_CHANGE_EVERY == 0:
             host = self.chance.randrange(self.plan.hosts)
-            event = listing(self.number, [self.fleet.host_row(host, 0, 100.0 + self.number % 50)])
+            event = fleet_event(self.number, [self.fleet.host_row(host, 0, 100.0 + self.number % 50)])
             expected = Expect(self.epoch, self.number)
         else:
             made_ms, object_key = int(time.time() * 1e3), f"{self.chance.getrandbits(64):016x}"
--- a/hoistplank/lab/scale/log_process.py
+++ b/hoistplank/lab/scale/log_process.py
@@ -18,8 +18,8 @@
 import msgspec
 import uvloop
 
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -52,7 +52,7 @@
     """The log and the number of its last event."""
 
     def __init__(self) -> None:
-        self.log = ChangeLog()
+        self.log = FakeChangeLog()
         self.seq = 0
 
     def purge(self) -> dict[str, Any]:
@@ -65,19 +65,21 @@
         """Carries out one command."""
         if words[0] == "fill":
             for _ in range(int(words[1])):
-                self.log.log.append(self.purge())
+                self.log.events.append(self.purge())
         elif words[0] == "list":
             self.seq += 1
-            rows = [target(f"box-{number}", "box", 10_000 + number) for number in range(int(words[1]))]
-            self.log.tell(listing(self.seq, rows, whole=True))
+            rows = [
+                endpoint_entry(f"box-{number}", "box", 10_000 + number) for number in range(int(words[1]))
+            ]
+            self.log.publish(fleet_event(self.seq, rows, whole=True))
         elif words[0] == "configure":
             for _ in range(int(words[1])):
                 self.seq += 1
-                self.log.configure(self.seq, configuration_text(int(words[2])))
+                self.log.publish_configuration(self.seq, configuration_text(int(words[2])))
                 await asyncio.sleep(float(words[3]))
         elif words[0] == "tell":
             for _ in range(int(words[1])):
-                self.log.tell(self.purge())
+                self.log.publish(self.purge())
                 await asyncio.sleep(float(words[2]))
 
 
@@ -92,7 +94,7 @@
 async def main() -> None:
     """Serves until standard input ends."""
     served = Served()
-    port = await serve(served.log.talk)
+    port = await serve(served.log.serve_connection)
     commands = await read_commands()
     print(msgspec.json.encode(usage(port, served.seq)).decode(), flush=True)
     while words := (await commands.readline()).decode().split():
--- a/hoistplank/lab/scale/replay.py
+++ b/hoistplank/lab/scale/replay.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hoistplank.fakes.settings import listing
+from hoistplank.fakes.settings import fleet_event
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.lab.scale.hollow_messages import Expect, HostState
 from hoistplank.lab.scale.scene_schedule import Change, HostStep, Planned, Purge
@@ -45,7 +45,7 @@
         rows = [*self.fleet.hub_rows(), *(self._row(host) for host in listed)]
         states = [self._state(host) for host in range(self.fleet.hosts)]
         expected = Expect(self.epoch, self.number, hosts=states)
-        return Told(RENEWAL, listing(self.number, rows, whole=True), expected)
+        return Told(RENEWAL, fleet_event(self.number, rows, whole=True), expected)
 
     def begin_anew(self) -> Told:
         """The source has lost its state: it counts from 1 again."""
@@ -81,7 +81,7 @@
 
     def _listed(self, kind: str, hosts: list[int]) -> Told:
         self.number += 1
-        event = listing(self.number, [self._row(host) for host in hosts])
+        event = fleet_event(self.number, [self._row(host) for host in hosts])
         return Told(kind, event, Expect(self.epoch, self.number, hosts=[self._state(host) for host in hosts]))
 
     def _row(self, host: int) -> dict[str, Any]:
--- a/hoistplank/lab/scale/role_change_log.py
+++ b/hoistplank/lab/scale/role_change_log.py
@@ -159,7 +159,7 @@
     def kept(held: int) -> float:
         def fill() -> Served:
             served = Served()
-            served.log.log.extend(served.purge() for _ in range(held))
+            served.log.events.extend(served.purge() for _ in range(held))
             return served
 
         return kept_bytes(fill)[1]
--- a/hoistplank/lab/scale/role_data_path.py
+++ b/hoistplank/lab/scale/role_data_path.py
@@ -26,7 +26,7 @@
 async def _request_us(size: int) -> float:
     """Processor time (us) of one answered request whose answer has so many bytes."""
     with tempfile.TemporaryDirectory() as folder:
-        async with Deployment(Path(folder), size=size) as place:
+        async with Deployment(Path(folder), copy_bytes=size) as place:
             assert place.process is not None
             warming = (LoadStep(1.0, RATE, RATE),)
             await load(place.address, warming, mixes(CLASSES), 1, objects=OBJECTS, late_ms=LATE_MS)
--- a/hoistplank/lab/scale/role_dispatcher.py
+++ b/hoistplank/lab/scale/role_dispatcher.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from hoistplank.fakes.settings import SETTINGS, listing, target
+from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
 from hoistplank.interface import Site
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import Effort, Quantity, Step, in_loop, kept_bytes, processor_us, series
@@ -42,8 +42,8 @@
 
 def host_rows(count: int) -> list[dict[str, Any]]:
     """So many cache hosts of one zone, a parent and an origin, as the change log lists them."""
-    rows = [target(f"box-{number}", "box", 10_000 + number) for number in range(count)]
-    return [*rows, target("parent", "parent", 8_100), target("origin", "origin", 8_101)]
+    rows = [endpoint_entry(f"box-{number}", "box", 10_000 + number) for number in range(count)]
+    return [*rows, endpoint_entry("parent", "parent", 8_100), endpoint_entry("origin", "origin", 8_101)]
 
 
 def line(event: dict[str, Any]) -> bytes:
@@ -52,7 +52,7 @@
 
 
 def whole_list(count: int) -> bytes:
-    return line(listing(1, host_rows(count), whole=True))
+    return line(fleet_event(1, host_rows(count), whole=True))
 
 
 def purge_lines(count: int, first: int = 2) -> list[bytes]:
@@ -71,7 +71,7 @@
     for number in range(count):
         state = "ready" if number % 2 else "draining"
         row = rows[number // 2 % hosts] | {"state": state, "boot_ms": number // 2 + number % 2}
-        lines.append(line(listing(first + number, [row])))
+        lines.append(line(fleet_event(first + number, [row])))
     return lines
 
 
--- a/hoistplank/lab/scale/run_log.py
+++ b/hoistplank/lab/scale/run_log.py
@@ -14,7 +14,7 @@
 import msgspec
 import uvloop
 
-from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.lab.scale.broken import LOGS
 from hoistplank.lab.scale.hollow_messages import (
     AskLogUsage,
@@ -80,7 +80,7 @@
         self.writers[writer] = None
         counted: Any = (CountingReader(reader, self), CountingWriter(writer, self))
         try:
-            await self.log.changelog.talk(*counted)
+            await self.log.changelog.serve_connection(*counted)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError, IndexError, ValueError):
             pass  # the follower is gone, perhaps before it asked for anything
         finally:
@@ -99,7 +99,7 @@
     """The log of this process with its doors."""
 
     def __init__(self, broken: str = "") -> None:
-        self.make = LOGS[broken] if broken else ChangeLog
+        self.make = LOGS[broken] if broken else FakeChangeLog
         self.changelog = self.make()
         self.doors: dict[str, Door] = {}
         self.lateness = Lateness()
@@ -114,7 +114,7 @@
                 return Doors(ports)
             case Tell(events):
                 for event in events:
-                    self.changelog.tell(event)
+                    self.changelog.publish(event)
             case BeginAnew(epoch):
                 self.changelog = self.make(epoch)
                 for door in self.doors.values():
--- a/tests/dispatcher_scene.py
+++ b/tests/dispatcher_scene.py
@@ -8,7 +8,7 @@
 
 import uvloop
 
-from hoistplank.fakes.wire import Client
+from hoistplank.fakes.wire import FastCgiClient
 from hoistplank.program.service import Phase
 from tests.helpers import Running, until
 
@@ -70,7 +70,7 @@
     class Writer:
         write = staticmethod(sent.append)
 
-    Client(None, Writer()).send(number, name, fields, body)  # type: ignore[arg-type]
+    FastCgiClient(None, Writer()).send(number, name, fields, body)  # type: ignore[arg-type]
     return sent[0]
 
 
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -15,8 +15,8 @@
 from hoistplank.distribution.replica import Replica, ReplicaSettings
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.distribution.versions import Version
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Known
 from hoistplank.routing.clock import Clock
@@ -147,7 +147,7 @@
     """The whole of it; what is started here is ended here."""
 
     def __init__(self, replicas: int = 2, epoch: int = EPOCH) -> None:
-        self.log = ChangeLog(epoch)
+        self.log = FakeChangeLog(epoch)
         self.log_port = 0
         self.wanted = replicas
         self.replicas: list[Replica] = []
@@ -156,7 +156,7 @@
         self.addresses: list[ReplicaAddress] = []
 
     async def __aenter__(self) -> Rig:
-        self.log_port = await serve(self.log.talk)
+        self.log_port = await serve(self.log.serve_connection)
         for number in range(self.wanted):
             self.start_replica(f"c{number + 1}")
         self.connect_peers()
@@ -220,11 +220,11 @@
         self.log.restart(epoch)
 
     def hosts(self, number: int, whole: bool = False, **states: str) -> None:
-        rows = [target(uid, "box", 9, state) for uid, state in states.items()]
-        self.log.tell(listing(number, rows, whole=whole))
+        rows = [endpoint_entry(uid, "box", 9, state) for uid, state in states.items()]
+        self.log.publish(fleet_event(number, rows, whole=whole))
 
     def purge(self, number: int, object_key: str) -> None:
-        self.log.tell({"seq": number, "invalidate": {"object": object_key, "time": 1.0}})
+        self.log.publish({"seq": number, "invalidate": {"object": object_key, "time": 1.0}})
 
 
 async def asked(address: tuple[str, int], version: Version | None = None) -> StatusAnswer:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from hoistplank.choice import Router
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import SETTINGS, listing, target
-from hoistplank.fakes.wire import CacheHost, Client, serve
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
 from hoistplank.interface import Decision, HostEntry, HouseRules, Reduced, Result, Site, TrafficClass
 from hoistplank.program import service
 from hoistplank.program.configuration import Configuration, read, read_again
@@ -221,18 +221,22 @@
 
     operator = False  # whether `folder/op.sexp` says who may call
 
-    def __init__(self, folder: Path, hosts: dict[str, CacheHost], **changes: Any) -> None:
+    def __init__(self, folder: Path, hosts: dict[str, ScriptedCacheHost], **changes: Any) -> None:
         self.folder, self.hosts, self.changes = folder, hosts, changes
-        self.changelog = ChangeLog()
-        self.tell, self.log, self.since = self.changelog.tell, self.changelog.log, self.changelog.since
+        self.changelog = FakeChangeLog()
+        self.tell, self.log, self.since = (
+            self.changelog.publish,
+            self.changelog.events,
+            self.changelog.requested_positions,
+        )
 
     async def __aenter__(self) -> Running:
         self.targets = [
-            target(uid, "origin" if uid == "o" else "box", await serve(host.talk))
+            endpoint_entry(uid, "origin" if uid == "o" else "box", await serve(host.serve_connection))
             for uid, host in self.hosts.items()
         ]
-        known = {"seq": 1, "results": [listing(1, self.targets, whole=True)]}
-        port = await serve(self.changelog.talk)
+        known = {"seq": 1, "results": [fleet_event(1, self.targets, whole=True)]}
+        port = await serve(self.changelog.serve_connection)
         changes = {"changelog": f"127.0.0.1:{port}", "known": known} | self.changes
         made = configuration(self.folder, **changes)
         self.additions = added(str(self.folder / "op.sexp"), made) if self.operator else None
@@ -246,8 +250,8 @@
         self.client = await self.connect()
         return self
 
-    async def connect(self) -> Client:
-        return Client(*await asyncio.open_connection(*self.service.listener.sock.getsockname()))
+    async def connect(self) -> FastCgiClient:
+        return FastCgiClient(*await asyncio.open_connection(*self.service.listener.sock.getsockname()))
 
     async def __aexit__(self, *_: object) -> None:
         windows, service.WINDOWS_S = service.WINDOWS_S, 0.01
@@ -257,7 +261,7 @@
 
     async def ask(self, number: int, class_name: str, **more: Any) -> tuple[int, bytes, bytes]:
         self.client.send(number, class_name, **more)
-        came, status, head, body = await asyncio.wait_for(self.client.answer(), 5)
+        came, status, head, body = await asyncio.wait_for(self.client.read_answer(), 5)
         assert came == number
         return status, head, body
 
--- a/tests/test_cache_host_attempts.py
+++ b/tests/test_cache_host_attempts.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from hoistplank.fakes.settings import SETTINGS, listing, target
-from hoistplank.fakes.wire import CacheHost
+from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
+from hoistplank.fakes.wire import ScriptedCacheHost
 from hoistplank.interface import Result
 from hoistplank.routing.attempts import ENDINGS
 from tests.dispatcher_scene import (
@@ -43,14 +43,16 @@
     async def scene() -> None:
         told: list[Any] = []
         answer: Any = {"broken": lambda *_: b"reset", "late": silent, "refused": silent}.get(how, said(how))
-        async with Running(tmp_path, {"a": CacheHost(answer), "o": CacheHost(answer)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(answer), "o": ScriptedCacheHost(answer)}
+        ) as dispatcher:
             owner = dispatcher.service.owner
             if how == "refused":
                 with socket.socket() as unused:
                     unused.bind(("127.0.0.1", 0))
                     port = unused.getsockname()[1]
-                gone = [target("a", "box", port), target("o", "origin", port)]
-                dispatcher.tell(listing(2, gone, whole=True))
+                gone = [endpoint_entry("a", "box", port), endpoint_entry("o", "origin", port)]
+                dispatcher.tell(fleet_event(2, gone, whole=True))
                 await until(lambda: owner.posts["a"].address[1] == port)
             monkeypatch.setattr(owner.router, "attempt_ended", spied(owner.router.attempt_ended, told))
             status, _, _ = await dispatcher.ask(1, "page", fields={"HTTP_X_DEADLINE_MS": "300"})
@@ -67,11 +69,11 @@
 
 def test_host_that_drains_while_its_connection_comes_up_gets_nothing(tmp_path: Path) -> None:
     async def scene() -> None:
-        box, origin = CacheHost(served), CacheHost(served)
+        box, origin = ScriptedCacheHost(served), ScriptedCacheHost(served)
         async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
             owner = dispatcher.service.owner
-            draining = listing(
-                2, [target("a", "box", dispatcher.targets[0]["endpoint"].split(":")[1], "draining")]
+            draining = fleet_event(
+                2, [endpoint_entry("a", "box", dispatcher.targets[0]["endpoint"].split(":")[1], "draining")]
             )
             draining["fleet"]["targets"][0]["endpoint"] = dispatcher.targets[0]["endpoint"]
             act = owner._act["attempt"]
@@ -84,40 +86,40 @@
 
             owner._act["attempt"] = attempt
             status, _, body = await dispatcher.ask(1, "page")
-            assert status == 200 and not box.seen and origin.seen
+            assert status == 200 and not box.requests and origin.requests
 
     run(scene())
 
 
 def test_new_host_at_an_old_address_gets_its_own_connection(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(served)
-        async with Running(tmp_path, {"a": box, "o": CacheHost(served)}) as dispatcher:
+        box = ScriptedCacheHost(served)
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(served)}) as dispatcher:
             await dispatcher.ask(1, "page")
             old = dispatcher.targets[0]
-            dispatcher.tell(listing(2, [old | {"state": "gone"}, old | {"uid": "b"}]))
+            dispatcher.tell(fleet_event(2, [old | {"state": "gone"}, old | {"uid": "b"}]))
             await until(lambda: "b" in dispatcher.service.owner.posts)
             await dispatcher.ask(2, "page")
-            assert box.connections == 2 and len(box.seen) == 2
+            assert box.connections == 2 and len(box.requests) == 2
 
     run(scene())
 
 
 def test_hosts_that_come_and_go_leave_nothing_behind(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(served)
+        box = ScriptedCacheHost(served)
         settings = copy.deepcopy(SETTINGS["classes"])
         for class_name in settings:
             class_name["give_up"] = 0.9
         async with Running(
-            tmp_path, {"a": box, "o": CacheHost(silent)}, **{"settings.classes": settings}
+            tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, **{"settings.classes": settings}
         ) as dispatcher:
             owner, old = dispatcher.service.owner, dispatcher.targets[0]
             owner.router.longest_us = 0
             short = {"HTTP_X_DEADLINE_MS": "800"}
             for turn in range(30):
                 new = old | {"uid": f"b{turn}"}
-                dispatcher.tell(listing(2 + turn, [old | {"state": "gone"}, new]))
+                dispatcher.tell(fleet_event(2 + turn, [old | {"state": "gone"}, new]))
                 await until(lambda uid=new["uid"]: uid in owner.posts)  # type: ignore[misc]
                 assert (await dispatcher.ask(1 + turn, "page", fields=short))[0] == 200
                 old = new
@@ -141,19 +143,19 @@
             if fields["blk"] == "1":
                 later.append(served(id, fields, body))
                 return None
-            return b"".join(later if box.drops else []) + served(id, fields, body)
+            return b"".join(later if box.dropped else []) + served(id, fields, body)
 
-        box = CacheHost(slowly)
-        async with Running(tmp_path, {"a": box, "o": CacheHost(said("overload"))}) as dispatcher:
+        box = ScriptedCacheHost(slowly)
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(said("overload"))}) as dispatcher:
             dispatcher.client.send(2, "page", {"HTTP_X_CHUNK": "2", "HTTP_X_SUBJECT": f"{5:016x}"})
-            assert (await dispatcher.client.answer())[1] == 200
+            assert (await dispatcher.client.read_answer())[1] == 200
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "500"})
-            await until(lambda: len(box.seen) == 2)
+            await until(lambda: len(box.requests) == 2)
             assert (await dispatcher.ask(4, "page"))[
                 0
             ] == 200  # the line is alive: the attempt alone is given up
-            assert (await dispatcher.client.answer())[1] == 503
-            await until(lambda: box.drops == [f"{1:016x}"])
+            assert (await dispatcher.client.read_answer())[1] == 503
+            await until(lambda: box.dropped == [f"{1:016x}"])
             assert (await dispatcher.ask(3, "page"))[0] == 200
 
     run(scene())
@@ -194,18 +196,18 @@
         monkeypatch.setattr("hoistplank.transport.pool.MOST_LINES", 1)
 
         def bad(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
-            if len(box.seen) == 1:
+            if len(box.requests) == 1:
                 return None  # the first waits on the same connection
-            return (SURPLUS | SPOILT)[kind](id) if len(box.seen) == 2 else whole(id)
+            return (SURPLUS | SPOILT)[kind](id) if len(box.requests) == 2 else whole(id)
 
-        box, origin = CacheHost(bad), CacheHost(silent)
+        box, origin = ScriptedCacheHost(bad), ScriptedCacheHost(silent)
         async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
             dispatcher.client.send(1, "page", {"HTTP_X_SUBJECT": "ab" * 8, "HTTP_X_DEADLINE_MS": "900"})
-            await until(lambda: len(box.seen) == 1)
+            await until(lambda: len(box.requests) == 1)
             dispatcher.client.send(2, "page", {"HTTP_X_KNOWN": "cd" * 8} if kind[:7] == "another" else {})
-            answers = [await asyncio.wait_for(dispatcher.client.answer(), 2)]
+            answers = [await asyncio.wait_for(dispatcher.client.read_answer(), 2)]
             if kind in SPOILT:
-                answers.append(await asyncio.wait_for(dispatcher.client.answer(), 2))
+                answers.append(await asyncio.wait_for(dispatcher.client.read_answer(), 2))
                 # A halt is known only after the latency target: what can't be in time any more is turned
                 # back.
                 wanted = {200, 503} if kind == "half an answer" else {200}
@@ -225,22 +227,22 @@
         def answer(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
             return {"1": None, "2": b"reset"}.get(fields["blk"], whole(id))
 
-        box = CacheHost(answer)
+        box = ScriptedCacheHost(answer)
         few = {"limits.sockets": 64, "settings.limits.max_attempts": 1}
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}, **few) as run_:
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, **few) as run_:
             pool = run_.service.owner.pool
             assert pool is not None
 
             async def counts(first: int) -> list[int]:
                 for number in range(first, first + 8):
-                    before = len(box.seen)
+                    before = len(box.requests)
                     run_.client.send(number, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
-                    await until(lambda before=before: len(box.seen) > before)  # type: ignore[misc]
+                    await until(lambda before=before: len(box.requests) > before)  # type: ignore[misc]
                 return sorted(len(line.open) for line in pool.lines["a"])
 
             assert await counts(1) == [4, 4]
             for _ in range(8):
-                await run_.client.answer()
+                await run_.client.read_answer()
             for number in range(20, 24):
                 await run_.ask(number, "page", fields={"HTTP_X_CHUNK": "2"})
             share = run_.service.ledger.most["cache host"] // 2
@@ -256,10 +258,10 @@
 def test_id_that_was_on_every_line_gets_a_new_one(tmp_path: Path) -> None:
     async def scene() -> None:
         def answer(id: str, fields: dict[str, str], body: bytes) -> bytes:
-            return whole(id) if len(box.seen) > 4 else said("crashed")(id, fields, body)
+            return whole(id) if len(box.requests) > 4 else said("crashed")(id, fields, body)
 
-        box = CacheHost(answer)
-        hosts = {"a": box, "o": CacheHost(silent)}
+        box = ScriptedCacheHost(answer)
+        hosts = {"a": box, "o": ScriptedCacheHost(silent)}
         async with Running(tmp_path, hosts, **{"settings.limits.max_attempts": 6}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             assert dispatcher.service.owner.counts["attempts"] == 5 and box.connections == 5
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -24,13 +24,13 @@
 from hoistplank.authorization.permissions import BITS, Claim, Names, Tenant, Tenants
 from hoistplank.authorization.revocations import BadRevocation, Revocation, Revoked
 from hoistplank.authorization.token_cache import Issuer, Key, KeySet
-from hoistplank.fakes.certificate_authority import Signer, b64
+from hoistplank.fakes.certificate_authority import TokenSigner, base64url
 
 ISS, S = "https://id.example", 1_000_000
-OLD, NEW, ES = Signer("k1"), Signer("k2"), Signer("k3", "ES256")
+OLD, NEW, ES = TokenSigner("k1"), TokenSigner("k2"), TokenSigner("k3", "ES256")
 
 
-def key(signer: Signer, name: str = "") -> Key:
+def key(signer: TokenSigner, name: str = "") -> Key:
     public: Any = signer.key.public_key()
     check = _eddsa(public) if signer.algorithm == "EdDSA" else _es256(public)
     return Key(name or signer.kid, signer.algorithm, signer.jwk()["x"], check)
@@ -43,7 +43,7 @@
 class Scene:
     """A gate with two members; `ask` is one request."""
 
-    def __init__(self, *signers: Signer, **terms: Any) -> None:
+    def __init__(self, *signers: TokenSigner, **terms: Any) -> None:
         rights = BITS["read"] | BITS["book"] | BITS["purge"]
         self.rows = [
             Tenant("coast", rights, groups=0xFF, prefixes=("c0",)),
@@ -84,7 +84,7 @@
         request = SimpleNamespace(class_name=class_name, object_key="aa" * 8, group=group, key=op)
         return self.gate.admit(self.now, identity, held, source, request, bool(op), 6 * S, room)
 
-    def keys(self, *signers: Signer) -> None:
+    def keys(self, *signers: TokenSigner) -> None:
         held = self.gate.issuers[ISS]
         self.gate.renew_issuers({ISS: held.renewed(KeySet({one.kid: key(one) for one in signers}), self.now)})
 
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("signer", [OLD, ES], ids=["EdDSA", "ES256"])
-def test_a_good_token_is_let_in_and_checked_once(signer: Signer) -> None:
+def test_a_good_token_is_let_in_and_checked_once(signer: TokenSigner) -> None:
     scene, checks = Scene(), list[bytes]()
     held = scene.gate.issuers[ISS].keys[signer.kid]
 
@@ -131,7 +131,8 @@
     "token, told",
     [
         (
-            f'{b64(json.dumps({"alg": "none", "kid": "k1"}).encode())}.{b64(json.dumps(SAID).encode())}.',
+            ".".join(base64url(json.dumps(part).encode()) for part in ({"alg": "none", "kid": "k1"}, SAID))
+            + ".",
             "token alg",
         ),
         (made(json.dumps({"alg": "HS256", "kid": "k1"})), "token alg"),
@@ -185,7 +186,7 @@
     st.one_of(
         st.text(max_size=300),
         st.lists(st.binary(max_size=80), min_size=3, max_size=3).map(
-            lambda parts: ".".join(b64(part) for part in parts)
+            lambda parts: ".".join(base64url(part) for part in parts)
         ),
         st.tuples(
             st.recursive(
@@ -218,7 +219,7 @@
     assert isinstance(scene.ask(short), Caller)
     scene.keys(NEW)  # k1 is retired
     assert cause(scene.ask(tokens[1]))[0] in (401, 503)
-    other = Signer("k1")  # another key under the same name proves none of the old ones
+    other = TokenSigner("k1")  # another key under the same name proves none of the old ones
     scene.keys(other, NEW)
     assert cause(scene.ask(tokens[2])) == (401, "token signature")
 
--- a/tests/test_callers_service.py
+++ b/tests/test_callers_service.py
@@ -21,9 +21,14 @@
 
 from hoistplank.authorization.http import BadRequest, Reader
 from hoistplank.authorization.service import CallersService
-from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
+from hoistplank.fakes.certificate_authority import (
+    FakeCertificateAuthority,
+    TokenSigner,
+    operator_text,
+    write_key_set,
+)
 from hoistplank.fakes.deployment import free_port
-from hoistplank.fakes.wire import CacheHost, Client, connected
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, connect
 from hoistplank.operator_configuration.faults import Faults
 from hoistplank.program.sections import load
 from hoistplank.program.service import Phase
@@ -31,7 +36,7 @@
 from hoistplank.routing.router_task import Purged
 from tests.helpers import Running, configuration, until
 
-OLD, NEW = Signer("k1"), Signer("k2", "ES256")
+OLD, NEW = TokenSigner("k1"), TokenSigner("k2", "ES256")
 
 
 def run(scene: Coroutine[Any, Any, None]) -> None:
@@ -52,13 +57,13 @@
         answer: Callable[[str, dict[str, str], bytes], bytes | Awaitable[bytes] | None] = served,
         **words: Any,
     ) -> None:
-        self.folder, self.authority = folder, Authority(folder)
+        self.folder, self.authority = folder, FakeCertificateAuthority(folder)
         self.tls, self.control = free_port(), free_port()
         (folder / "revoked.jsonl").touch()
-        write_keys(folder / "ring.json", OLD.jwk())
+        write_key_set(folder / "ring.json", OLD.jwk())
         self.operator(**words)
-        self.box = CacheHost(answer)
-        self.running = Running(folder, {"a": self.box, "o": CacheHost(answer)})
+        self.box = ScriptedCacheHost(answer)
+        self.running = Running(folder, {"a": self.box, "o": ScriptedCacheHost(answer)})
         self.running.operator = True
         self.asked = 0
 
@@ -78,7 +83,7 @@
     async def ask(
         self,
         token: str = "",
-        client: Client | None = None,
+        client: FastCgiClient | None = None,
         group: int = 1,
         class_name: str = "page",
         **fields: str,
@@ -92,7 +97,7 @@
         return told
 
     async def _asked(
-        self, token: str, client: Client | None, group: int, class_name: str, fields: dict[str, str]
+        self, token: str, client: FastCgiClient | None, group: int, class_name: str, fields: dict[str, str]
     ) -> tuple[int, str]:
         self.asked += 1
         if self.asked == 9:
@@ -100,20 +105,23 @@
         given = {"HTTP_AUTHORIZATION": f"Bearer {token}"} if token else {}
         client = client or self.running.client
         client.send(self.asked, class_name, given | {"HTTP_X_TAG": str(group)} | fields)
-        _, status, head, _ = await asyncio.wait_for(client.answer(), 5)
+        _, status, head, _ = await asyncio.wait_for(client.read_answer(), 5)
         told = dict(line.split(": ", 1) for line in head.decode().splitlines() if ": " in line)
         return status, told.get("X-Refusal", "")
 
-    async def secure(self, certificate: Path | None = None, **words: Any) -> Client:
-        context = self.authority.context(certificate)
+    async def secure(self, certificate: Path | None = None, **words: Any) -> FastCgiClient:
+        context = self.authority.client_context(certificate)
         for name, value in words.items():
             setattr(context, name, value)
-        return await connected(("127.0.0.1", self.tls), context)
+        return await connect(("127.0.0.1", self.tls), context)
 
     async def http(self, certificate: Path, method: str, path: str, body: object = None) -> Any:
         data = json.dumps(body).encode() if body is not None else b""
         reader, writer = await asyncio.open_connection(
-            "127.0.0.1", self.control, ssl=self.authority.context(certificate), server_hostname="localhost"
+            "127.0.0.1",
+            self.control,
+            ssl=self.authority.client_context(certificate),
+            server_hostname="localhost",
         )
         writer.write(
             f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n"
@@ -132,9 +140,9 @@
             assert await place.ask(OLD.token("coast-1"), group=40) == (403, "group")
             assert await place.ask("rubbish") == (401, "token form")
             assert await place.ask(NEW.token("coast-1", header={"alg": "none"})) == (401, "token alg")
-            assert place.box.seen == [] and place.callers.gate.accounts.total == 0
+            assert place.box.requests == [] and place.callers.gate.accounts.total == 0
             assert await place.ask(OLD.token("coast-1")) == (200, "")
-            assert len(place.box.seen) == 1 and place.callers.gate.accounts.total == 0
+            assert len(place.box.requests) == 1 and place.callers.gate.accounts.total == 0
 
     run(scene())
 
@@ -166,17 +174,17 @@
             # A token of the next key, before the set that publishes it was read: rejected, then let in.
             told = await place.ask(NEW.token("coast-1"))
             assert told == (503, "key not known yet")
-            write_keys(tmp_path / "ring.json", OLD.jwk("verifying"), NEW.jwk())
+            write_key_set(tmp_path / "ring.json", OLD.jwk("verifying"), NEW.jwk())
             await until(lambda: "k2" in place.callers.gate.issuers["https://id.example"].keys)
             assert await place.ask(NEW.token("coast-1")) == (200, "")
             assert await place.ask(OLD.token("coast-2")) == (200, "")
-            write_keys(tmp_path / "ring.json", OLD.jwk("retired"), NEW.jwk())
+            write_key_set(tmp_path / "ring.json", OLD.jwk("retired"), NEW.jwk())
             await until(lambda: "k1" not in place.callers.gate.issuers["https://id.example"].keys)
             assert await place.ask(OLD.token("coast-2")) == (401, "token key")
             # The first request is still out: its key's end does not strike it.
             assert place.callers.gate.accounts.total == 1
             released.set()
-            number, status, _, _ = await client.answer()
+            number, status, _, _ = await client.read_answer()
             assert (number, status) == (9, 200)
 
     run(scene())
@@ -190,9 +198,9 @@
             row, spoils = OLD.jwk(), dict[str, Callable[[], Any]]()
             spoils["half"] = lambda: file.write_text(file.read_text()[:-9])
             spoils["gone"] = file.unlink
-            spoils["wrong kind"] = lambda: write_keys(file, row | {"kty": "oct", "k": "AAAA"})
-            spoils["two alike"] = lambda: write_keys(file, row, row)
-            spoils["private"] = lambda: write_keys(file, row | {"d": "A"})
+            spoils["wrong kind"] = lambda: write_key_set(file, row | {"kty": "oct", "k": "AAAA"})
+            spoils["two alike"] = lambda: write_key_set(file, row, row)
+            spoils["private"] = lambda: write_key_set(file, row | {"d": "A"})
             spoils[spoil]()
             await until(lambda: any(source.bad for source in place.callers.sources))
             assert await place.ask(OLD.token("coast-1")) == (200, "")
@@ -200,7 +208,7 @@
             place.running.service.renewed.set()  # a reload with it changes nothing either
             await asyncio.sleep(0.05)
             assert await place.ask(OLD.token("coast-3")) == (200, "")
-            write_keys(file, OLD.jwk(), NEW.jwk())
+            write_key_set(file, OLD.jwk(), NEW.jwk())
             await until(lambda: not any(source.bad for source in place.callers.sources))
             assert await place.ask(NEW.token("coast-1")) == (200, "")
 
@@ -240,8 +248,8 @@
 def test_certificates_of_tenants_and_a_server_chain_that_changes(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Known(tmp_path) as place:
-            coast, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
-            both, _ = place.authority.leaf("both.pem", ["uri:hoistplank:coast", "uri:hoistplank:inland"])
+            coast, _ = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
+            both, _ = place.authority.issue("both.pem", ["uri:hoistplank:coast", "uri:hoistplank:inland"])
             client = await place.secure(coast)
             assert await place.ask(client=client) == (200, "")
             assert await place.ask(client=client, group=40) == (403, "group")
@@ -249,7 +257,7 @@
             assert await place.ask(client=await place.secure(both)) == (401, "two tenants")
             assert await place.ask(OLD.token("coast-1"), await place.secure()) == (200, "")
             before = place.callers.tls
-            place.authority.server()
+            place.authority.renew_server()
             await until(lambda: place.callers.tls is not before)
             assert await place.ask(client=client) == (200, "")  # the kept connection goes on
             assert await place.ask(client=await place.secure(coast)) == (200, "")
@@ -297,13 +305,13 @@
             (tmp_path / "op.sexp").write_text(text)
             place.running.service.renewed.set()
             await until(lambda: place.callers.generation == 2)
-            leaf, serial = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
-            context = place.authority.context(leaf)
+            leaf, serial = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
+            context = place.authority.client_context(leaf)
             context.maximum_version = version
-            client = await connected(("127.0.0.1", place.tls), context)
+            client = await connect(("127.0.0.1", place.tls), context)
             for first in range(10, 40):
                 client.send(first, "page", {"HTTP_X_DEADLINE_MS": "2500"})
-                told = asyncio.ensure_future(client.answer())
+                told = asyncio.ensure_future(client.read_answer())
                 await until(lambda told=told: bool(held) or told.done())  # type: ignore[misc]
                 if held:
                     break  # else a stall of the machine has had the module turn it back
@@ -312,7 +320,7 @@
             assert await asyncio.to_thread(spoken, address, context, session)  # until then it is let in
             at = time.monotonic()
             if how == "crl":
-                place.authority.crl([serial])
+                place.authority.write_revocation_list([serial])
             else:
                 row = {
                     "kind": how,
@@ -325,7 +333,12 @@
             client.send(2, "page")
             number, status, head, _ = await told
             assert (number, status) == (2, 401) and b"revoked" in head
-            _, status, _, _ = await client.answer()  # what was open has its answer, then the connection ends
+            (
+                _,
+                status,
+                _,
+                _,
+            ) = await client.read_answer()  # what was open has its answer, then the connection ends
             assert status in (502, 503)
             assert await client.reader.read() == b""
             # Neither a new handshake nor one that would resume the old session brings it back.
@@ -340,14 +353,16 @@
 def test_an_expired_revocation_list_refuses_new_handshakes_only(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Known(tmp_path) as place:
-            leaf, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
+            leaf, _ = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
             client = await place.secure(leaf)
             assert await place.ask(client=client) == (200, "")
-            place.authority.crl([], lasts_s=-5)  # an expired one is not taken up: the one in force stays
+            place.authority.write_revocation_list(
+                [], lasts_s=-5
+            )  # an expired one is not taken up: the one in force stays
             await until(lambda: any(source.bad for source in place.callers.sources))
             assert await place.ask(client=await place.secure(leaf)) == (200, "")
             # Long enough to be taken up on a machine that has other work, too.
-            place.authority.crl([], lasts_s=4)
+            place.authority.write_revocation_list([], lasts_s=4)
             ends = time.monotonic() + 4.1
             await until(lambda: not any(source.bad for source in place.callers.sources))
             await asyncio.sleep(ends - time.monotonic())
@@ -429,9 +444,9 @@
 def test_the_control_front_purges_revokes_and_tells(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Known(tmp_path) as place:
-            coast, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
-            inland, _ = place.authority.leaf("inland.pem", ["uri:hoistplank:inland"])
-            staff, _ = place.authority.leaf("staff.pem", ["uri:hoistplank:operations"])
+            coast, _ = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
+            inland, _ = place.authority.issue("inland.pem", ["uri:hoistplank:inland"])
+            staff, _ = place.authority.issue("staff.pem", ["uri:hoistplank:operations"])
             purges, object_key = list[Any](), "7f3a9c21e0b4d655"
             owner, plain = place.running.service.owner, place.running.service.owner.tell
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,8 +15,14 @@
 
 from hoistplank.authorization.jws import parse
 from hoistplank.cli.main import main
-from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, pem, write_keys
-from hoistplank.fakes.deployment import free_port, settings
+from hoistplank.fakes.certificate_authority import (
+    FakeCertificateAuthority,
+    TokenSigner,
+    operator_text,
+    private_key_pem,
+    write_key_set,
+)
+from hoistplank.fakes.deployment import deployment_settings, free_port
 from hoistplank.program.logging_setup import WITHHELD, conceal
 
 
@@ -128,8 +134,8 @@
 
 
 def test_no_secret_reaches_a_line() -> None:
-    signer = Signer("k1")
-    private = pem(signer.key).decode()
+    signer = TokenSigner("k1")
+    private = private_key_pem(signer.key).decode()
     token = signer.token("coast-1")
     event = conceal(
         None,
@@ -167,7 +173,12 @@
     port = free_port()
     (tmp_path / "c.json").write_text(
         json.dumps(
-            {"name": "n", "listen": f"127.0.0.1:{port}", "changelog": "127.0.0.1:9", "settings": settings()}
+            {
+                "name": "n",
+                "listen": f"127.0.0.1:{port}",
+                "changelog": "127.0.0.1:9",
+                "settings": deployment_settings(),
+            }
         )
     )
     done = subprocess.run(
@@ -190,8 +201,8 @@
 
 
 def test_json_lines_and_a_light_start(tmp_path: Path) -> None:
-    Authority(tmp_path)
-    write_keys(tmp_path / "ring.json", Signer("k1").jwk())
+    FakeCertificateAuthority(tmp_path)
+    write_key_set(tmp_path / "ring.json", TokenSigner("k1").jwk())
     (tmp_path / "revoked.jsonl").touch()
     (tmp_path / "op.sexp").write_text("(log (format json))\n" + operator_text(free_port(), free_port()))
     (tmp_path / "c.json").write_text(
@@ -200,7 +211,7 @@
                 "name": "n",
                 "listen": f"127.0.0.1:{free_port()}",
                 "changelog": "127.0.0.1:9",
-                "settings": settings(),
+                "settings": deployment_settings(),
             }
         )
     )
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from types import SimpleNamespace
 
-from hoistplank.fakes.wire import CacheHost, Client, serve
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
 from tests.dispatcher_scene import Calm, run, served, silent
 from tests.helpers import Running, until
 
@@ -16,13 +16,15 @@
 def test_usual_client_comes_in_past_hundreds_that_say_nothing(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Running(
-            tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}, **{"limits.sockets": 64}
+            tmp_path,
+            {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)},
+            **{"limits.sockets": 64},
         ) as dispatcher:
             assert (await dispatcher.ask(3, "page"))[0] == 200
             mute = [await dispatcher.connect() for _ in range(200)]
             late = await dispatcher.connect()
             late.send(1, "page")
-            assert (await asyncio.wait_for(late.answer(), 1.5))[1] == 200
+            assert (await asyncio.wait_for(late.read_answer(), 1.5))[1] == 200
             assert (await dispatcher.ask(2, "page"))[0] == 200  # a connection that spoke stays
             for client in mute:
                 client.writer.close()
@@ -32,13 +34,13 @@
 
 def test_idle_clients_make_room_though_a_few_say_nothing(tmp_path: Path) -> None:
     async def scene() -> None:
-        hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
+        hosts = {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
         async with Running(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
             front, stay = dispatcher.service.front, []
             while len(front.sessions) < dispatcher.service.ledger.most["client"]:
                 stay.append(await dispatcher.connect())
                 stay[-1].send(1, "", script="/-/healthy")
-                assert (await stay[-1].answer())[1] == 200
+                assert (await stay[-1].read_answer())[1] == 200
             # Young ones that say nothing come between all others: these are taken in all the same, at once.
             late = []
             for number in range(30):
@@ -46,7 +48,7 @@
                 late.append(await dispatcher.connect())
                 late[-1].send(number + 1, "", script="/-/healthy")
             async with asyncio.timeout(0.8):
-                assert [(await client.answer())[1] for client in late] == [200] * 30
+                assert [(await client.read_answer())[1] for client in late] == [200] * 30
 
     run(scene())
 
@@ -55,7 +57,9 @@
     """On a full core: the close for want of room, or after a time, is decided before the reader's turn."""
 
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             front = dispatcher.service.front
             for number, close in enumerate((front.reclaim, front.sweep), 2):
@@ -70,7 +74,7 @@
                     dispatcher.client.writer = keep
                     raw.send(sent[0])  # it is there now, and the loop has not looked yet
                     close()
-                assert (await dispatcher.client.answer())[:2] == (number, 200)
+                assert (await dispatcher.client.read_answer())[:2] == (number, 200)
 
     run(scene())
 
@@ -79,14 +83,14 @@
     async def scene() -> None:
         limits = {"sockets": 64}
         async with Running(
-            tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}, limits=limits
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}, limits=limits
         ) as dispatcher:
             ledger = dispatcher.service.ledger
-            clients: list[Client] = []
+            clients: list[FastCgiClient] = []
             for number in range(1, 41):  # more than clients may hold
                 clients.append(await dispatcher.connect())
                 clients[-1].send(number, "page", {"HTTP_X_CORRELATION_ID": f"{number + 100:016x}"})
-                assert (await asyncio.wait_for(clients[-1].answer(), 5))[1] == 200
+                assert (await asyncio.wait_for(clients[-1].read_answer(), 5))[1] == 200
                 assert sum(ledger.held.values()) <= 40
 
     run(scene())
@@ -94,18 +98,18 @@
 
 def test_idle_clients_leave_the_descriptors_of_the_watch_and_the_hosts(tmp_path: Path) -> None:
     async def scene() -> None:
-        hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
+        hosts = {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
         async with Calm(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
-            ledger, stay = dispatcher.service.ledger, list[Client]()
+            ledger, stay = dispatcher.service.ledger, list[FastCgiClient]()
             for number in range(2 * ledger.most["client"]):
                 stay.append(await dispatcher.connect())
                 stay[-1].send(number + 1, "", script="/-/healthy")
             since = len(dispatcher.since)
-            dispatcher.service.listing.move(("127.0.0.1", await serve(dispatcher.changelog.talk)))
+            dispatcher.service.listing.move(("127.0.0.1", await serve(dispatcher.changelog.serve_connection)))
             await until(lambda: len(dispatcher.since) == since + 1)
             late = await dispatcher.connect()
             late.send(1, "page")
-            assert (await asyncio.wait_for(late.answer(), 2))[1] == 200
+            assert (await asyncio.wait_for(late.read_answer(), 2))[1] == 200
             for client in stay:
                 client.writer.close()
 
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from hoistplank.fakes.settings import listing
-from hoistplank.fakes.wire import CacheHost, Client
+from hoistplank.fakes.settings import fleet_event
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.router_task import Came, Left
@@ -45,16 +45,16 @@
 
 def test_the_end_of_a_client_is_seen_while_it_does_not_read_what_it_is_owed(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(
+        box = ScriptedCacheHost(
             lambda id, fields, body: silent(id, fields, body)
             if fields["blk"] == "9"
             else served(id, fields, body)
         )
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        async with Calm(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             loop, sock = asyncio.get_running_loop(), await narrow(dispatcher)
             late = {"HTTP_X_CHUNK": "9", "HTTP_X_DEADLINE_MS": "2400"}
             await loop.sock_sendall(sock, request_bytes(32, fields=late))
-            await until(lambda: len(box.seen) == 1)
+            await until(lambda: len(box.requests) == 1)
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": "1"}))
             session = next(each for each in dispatcher.service.front.sessions if each.open)
@@ -64,7 +64,7 @@
             await until(lambda: 31 in session.open)
             await loop.sock_sendall(sock, fastcgi.record(fastcgi.ABORT, 32))
             began = loop.time()
-            await until(lambda: f"{32:016x}" in box.drops)
+            await until(lambda: f"{32:016x}" in box.dropped)
             assert loop.time() - began < 1  # and not when its time is over
             sock.close()
 
@@ -73,24 +73,24 @@
 
 def test_requests_of_one_that_does_not_read_are_held_back_and_answered_in_time(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(served)
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(served)
+        async with Calm(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             loop, sock = asyncio.get_running_loop(), await narrow(dispatcher)
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             session = await only(dispatcher)
             await until(lambda: session.connection.out_bytes > 2 << 20 and not session.open)
-            seen = len(box.seen)
+            seen = len(box.requests)
             for number in (31, 32):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             await until(lambda: len(session.held_back) == 2)
-            assert len(box.seen) == seen
+            assert len(box.requests) == seen
             session.held_back[31].until = Clock().now() + 100_000  # its time is nearly over
             await until(lambda: 31 not in session.open)  # answered, though nothing is read
             reader, writer = await asyncio.open_connection(sock=sock)
-            client, got = Client(reader, writer), dict[int, int]()
+            client, got = FastCgiClient(reader, writer), dict[int, int]()
             while len(got) < 32:
-                number, status, _, _ = await asyncio.wait_for(client.answer(), 5)
+                number, status, _, _ = await asyncio.wait_for(client.read_answer(), 5)
                 got[number] = status
             assert got.pop(31) == 503 and set(got.values()) == {200}
             writer.close()
@@ -102,7 +102,9 @@
     """While late, the owner takes what ends before what comes."""
 
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with Calm(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             session, owner = await only(dispatcher), dispatcher.service.owner
             nobody: Any = None
@@ -133,7 +135,7 @@
     tmp_path: Path, what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        box, origin = CacheHost(served), CacheHost(served)
+        box, origin = ScriptedCacheHost(served), ScriptedCacheHost(served)
         async with Calm(tmp_path, {"a": box, "o": origin}) as dispatcher:
             owner, gate = dispatcher.service.owner, Gate(monkeypatch)
             client = await dispatcher.connect()
@@ -152,10 +154,10 @@
             await until(lambda: bool(gate.waiting))
             if what.endswith("drains"):
                 row = dispatcher.targets[0 if what == "host drains" else 1]
-                dispatcher.tell(listing(2, [row | {"state": "draining"}]))
+                dispatcher.tell(fleet_event(2, [row | {"state": "draining"}]))
                 await until(lambda: owner.posts[row["uid"]].entry.state == "draining")
             elif what == "host no longer named":
-                dispatcher.tell(listing(2, dispatcher.targets[1:], whole=True))
+                dispatcher.tell(fleet_event(2, dispatcher.targets[1:], whole=True))
                 await until(lambda: "a" not in owner.posts)
             elif what == "client leaves":
                 client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
@@ -169,22 +171,24 @@
             else:
                 # Where another way is left it is taken: the other host, or this one with no source to fill
                 # from.
-                status = (await asyncio.wait_for(client.answer(), 5))[1]
+                status = (await asyncio.wait_for(client.read_answer(), 5))[1]
                 assert status in ((502, 503) if what == "window over" else (200, 503))
             if not what.startswith("host"):
-                assert not origin.seen and not [fields for _, fields, _ in box.seen if "parent" in fields]
+                assert not origin.requests and not [
+                    fields for _, fields, _ in box.requests if "parent" in fields
+                ]
             if what != "source drains":
-                assert not box.seen
+                assert not box.requests
 
     run(scene())
 
 
 def test_attempts_of_a_client_that_left_are_taken_back(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(silent)
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(silent)
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             dispatcher.client.send(1, "page")
-            await until(lambda: bool(box.seen))
+            await until(lambda: bool(box.requests))
             dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
             owner = dispatcher.service.owner
             began = asyncio.get_running_loop().time()
@@ -196,12 +200,14 @@
 
 def test_aborted_request_gets_no_answer_and_frees_its_number(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
-        async with Running(tmp_path, {"a": box, "o": CacheHost(served)}) as dispatcher:
+        box = ScriptedCacheHost(
+            lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
+        )
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(served)}) as dispatcher:
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1"})
-            await until(lambda: bool(box.seen))
+            await until(lambda: bool(box.requests))
             dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
-            assert (await dispatcher.client.answer())[1] == 0  # END_REQUEST alone
+            assert (await dispatcher.client.read_answer())[1] == 0  # END_REQUEST alone
             assert (await dispatcher.ask(1, "page", fields={"HTTP_X_CORRELATION_ID": "ab" * 8}))[0] == 200
 
     run(scene())
@@ -209,7 +215,9 @@
 
 def test_slow_reader_costs_only_itself(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
+        ) as dispatcher:
             slow = await dispatcher.connect()
             slow.reader._transport.pause_reading()  # type: ignore[attr-defined]
             for number in range(1, 31):
@@ -217,6 +225,6 @@
             await until(lambda: dispatcher.service.owner.counts["succeeded"] >= 30)
             assert (await dispatcher.ask(99, "page"))[2] == BODY
             slow.reader._transport.resume_reading()  # type: ignore[attr-defined]
-            assert sorted([(await slow.answer())[3] == BODY for _ in range(30)]) == [True] * 30
+            assert sorted([(await slow.read_answer())[3] == BODY for _ in range(30)]) == [True] * 30
 
     run(scene())
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.program.configuration import BadConfiguration, read
 from tests.dispatcher_scene import (
     run,
@@ -30,11 +30,15 @@
         ("settings.limits.streams_per_conn", 0, "'limits.streams_per_conn' is 0, below 1"),
         (
             "known",
-            {"seq": 1, "results": [listing(1, [target("a", "box", 70_000)])]},
+            {"seq": 1, "results": [fleet_event(1, [endpoint_entry("a", "box", 70_000)])]},
             "known.results: '127.0.0.1:70000'",
         ),
         ("known", {"seq": 1, "results": [{"fleet": {}}]}, "seq"),
-        ("known", {"seq": 1, "results": [listing(1, [target("a,hints=x", "box", 7)])]}, "uid 'a,hints=x'"),
+        (
+            "known",
+            {"seq": 1, "results": [fleet_event(1, [endpoint_entry("a,hints=x", "box", 7)])]},
+            "uid 'a,hints=x'",
+        ),
     ],
 )
 def test_bad_configuration_names_its_key(tmp_path: Path, key: str, value: Any, told: str) -> None:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -19,8 +19,8 @@
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.messages import Follow, InForce, RequestLine, VersionFields, encode
 from hoistplank.distribution.versions import NOTHING, Version
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Event, Fleet, Known, Target
 from hoistplank.protocol.errors import BadBytes
@@ -46,7 +46,7 @@
             await until(lambda: all(one.in_force == at(1) for one in each))
             rig.purge(2, "ab")
             rig.hosts(3, b="draining")
-            rig.log.configure(4, "(log)")
+            rig.log.publish_configuration(4, "(log)")
             await until(lambda: all(one.in_force == at(4) for one in each))
             for one in each:
                 assert one.owner.purges == ["ab"] and one.owner.hosts == {"a": "ready", "b": "draining"}
@@ -68,9 +68,9 @@
             rig.hosts(1, whole=True, a="ready")
             each = [rig.dispatcher(f"d{number}") for number in range(4)]
             each[2].refuses = "narrow"
-            rig.log.configure(2, "wide")
+            rig.log.publish_configuration(2, "wide")
             await until(lambda: all(one.in_force == at(2) for one in each))
-            rig.log.configure(3, "narrow")
+            rig.log.publish_configuration(3, "narrow")
             rig.purge(4, "ab")
             await until(lambda: all(one.in_force == at(4) for one in each))
             assert [one.configurations[-1][1] for one in each] == [
@@ -107,7 +107,7 @@
                 session.connection.send = lambda *words: None  # type: ignore[method-assign]
             rig.purge(2, "ab")
             rig.hosts(3, b="draining")
-            rig.log.configure(4, "new")
+            rig.log.publish_configuration(4, "new")
             await until(lambda: rig.replicas[0].state.version == at(4) and each[0].in_force == at(4))
             assert all(one.in_force == at(1) for one in followers)
             await rig.stop_replica(0)
@@ -126,15 +126,17 @@
     """The older one is cut off from the log: it tells nothing old again, nor that nothing is newer."""
 
     async def scene() -> None:
-        old_log = ChangeLog(EPOCH)
+        old_log = FakeChangeLog(EPOCH)
         async with Rig(replicas=1) as rig:
-            rig.start_replica("old", changelog=await serve(old_log.talk))
+            rig.start_replica("old", changelog=await serve(old_log.serve_connection))
             rig.connect_peers()
             for log in (rig.log, old_log):
-                log.tell(listing(1, [target("a", "box", 9), target("b", "box", 9)], whole=True))
-                log.tell({"seq": 2, "configuration": {"text": "old"}})
+                log.publish(
+                    fleet_event(1, [endpoint_entry("a", "box", 9), endpoint_entry("b", "box", 9)], whole=True)
+                )
+                log.publish({"seq": 2, "configuration": {"text": "old"}})
             rig.hosts(3, b="draining")
-            rig.log.configure(4, "new")
+            rig.log.publish_configuration(4, "new")
             new, old = rig.addresses
             one = rig.dispatcher("d1", [new, old])
             one.follower.order = (new, old)
@@ -151,9 +153,9 @@
             # A replica that lags says nothing of the present: in the end the list counts as stale.
             assert one.follower.state.unheard(one.owner.clock.now() + 7_000_000)
             # The old one hears the rest, and goes on from what the dispatcher holds.
-            old_log.tell(listing(3, [target("b", "box", 9, "draining")]))
-            old_log.configure(4, "new")
-            old_log.tell({"seq": 5, "invalidate": {"object": "ab", "time": 1.0}})
+            old_log.publish(fleet_event(3, [endpoint_entry("b", "box", 9, "draining")]))
+            old_log.publish_configuration(4, "new")
+            old_log.publish({"seq": 5, "invalidate": {"object": "ab", "time": 1.0}})
             await until(lambda: one.in_force == at(5))
             assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "new")]
 
@@ -231,7 +233,7 @@
             await until(lambda: table.in_force(0, at(1)).in_force == 1)
             one.owner.is_halted = True
             rig.purge(2, "ab")
-            rig.log.configure(3, "new")
+            rig.log.publish_configuration(3, "new")
             await until(lambda: one.owner.purges == ["ab"] and one.configurations != [])
             rows = table.revision
             await until(lambda: table.revision > rows + 1)  # two more heartbeats of the dispatcher
@@ -257,7 +259,7 @@
             number, most = 1, 0
             while "deaf" in replica.sessions:
                 number += 1
-                rig.log.configure(number, "x" * 200_000)
+                rig.log.publish_configuration(number, "x" * 200_000)
                 await until(lambda: replica.table.in_force(0, at(number)).in_force >= 1)  # noqa: B023
                 most = max(most, *(session.connection.out_bytes for session in replica.sessions.values()))
                 assert number < 200
@@ -278,7 +280,7 @@
             rig.hosts(1, whole=True, a="ready")
             for number in range(2, 40):
                 rig.purge(number, f"{number:04x}")
-            rig.log.configure(40, "new")
+            rig.log.publish_configuration(40, "new")
             lines = list[int]()
 
             async def cutting(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -326,7 +328,7 @@
                     purged.append(f"{int(chance.paretovariate(0.7)) % 5_000:016x}")
                     rig.purge(number, purged[-1])
                 number += 1
-                rig.log.configure(number, f"change {change}" + "x" * 20_000)
+                rig.log.publish_configuration(number, f"change {change}" + "x" * 20_000)
             number += 1
             rig.hosts(number, b="draining")
             await until(lambda: rig.replicas[0].state.version == at(number), patience_s=20)
@@ -339,7 +341,7 @@
             assert sorted(one.owner.purges) == sorted(objects), seed
             assert one.owner.hosts == {"a": "ready", "b": "draining"}
             assert came < 110 * len(objects) + 25_000, (seed, came, len(objects))
-            assert came < sum(len(json.dumps(event)) for event in rig.log.log) / 4, (seed, came)
+            assert came < sum(len(json.dumps(event)) for event in rig.log.events) / 4, (seed, came)
 
     run(scene())
 
@@ -351,7 +353,9 @@
             each = [rig.dispatcher(f"d{number}") for number in range(5)]
             await until(lambda: all(one.in_force == at(1) for one in each))
             for number in range(2, 62):
-                rig.log.configure(number, f"change {number}" + (" bad" if number % 7 == 0 else ""))
+                rig.log.publish_configuration(
+                    number, f"change {number}" + (" bad" if number % 7 == 0 else "")
+                )
             rig.purge(62, "ab")
             await until(lambda: all(one.in_force == at(62) for one in each))
             for one in each:
@@ -372,7 +376,7 @@
         async with Rig(replicas=2) as rig:
             rig.hosts(1, whole=True, a="ready", b="ready", c="ready")
             rig.hosts(2, b="draining")
-            rig.log.configure(3, "old")
+            rig.log.publish_configuration(3, "old")
             one, other = rig.dispatcher("d1"), rig.dispatcher("d2")
             await until(lambda: one.in_force == at(3) == other.in_force)
             # It counts from 1 again, with a list from before the drain, and is soon past the number held.
@@ -386,7 +390,7 @@
                 assert each.owner.hosts == {"a": "ready", "b": "draining", "d": "ready"}
                 assert each.owner.purges == ["0002", "0003", "0004", "0005"]
                 assert each.configurations == [(at(3), "old")]
-            rig.log.configure(6, "new")
+            rig.log.publish_configuration(6, "new")
             await until(lambda: len(one.configurations) == 2)
             assert one.configurations[-1] == (Version(EPOCH + 1, 6), "new")
 
@@ -397,7 +401,7 @@
     async def scene() -> None:
         async with Rig(replicas=2) as rig:
             rig.hosts(1, whole=True, a="ready")
-            rig.log.configure(2, "one")
+            rig.log.publish_configuration(2, "one")
             each = [rig.dispatcher(f"d{number}") for number in range(3)]
             await until(lambda: all(one.in_force == at(2) for one in each))
             for index in range(2):
@@ -411,7 +415,7 @@
                 for number in range(3)
             ]
             rig.purge(3, "ab")
-            rig.log.configure(4, "two")
+            rig.log.publish_configuration(4, "two")
             await until(lambda: all(one.follower._is_warned for one in again))
             for one in again:
                 assert one.owner.hosts == {"a": "ready"} and one.owner.is_blind
@@ -436,7 +440,7 @@
         monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENT_US", 300_000)
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
-            rig.log.configure(2, "one")
+            rig.log.publish_configuration(2, "one")
             relay = await Relay(ReplicaAddress("log", "", ("127.0.0.1", rig.log_port))).start()
             replica = rig.start_replica("c2", changelog=relay.address.address[1])
             rig.connect_peers()
@@ -466,7 +470,7 @@
             one = rig.dispatcher("d1", [relay.address])
             await until(lambda: one.in_force == at(1))
             relay.cut()
-            rig.log.configure(2, "x" * 1_000_000)
+            rig.log.publish_configuration(2, "x" * 1_000_000)
             await until(lambda: rig.replicas[0].state.version == at(2))
             relay.join()
             await until(lambda: one.in_force == at(2))
@@ -480,9 +484,9 @@
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             one = rig.dispatcher("d1")
-            rig.log.configure(2, "good")
-            rig.log.tell({"seq": 3, "configuration": {"text": 5}})
-            rig.log.tell({"seq": 4, "configuration": "x" * 1_100_000})
+            rig.log.publish_configuration(2, "good")
+            rig.log.publish({"seq": 3, "configuration": {"text": 5}})
+            rig.log.publish({"seq": 4, "configuration": "x" * 1_100_000})
             rig.purge(5, "ab")
             await until(lambda: rig.replicas[0].table.in_force(0, at(5)).in_force == 1)
             assert one.configurations == [(at(2), "good")] and one.owner.purges == ["ab"]
@@ -505,12 +509,12 @@
         async with Rig(replicas=1, epoch=0) as rig:
             rig.hosts(1, whole=True, a="ready")
             rig.purge(2, "ab")
-            rig.log.configure(3, "one")
+            rig.log.publish_configuration(3, "one")
             one = rig.dispatcher("d1", silence_us=3_000_000)
             await until(lambda: one.in_force == Version(0, 3) and not one.owner.is_blind)
             rig.restart_log(0)
             rig.hosts(1, whole=True, a="ready")
-            rig.log.configure(2, "two")
+            rig.log.publish_configuration(2, "two")
             replica = rig.replicas[0]
             await until(lambda: replica.log_follower.anew and replica.log_follower.last == 2, patience_s=10)
             await until(lambda: one.owner.is_blind, patience_s=10)
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -18,9 +18,9 @@
 
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.distribution.versions import Version
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
-from hoistplank.fakes.wire import CacheHost, Client, serve
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
 from tests.distribution_rig import EPOCH, asked
 from tests.helpers import configuration
 
@@ -109,7 +109,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.log = ChangeLog(EPOCH)
+        self.log = FakeChangeLog(EPOCH)
         self.replica_ports = free_ports(2)
         self.listen: dict[str, int] = {}
         self.processes: list[Process] = []
@@ -117,10 +117,12 @@
         self.log_port = 0
 
     async def prepare(self) -> None:
-        self.log_port = await serve(self.log.talk)
+        self.log_port = await serve(self.log.serve_connection)
         for uid, model in (("a", "box"), ("o", "origin")):
-            self.targets.append(target(uid, model, await serve(CacheHost(served).talk)))
-        self.log.tell(listing(1, self.targets, whole=True))
+            self.targets.append(
+                endpoint_entry(uid, model, await serve(ScriptedCacheHost(served).serve_connection))
+            )
+        self.log.publish(fleet_event(1, self.targets, whole=True))
 
     async def replica(self, index: int) -> Process:
         folder = self.folder / "replica"
@@ -142,7 +144,7 @@
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
         self.listen[name] = self.listen.get(name) or free_ports(1)[0]
-        known = {"seq": 1, "results": [listing(1, self.targets, whole=True)]}
+        known = {"seq": 1, "results": [fleet_event(1, self.targets, whole=True)]}
         configuration(folder, name=name, listen=f"127.0.0.1:{self.listen[name]}", known=known)
         rows = "".join(
             f' (replica c{index + 1} (endpoint "127.0.0.1:{port}") (region east))'
@@ -175,9 +177,9 @@
                 await asyncio.sleep(0.05)
 
     async def health(self, name: str) -> tuple[int, str]:
-        client = Client(*await asyncio.open_connection("127.0.0.1", self.listen[name]))
+        client = FastCgiClient(*await asyncio.open_connection("127.0.0.1", self.listen[name]))
         client.send(1, "", script="/-/healthy")
-        _, status, _, body = await asyncio.wait_for(client.answer(), PATIENCE_S)
+        _, status, _, body = await asyncio.wait_for(client.read_answer(), PATIENCE_S)
         client.writer.close()
         return status, body.decode()
 
@@ -188,9 +190,9 @@
                 await asyncio.sleep(0.05)
 
     async def _page(self, name: str) -> int:
-        client = Client(*await asyncio.open_connection("127.0.0.1", self.listen[name]))
+        client = FastCgiClient(*await asyncio.open_connection("127.0.0.1", self.listen[name]))
         client.send(1, "page")
-        _, status, head, _ = await asyncio.wait_for(client.answer(), PATIENCE_S)
+        _, status, head, _ = await asyncio.wait_for(client.read_answer(), PATIENCE_S)
         client.writer.close()
         assert status == 200 or (status == 503 and b"X-Pushback-Ms" in head), head
         return status
@@ -227,8 +229,8 @@
             await made.replica(1)
             for name in ("d0", "d1", "d2"):
                 await made.dispatcher(name)
-            made.log.tell({"seq": 2, "invalidate": {"object": "00" * 8, "time": 1.0}})
-            made.log.configure(3, LEVELS.format(0.25))
+            made.log.publish({"seq": 2, "invalidate": {"object": "00" * 8, "time": 1.0}})
+            made.log.publish_configuration(3, LEVELS.format(0.25))
             await made.in_force(0, at(3), 3)
             await made.in_force(1, at(3), 3)
             both = [word for port in made.replica_ports for word in ("--replica", f"127.0.0.1:{port}")]
@@ -239,9 +241,9 @@
                 and "c2 (east): at 7/3" in out
             )
             # Killed while a change is on its way, and back: nothing is lost, and both know all.
-            made.log.configure(4, LEVELS.format("often"))
+            made.log.publish_configuration(4, LEVELS.format("often"))
             first.send(signal.SIGKILL)
-            made.log.tell({"seq": 5, "invalidate": {"object": "22" * 8, "time": 1.0}})
+            made.log.publish({"seq": 5, "invalidate": {"object": "22" * 8, "time": 1.0}})
             await made.in_force(1, at(5), 3)
             code, out, _ = await command("status", *both, "--version", str(at(4)))
             assert code == 1 and "in force at 0 of 3; missing: d" in out and "no answer" in out
@@ -287,11 +289,11 @@
             await made.replica(1)
             frozen = await made.dispatcher("d0", " (silence 3s)")
             await made.dispatcher("d1")
-            made.log.configure(2, LEVELS.format(0.25))
+            made.log.publish_configuration(2, LEVELS.format(0.25))
             await made.in_force(0, at(2), 2)
             frozen.send(signal.SIGSTOP)
-            made.log.tell({"seq": 3, "invalidate": {"object": "00" * 8, "time": 1.0}})
-            made.log.configure(4, LEVELS.format(0.75))
+            made.log.publish({"seq": 3, "invalidate": {"object": "00" * 8, "time": 1.0}})
+            made.log.publish_configuration(4, LEVELS.format(0.75))
             status = await made.in_force(0, at(4), 1)
             assert status.change is not None
             assert [row.dispatcher for row in status.change.missing] == ["d0"]
@@ -320,7 +322,7 @@
             await made.dispatcher("d1")
             await made.in_force(0, at(1), 2)
             padding = "\n".join("; " + "x" * 76 for _ in range(12_000))
-            made.log.configure(2, LEVELS.format(0.25) + "\n" + padding)
+            made.log.publish_configuration(2, LEVELS.format(0.25) + "\n" + padding)
             leaving.send(signal.SIGTERM)
             assert await leaving.ended() == 0
             taken = [line for line in leaving.lines if line.get("event") == "configuration taken up"]
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -19,8 +19,8 @@
 from hoistplank.distribution.follower import ReplicaFollower
 from hoistplank.distribution.messages import VersionFields
 from hoistplank.distribution.versions import Version
-from hoistplank.fakes.settings import listing
-from hoistplank.fakes.wire import CacheHost
+from hoistplank.fakes.settings import fleet_event
+from hoistplank.fakes.wire import ScriptedCacheHost
 from hoistplank.program.service import Phase
 from tests.distribution_rig import EPOCH, Rig, asked
 from tests.helpers import Running, until
@@ -82,7 +82,7 @@
     async def health(self) -> tuple[int, bytes]:
         client = await self.dispatcher.connect()
         client.send(1, "", script="/-/healthy")
-        _, status, _, body = await asyncio.wait_for(client.answer(), 5)
+        _, status, _, body = await asyncio.wait_for(client.read_answer(), 5)
         client.writer.close()
         return status, body
 
@@ -97,10 +97,10 @@
         (folder / "op.sexp").write_text(
             LEVELS.format(0.5) + f"\n(distribution (name d1) (region east) (silence {silence}){rows})"
         )
-        dispatcher = Running(folder, {"a": CacheHost(served), "o": CacheHost(served)})
+        dispatcher = Running(folder, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)})
         dispatcher.operator = True
         async with dispatcher:
-            rig.log.tell(listing(1, dispatcher.targets, whole=True))
+            rig.log.publish(fleet_event(1, dispatcher.targets, whole=True))
             made = Place(rig, dispatcher)
             await until(lambda: made.in_force == at(1))
             yield made
@@ -115,7 +115,7 @@
             assert made.dispatcher.service.phase is Phase.SERVING and not router.blind
             assert await made.health() == (200, b"")
             made.rig.purge(2, "00" * 8)
-            made.rig.log.configure(3, LEVELS.format(0.25))
+            made.rig.log.publish_configuration(3, LEVELS.format(0.25))
             await until(lambda: made.in_force == at(3))
             assert "00" * 8 in router.floors and made.retries == 0.25
             await serves(made.dispatcher)
@@ -147,9 +147,9 @@
 ) -> None:
     async def scene() -> None:
         async with place(tmp_path) as made:
-            made.rig.log.configure(2, LEVELS.format(0.25))
+            made.rig.log.publish_configuration(2, LEVELS.format(0.25))
             await until(lambda: made.in_force == at(2))
-            made.rig.log.configure(3, text)
+            made.rig.log.publish_configuration(3, text)
             await until(lambda: made.in_force == at(3))
             assert made.retries == 0.25 and made.configured == at(2)
             await until(lambda: made.rig.replicas[0].table.in_force(0, at(3)).missing[0].refused != "")
@@ -159,7 +159,7 @@
             assert row.dispatcher == "d1" and row.version == VersionFields(*at(2))
             assert f"configuration {at(3)}" in row.refused and reason in row.refused
             # The next one that can be used is taken up.
-            made.rig.log.configure(4, LEVELS.format(0.75))
+            made.rig.log.publish_configuration(4, LEVELS.format(0.75))
             await until(lambda: made.configured == at(4))
             assert made.retries == 0.75
 
@@ -207,11 +207,11 @@
         async with place(tmp_path) as made:
             comment = "; " + "x" * 76 + "\n"
             good = LEVELS.format(0.25) + "\n" + comment * (1_040_000 // len(comment))
-            made.rig.log.configure(2, good)
+            made.rig.log.publish_configuration(2, good)
             made.rig.purge(3, "ab")
             await until(lambda: made.in_force == at(3))
             assert made.retries == 0.25 and "ab" in made.dispatcher.service.owner.router.floors
-            made.rig.log.configure(4, good + LEVELS.format("often"))
+            made.rig.log.publish_configuration(4, good + LEVELS.format("often"))
             await until(lambda: made.in_force == at(4))
             refused = made.follower.state.in_force().refused
             line = 1 + good.count("\n")
@@ -229,11 +229,11 @@
                 '(membership (state "state") (patience 50ms) (probe-time 200ms))\n'
                 f'(distribution (region east) (silence 3s) (replica c1 (endpoint "127.0.0.1:{port}")))'
             )
-            hosts = {"a": CacheHost(served), "o": CacheHost(served)}
+            hosts = {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
             first = Running(tmp_path, hosts, known=None)
             first.operator = True
             async with first:
-                rig.log.tell(listing(1, first.targets, whole=True))
+                rig.log.publish(fleet_event(1, first.targets, whole=True))
                 await until(lambda: first.service.phase is Phase.SERVING)
             await rig.stop_replica(0)
             rig.purge(2, "ab")
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -12,9 +12,9 @@
 import msgspec
 import pytest
 
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
-from hoistplank.fakes.wire import CacheHost, serve
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
+from hoistplank.fakes.wire import ScriptedCacheHost, serve
 from hoistplank.protocol.changelog import Event, Fleet, Known
 from hoistplank.routing import endpoint_watcher as watching
 from hoistplank.routing.clock import Clock
@@ -35,7 +35,7 @@
 
 
 def row(seq: int, whole: bool = False, state: str = "ready") -> bytes:
-    return json.dumps(listing(seq, [target("a", "box", 9, state)], whole=whole)).encode() + b"\n"
+    return json.dumps(fleet_event(seq, [endpoint_entry("a", "box", 9, state)], whole=whole)).encode() + b"\n"
 
 
 QUIET: dict[str, list[bytes]] = {
@@ -273,16 +273,16 @@
     """It has no use for one; taken for a bare number ahead of its event, it would end the watch for good."""
 
     async def scene() -> None:
-        log = ChangeLog(epoch=7)
+        log = FakeChangeLog(epoch=7)
         told = Told()
-        listing_ = Listing(told, ("127.0.0.1", await serve(log.talk)), Known(0, []), Random(1))
+        listing_ = Listing(told, ("127.0.0.1", await serve(log.serve_connection)), Known(0, []), Random(1))
         task = asyncio.create_task(listing_.run())
-        log.tell(listing(1, [target("a", "box", 9)], whole=True))
-        log.configure(2, "x" * 1_000_000)
-        log.tell({"seq": 3, "configuration": {"text": ["wrong"]}})
-        log.tell({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
+        log.publish(fleet_event(1, [endpoint_entry("a", "box", 9)], whole=True))
+        log.publish_configuration(2, "x" * 1_000_000)
+        log.publish({"seq": 3, "configuration": {"text": ["wrong"]}})
+        log.publish({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
         await until(lambda: listing_.last == 4)
-        assert [type(event) for event in told.events] == [Listed, Purged] and log.since == [0]
+        assert [type(event) for event in told.events] == [Listed, Purged] and log.requested_positions == [0]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -293,7 +293,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
+        ) as dispatcher:
             told: list[Any] = []
             owner = dispatcher.service.owner
             monkeypatch.setattr(owner, "tell", spied(owner.tell, told))
@@ -320,9 +322,9 @@
             asked.append(int((await reader.readline()).split()[1]))
             await reader.read()
 
-        box = CacheHost(silent)
+        box = ScriptedCacheHost(silent)
         log = f"127.0.0.1:{await serve(quiet)}"
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}, changelog=log) as dispatcher:
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, changelog=log) as dispatcher:
             await until(lambda: len(asked) >= 2)
             for number in (1, 2, 3):  # the first brings the connection up, the second finds it silent
                 await dispatcher.ask(
--- a/tests/test_exactly_once.py
+++ b/tests/test_exactly_once.py
@@ -138,7 +138,7 @@
             while status == 503 and owner.counts["attempts"] == 0 and number < 20:
                 number += 1
                 dispatcher.client.send(number, "order", KEY, b"x" * 100)
-                _, status, _, _ = await asyncio.wait_for(dispatcher.client.answer(), 5)
+                _, status, _, _ = await asyncio.wait_for(dispatcher.client.read_answer(), 5)
             assert (status, len(host.keys)) == {
                 "served": (200, 1),
                 "again, served": (200, 1),
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -17,7 +17,12 @@
 from hypothesis import strategies as st
 
 from hoistplank.cli.lab import lab
-from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
+from hoistplank.fakes.certificate_authority import (
+    FakeCertificateAuthority,
+    TokenSigner,
+    operator_text,
+    write_key_set,
+)
 from hoistplank.fakes.deployment import Deployment, free_port
 from hoistplank.lab import report, results, runner
 from hoistplank.lab.backends import sockets
@@ -344,11 +349,11 @@
 
 
 def test_load_with_tokens_and_over_tls(tmp_path: Path) -> None:
-    authority, signer, tls = Authority(tmp_path), Signer("k0"), free_port()
-    write_keys(tmp_path / "ring.json", signer.jwk())
+    authority, signer, tls = FakeCertificateAuthority(tmp_path), TokenSigner("k0"), free_port()
+    write_key_set(tmp_path / "ring.json", signer.jwk())
     (tmp_path / "revoked.jsonl").touch()
     (tmp_path / "op.sexp").write_text(operator_text(tls, free_port()))
-    certificate, _ = authority.leaf("coast.pem", ["uri:hoistplank:coast"])
+    certificate, _ = authority.issue("coast.pem", ["uri:hoistplank:coast"])
     steps, mix = plan("1s:40"), mixes("page=3 booking=1!")
 
     async def scene() -> list[dict[str, Any]]:
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hoistplank.fakes.wire import CacheHost
+from hoistplank.fakes.wire import ScriptedCacheHost
 from hoistplank.protocol import fastcgi
 from tests.dispatcher_scene import (
     run,
@@ -41,12 +41,14 @@
 ) -> None:
     async def scene() -> None:
         monkeypatch.setattr("hoistplank.routing.frontend.UNFINISHED_S", 0.2)
-        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(
+            lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
+        )
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(3, "page"))[0] == 200
             rude, mixed = await dispatcher.connect(), await dispatcher.connect()
             mixed.send(5, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "2400"})
-            await until(lambda: len(box.seen) == 2)
+            await until(lambda: len(box.requests) == 2)
             for piece in RUDE[kind]:
                 rude.writer.write(piece)
             rest = asyncio.create_task(rude.reader.read())
@@ -62,7 +64,7 @@
             assert b"Status: 200" not in said and (b"Status: 400" in said) == (kind[-4:] in ("body", "ters"))
             # What is open where framing breaks is answered before the close.
             mixed.writer.write(b"GET / HTTP/1.1\r\n\r\n")
-            assert (await mixed.answer())[:2] == (5, 502) and await mixed.reader.read() == b""
+            assert (await mixed.read_answer())[:2] == (5, 502) and await mixed.reader.read() == b""
             assert (await dispatcher.ask(1, "page"))[0] == 200
             front = dispatcher.service.front
             await until(lambda: len(front.sessions) == 1 and not dispatcher.service.owner.router.ledger)
@@ -73,7 +75,9 @@
 
 def test_bytes_that_are_no_fastcgi_end_their_connection_alone(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
+        ) as dispatcher:
             other = await dispatcher.connect()
             other.writer.write(b"GET / HTTP/1.1\r\n\r\n")
             assert await other.reader.read() == b""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hoistplank.fakes.settings import listing, target
-from hoistplank.fakes.wire import CacheHost, serve
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
+from hoistplank.fakes.wire import ScriptedCacheHost, serve
 from hoistplank.membership import list_staleness
 from hoistplank.membership.host_registry import MOVES, TOLD, Roster
 from hoistplank.membership.service import MembershipService
@@ -187,14 +187,14 @@
 class Without:
     """A dispatcher whose log is down, beside a kept list of hosts that answer in several ways."""
 
-    def __init__(self, folder: Path, age_s: float = 60, **hosts: CacheHost) -> None:
+    def __init__(self, folder: Path, age_s: float = 60, **hosts: ScriptedCacheHost) -> None:
         self.folder, self.age_s, self.hosts = folder, age_s, hosts
         self.others: list[KeptHost] = []
         (folder / "op.sexp").write_text('(membership (state "state") (patience 50ms) (probe-time 200ms))')
 
     async def __aenter__(self) -> Running:
         rows = [
-            host(uid, await serve(one.talk), "origin" if uid == "o" else "box")
+            host(uid, await serve(one.serve_connection), "origin" if uid == "o" else "box")
             for uid, one in self.hosts.items()
         ]
         store = Folder(self.folder / "state")
@@ -213,8 +213,13 @@
 
 def test_it_serves_from_the_kept_list_and_moves_to_the_log_s(tmp_path: Path) -> None:
     async def scene() -> None:
-        a, o, red, new = CacheHost(served), CacheHost(served), CacheHost(served), CacheHost(served)
-        red.ping = "red"
+        a, o, red, new = (
+            ScriptedCacheHost(served),
+            ScriptedCacheHost(served),
+            ScriptedCacheHost(served),
+            ScriptedCacheHost(served),
+        )
+        red.health = "red"
         quiet = await serve(lambda reader, writer: asyncio.sleep(60))
         place = Without(tmp_path, a=a, o=o, red=red)
 
@@ -234,7 +239,7 @@
             assert time.monotonic() - began < 1.5
             assert (await running.ask(1, "", script="/-/healthy"))[0] == 200
             status, _, body = await running.ask(3, "page")
-            assert (status, body) == (200, b"well") and a.seen
+            assert (status, body) == (200, b"well") and a.requests
             router = running.service.owner.router
             assert router.blind and set(running.service.owner.posts) == {"a", "o"}
             assert all(since > 0 for since in router.cold_since)  # cold until shown otherwise
@@ -245,11 +250,11 @@
             connections = a.connections
             kept_start = running.service.owner.posts["a"].entry.started_us
             targets = [
-                target("a", "box", int(roster.rows["a"].host.endpoint.split(":")[1])),
-                target("n", "origin", await serve(new.talk)),
+                endpoint_entry("a", "box", int(roster.rows["a"].host.endpoint.split(":")[1])),
+                endpoint_entry("n", "origin", await serve(new.serve_connection)),
             ]
-            running.tell(listing(1, targets, whole=True))
-            running.service.listing.move(("127.0.0.1", await serve(running.changelog.talk)))
+            running.tell(fleet_event(1, targets, whole=True))
+            running.service.listing.move(("127.0.0.1", await serve(running.changelog.serve_connection)))
             await until(lambda: running.service.phase is Phase.SERVING)
             assert set(running.service.owner.posts) == {"a", "n"} and not router.blind
             # What it got to know goes on: neither its connections nor its cold time begin anew.
@@ -266,17 +271,17 @@
 
 def test_a_host_that_vanishes_is_no_longer_told(tmp_path: Path) -> None:
     async def scene() -> None:
-        a, b, o = CacheHost(served), CacheHost(served), CacheHost(served)
+        a, b, o = ScriptedCacheHost(served), ScriptedCacheHost(served), ScriptedCacheHost(served)
         async with Without(tmp_path, a=a, b=b, o=o) as running:
             await until(lambda: len(running.service.owner.posts) == 3)
-            a.ping = "red"  # it drains, and no log tells
+            a.health = "red"  # it drains, and no log tells
             await until(lambda: set(running.service.owner.posts) == {"b", "o"})
-            taken = len(a.seen)
+            taken = len(a.requests)
             running.client = await running.connect()  # the first one was silent for too long
             for number in range(1, 9):
                 await running.ask(number, "page", fields={"HTTP_X_SUBJECT": f"{number:016x}"})
-            assert len(a.seen) == taken
-            a.ping = "green"
+            assert len(a.requests) == taken
+            a.health = "green"
             await until(lambda: set(running.service.owner.posts) == {"a", "b", "o"})
 
     run(scene())
@@ -284,8 +289,8 @@
 
 def test_without_a_state_seeds_begin_and_the_list_is_kept(tmp_path: Path) -> None:
     async def scene() -> None:
-        a, o = CacheHost(served), CacheHost(served)
-        ports = [await serve(a.talk), await serve(o.talk)]
+        a, o = ScriptedCacheHost(served), ScriptedCacheHost(served)
+        ports = [await serve(a.serve_connection), await serve(o.serve_connection)]
         (tmp_path / "op.sexp").write_text(
             '(membership (state "state") (patience 0ms)'
             f" (seed a (endpoint 127.0.0.1:{ports[0]}) (zone z1) (kind box))"
@@ -304,7 +309,7 @@
     async def scene() -> None:
         (tmp_path / "state").write_text("no folder")
         (tmp_path / "op.sexp").write_text('(membership (state "state"))')
-        running = Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)})
+        running = Running(tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)})
         running.operator = True
         async with running:
             assert (await running.ask(1, "page"))[0] == 200
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -13,9 +13,9 @@
 import pytest
 import uvloop
 
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
-from hoistplank.fakes.wire import Client, serve
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
+from hoistplank.fakes.wire import FastCgiClient, serve
 from tests.helpers import configuration
 
 # Nine in ten are to be ready within 10 s, and a tenth of a core is the least part of one that we reckon with.
@@ -37,12 +37,12 @@
             listen = f"127.0.0.1:{free.getsockname()[1]}"
             port = nobody.getsockname()[1]
             if discovery == "up":
-                port = await serve(ChangeLog().talk)
+                port = await serve(FakeChangeLog().serve_connection)
             elif discovery == "silent":
                 nobody.listen(1)
             free.close()
-            hosts = [target(f"h{n}", "box", 9) for n in range(200)]
-            known = {"seq": 1, "results": [listing(1, hosts, whole=True)]}
+            hosts = [endpoint_entry(f"h{n}", "box", 9) for n in range(200)]
+            known = {"seq": 1, "results": [fleet_event(1, hosts, whole=True)]}
             configuration(tmp_path, listen=listen, known=known, changelog=f"127.0.0.1:{port}")
             program = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -55,9 +55,9 @@
                 assert program.stdout is not None
                 while b"serving" not in (line := await program.stdout.readline()):
                     assert line
-                client = Client(*await asyncio.open_connection(*listen.split(":")))
+                client = FastCgiClient(*await asyncio.open_connection(*listen.split(":")))
                 client.send(1, "", script="/-/healthy")
-                assert (await client.answer())[1] == 200
+                assert (await client.read_answer())[1] == 200
                 assert used_s(program.pid) < MOST_CPU_S
             finally:
                 program.kill()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from hoistplank.fakes.settings import SETTINGS, listing, target
-from hoistplank.fakes.wire import CacheHost, Client, serve
+from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
 from hoistplank.program.service import Phase
 from tests.dispatcher_scene import (
     run,
@@ -35,13 +35,15 @@
             writer.write(b"".join(json.dumps(event).encode() + b"\n" for event in events))
             await reader.read()
 
-        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(
+            lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
+        )
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             dispatcher.tell({"seq": 2, "invalidate": {"bucket": 2, "time": 1}})
             listing = dispatcher.service.listing
             await until(lambda: listing.last == 2)
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
-            await until(lambda: bool(box.seen))
+            await until(lambda: bool(box.requests))
             file = tmp_path / "config.json"
             good = json.loads(file.read_text())
             file.write_text("{")  # a file that can't be used changes nothing
@@ -56,7 +58,7 @@
             await until(lambda: listing.last == 3)
             assert asked == [2] and dispatcher.service.phase is Phase.SERVING
             assert (await dispatcher.ask(2, "page"))[0] == 200
-            assert (await dispatcher.client.answer())[:2] == (1, 503)
+            assert (await dispatcher.client.read_answer())[:2] == (1, 503)
 
     run(scene())
 
@@ -68,8 +70,13 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             listen = f"127.0.0.1:{free.getsockname()[1]}"
-        box = CacheHost(silent)
-        known = {"seq": 1, "results": [listing(1, [target("a", "box", await serve(box.talk))], whole=True)]}
+        box = ScriptedCacheHost(silent)
+        known = {
+            "seq": 1,
+            "results": [
+                fleet_event(1, [endpoint_entry("a", "box", await serve(box.serve_connection))], whole=True)
+            ],
+        }
         short = copy.deepcopy(SETTINGS["classes"])
         for class_name in short:
             class_name["give_up"] = 0.9
@@ -90,14 +97,14 @@
         while b"serving" not in (line := await program.stdout.readline()):
             assert line
         program.send_signal(signal.SIGHUP)
-        client = Client(*await asyncio.open_connection(*listen.split(":")))
+        client = FastCgiClient(*await asyncio.open_connection(*listen.split(":")))
         client.send(1, "booking", {"HTTP_X_DEADLINE_MS": "900", "HTTP_X_OPERATION_KEY": "5c0f" * 8})
         client.send(2, "page", {"HTTP_X_DEADLINE_MS": "900"})
-        await until(lambda: bool(box.seen))
+        await until(lambda: bool(box.requests))
         began = asyncio.get_running_loop().time()
         program.send_signal(signal.SIGTERM)
         program.send_signal(signal.SIGHUP)
-        assert {(await client.answer())[0], (await client.answer())[0]} == {1, 2}
+        assert {(await client.read_answer())[0], (await client.read_answer())[0]} == {1, 2}
         assert await program.wait() == 0 and asyncio.get_running_loop().time() - began < 0.9 + 0.7
         assert b"configuration read again" in await program.stdout.read()
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hoistplank.fakes.wire import CacheHost
+from hoistplank.fakes.wire import ScriptedCacheHost
 from hoistplank.program.service import Phase
 from hoistplank.protocol import fastcgi
 from hoistplank.routing.router_task import Listed
@@ -24,14 +24,14 @@
 
 def test_request_is_served_whole_and_its_fields_go_on(tmp_path: Path) -> None:
     async def scene() -> None:
-        box, origin = CacheHost(served), CacheHost(served)
+        box, origin = ScriptedCacheHost(served), ScriptedCacheHost(served)
         async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
             await until(lambda: dispatcher.service.phase is Phase.SERVING)
             status, head, body = await dispatcher.ask(
                 7, "page", fields={"HTTP_X_CHUNK": "3", "HTTP_X_KNOWN": "ab" * 8}
             )
             assert (status, body) == (200, BODY)
-            id, fields, sent = box.seen[0]
+            id, fields, sent = box.requests[0]
             assert (id, sent, fields.pop("budget").isdecimal()) == (f"{7:016x}", b"", True)
             assert fields == {
                 "queue": "page",
@@ -47,7 +47,7 @@
                 8, "booking", fields={"HTTP_X_OPERATION_KEY": key}, body=blob
             )
             assert (status, body) == (200, BODY)
-            assert (origin.seen[0][1]["uniq"], origin.seen[0][2]) == (key, blob)
+            assert (origin.requests[0][1]["uniq"], origin.requests[0][2]) == (key, blob)
             status, _, _ = await dispatcher.ask(9, "", script="/-/healthy")
             assert status == 200
             # A client's own clock may say some ms more than the deadline.
@@ -58,7 +58,9 @@
 
 def test_a_full_core_rejects_as_a_request_begins_or_by_its_class(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
+        ) as dispatcher:
             await until(lambda: dispatcher.service.phase is Phase.SERVING)
             owner = dispatcher.service.owner
             # A bound between the shares of the cheapest and of the dearest traffic class: bookings still
@@ -99,8 +101,8 @@
 
 def test_more_than_a_turn_holds_is_turned_back_at_once(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(served)
-        async with Running(tmp_path, {"a": box, "o": CacheHost(served)}) as dispatcher:
+        box = ScriptedCacheHost(served)
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(served)}) as dispatcher:
             await until(
                 lambda: dispatcher.service.phase is Phase.SERVING and not dispatcher.service.owner.queue
             )
@@ -113,7 +115,7 @@
 
             dispatcher.service.owner.turn = crowded  # type: ignore[method-assign]
             status, head, _ = await dispatcher.ask(1, "page")
-            assert status == 503 and b"X-Pushback-Ms" in head and not box.seen
+            assert status == 503 and b"X-Pushback-Ms" in head and not box.requests
             # What earns three times as much is still worth an attempt.
             assert (await dispatcher.ask(2, "booking", fields=KEY))[0] == 200
 
@@ -125,7 +127,9 @@
         return f"{id} still_good digest={fields['got']},dated=1 0\r\n\r\n".encode()
 
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(unchanged), "o": CacheHost(served)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(unchanged), "o": ScriptedCacheHost(served)}
+        ) as dispatcher:
             status, head, body = await dispatcher.ask(1, "page", fields={"HTTP_X_KNOWN": "ab" * 8})
             assert (status, body) == (200, b"") and b"X-Valid: 1" in head
 
@@ -158,34 +162,36 @@
     tmp_path: Path, class_name: str, fields: dict[str, str], script: str
 ) -> None:
     async def scene() -> None:
-        box = CacheHost(served)
+        box = ScriptedCacheHost(served)
         async with Running(tmp_path, {"a": box, "o": box}) as dispatcher:
             status, _, _ = await dispatcher.ask(3, class_name, fields=fields, script=script)
-            assert status == 400 and not box.seen
+            assert status == 400 and not box.requests
 
     run(scene())
 
 
 def test_id_that_comes_again_is_refused_while_its_request_or_its_attempts_are_out(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
+        box = ScriptedCacheHost(
+            lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
+        )
         async with Running(
-            tmp_path, {"a": box, "o": CacheHost(silent)}, **{"settings.limits.may_cancel": False}
+            tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, **{"settings.limits.may_cancel": False}
         ) as dispatcher:
             same = {"HTTP_X_CORRELATION_ID": "ab" * 8}
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1"} | same)
-            await until(lambda: bool(box.seen))
+            await until(lambda: bool(box.requests))
             other = await dispatcher.connect()
             other.send(1, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
-            assert (await other.answer())[1] == 502 and len(box.seen) == 1
+            assert (await other.read_answer())[1] == 502 and len(box.requests) == 1
             dispatcher.client.writer.write(fastcgi.record(fastcgi.ABORT, 1))
-            assert (await dispatcher.client.answer())[1] == 0
+            assert (await dispatcher.client.read_answer())[1] == 0
             other.send(2, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)  # its attempt is still out
-            assert (await other.answer())[1] == 502 and len(box.seen) == 1
+            assert (await other.read_answer())[1] == 502 and len(box.requests) == 1
             owner = dispatcher.service.owner
             await until(lambda: not owner.requests)  # the attempt's time is over
             assert not owner.router.attempts and not owner.router.ledger
             other.send(3, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
-            assert (await other.answer())[1] == 200
+            assert (await other.read_answer())[1] == 200
 
     run(scene())
--- a/tests/test_scale_replica_slopes.py
+++ b/tests/test_scale_replica_slopes.py
@@ -146,8 +146,8 @@
 def test_the_log_tells_configurations_of_the_length_asked_for() -> None:
     served = log_process.Served()
     asyncio.run(served.obey(["configure", "3", "30000", "0"]))
-    assert served.seq == 3 and len(served.log.log) == 3
-    length = len(served.log.log[0]["configuration"]["text"])
+    assert served.seq == 3 and len(served.log.events) == 3
+    length = len(served.log.events[0]["configuration"]["text"])
     assert 30_000 - len(log_process.COMMENT_LINE) < length <= 30_000
 
 
