--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 
 from hoistplank.choice import ALL_OBJECTS, Router
-from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
 from hoistplank.lab.fleet.relay_messages import PathAction, RelayStatistics
@@ -172,14 +172,14 @@
 
 def test_a_follower_ahead_of_a_log_hears_its_number_while_it_tells_events() -> None:
     async def scene() -> None:
-        log = ChangeLog()
-        port = await serve(log.talk)
+        log = FakeChangeLog()
+        port = await serve(log.serve_connection)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"since 100\n")
 
         async def telling() -> None:
             for number in itertools.count(1):
-                log.tell({"seq": number, "invalidate": {"time": 1, "object": "ab"}})
+                log.publish({"seq": number, "invalidate": {"time": 1, "object": "ab"}})
                 await asyncio.sleep(0.05)
 
         told = asyncio.create_task(telling())
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -14,7 +14,7 @@
 
 from hoistplank.choice import Router
 from hoistplank.fakes.settings import SETTINGS
-from hoistplank.fakes.wire import CacheHost
+from hoistplank.fakes.wire import ScriptedCacheHost
 from hoistplank.interface import HostEntry, Note, Result, Site
 from tests.helpers import RULES, SITE, VIDEO, Running, until
 
@@ -105,8 +105,8 @@
         return (await dispatcher.ask(number, name, fields={"HTTP_X_DEADLINE_MS": deadline}))[0]
 
     async def scene() -> None:
-        one, two = CacheHost(served), CacheHost(served)
-        async with Running(tmp_path, {"a": one, "o": CacheHost(served)}) as dispatcher:
+        one, two = ScriptedCacheHost(served), ScriptedCacheHost(served)
+        async with Running(tmp_path, {"a": one, "o": ScriptedCacheHost(served)}) as dispatcher:
             assert await asked(dispatcher, 1, "page", "2400") == 200
             assert await asked(dispatcher, 2, "reel", "2400") == 400
             # A file with other settings is read at a reload; they count from the next start, and are told.
@@ -118,13 +118,17 @@
             await until(lambda: not service.renewed.is_set())
             assert await asked(dispatcher, 3, "page", "2400") == 200
             assert await asked(dispatcher, 4, "reel", "2400") == 400
-        async with Running(tmp_path, {"a": two, "o": CacheHost(served)}, settings=other) as dispatcher:
+        async with Running(
+            tmp_path, {"a": two, "o": ScriptedCacheHost(served)}, settings=other
+        ) as dispatcher:
             assert await asked(dispatcher, 1, "page", "2400") == 400  # beyond its deadline here
             assert await asked(dispatcher, 2, "page", "500") == 200
             assert await asked(dispatcher, 3, "reel", "8500") == 200
             assert await asked(dispatcher, 4, "booking", "500") == 400
             assert dispatcher.service.owner.shares.keys() == {"reel", "page"}
-            assert all(int(fields["budget"]) <= 500 for _, fields, _ in two.seen if fields["queue"] == "page")
+            assert all(
+                int(fields["budget"]) <= 500 for _, fields, _ in two.requests if fields["queue"] == "page"
+            )
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(scene(), 20))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from hoistplank.fakes.wire import CacheHost, Client
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost
 from hoistplank.program.service import Phase
 from tests.dispatcher_scene import BODY, Calm, request_bytes, run, served, silent
 from tests.helpers import Running, until
@@ -30,7 +30,7 @@
     service._is_empty = is_empty  # type: ignore[method-assign]
 
 
-def raw_of(client: Client) -> socket.socket:
+def raw_of(client: FastCgiClient) -> socket.socket:
     return socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno()))
 
 
@@ -50,13 +50,13 @@
 
 def test_a_request_that_has_come_in_the_instant_of_the_end_is_answered(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(served)
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(served)
+        async with Calm(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             with raw_of(dispatcher.client) as raw:
                 crossing(dispatcher, lambda: raw.send(request_bytes(2)))
                 dispatcher.service.terminated.set()
-                number, status, _, body = await asyncio.wait_for(dispatcher.client.answer(), 5)
+                number, status, _, body = await asyncio.wait_for(dispatcher.client.read_answer(), 5)
             assert (number, status, body) == (2, 200, BODY)
             assert await dispatcher.client.reader.read() == b""  # its end, and no reset
 
@@ -65,22 +65,24 @@
 
 def test_a_request_after_the_write_side_was_shut_is_not_sent_on(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(served)
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(served)
+        async with Calm(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             dispatcher.service.terminated.set()
             assert await dispatcher.client.reader.read() == b""
             with raw_of(dispatcher.client) as raw:
                 raw.send(request_bytes(2))
             await asyncio.wait_for(asyncio.shield(dispatcher.task), 5)
-            assert [id for id, _, _ in box.seen] == [f"{1:016x}"]
+            assert [id for id, _, _ in box.requests] == [f"{1:016x}"]
 
     run(scene())
 
 
 def test_one_that_stands_in_the_backlog_at_the_end_is_answered(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with Calm(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             late = socket.socket()
 
@@ -91,7 +93,7 @@
             crossing(dispatcher, step)
             dispatcher.service.terminated.set()
             reader, writer = await asyncio.open_connection(sock=await up(late))
-            number, status, _, _ = await asyncio.wait_for(Client(reader, writer).answer(), 5)
+            number, status, _, _ = await asyncio.wait_for(FastCgiClient(reader, writer).read_answer(), 5)
             assert (number, status) == (2, 200)
             writer.close()
 
@@ -100,7 +102,9 @@
 
 def test_half_a_record_holds_up_no_end_and_a_second_sigterm_changes_nothing(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with Calm(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             half = await dispatcher.connect()
             half.writer.write(request_bytes(1)[:50])
@@ -117,7 +121,9 @@
 
 def test_an_answer_larger_than_the_buffers_is_read_whole_while_the_program_ends(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with Calm(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             reader, writer = await asyncio.open_connection(
                 *dispatcher.service.listener.sock.getsockname(), limit=4_096
             )
@@ -126,9 +132,9 @@
             await until(lambda: dispatcher.service.owner.counts["succeeded"] == 8)
             dispatcher.service.terminated.set()
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
-            client, got = Client(reader, writer), set[int]()
+            client, got = FastCgiClient(reader, writer), set[int]()
             while len(got) < 8:
-                number, status, _, body = await asyncio.wait_for(client.answer(), 5)
+                number, status, _, body = await asyncio.wait_for(client.read_answer(), 5)
                 assert (status, body) == (200, BODY)
                 got.add(number)
             assert await reader.read() == b""
@@ -138,17 +144,19 @@
 
 def test_drain_answers_what_comes_and_what_is_open_then_ends(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(
+            lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
+        )
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "400"})
-            await until(lambda: bool(box.seen))
+            await until(lambda: bool(box.requests))
             os.kill(os.getpid(), signal.SIGTERM)
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
             late = await dispatcher.connect()
             late.send(2, "page")
             late.send(3, "", script="/-/healthy")
-            assert {(await late.answer())[1], (await late.answer())[1]} == {200, 503}
-            assert (await dispatcher.client.answer())[:2] == (1, 503)
+            assert {(await late.read_answer())[1], (await late.read_answer())[1]} == {200, 503}
+            assert (await dispatcher.client.read_answer())[:2] == (1, 503)
             assert await asyncio.wait_for(dispatcher.task, 3) == 0
             assert dispatcher.service.phase is Phase.STOPPED
 
@@ -157,7 +165,9 @@
 
 def test_broken_module_fails_what_is_open_and_ends(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(silent), "o": CacheHost(silent)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(silent), "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             dispatcher.client.send(1, "page")
             await until(lambda: bool(dispatcher.service.owner.requests))
             dispatcher.service.owner.router.client_left = None  # type: ignore[assignment, method-assign]
@@ -165,7 +175,7 @@
             other.send(2, "page")
             await until(lambda: len(dispatcher.service.owner.requests) == 2)
             other.writer.close()
-            assert (await dispatcher.client.answer())[:2] == (1, 502)
+            assert (await dispatcher.client.read_answer())[:2] == (1, 502)
             assert await asyncio.wait_for(dispatcher.task, 3) == 1
 
     run(scene())
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.fakes.proxy import name_of
+from hoistplank.fakes.proxy import virtual_host_name
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.router_task import Listed, Purged
 from hoistplank.xds.control import Control
@@ -76,14 +76,14 @@
 def test_names_on_demand_are_parsed_or_refused(text: str) -> None:
     assert ResourceCache().follow(text) is (parsed(text) is not None)
     found = parsed(f"requests/{text}")
-    assert found is None or parsed(name_of(*found)) == found
+    assert found is None or parsed(virtual_host_name(*found)) == found
 
 
 def test_routes_follow_the_hosts_they_name() -> None:
     resources = ResourceCache()
     for n in range(5):
         resources.put(host(f"h{n}"))
-    names = [name_of(f"{n:016x}", 0, "z1") for n in range(40)]
+    names = [virtual_host_name(f"{n:016x}", 0, "z1") for n in range(40)]
     assert all(resources.follow(name) for name in names)
     first = {name: resources.firsts["caches-z1"].first[name][1] for name in names}
     moved = resources.put(host("h2", up=False))
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -15,7 +15,7 @@
 from hoistplank.choice import Router
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.first_choice import first_choice
-from hoistplank.fakes.settings import listing
+from hoistplank.fakes.settings import fleet_event
 from hoistplank.interface import HostEntry
 from hoistplank.xds.resources import (
     CLUSTER,
@@ -34,8 +34,8 @@
             plain, extension = place.proxy("n1", False), place.proxy("n2", True)
             await until(lambda: len(plain.hosts) == len(extension.hosts) == 6)
             for object_key, part in THINGS:
-                plain.want(object_key, part)
-            await until(lambda: len(plain.vhosts) == len(THINGS))
+                plain.request_virtual_host(object_key, part)
+            await until(lambda: len(plain.virtual_hosts) == len(THINGS))
             router, now = Router(place.control.site, 1), 100 * S
             names = [f"box-{n}" for n in range(6)]
 
@@ -76,17 +76,17 @@
         async with Place(tmp_path) as place:
             quick, hung = place.proxy("quick", True), place.proxy("hung", True)
             await until(lambda: len(quick.hosts) == len(hung.hosts) == 6)
-            hung.stalled.clear()
+            hung.may_read.clear()
             began = asyncio.get_running_loop().time()
             place.say("box-1", "draining")
             place.purge(40, 1_000.0)
-            await until(lambda: not quick.hosts["box-1"][0] and "group.40" in quick.floors, 0.25)
+            await until(lambda: not quick.hosts["box-1"][0] and "group.40" in quick.purge_watermarks, 0.25)
             assert asyncio.get_running_loop().time() - began < 0.25
             # The one that hangs is found, its stream ended; back, it gets what it missed.
             await until(lambda: place.control.hub.counts["renewed"] >= 1)
-            hung.stalled.set()
-            await until(lambda: not hung.hosts["box-1"][0] and "group.40" in hung.floors)
-            await until(lambda: hung.counts["streams"] >= 2)
+            hung.may_read.set()
+            await until(lambda: not hung.hosts["box-1"][0] and "group.40" in hung.purge_watermarks)
+            await until(lambda: hung.counts.streams >= 2)
 
     run(scene())
 
@@ -120,9 +120,9 @@
             proxy = place.proxy("refuses", True, refuses=too_large)
             await until(lambda: len(proxy.hosts) == len(other.hosts) == 6)
             place.say("box-3", "draining")
-            await until(lambda: proxy.counts["refused"] > 0 and not other.hosts["box-3"][0])
+            await until(lambda: proxy.counts.refused > 0 and not other.hosts["box-3"][0])
             await asyncio.sleep(0.3)
-            assert proxy.counts["refused"] == 1 and proxy.hosts["box-3"][0]
+            assert proxy.counts.refused == 1 and proxy.hosts["box-3"][0]
             row = next(row for row in place.control.hub.look() if row["node"] == "refuses")
             assert row["refused"] == 1
             assert row["types"]["ClusterLoadAssignment"]["error"] == "too large"
@@ -137,16 +137,16 @@
             proxy = place.proxy("n", False)
             await until(lambda: len(proxy.hosts) == 6)
             for object_key, part in THINGS[:20]:
-                proxy.want(object_key, part)
-            await until(lambda: len(proxy.vhosts) == 20)
-            before = proxy.counts["bytes"]
+                proxy.request_virtual_host(object_key, part)
+            await until(lambda: len(proxy.virtual_hosts) == 20)
+            before = proxy.counts.bytes
             place.say("box-0", "draining")
             proxy.address = f"127.0.0.1:{second.port}"
-            proxy.drop()
+            proxy.drop_stream()
             await until(lambda: not proxy.hosts["box-0"][0])
-            await until(lambda: "box-0" not in proxy.vhosts.values())
+            await until(lambda: "box-0" not in proxy.virtual_hosts.values())
             assert second.resources.by_type[ENDPOINT] == place.control.resources.by_type[ENDPOINT]
-            assert proxy.counts["bytes"] - before < before  # what it held was not told again
+            assert proxy.counts.bytes - before < before  # what it held was not told again
             await second.close()
 
     run(scene())
@@ -213,7 +213,7 @@
             await until(lambda: place.control.hub.counts["renewed"] == 1)
             await until(lambda: len(place.control.hub.streams) == 4)  # three silent ones and the good one
             await asyncio.sleep(0.6)  # two more looks at who is late
-            assert place.control.hub.counts["renewed"] == 1 and proxy.counts["streams"] == 1
+            assert place.control.hub.counts["renewed"] == 1 and proxy.counts.streams == 1
             ended.set()
             for call in (*silent, mute):
                 call.cancel()
@@ -226,7 +226,7 @@
 def test_the_commands_serve_and_tell(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Place(tmp_path, hosts=3) as place:
-            known = {"seq": 1, "results": [listing(1, place.targets, whole=True)]}
+            known = {"seq": 1, "results": [fleet_event(1, place.endpoint_entries, whole=True)]}
             configuration(tmp_path, changelog=f"127.0.0.1:{place.log_port}", known=known)
             port = free_port()
             words = (sys.executable, "-m", "hoistplank.cli.main", "control")
--- a/tests/xds_rig.py
+++ b/tests/xds_rig.py
@@ -8,9 +8,9 @@
 from random import Random
 from typing import Any
 
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.proxy import Proxy
-from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.proxy import FakeProxy
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
 from hoistplank.interface import HostEntry
 from hoistplank.xds.control import Control
@@ -37,19 +37,19 @@
     """A control process that follows a stand-in change log, and proxies."""
 
     def __init__(self, folder: Path, hosts: int = 6, limits: Limits | None = None) -> None:
-        self.folder, self.log, self.limits = folder, ChangeLog(), limits
-        self.targets = [target(f"box-{n}", "box", 9_000 + n) for n in range(hosts)]
-        self.targets += [target("p", "parent", 9_100), target("o", "origin", 9_101)]
+        self.folder, self.log, self.limits = folder, FakeChangeLog(), limits
+        self.endpoint_entries = [endpoint_entry(f"box-{n}", "box", 9_000 + n) for n in range(hosts)]
+        self.endpoint_entries += [endpoint_entry("p", "parent", 9_100), endpoint_entry("o", "origin", 9_101)]
         self.seq, self.tasks = 1, list[asyncio.Task[Any]]()
 
     async def __aenter__(self) -> Place:
-        self.log_port = await serve(self.log.talk)
+        self.log_port = await serve(self.log.serve_connection)
         self.control = await self.another()
         return self
 
     async def another(self) -> Control:
         """One more control process on the same log."""
-        known = {"seq": 1, "results": [listing(1, self.targets, whole=True)]}
+        known = {"seq": 1, "results": [fleet_event(1, self.endpoint_entries, whole=True)]}
         made = Control(
             configuration(self.folder, changelog=f"127.0.0.1:{self.log_port}", known=known), self.limits
         )
@@ -69,20 +69,20 @@
         extension: bool,
         control: Control | None = None,
         refuses: Callable[[str, Any], str] | None = None,
-    ) -> Proxy:
+    ) -> FakeProxy:
         port = (control or self.control).port
-        made = Proxy(f"127.0.0.1:{port}", node, "z1", extension, refuses)
+        made = FakeProxy(f"127.0.0.1:{port}", node, "z1", extension, refuses)
         self.tasks.append(asyncio.create_task(made.run()))
         return made
 
     def say(self, uid: str, state: str) -> None:
         self.seq += 1
-        row = next(row for row in self.targets if row["uid"] == uid) | {"state": state}
-        self.log.tell(listing(self.seq, [row]))
+        row = next(row for row in self.endpoint_entries if row["uid"] == uid) | {"state": state}
+        self.log.publish(fleet_event(self.seq, [row]))
 
     def purge(self, group: int, at_ms: float) -> None:
         self.seq += 1
-        self.log.tell({"seq": self.seq, "invalidate": {"bucket": group, "time": at_ms}})
+        self.log.publish({"seq": self.seq, "invalidate": {"bucket": group, "time": at_ms}})
 
 
 async def until(true: Callable[[], bool], seconds: float = 5.0) -> None:
