--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -34,11 +34,11 @@
     read_replica_line,
 )
 from hoistplank.distribution.versions import Version
-from hoistplank.protocol.changelog import Event, Known
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Event, Snapshot
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.endpoint_watcher import CONNECT_S, FIRST_PAUSE_S, Hearer, Listing
 from hoistplank.routing.router_task import Applied, Listed
-from hoistplank.transport.connecting import connected
+from hoistplank.transport.connecting import connect
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
@@ -72,7 +72,7 @@
         self,
         owner: Hearer,
         settings: FollowerSettings,
-        known: Known,
+        known: Snapshot,
         chance: Random,
         grace_s: float = 0.25,
         prepare: Preparing = without_configuration,
@@ -146,7 +146,7 @@
             raise Redirected(told.reason)
         verdict = self.state.judge(self.owner.clock.now(), told)
         if verdict is Verdict.GAP:
-            raise BadBytes(f"event {told.version} after {told.after} does not follow {self.state.told}")
+            raise ProtocolError(f"event {told.version} after {told.after} does not follow {self.state.told}")
         if verdict is Verdict.BEHIND:
             self.behind_lines += 1
             return
@@ -304,7 +304,7 @@
 async def _is_there(address: tuple[str, int]) -> bool:
     """Whether somebody takes connections there."""
     try:
-        sock = await connected(address, CONNECT_S)
+        sock = await connect(address, CONNECT_S)
     except (OSError, ValueError):
         return False
     sock.close()
--- a/hoistplank/fakes/first_choice.py
+++ b/hoistplank/fakes/first_choice.py
@@ -1,11 +1,12 @@
-"""The host that the decision logic chooses for a first request, for tests that compare others with it."""
+"""What the decision module chooses for a first request, for those that are held against it."""
 
 from __future__ import annotations
 
-from hoistplank.choice import Router
-from hoistplank.interface import Result
+from hoistplank.decision.actions import SendAttempt
+from hoistplank.decision.events import AttemptEnded, CacheStatus, ClientDisconnected, Outcome, RequestArrived
+from hoistplank.decision.router import Router
 
-DEADLINE_US = 2_000_000  # of the request that is asked about
+DEADLINE_US = 2_000_000
 
 
 def first_choice(router: Router, now: int, number: int, class_name: str, object_key: str, part: int) -> str:
@@ -15,13 +16,16 @@
     turn to the next.
     """
     request_id, found, attempt = f"first-{number}", "", -1
-    router.request_arrived(now, request_id, class_name, object_key, part, 0, 0.0, now + DEADLINE_US, False)
-    while (decision := router.next_decision(now)) is not None:
-        if decision.act == "attempt" and decision.request == request_id:
-            found, attempt = decision.host, decision.attempt
-    router.client_left(now, request_id)
+    deadline = now + DEADLINE_US
+    arrival = RequestArrived(request_id, class_name, object_key, part, 0, 0.0, deadline, False)
+    router.handle(now, arrival)
+    while (action := router.next_action(now)) is not None:
+        if isinstance(action, SendAttempt) and action.request_id == request_id:
+            found, attempt = action.host, action.attempt
+    router.handle(now, ClientDisconnected(request_id))
     if attempt >= 0:
-        router.attempt_ended(now, request_id, attempt, Result.NEVER_SENT, False, 0, 0, 0, [])
-    while router.next_decision(now) is not None:
+        outcome = AttemptEnded(request_id, attempt, Outcome.NOT_SENT, False, 0, CacheStatus.UNKNOWN, [])
+        router.handle(now, outcome)
+    while router.next_action(now) is not None:
         pass
     return found
--- a/hoistplank/fakes/wire.py
+++ b/hoistplank/fakes/wire.py
@@ -95,14 +95,16 @@
             "HTTP_X_DEADLINE_MS": "1500",
             "HTTP_X_SUBJECT": "7f3a9c21e0b4d655",
         } | (fields or {})
-        params = b"".join(fastcgi.pair(name.encode(), value.encode()) for name, value in parameters.items())
+        params = b"".join(
+            fastcgi.encode_pair(name.encode(), value.encode()) for name, value in parameters.items()
+        )
         parts = [
-            fastcgi.record(fastcgi.BEGIN, number, struct.pack(">HB5x", 1, 1)),
-            fastcgi.record(fastcgi.PARAMS, number, params),
-            fastcgi.record(fastcgi.PARAMS, number),
+            fastcgi.encode_record(fastcgi.BEGIN_REQUEST, number, struct.pack(">HB5x", 1, 1)),
+            fastcgi.encode_record(fastcgi.PARAMS, number, params),
+            fastcgi.encode_record(fastcgi.PARAMS, number),
         ]
-        parts += [fastcgi.record(fastcgi.STDIN, number, body)] if body else []
-        self.writer.write(b"".join([*parts, fastcgi.record(fastcgi.STDIN, number)]))
+        parts += [fastcgi.encode_record(fastcgi.STDIN, number, body)] if body else []
+        self.writer.write(b"".join([*parts, fastcgi.encode_record(fastcgi.STDIN, number)]))
 
     async def read_answer(self) -> tuple[int, int, bytes, bytes]:
         """Await the next whole answer: its request number, status, head and body."""
@@ -111,7 +113,7 @@
             content = (await self.reader.readexactly(length + padding))[:length]
             if kind == fastcgi.STDOUT:
                 self.partial_answers[number] = self.partial_answers.get(number, b"") + content
-            elif kind == fastcgi.END:
+            elif kind == fastcgi.END_REQUEST:
                 head, _, body = self.partial_answers.pop(number, b"Status: 0\r\n\r\n").partition(b"\r\n\r\n")
                 return number, int(head.split(b"\r\n")[0].split(b": ")[1]), head, body
 
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -6,14 +6,30 @@
 from collections.abc import Callable
 from typing import Any
 
-from hoistplank.interface import Decision, HostEntry, Note, Result
+from hoistplank.decision.actions import Action, CancelAttempt, Fail, Reject, SendAttempt, SetTimer
+from hoistplank.decision.events import (
+    AttemptEnded,
+    CacheStatus,
+    ClientDisconnected,
+    DegradationChanged,
+    Endpoint,
+    EndpointListForm,
+    EndpointsUpdated,
+    EndpointWatchFailed,
+    EventLoopMeasured,
+    Outcome,
+    PurgeReceived,
+    RequestArrived,
+    TimerFired,
+)
+from hoistplank.decision.settings import Degradation
 from hoistplank.lab.backends.degradation_controller import Plan, Steward
 from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, Request
 from hoistplank.lab.model.faults import FaultInjector, ScheduledFault
 from hoistplank.lab.model.servers import Server, ServerRequest
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB, WorldSettings
-from hoistplank.lab.policies import Make, Policy
+from hoistplank.lab.policies import Make, Plain, Policy
 from hoistplank.routing.clock_offset import LogClock
 
 CONNECT_US = 400_000
@@ -22,12 +38,12 @@
 class Attempt:
     """One attempt that is out. `over` once its end was told to the policy, or is on its way to it."""
 
-    __slots__ = ("server_request", "decision", "is_over", "dispatcher", "sent_at", "server", "request")
+    __slots__ = ("action", "server_request", "is_over", "dispatcher", "sent_at", "server", "request")
 
     def __init__(
-        self, dispatcher: VirtualDispatcher, request: Request, decision: Decision, sent: int
+        self, dispatcher: VirtualDispatcher, request: Request, action: SendAttempt, sent: int
     ) -> None:
-        self.dispatcher, self.request, self.decision, self.sent_at = dispatcher, request, decision, sent
+        self.dispatcher, self.request, self.action, self.sent_at = dispatcher, request, action, sent
         self.is_over = False
         self.server_request: ServerRequest | None = None
         self.server: Server | None = None
@@ -38,7 +54,7 @@
         if paths is None:
             return self.end(result, note, created)
         paths.send(
-            f"d{dispatcher.number}>{self.decision.host}",
+            f"d{dispatcher.number}>{self.action.host}",
             True,
             dispatcher.events.now,
             self.end,
@@ -57,7 +73,7 @@
     def timed_out(self) -> None:
         if not self.is_over:
             self.cancel()
-            self.end(Result.LATE, 0, -1)
+            self.end(Outcome.TIMED_OUT, 0, -1)
 
     def cancel(self) -> None:
         if self.server_request is not None and self.server is not None:
@@ -91,9 +107,8 @@
             utility = {row.name: row.utility for row in self.world.settings.classes}
             self.steward = Steward(self.plan, utility, self.events.now)
             self.stewards.append(self.steward)
-            told = getattr(policy, "reduced_told", None)
-            if told is not None:
-                told(self.events.now, self.plan.base)
+            if not isinstance(policy, Plain):
+                policy.handle(self.events.now, DegradationChanged(self.plan.base))
             self.events.schedule(self.events.now + self.plan.every_us, self._judge, self.runs)
         return policy
 
@@ -105,7 +120,7 @@
             self.turn_scheduled, self.scheduled_at = True, self.events.now
             self.events.schedule(max(self.events.now, self.next_turn), self._turn)
 
-    def update_hosts(self, form: str, entries: list[HostEntry]) -> None:
+    def update_hosts(self, form: str, entries: list[Endpoint]) -> None:
         self.enqueue(self._notify_hosts, form, entries)
 
     def purge(self, object_key: str, group: int, made: int) -> None:
@@ -164,15 +179,15 @@
         queue, self.queue = self.queue, []
         # What came first has waited for the turn before, longer than a tick where that was dear.
         lag = max(0, now - self.scheduled_at - settings.tick_us)
-        self.policy.loop_told(len(queue), lag)
+        self.policy.handle(now, EventLoopMeasured(len(queue), lag))
         if self.steward is not None:
             self.steward.turn(now, lag, len(self.requests) - len(self.ended_requests), len(queue))
         for call, args in queue:
             call(now, *args)
         acts = 0
-        while (decision := self.policy.next_decision(now)) is not None:
+        while (action := self.policy.next_action(now)) is not None:
             acts += 1
-            self._carry_out(now, decision)
+            self._carry_out(now, action)
         self.next_turn = now + settings.tick_us + settings.event_cpu_us * (len(queue) + acts) + self.debt_us
         self.debt_us = 0
 
@@ -181,24 +196,27 @@
         if not self.alive or runs != self.runs or steward is None or self.plan is None:
             return
         reduced = steward.judge(now)
-        told = getattr(self.policy, "reduced_told", None)
-        if reduced is not None and told is not None:
-            self.enqueue(told, reduced)
+        if reduced is not None and not isinstance(self.policy, Plain):
+            self.enqueue(self._degraded, reduced)
         self.events.schedule(now + self.plan.every_us, self._judge, runs)
 
-    def _carry_out(self, now: int, decision: Decision) -> None:
-        act = decision.act
-        if act == "attempt":
-            self._send_attempt(now, decision)
-        elif act == "wake":
-            self.events.schedule(now + decision.wait_us, self._timer_fired, decision.token, self.runs)
-        elif act in ("reject", "fail"):
-            self._answer(now, decision.request, REJECTED if act == "reject" else FAILED, decision.wait_us)
-        elif act == "withdraw":
-            attempt = self.attempts.get((decision.request, decision.attempt))
+    def _carry_out(self, now: int, action: Action) -> None:
+        if isinstance(action, SendAttempt):
+            self._send_attempt(now, action)
+        elif isinstance(action, SetTimer):
+            self.events.schedule(now + action.delay_us, self._timer_fired, action.timer_id, self.runs)
+        elif isinstance(action, Reject):
+            self._answer(now, action.request_id, REJECTED, action.retry_after_us)
+        elif isinstance(action, Fail):
+            self._answer(now, action.request_id, FAILED)
+        elif isinstance(action, CancelAttempt):
+            attempt = self.attempts.get((action.request_id, action.attempt))
             if attempt is not None and not attempt.is_over:
                 attempt.cancel()
-                attempt.end(Result.WITHDRAWN, 0, -1)
+                attempt.end(Outcome.CANCELLED, 0, -1)
+
+    def _degraded(self, now: int, degradation: Degradation) -> None:
+        self.policy.handle(now, DegradationChanged(degradation))
 
     def _answer(self, now: int, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
         request = self.requests.get(id)
@@ -225,49 +243,61 @@
             self.enqueue(self._notify_timer, token)
 
     def _notify_timer(self, now: int, token: int) -> None:
-        self.policy.timer_due(now, token)
+        self.policy.handle(now, TimerFired(token))
 
-    def _notify_hosts(self, now: int, form: str, entries: list[HostEntry]) -> None:
-        self.policy.hosts_listed(now, form, entries)
+    def _notify_hosts(self, now: int, form: str, entries: list[Endpoint]) -> None:
+        if form == "failed":
+            self.policy.handle(now, EndpointWatchFailed())
+        else:
+            self.policy.handle(now, EndpointsUpdated(EndpointListForm(form), entries))
 
     def _notify_purge(self, now: int, object_key: str, group: int, made: int) -> None:
         if self.steward is not None:
             self.steward.watch.purged(now, object_key, group)
         # As a dispatcher does: heard by its own clock, which may be wrong, made by the log's.
         heard = now + self.skew_us
-        self.policy.purged(now, object_key, group, max(0, heard - self.clock.ours(heard, made)))
+        age_us = max(0, heard - self.clock.ours(heard, made))
+        self.policy.handle(now, PurgeReceived(object_key, group, age_us))
 
     def _notify_arrival(self, now: int, request: Request, id: str) -> None:
         self.requests[id] = request
         row = self.world.settings.classes[request.class_index]
         until = request.asked_at + row.deadline_us
-        self.policy.request_arrived(
-            now, id, row.name, request.object_key, request.part, request.group, 0.0, until, request.tries > 1
+        arrived = RequestArrived(
+            request_id=id,
+            class_name=row.name,
+            object_key=request.object_key,
+            part=request.part,
+            purge_group=request.group,
+            size_kb=0.0,
+            deadline_us=until,
+            is_repeat=request.tries > 1,
         )
+        self.policy.handle(now, arrived)
 
     def _notify_client_left(self, now: int, id: str) -> None:
         if id in self.requests and id not in self.ended_requests:
             self.ended_requests.add(id)
-            self.policy.client_left(now, id)
+            self.policy.handle(now, ClientDisconnected(id))
             self._forget(id)
 
     # Attempts.
 
-    def _send_attempt(self, now: int, decision: Decision) -> None:
-        request, world = self.requests.get(decision.request), self.world
+    def _send_attempt(self, now: int, action: SendAttempt) -> None:
+        request, world = self.requests.get(action.request_id), self.world
         if request is None:
             return
-        attempt = Attempt(self, request, decision, now)
-        self.attempts[decision.request, decision.attempt] = attempt
+        attempt = Attempt(self, request, action, now)
+        self.attempts[action.request_id, action.attempt] = attempt
         drains = world.rules.drains
-        drains.attempt(now, self.number, decision.host, "host")
-        if decision.source and decision.source != decision.host:
-            drains.attempt(now, self.number, decision.source, "source")
-        server = attempt.server = world.servers[decision.host]
+        drains.attempt(now, self.number, action.host, "host")
+        if action.source and action.source != action.host:
+            drains.attempt(now, self.number, action.source, "source")
+        server = attempt.server = world.servers[action.host]
         way = world.settings.hub_delay_us if server.zone == HUB else world.settings.zone_delay_us
-        self.events.schedule(now + decision.within_us, attempt.timed_out)
+        self.events.schedule(now + action.timeout_us, attempt.timed_out)
         if world.is_cut(self.zone_name, server.zone):
-            return self.events.schedule(now + CONNECT_US, attempt.end, Result.NO_CONNECTION, 0, -1)
+            return self.events.schedule(now + CONNECT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
         server_request = attempt.server_request = ServerRequest(
             self.number,
             self.zone,
@@ -278,18 +308,12 @@
             attempt.answered,
         )
         server_request.source, server_request.cache_rank, server_request.max_age_us = (
-            decision.source,
-            decision.keep,
-            decision.oldest_us,
+            action.source,
+            action.retention,
+            action.max_age_us,
         )
-        (
-            server_request.may_join,
-            server_request.may_renew,
-            server_request.idempotency_key,
-            server_request.return_delay_us,
-        ) = (
-            decision.join,
-            decision.renew,
+        server_request.may_join, server_request.idempotency_key, server_request.return_delay_us = (
+            action.join_fill,
             request.key,
             way,
         )
@@ -303,27 +327,27 @@
     def attempt_ended(
         self, now: int, attempt: Attempt, result: int, note: int, created: int, at: int
     ) -> None:
-        id = attempt.decision.request
-        self.attempts.pop((id, attempt.decision.attempt), None)
+        id = attempt.action.request_id
+        self.attempts.pop((id, attempt.action.attempt), None)
         request = attempt.request
-        if result == Result.SUCCEEDED and id not in self.ended_requests:
+        if result == Outcome.SUCCEEDED and id not in self.ended_requests:
             if not self.world.settings.classes[request.class_index].uncached:
                 self.world.rules.purges.served(
                     now, self.number, id, request.object_key, request.group, attempt.sent_at, created
                 )
             self._answer(now, id, SERVED, note=note)
         took = at - attempt.sent_at
-        decision, steward = attempt.decision, self.steward
-        filled = note in (Note.FILLED, Note.FROM_ORIGIN) and decision.source != decision.host
+        action, steward = attempt.action, self.steward
+        filled = note in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN) and action.source != action.host
         if steward is not None and filled:
             row = self.world.settings.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             slowed = took / (request.size_us + 100_000)
             steward.watch.filled(
-                now, decision.source, request.object_key, request.group, took <= target, slowed
+                now, action.source, request.object_key, request.group, took <= target, slowed
             )
         closed = id in self.ended_requests or id not in self.requests
-        self.policy.attempt_ended(now, id, attempt.decision.attempt, result, closed, took, -1, note, [])
+        self.policy.handle(now, AttemptEnded(id, action.attempt, result, closed, took, note, []))
         self._forget(id)
 
 
--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -10,7 +10,7 @@
 from hoistplank.lab.model.faults import FaultInjector, ScheduledFault
 from hoistplank.lab.model.world import ClientMigration, Dispatcher, World
 from hoistplank.lab.model.world_settings import HUB
-from hoistplank.operator_configuration.schema import Kind
+from hoistplank.operator_configuration.values import ValueType
 
 CLIENT_PATH = "clients>d"
 
@@ -50,7 +50,7 @@
         self.backend = backend
         self.metrics = metrics
 
-    def _resolve(self, kind: Kind, value: Any) -> Any:
+    def _resolve(self, kind: ValueType, value: Any) -> Any:
         return self._who(value) if kind is WHO else super()._resolve(kind, value)
 
     def _who(self, text: str) -> list[Dispatcher]:
--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -10,7 +10,7 @@
 from itertools import accumulate
 from typing import Protocol
 
-from hoistplank.interface import Note
+from hoistplank.decision.events import CacheStatus
 from hoistplank.lab.model.event_queue import EventQueue
 from hoistplank.lab.model.objects import ObjectCatalog, object_key_of, purge_group_of
 from hoistplank.lab.model.streams import RandomStreams
@@ -266,8 +266,10 @@
         if how == SERVED:
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             share = 1.0 if took <= target else row.late_value
-            share *= row.stale_value if note == Note.OLD else 1.0
-            cause = "served old" if note == Note.OLD else "served" if took <= target else "served late"
+            share *= row.stale_value if note == CacheStatus.STALE else 1.0
+            cause = (
+                "served old" if note == CacheStatus.STALE else "served" if took <= target else "served late"
+            )
             return self._end(request, share, cause, took)
         may = row.semantics != "at_most_once" or how == REJECTED
         # Danger: a repeat of what may have run elsewhere is the client's own risk; failed is not
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from heapq import heapreplace
 
-from hoistplank.interface import Note, Result
+from hoistplank.decision.events import CacheStatus, Outcome
 from hoistplank.lab.model.cache_storage import CachedCopy, CacheKey, CacheStorage
 from hoistplank.lab.model.event_queue import EventQueue
 from hoistplank.lab.model.links import Link, Transfer
@@ -128,7 +128,7 @@
         for request in broken:
             request.cancel()
             if phase == DOWN:
-                self._complete(request, Result.BROKEN, 0, -1)
+                self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
 
     def start(self) -> None:
         """A new process: cold, empty, told to the log by the world."""
@@ -175,11 +175,11 @@
     def arrive(self, request: ServerRequest) -> None:
         now = self.events.now
         if self.phase == DOWN:
-            return self._complete(request, Result.NO_CONNECTION, 0, -1)
+            return self._complete(request, Outcome.CONNECT_FAILED, 0, -1)
         if self.phase == SILENT:
             if request.dispatcher not in self.connected_dispatchers and request.dispatcher >= 0:
                 # A connection that is to be made anew is not up in time; over one that is, silence.
-                self.events.schedule(now + 400_000, self._complete, request, Result.NO_CONNECTION, 0, -1)
+                self.events.schedule(now + 400_000, self._complete, request, Outcome.CONNECT_FAILED, 0, -1)
             return
         self.connected_dispatchers.add(request.dispatcher)
         self.received += 1
@@ -197,7 +197,7 @@
             self.reject_share and self.random.uniform() < self.reject_share
         ):
             self.rejected += 1
-            return self._finish(request, Result.FULL, 0, -1)
+            return self._finish(request, Outcome.OVERLOADED, 0, -1)
         done = begin + int(self._work_us() * self.slowdown * (0.5 + 0.5 * self.random.exponential()))
         heapreplace(self.core_free_at, done)
         self.events.schedule(done, self._work_done, request, self.incarnation)
@@ -216,7 +216,7 @@
         if self.events.now - self.last_overload_at < self.settings.overload_window_us:
             return False
         self.last_overload_at, self.overload_crashes = self.events.now, self.overload_crashes + 1
-        self._complete(request, Result.BROKEN, 0, -1)
+        self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
         self.world.server_overloaded(self)
         return True
 
@@ -250,9 +250,9 @@
         if request.pending_parts == 0 and request.active and incarnation == self.incarnation:
             if self.paused_until > self.events.now:
                 return self.events.schedule(
-                    self.paused_until, self._finish, request, Result.SUCCEEDED, note, created
+                    self.paused_until, self._finish, request, Outcome.SUCCEEDED, note, created
                 )
-            self._finish(request, Result.SUCCEEDED, note, created)
+            self._finish(request, Outcome.SUCCEEDED, note, created)
 
     def _finish(self, request: ServerRequest, result: int, note: int, created: int) -> None:
         """The answer is whole here; on its way it may still be spoilt, cut off or lost."""
@@ -261,11 +261,11 @@
         if self.phase == HUNG:
             return
         if self.reset_share and self.random.uniform() < self.reset_share:
-            return self._complete(request, Result.BROKEN, 0, -1)
+            return self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
         if self.loss_share and self.random.uniform() < self.loss_share:
             return
-        if result == Result.SUCCEEDED and self.corrupt_share and self.random.uniform() < self.corrupt_share:
-            return self._complete(request, Result.SPOILT, 0, -1)
+        if result == Outcome.SUCCEEDED and self.corrupt_share and self.random.uniform() < self.corrupt_share:
+            return self._complete(request, Outcome.CONNECTION_SPOILT, 0, -1)
         self._complete(request, result, note, created)
 
     def _complete(self, request: ServerRequest, result: int, note: int, created: int) -> None:
@@ -307,7 +307,7 @@
             return False
         self.crashes += 1
         came.clear()
-        self._complete(request, Result.BROKEN, 0, -1)
+        self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
         self.world.server_overloaded(self)
         return True
 
@@ -315,7 +315,7 @@
         row = self.settings.classes[request.class_index]
         if row.uncached:
             self.world.rules.effects.run(self.events.now, request.idempotency_key, row.window_us)
-        self.respond(request, request.size_us, Note.FROM_ORIGIN, self.events.now)
+        self.respond(request, request.size_us, CacheStatus.FROM_ORIGIN, self.events.now)
 
 
 class Fill:
@@ -390,11 +390,13 @@
                 ):
                     self._fill(request, request.source, newer_than=age)
                 old = row.fresh_us and age > row.fresh_us
-                return self.respond(request, request.size_us, Note.OLD if old else Note.HIT, copy.created)
+                return self.respond(
+                    request, request.size_us, CacheStatus.STALE if old else CacheStatus.HIT, copy.created
+                )
         source = self._source_of(request)
         if not source:
             under = request.cache_key in self.fills
-            return self._finish(request, Result.MISS, Note.JOINED if under else 0, -1)
+            return self._finish(request, Outcome.MISS, CacheStatus.JOINED if under else 0, -1)
         self._fill(request, source)
 
     def _source_of(self, request: ServerRequest) -> str:
@@ -418,9 +420,9 @@
         oldest_created = self.events.now - request.max_age_us if request.max_age_us else NEVER
         if under is not None and joins and under.oldest_created >= oldest_created:
             self.joined_requests += 1
-            return self._add_waiter(under, request, Note.JOINED)
+            return self._add_waiter(under, request, CacheStatus.JOINED)
         if self.active_fills >= self.settings.max_fills:
-            return self._finish(request, Result.FULL, Note.NO_PLACE, -1)
+            return self._finish(request, Outcome.OVERLOADED, CacheStatus.NOT_STORED, -1)
         # Danger: a source whose copy is as old would renew nothing.
         fill = Fill(
             request, source, oldest_created, max(1, newer_than - 1) if newer_than else request.max_age_us
@@ -429,7 +431,7 @@
         if under is None:
             self.fills[request.cache_key] = fill
         if not newer_than:
-            self._add_waiter(fill, request, Note.FILLED)
+            self._add_waiter(fill, request, CacheStatus.FILLED)
         self._request_from_source(fill)
 
     def _add_waiter(self, fill: Fill, request: ServerRequest, note: int) -> None:
@@ -454,7 +456,7 @@
             return
         request.pending_parts -= 1
         if request.pending_parts == 0 and request.active:
-            self._finish(request, Result.SUCCEEDED, *request.fill_result)
+            self._finish(request, Outcome.SUCCEEDED, *request.fill_result)
 
     def _request_from_source(self, fill: Fill) -> None:
         first, settings = fill.first, self.settings
@@ -493,9 +495,9 @@
         fill.request = source_request
         source = self.world.servers.get(fill.source)
         if source is None:
-            return ended(Result.NO_CONNECTION, 0, -1)
+            return ended(Outcome.CONNECT_FAILED, 0, -1)
         if self.world.is_cut(self.zone, source.zone):
-            return self.events.schedule(self.events.now + 400_000, ended, Result.NO_CONNECTION, 0, -1)
+            return self.events.schedule(self.events.now + 400_000, ended, Outcome.CONNECT_FAILED, 0, -1)
         self.events.schedule(self.events.now + settings.hub_delay_us, source.arrive, source_request)
         self.events.schedule(
             self.events.now + settings.fill_timeout_us,
@@ -519,7 +521,7 @@
     def _fill_timed_out(self, fill: Fill, source_request: ServerRequest, incarnation: int) -> None:
         if incarnation == self.incarnation and fill.request is source_request and not fill.streaming:
             source_request.cancel()
-            self._fill_ended(fill, source_request, incarnation, Result.LATE, 0, -1)
+            self._fill_ended(fill, source_request, incarnation, Outcome.TIMED_OUT, 0, -1)
 
     def _fill_ended(
         self,
@@ -535,12 +537,12 @@
         fill.request = None
         wanted = any(request.active and request in self.open_requests for request, _ in fill.waiting)
         again = wanted and not fill.streaming and fill.attempts < self.settings.fill_attempts
-        if result != Result.SUCCEEDED and again:
+        if result != Outcome.SUCCEEDED and again:
             return self._request_from_source(fill)
         self.active_fills -= 1
         if self.fills.get(fill.first.cache_key) is fill:
             del self.fills[fill.first.cache_key]
-        if result == Result.SUCCEEDED:
+        if result == Outcome.SUCCEEDED:
             self.completed_fills += 1
             first = fill.first
             self.storage.put(
@@ -548,18 +550,22 @@
             )
             for request, kind in fill.waiting:
                 request.fill_result = (
-                    note if kind == Note.FILLED and note == Note.FROM_ORIGIN else kind,
+                    note if kind == CacheStatus.FILLED and note == CacheStatus.FROM_ORIGIN else kind,
                     created,
                 )
                 self._part_done(request, incarnation)
             return
-        why = {Result.FULL: Note.SOURCE_REFUSED, Result.MISS: Note.SOURCE_LACKS}.get(result, Note.SOURCE_LOST)
+        why = {Outcome.OVERLOADED: CacheStatus.SOURCE_REFUSED, Outcome.MISS: CacheStatus.SOURCE_LACKS}.get(
+            result, CacheStatus.SOURCE_UNREACHABLE
+        )
         if fill.source == self.world.origin.uid:
-            why = Note.ORIGIN_LOST
+            why = CacheStatus.ORIGIN_UNREACHABLE
         for request, _ in fill.waiting:
             for link, flow in request.transfers:
                 link.cancel(flow)
-            self._finish(request, Result.FULL if why == Note.SOURCE_REFUSED else Result.ERROR, why, -1)
+            self._finish(
+                request, Outcome.OVERLOADED if why == CacheStatus.SOURCE_REFUSED else Outcome.ERROR, why, -1
+            )
 
     def _forward_uncached(self, request: ServerRequest) -> None:
         """A request that is never kept goes on to the origin; an answer that does not come is not asked for
@@ -569,9 +575,12 @@
 
         def ended(result: int, note: int, created: int) -> None:
             if incarnation == self.incarnation:
-                lost = result not in (Result.SUCCEEDED, Result.FULL)
+                lost = result not in (Outcome.SUCCEEDED, Outcome.OVERLOADED)
                 self._finish(
-                    request, Result.ERROR if lost else result, Note.ORIGIN_LOST if lost else 0, created
+                    request,
+                    Outcome.ERROR if lost else result,
+                    CacheStatus.ORIGIN_UNREACHABLE if lost else 0,
+                    created,
                 )
 
         further = ServerRequest(
--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from hoistplank.interface import HostEntry
+from hoistplank.decision.events import Endpoint
 from hoistplank.lab.model.clients import UNREACHABLE, Clients, Request
 from hoistplank.lab.model.event_queue import EventQueue
 from hoistplank.lab.model.links import Link
@@ -30,7 +30,7 @@
     zone: int
     alive: bool
 
-    def update_hosts(self, form: str, entries: list[HostEntry]) -> None:
+    def update_hosts(self, form: str, entries: list[Endpoint]) -> None:
         """The change log reaches it: kept, whole, changes or failed."""
 
     def purge(self, object_key: str, group: int, made: int) -> None:
@@ -107,7 +107,7 @@
         if dispatcher.alive:
             what(dispatcher)
 
-    def publish_hosts(self, rows: list[HostEntry], form: str = "changes") -> None:
+    def publish_hosts(self, rows: list[Endpoint], form: str = "changes") -> None:
         def told(dispatcher: Dispatcher) -> None:
             self.world.notify_hosts(dispatcher, form, rows)
 
@@ -186,11 +186,11 @@
 
     # Hosts.
 
-    def host_entries(self) -> list[HostEntry]:
+    def host_entries(self) -> list[Endpoint]:
         return [self.host_entry(server) for server in self.servers.values() if server.listed_state != "gone"]
 
-    def host_entry(self, server: Server) -> HostEntry:
-        return HostEntry(
+    def host_entry(self, server: Server) -> Endpoint:
+        return Endpoint(
             server.uid,
             server.zone,
             server.kind,
@@ -200,7 +200,7 @@
             server.listed_state,
         )
 
-    def notify_hosts(self, dispatcher: Dispatcher, form: str, rows: list[HostEntry]) -> None:
+    def notify_hosts(self, dispatcher: Dispatcher, form: str, rows: list[Endpoint]) -> None:
         """A dispatcher hears of hosts; the checkers know of it before it does."""
         now = self.events.now
         for row in rows:
--- a/hoistplank/lab/model/world_settings.py
+++ b/hoistplank/lab/model/world_settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from hoistplank.interface import Site
+from hoistplank.decision.settings import RouterSettings
 from hoistplank.settings_reader import Fields, flat, site
 
 SECOND_US = 1_000_000
@@ -228,7 +228,7 @@
             "round": self.tick_us / SECOND_US,
         }
 
-    def site(self, zone: int, index: int) -> Site:
+    def site(self, zone: int, index: int) -> RouterSettings:
         facts = Fields([])
         facts.pairs = flat(self.dispatcher_settings(zone, index))
         return site(facts)
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -15,11 +15,11 @@
 
 from hoistplank.membership import list_staleness
 from hoistplank.membership.host_registry import TOLD, Roster
-from hoistplank.operator_configuration.faults import Fault, Faults
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import Configuration
-from hoistplank.protocol.changelog import Event, Fleet, Target, address
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.changelog import Event, Fleet, Target, parse_address
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import Listing
@@ -27,7 +27,7 @@
 from hoistplank.store.background_writer import Keeper
 from hoistplank.store.folder import Folder, StoreError
 from hoistplank.store.schemas import History, KeptChange, KeptHost, KeptList, KeptPurge
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 log = structlog.get_logger()
 
@@ -51,7 +51,7 @@
 
     owner: Owner
     listing: Listing
-    ledger: Ledger
+    descriptors: DescriptorBudget
     provisional: bool
 
 
@@ -77,8 +77,8 @@
 
 
 class MembershipService:
-    """One for the program. Raises Faults where its own name can't be reached; a folder that fails costs
-    freshness."""
+    """One for the program. Raises ConfigurationError where its own name can't be reached; a folder that
+    fails costs freshness."""
 
     def __init__(
         self, section: Section, file: str, configuration: Configuration, clock: Clock | None = None
@@ -126,10 +126,10 @@
             self.roster.keep(now, seeds, now, History(), self._useful)
         zones = {row.zone for row in (entry.host for entry in self.roster.rows.values())}
         if section["seed"] and self.state is None and configuration.site.zone not in zones:
-            raise Faults(
+            raise ConfigurationError(
                 [
-                    Fault(
-                        section.at("seed"),
+                    Diagnostic(
+                        section.location_of("seed"),
                         f"no seed of this dispatcher's location '{configuration.site.zone}'",
                         "one at least",
                     )
@@ -235,7 +235,7 @@
     def _recent(self, purges: list[KeptPurge], now: int) -> list[KeptPurge]:
         """Those that a copy may still be younger than: what the module itself goes on asking for, and a
         minute."""
-        horizon = now - 2 * self.configuration.site.rules.purge_takes_us - 60_000_000
+        horizon = now - 2 * self.configuration.site.rules.purge_delay_us - 60_000_000
         return [purge for purge in purges if purge.made_us > horizon]
 
     def alive(self) -> None:
@@ -304,14 +304,14 @@
     async def _probe(self, host: KeptHost) -> None:
         assert self.host is not None
         what = "mute"
-        ledger = self.host.ledger
-        taken = ledger.take("cache host")
+        descriptors = self.host.descriptors
+        taken = descriptors.acquire(ConnectionKind.CACHE_HOST)
         try:
             if taken:
                 what = await _answered(host.endpoint, self.probe_s)
         finally:
             if taken:
-                ledger.give("cache host")
+                descriptors.release(ConnectionKind.CACHE_HOST)
             self.counts["probes"] += 1
             self.counts[what] += 1
             self.roster.felt(self.clock.now(), host.uid, what)
@@ -340,14 +340,14 @@
     data = b""
     try:
         async with asyncio.timeout(within_s):
-            await loop.sock_connect(sock, address(endpoint))
+            await loop.sock_connect(sock, parse_address(endpoint))
             await loop.sock_sendall(sock, b"PING feel\r\n")
             while b"\r\n" not in data and len(data) < MOST_ANSWER:
                 more = await loop.sock_recv(sock, MOST_ANSWER)
                 if not more:
                     break
                 data += more
-    except (OSError, ValueError, BadBytes):  # a time-out is one too
+    except (OSError, ValueError, ProtocolError):  # a time-out is one too
         return "stranger" if data else "mute"
     finally:
         sock.close()
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
-from hoistplank.interface import KEYED, Site
+from hoistplank.decision.settings import KEYED, RouterSettings
 from hoistplank.protocol import fastcgi
-from hoistplank.protocol.errors import BadBytes
+from hoistplank.protocol.errors import ProtocolError
 from hoistplank.routing.attempts import Request
 from hoistplank.routing.rate_limited_log import Complaints
 from hoistplank.routing.router_task import Came, Left, Owner
 from hoistplank.transport.connection import Connection, Consume
-from hoistplank.transport.descriptor_budget import Ledger
+from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
 PATH, HEALTH, HEALTH_SCRIPT = "/api/v2/", "/-/healthy", b"/-/healthy"
 MOST_REQUESTS = 32  # open ones a connection
@@ -79,7 +79,7 @@
         self.answer(why.status, tuple(fields), b"")
 
     def answer(self, status: int, fields: tuple[tuple[str, str], ...], body: bytes) -> None:
-        self.session.answer(self, fastcgi.answer(self.number, status, fields, body))
+        self.session.answer(self, fastcgi.encode_response(self.number, status, fields, body))
 
 
 Make = Callable[[socket.socket, Consume, int, int], Connection]
@@ -93,7 +93,7 @@
     def __init__(self, front: Front, sock: socket.socket, peer: str = "", make: Make = Connection) -> None:
         # Danger: load shedding is blind to who calls; one tenant's herd would have it shed all.
         shed = front.shed if front.authorizer is None else None
-        self.front, self.reader = front, fastcgi.Reader(MOST_REQUESTS, shed)
+        self.front, self.reader = front, fastcgi.RequestReader(MOST_REQUESTS, shed)
         self.open: dict[int, Request | None] = {}
         self.peer, self.identity, self.leaving = peer, None, False
         self.held_back: dict[
@@ -115,17 +115,17 @@
                 if not found:
                     return start
                 for event in found:
-                    if isinstance(event, fastcgi.Whole):
+                    if isinstance(event, fastcgi.RequestReceived):
                         self._whole(event.request)
-                    elif isinstance(event, fastcgi.Reply):
+                    elif isinstance(event, fastcgi.ProtocolReply):
                         self.connection.send(event.data)
                     else:
                         self._aborted(event)
-        except BadBytes as wrong:
+        except ProtocolError as wrong:
             self.give_up(str(wrong))
         finally:
             self._account()
-            if self.reader.parting:
+            if self.reader.close_requested:
                 asyncio.get_running_loop().call_soon(self.leave)
             if self.reader.shed_count > shed_before:
                 # Danger: a usual client that got nothing but refusals for a while would pass for one that
@@ -133,11 +133,11 @@
                 self.spoke = True
                 # Danger: while the core is full, a read and a write for each request rejected cost more
                 # than serving another: what comes next is read later, in one go.
-                self.connection.rest(REST_S)
+                self.connection.pause_reading(REST_S)
         return end
 
     def _account(self) -> None:
-        more, self.counted = self.reader.held - self.counted, self.reader.held
+        more, self.counted = self.reader.held_bytes - self.counted, self.reader.held_bytes
         self.front.hold(more)
 
     def give_up(self, why: str) -> None:
@@ -152,29 +152,29 @@
                 self.front.owner.tell(Left(request))
             self.open.pop(number, None)
         self.held_back.clear()
-        self.connection.deafen()
-        self.connection.finish()
+        self.connection.stop_reading()
+        self.connection.close_gracefully()
 
     def _whole(self, received: fastcgi.FastCgiRequest) -> None:
-        exchange = Exchange(self, received.number, received.keep)
+        exchange = Exchange(self, received.number, received.keep_connection)
         self.open[received.number] = None
         self.count += 1
         try:
-            if received.spoiled:
-                raise BadBytes(received.spoiled)
-            fields = received.fields()
+            if received.error:
+                raise ProtocolError(received.error)
+            fields = received.parameters()
             if fields.get("SCRIPT_NAME", "") + fields.get("PATH_INFO", "") == HEALTH:
                 self.spoke = True
                 detail = self.front.health_detail().encode()
                 exchange.answer(200 if self.front.is_ready() else 503, (), detail)
                 return
             request = self.front.request(exchange, fields, bytes(received.body))
-        except BadBytes as wrong:
+        except ProtocolError as wrong:
             # Answered at once, and nothing goes to a cache host.
             self.front.complaints.tell("request can't be used", wrong=str(wrong))
             exchange.answer(400, (), b"")
             self.bad += 1
-            if received.spoiled or self.bad >= MOST_BAD:
+            if received.error or self.bad >= MOST_BAD:
                 self.give_up(str(wrong))
             return
         received.body, received.params = bytearray(), bytearray()
@@ -189,11 +189,11 @@
                 exchange.reject(self.front.owner.stay_away_us)
                 return
         self.open[received.number] = request
-        if self.connection.out_bytes > MOST_OUT:
+        if self.connection.unsent_bytes > MOST_OUT:
             # Danger: a client that does not read what it is owed would fill the memory. It is read on all the
             # same: an end that nobody reads is an end that nobody sees, and its requests would be sent on.
             self.held_back[received.number] = request
-            self.connection.emptied = self._emptied
+            self.connection.on_all_written = self._emptied
         else:
             self.front.owner.tell(Came(request))
 
@@ -203,7 +203,7 @@
         for request in held.values():
             self.front.owner.tell(Came(request))
         if self.leaving and self.idle():
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def release(self, now: int) -> None:
         """What is held back and nearly out of time is taken up after all, to be answered in time."""
@@ -212,13 +212,13 @@
                 del self.held_back[number]
                 self.front.owner.tell(Came(request))
 
-    def _aborted(self, event: fastcgi.Aborted) -> None:
+    def _aborted(self, event: fastcgi.RequestAborted) -> None:
         request = self.open.pop(event.number, None)
         if request is not None:
             self.held_back.pop(event.number, None)
             self.front.owner.tell(Left(request))
             self._done(request)
-        self.connection.send(fastcgi.ended(event.number, 1))
+        self.connection.send(fastcgi.encode_end_request(event.number, 1))
 
     def answer(self, exchange: Exchange, data: bytes) -> None:
         if exchange.number not in self.open:
@@ -227,7 +227,7 @@
         if request is not None and request.exchange is not exchange:
             return
         del self.open[exchange.number]
-        self.reader.done(exchange.number)
+        self.reader.release(exchange.number)
         self._account()
         self.connection.send(data)
         if request is not None:
@@ -241,19 +241,19 @@
 
     def leave(self, silent_too: bool = True) -> None:
         """Ends this connection once all that is open on it has been answered, and the answers are out."""
-        self.leaving, self.connection.emptied = True, self._emptied
+        self.leaving, self.connection.on_all_written = True, self._emptied
         if self.idle() and (silent_too or self.spoke):
-            self.connection.finish()
+            self.connection.close_gracefully()
 
     def unfinished(self) -> bool:
         connection = self.connection
-        return len(self.reader.requests) > len(self.reader.whole) or connection.start < connection.end
+        return len(self.reader.requests) > len(self.reader.complete) or connection.start < connection.end
 
     def idle(self) -> bool:
         """Danger: on a full core a request may lie unread for long; a close on it loses a taken request."""
-        if not (self.reader.requests or self.connection.out_bytes or self.unfinished()):
-            self.connection.look()
-        return not (self.reader.requests or self.connection.out_bytes or self.unfinished())
+        if not (self.reader.requests or self.connection.unsent_bytes or self.unfinished()):
+            self.connection.read_now()
+        return not (self.reader.requests or self.connection.unsent_bytes or self.unfinished())
 
     def silent(self) -> bool:
         return not (self.spoke or self.open or self.unfinished())
@@ -261,13 +261,13 @@
     def overdue(self, now: float) -> str:
         """Why this connection is to end; a clock that runs from the start, whatever has come since."""
         if not self.spoke and now - self.born > UNFINISHED_S:
-            self.connection.look()
+            self.connection.read_now()
             if not self.spoke:
                 return "no whole request in time"
         if not self.unfinished():
             self.begun = {}
             return ""
-        begun = [number for number in self.reader.requests if number not in self.reader.whole]
+        begun = [number for number in self.reader.requests if number not in self.reader.complete]
         if not begun:
             begun = [-self.count]  # a record that has begun; the next whole request ends its clock
         self.begun = {number: self.begun.get(number, now) for number in begun}
@@ -278,8 +278,8 @@
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         self.front.sessions.pop(self, None)
-        self.front.ledger.give("client")
-        self.reader.held = 0
+        self.front.descriptors.release(ConnectionKind.CLIENT)
+        self.reader.held_bytes = 0
         self._account()
         wrong = None if task.cancelled() else task.exception() or task.result()
         if wrong is not None and not isinstance(wrong, OSError):
@@ -295,14 +295,19 @@
     def __init__(
         self,
         owner: Owner,
-        site: Site,
-        ledger: Ledger,
+        site: RouterSettings,
+        descriptors: DescriptorBudget,
         memory_mb: int,
         is_ready: Callable[[], bool],
         authorizer: Authorizer | None = None,
     ) -> None:
-        self.owner, self.ledger, self.is_ready, self.authorizer = owner, ledger, is_ready, authorizer
-        self.most_wait_us = site.rules.max_return_us if site.rules.may_name_return else 0
+        self.owner, self.descriptors, self.is_ready, self.authorizer = (
+            owner,
+            descriptors,
+            is_ready,
+            authorizer,
+        )
+        self.most_wait_us = site.rules.max_retry_after_us if site.rules.may_send_retry_after else 0
         self.classes = {traffic_class.name: traffic_class for traffic_class in site.traffic_classes}
         self.scripts = {f"{PATH}{name}".encode(): name for name in self.classes}
         self.sessions: dict[Session, None] = {}
@@ -310,9 +315,9 @@
         self.health_detail: Callable[[], str] = str  # what a health answer says beside its status
         # A quarter of the memory for answers that wait, an eighth for requests that are unfinished or open.
         self.most_out, self.most_held, self.held = memory_mb << 18, memory_mb << 17, 0
-        ledger.reclaimers["client"] = self.reclaim
+        descriptors.reclaimers[ConnectionKind.CLIENT] = self.reclaim
         wait_ms = owner.stay_away_us // 1000
-        self.refusal = fastcgi.head(503, (("X-Pushback-Ms", str(wait_ms)),) if wait_ms else ())
+        self.refusal = fastcgi.encode_head(503, (("X-Pushback-Ms", str(wait_ms)),) if wait_ms else ())
 
     def shed(self, number: int, script: bytes) -> bytes | None:
         """Asked as a request begins: where the core is at its bound for its traffic class, or for every
@@ -320,7 +325,7 @@
         away."""
         if script == HEALTH_SCRIPT or self.owner.admits(self.scripts.get(script, "")):
             return None
-        return fastcgi.refusal(number, self.refusal)
+        return fastcgi.encode_response_without_body(number, self.refusal)
 
     def greet(self, sock: socket.socket, peer: str = "", make: Make = Connection) -> Session:
         session = Session(self, sock, peer, make)
@@ -328,29 +333,29 @@
         return session
 
     def request(self, exchange: Exchange, fields: dict[str, str], body: bytes) -> Request:
-        """A request's fields as a request; raises BadBytes naming the field that can't be used."""
+        """A request's fields as a request; raises ProtocolError naming the field that can't be used."""
         now = self.owner.clock.now()
         script = fields.get("SCRIPT_NAME", "")
         traffic_class = self.classes.get(script[len(PATH) :]) if script.startswith(PATH) else None
         if traffic_class is None:
-            raise BadBytes(f"SCRIPT_NAME '{script[:60]}' names no traffic class")
+            raise ProtocolError(f"SCRIPT_NAME '{script[:60]}' names no traffic class")
         id, object_key = fields.get("HTTP_X_CORRELATION_ID", ""), fields.get("HTTP_X_SUBJECT", "")
         if not HEX(id):
-            raise BadBytes(f"X-Correlation-Id '{id[:60]}' is not of 16 hex digits")
+            raise ProtocolError(f"X-Correlation-Id '{id[:60]}' is not of 16 hex digits")
         if not HEX(object_key):
-            raise BadBytes(f"X-Subject '{object_key[:60]}' is not of 16 hex digits")
+            raise ProtocolError(f"X-Subject '{object_key[:60]}' is not of 16 hex digits")
         # Clients reckon their time by clocks of their own: some ms over the limit are no nonsense. Danger:
         # taken as such, they cost a usual client its connection and all that is open there.
         deadline_ms = traffic_class.deadline_us * 11 // 10_000 + 50
         until = now + whole(fields, "HTTP_X_DEADLINE_MS", None, 1, deadline_ms) * 1000
         key, holds = fields.get("HTTP_X_OPERATION_KEY", ""), fields.get("HTTP_X_KNOWN", "")
         if (key or traffic_class.semantics == KEYED) and not KEY(key):
-            raise BadBytes(f"X-Operation-Key '{key[:60]}' is not of 32 hex digits")
+            raise ProtocolError(f"X-Operation-Key '{key[:60]}' is not of 32 hex digits")
         if holds and not HEX(holds):
-            raise BadBytes(f"X-Known '{holds[:60]}' is not of 16 hex digits")
+            raise ProtocolError(f"X-Known '{holds[:60]}' is not of 16 hex digits")
         again = fields.get("HTTP_X_RESENT", "")
         if again not in ("", "1"):
-            raise BadBytes(f"X-Resent '{again[:60]}' is not 1")
+            raise ProtocolError(f"X-Resent '{again[:60]}' is not 1")
         return Request(
             exchange,
             id,
@@ -371,7 +376,7 @@
         """Counts what unfinished and open requests hold; the largest goes when all hold too much."""
         self.held += more
         if more > 0 and self.held > self.most_held:
-            most = max(self.sessions, key=lambda session: session.reader.held)
+            most = max(self.sessions, key=lambda session: session.reader.held_bytes)
             most.give_up("requests hold too much memory")
             most.connection.close()
 
@@ -380,24 +385,24 @@
         now = asyncio.get_running_loop().time()
         for session in list(self.sessions):
             connection = session.connection
-            if connection.is_stuck():
+            if connection.is_write_stalled():
                 connection.close()
-            elif connection.finishing:
+            elif connection.is_closing:
                 continue  # its end has a clock of its own
-            elif (session.leaving or connection.heard_at < now - IDLE_S) and session.idle():
-                connection.finish()
+            elif (session.leaving or connection.last_read_at < now - IDLE_S) and session.idle():
+                connection.close_gracefully()
             elif not session.ending and (why := session.overdue(now)):
                 session.give_up(why)
             else:
                 session.release(self.owner.clock.now())
-                connection.trim()
-        total = sum(session.connection.out_bytes for session in self.sessions)
+                connection.release_buffer()
+        total = sum(session.connection.unsent_bytes for session in self.sessions)
         if total > self.most_out:
-            waits = sorted(self.sessions, key=lambda session: session.connection.out_bytes)
+            waits = sorted(self.sessions, key=lambda session: session.connection.unsent_bytes)
             while total > self.most_out:
                 slowest = waits.pop()
-                total -= slowest.connection.out_bytes
-                self.complaints.tell("slow reader let go", bytes=slowest.connection.out_bytes)
+                total -= slowest.connection.unsent_bytes
+                self.complaints.tell("slow reader let go", bytes=slowest.connection.unsent_bytes)
                 slowest.connection.close()
 
     def reclaim(self) -> None:
@@ -407,16 +412,16 @@
         the idle ones hold most of the room, waiting for the few young ones would leave all others outside.
         """
         now = asyncio.get_running_loop().time()
-        live = [session for session in self.sessions if not session.connection.finishing]
+        live = [session for session in self.sessions if not session.connection.is_closing]
         silent = [session for session in self.sessions if session.ending or session.silent()]
-        silent = [session for session in silent if not session.connection.closing]
+        silent = [session for session in silent if not session.connection.is_closed]
         old = [session for session in silent if session.ending or now - session.born > YOUNG_S]
         for session in old[: max(1, len(old) // 4)]:  # sessions stand in the order of their coming
             if session.ending or (session.idle() and session.silent()):
                 session.connection.close()
         if old or len(silent) > len(live) // 2:
             return
-        live.sort(key=lambda session: session.connection.heard_at)
+        live.sort(key=lambda session: session.connection.last_read_at)
         for session in live:
             # Half of the time that it has: what comes meanwhile may be a usual client's, read late.
             if not session.open and session.stale(now, UNFINISHED_S / 2):
@@ -426,13 +431,13 @@
             if session.idle():
                 # The last answer has arrived by now, and only what crosses the close is lost: its client
                 # sends it again. Else in order, which takes a moment more.
-                if now - session.connection.heard_at > SETTLED_S:
+                if now - session.connection.last_read_at > SETTLED_S:
                     session.connection.close()
                 else:
-                    session.connection.finish()
+                    session.connection.close_gracefully()
 
     def flushed(self) -> bool:
-        return all(not session.connection.out_bytes for session in self.sessions)
+        return all(not session.connection.unsent_bytes for session in self.sessions)
 
     def leave(self) -> None:
         """Each connection ends once nothing is owed on it any more; a young one may have its first bytes on
@@ -451,7 +456,7 @@
     if text is None and default is not None:
         return default
     if text is None or not (text.isdecimal() and text.isascii() and len(text) <= 9):
-        raise BadBytes(f"{name} '{(text or '')[:60]}' is no whole number")
+        raise ProtocolError(f"{name} '{(text or '')[:60]}' is no whole number")
     if not least <= int(text) <= most:
-        raise BadBytes(f"{name} {text} is not from {least} to {most}")
+        raise ProtocolError(f"{name} {text} is not from {least} to {most}")
     return int(text)
--- a/tests/test_cache_host_attempts.py
+++ b/tests/test_cache_host_attempts.py
@@ -4,17 +4,22 @@
 
 import asyncio
 import copy
+import gc
 import socket
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
+from hoistplank.decision.actions import SendAttempt
+from hoistplank.decision.events import AttemptEnded, Outcome
+from hoistplank.decision.hosts import Host
 from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
 from hoistplank.fakes.wire import ScriptedCacheHost
-from hoistplank.interface import Result
 from hoistplank.routing.attempts import ENDINGS
+from hoistplank.transport.descriptor_budget import ConnectionKind
 from tests.dispatcher_scene import (
     BODY,
     run,
@@ -54,15 +59,16 @@
                 gone = [endpoint_entry("a", "box", port), endpoint_entry("o", "origin", port)]
                 dispatcher.tell(fleet_event(2, gone, whole=True))
                 await until(lambda: owner.posts["a"].address[1] == port)
-            monkeypatch.setattr(owner.router, "attempt_ended", spied(owner.router.attempt_ended, told))
+            monkeypatch.setattr(owner.router, "handle", spied(owner.router.handle, told))
             status, _, _ = await dispatcher.ask(1, "page", fields={"HTTP_X_DEADLINE_MS": "300"})
-            assert status in (502, 503) and told[0][3] == ENDINGS[how]
+            ends = [event for _, event in told if isinstance(event, AttemptEnded)]
+            assert status in (502, 503) and ends[0].outcome == ENDINGS[how]
 
     run(scene())
 
 
 def test_only_what_proves_it_counts_as_never_run() -> None:
-    never = {Result.NO_CONNECTION, Result.NEVER_SENT, Result.MISS, Result.FULL}
+    never = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS, Outcome.OVERLOADED}
     proofs = {"refused", "not up", "unwritten", "withheld", "not_here", "overload", "nobody"}
     assert {how for how, result in ENDINGS.items() if result in never} == proofs
 
@@ -76,15 +82,15 @@
                 2, [endpoint_entry("a", "box", dispatcher.targets[0]["endpoint"].split(":")[1], "draining")]
             )
             draining["fleet"]["targets"][0]["endpoint"] = dispatcher.targets[0]["endpoint"]
-            act = owner._act["attempt"]
+            act = owner._act[SendAttempt]
 
-            def attempt(now: int, decision: Any) -> None:
-                act(now, decision)
-                if decision.host == "a":  # before the first byte: the connection is not up yet
-                    owner.posts["a"].entry = owner.posts["a"].entry._replace(state="draining")
+            def attempt(now: int, action: SendAttempt) -> None:
+                act(now, action)
+                if action.host == "a":  # before the first byte: the connection is not up yet
+                    owner.posts["a"].entry = msgspec.structs.replace(owner.posts["a"].entry, state="draining")
                     dispatcher.tell(draining)
 
-            owner._act["attempt"] = attempt
+            owner._act[SendAttempt] = attempt
             status, _, body = await dispatcher.ask(1, "page")
             assert status == 200 and not box.requests and origin.requests
 
@@ -115,7 +121,6 @@
             tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, **{"settings.classes": settings}
         ) as dispatcher:
             owner, old = dispatcher.service.owner, dispatcher.targets[0]
-            owner.router.longest_us = 0
             short = {"HTTP_X_DEADLINE_MS": "800"}
             for turn in range(30):
                 new = old | {"uid": f"b{turn}"}
@@ -124,10 +129,13 @@
                 assert (await dispatcher.ask(1 + turn, "page", fields=short))[0] == 200
                 old = new
             router = owner.router
-            assert len(owner.posts) == 2 and len(router.index) == 2 and len(router.caches) == 1
+            hosts = router.parts.hosts
+            assert len(owner.posts) == 2 and len(hosts.by_name) == 2 and len(hosts.caches) == 1
             pool = owner.pool
-            assert len(router.names) <= 4 and pool is not None
-            await until(lambda: set(pool.lines) <= {"b29"})
+            gc.collect()
+            kept = [one for one in gc.get_objects() if isinstance(one, Host) and one.name[0] == "b"]
+            assert len(kept) <= 3 and pool is not None, "hosts that were replaced are forgotten"
+            await until(lambda: set(pool.connections) <= {"b29"})
 
     run(scene())
 
@@ -136,7 +144,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.transport.pool.MOST_LINES", 1)
+        monkeypatch.setattr("hoistplank.transport.pool.MAX_CONNECTIONS_PER_HOST", 1)
         later: list[bytes] = []
 
         def slowly(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
@@ -193,7 +201,7 @@
     once."""
 
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.transport.pool.MOST_LINES", 1)
+        monkeypatch.setattr("hoistplank.transport.pool.MAX_CONNECTIONS_PER_HOST", 1)
 
         def bad(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
             if len(box.requests) == 1:
@@ -217,7 +225,8 @@
                 assert answers[0][:2] == (2, 200) and box.connections == 1
                 assert (await dispatcher.ask(3, "page"))[2] == BODY and box.connections == 1
             router = dispatcher.service.owner.router
-            assert router.cold_since[router.index["a"]] < 0 and not any(router.losses)
+            hosts = router.parts.hosts.by_name
+            assert hosts["a"].warming_since_us < 0 and not any(host.loss_signs for host in hosts.values())
 
     run(scene())
 
@@ -238,19 +247,19 @@
                     before = len(box.requests)
                     run_.client.send(number, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
                     await until(lambda before=before: len(box.requests) > before)  # type: ignore[misc]
-                return sorted(len(line.open) for line in pool.lines["a"])
+                return sorted(len(line.in_flight) for line in pool.connections["a"])
 
             assert await counts(1) == [4, 4]
             for _ in range(8):
                 await run_.client.read_answer()
             for number in range(20, 24):
                 await run_.ask(number, "page", fields={"HTTP_X_CHUNK": "2"})
-            share = run_.service.ledger.most["cache host"] // 2
+            share = run_.service.descriptors.limits[ConnectionKind.CACHE_HOST] // 2
             assert await counts(30) == [1] * (2 * share - 8) + [2] * (8 - share)
-            pool.spread_at -= 100  # a long calm: half as many again
-            spread = pool.spread
+            pool.connections_per_host_set_at -= 100  # a long calm: half as many again
+            spread = pool.connections_per_host
             pool.sweep()
-            assert pool.spread == spread // 2
+            assert pool.connections_per_host == spread // 2
 
     run(scene())
 
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -1,5 +1,7 @@
 """The lab's model: streams, links, keeps, scripts, the days of a seed, and checkers that fire."""
 
+import sys
+from pathlib import Path
 from typing import Any
 
 import pytest
@@ -7,7 +9,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from hoistplank.interface import Note, Result
+import hoistplank
+from hoistplank.decision.events import CacheStatus, Outcome
+from hoistplank.decision.router import Router
 from hoistplank.lab.backends.virtual import build_world, digest
 from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.model.cache_storage import CacheStorage
@@ -20,8 +24,8 @@
 from hoistplank.lab.model.streams import RandomStreams
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings, scaled_settings
-from hoistplank.lab.policies import Make, UnknownPolicy, policy
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.lab.policies import Make, UnknownPolicy, policy, text_of
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.routing.clock_offset import LogClock
 
 SMALL = scaled_settings(6, 2, 1, 60.0, seconds=6.0)
@@ -129,7 +133,7 @@
     ],
 )
 def test_a_script_says_what_is_wrong_and_where(text: str, found: str, expected: str) -> None:
-    with pytest.raises(Faults) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         script(text, "day.sexp")
     line = str(wrong.value).splitlines()[0]
     assert line.startswith("day.sexp:1:") and found in line and expected in line.split("expected")[1]
@@ -140,6 +144,17 @@
     assert len(unsupported(rows, SMALL)) == 2 and not unsupported(script(draw_day("any", 4, 6.0)), SMALL)
 
 
+def test_an_older_text_decides_by_its_own_files_and_leaves_todays_in_place() -> None:
+    root, now = Path(hoistplank.__file__).parents[1], sys.modules["hoistplank.decision.router"]
+    text = draw_day("crash+herd", 4, 6.0)
+    world = build_world(SMALL, 4, policy("text-0000", {"0000": root}), script(text))
+    world.run()
+    assert text_of(root, "0000") is not Router and sys.modules["hoistplank.decision.router"] is now
+    assert digest(world) == digest(played("module", text, 4))
+    with pytest.raises(UnknownPolicy, match="no hoistplank/decision"):
+        text_of(root / "tests", "0001")
+
+
 def test_an_unknown_policy_or_day_names_what_there_is() -> None:
     with pytest.raises(UnknownPolicy, match="without-silence"):
         policy("modul")
@@ -225,7 +240,7 @@
     world.events.run_until(20_000)
     parent.stop()
     world.events.run_until(3 * SECOND_US)
-    assert [row[0] for row in told.ends] == [Result.ERROR] and not host.fills and host.active_fills == 0
+    assert [row[0] for row in told.ends] == [Outcome.ERROR] and not host.fills and host.active_fills == 0
 
 
 def test_requests_join_a_fill_unless_it_began_before_what_they_may_get() -> None:
@@ -235,7 +250,7 @@
     world.events.run_until(30_000)
     late = asked(world, host, "x", may_join=True, max_age_us=1)
     world.events.run_until(3 * SECOND_US)
-    assert [told.ends[0][0] for told in (first, second, late)] == [Result.SUCCEEDED] * 3
+    assert [told.ends[0][0] for told in (first, second, late)] == [Outcome.SUCCEEDED] * 3
     assert host.joined_requests == 1 and host.completed_fills == 2
 
 
@@ -254,7 +269,7 @@
     probed = asked(world, host, "0" * 16, source=host.uid)
     world.events.run_until(20 * SECOND_US)
     assert host.overload_crashes >= 1 and all(len(one.ends) == 1 for one in (*told, probed))
-    assert {one.ends[0][0] for one in told} >= {Result.BROKEN, Result.NO_CONNECTION}
+    assert {one.ends[0][0] for one in told} >= {Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED}
 
 
 class Nowhere:
@@ -344,9 +359,9 @@
     world.events.run_until(SMALL.classes[0].fresh_us * 9 // 10)
     plain = asked(world, host, "x")
     world.events.run_until(world.events.now + SECOND_US)
-    assert plain.ends[0][1] == Note.HIT and host.completed_fills == 1
+    assert plain.ends[0][1] == CacheStatus.HIT and host.completed_fills == 1
     renewed = asked(world, host, "x", may_renew=True)
     world.events.run_until(world.events.now + SECOND_US)
-    assert renewed.ends[0][1] == Note.HIT and host.completed_fills == 2
+    assert renewed.ends[0][1] == CacheStatus.HIT and host.completed_fills == 2
     born = host.storage.peek(("x", 0))
     assert born is not None and born.created > renewed.ends[0][2]
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -18,10 +18,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hoistplank.choice import ALL_OBJECTS, Router
+from hoistplank.decision.events import Endpoint, EndpointListForm, EndpointsUpdated, PurgeReceived
+from hoistplank.decision.purges import ALL_OBJECTS, PurgeWatermark
+from hoistplank.decision.router import Router
 from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.fakes.wire import serve
-from hoistplank.interface import HostEntry
 from hoistplank.lab.fleet.relay_messages import PathAction, RelayStatistics
 from hoistplank.lab.scale import measurements, run_broken
 from hoistplank.lab.scale.faults import Strike
@@ -40,7 +41,7 @@
 from hoistplank.lab.scale.run_verdict import OF_TIME, judged
 from hoistplank.lab.scale.scene import KINDS, S, Scene, read
 from hoistplank.lab.scale.scene_schedule import BATCH_US, Change, HostStep, Purge, schedule
-from hoistplank.operator_configuration.faults import Faults
+from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.protocol import changelog
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -94,11 +95,11 @@
     ],
 )
 def test_mistakes_in_scenes_are_told_with_their_place(text: str, line: int, column: int, wanted: str) -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read(text.encode(), "s.sexp")
-    told = [fault for fault in caught.value.faults if wanted in fault.expected]
-    assert told, [str(fault) for fault in caught.value.faults]
-    assert (told[0].place.line, told[0].place.column) == (line, column)
+    told = [fault for fault in caught.value.diagnostics if wanted in fault.expected]
+    assert told, [str(fault) for fault in caught.value.diagnostics]
+    assert (told[0].location.line, told[0].location.column) == (line, column)
 
 
 # What is told, and when.
@@ -151,7 +152,7 @@
 def test_teller_counts_within_its_epoch_and_lists_what_there_is() -> None:
     made = scene("(hosts 5)")
     teller = Teller(made.fleet)
-    reader = changelog.Reader()
+    reader = changelog.ChangeLogReader()
     first = teller.first()
     rows = [first, teller.next(Purge(0, "ab"), 17), teller.next(HostStep(0, 3, "gone"), 18)]
     rows += [teller.next(Change(0, 6), 19)]
@@ -217,15 +218,19 @@
     )
     told = Position(0, 1)
     assert [number for number, _ in auditor.missing(router, NOTHING, told, Position(0, 3))] == [2, 3]
-    router.purged(now, "ab", 0, 5)
+    router.handle(now, PurgeReceived("ab", 0, 5))
     assert [number for number, _ in auditor.missing(router, NOTHING, told, Position(0, 3))] == [3]
     # An older purge of the same object is not enough.
-    router.purged(now, "cd", 0, 6)
+    router.handle(now, PurgeReceived("cd", 0, 6))
     assert [number for number, _ in auditor.missing(router, NOTHING, told, Position(0, 3))] == [3]
     # Of two events on one host the later one counts.
-    router.hosts_listed(now, "whole", [HostEntry("h", "z0", "box", 0, 1.0, 7, "up")])
+    router.handle(
+        now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [Endpoint("h", "z0", "box", 0, 1.0, 7, "up")])
+    )
     assert [number for number, _ in auditor.missing(router, NOTHING, Position(0, 3), Position(0, 5))] == [5]
-    router.hosts_listed(now, "changes", [HostEntry("h", "z0", "box", 0, 1.0, 7, "gone")])
+    router.handle(
+        now, EndpointsUpdated(EndpointListForm.CHANGES, [Endpoint("h", "z0", "box", 0, 1.0, 7, "gone")])
+    )
     assert auditor.missing(router, NOTHING, Position(0, 3), Position(0, 5)) == []
     assert auditor.knows(Position(0, 5)) and not auditor.knows(Position(0, 6))
     assert not auditor.knows(Position(1, 1))
@@ -239,23 +244,30 @@
         Expect(0, 4, hosts=[HostState("h", "ready", 9, 1.0)]),
     )
     told, configured = Position(0, 1), Position(0, 0)
-    router.hosts_listed(1, "whole", [HostEntry("h", "z0", "box", 0, 1.0, 7, "up")])
+    router.handle(
+        1, EndpointsUpdated(EndpointListForm.SNAPSHOT, [Endpoint("h", "z0", "box", 0, 1.0, 7, "up")])
+    )
     for position in (2, 3, 4):
         found = auditor.missing(router, configured, told, Position(0, position))
         assert [number for number, _ in found] == [position]
-    router.hosts_listed(2, "changes", [HostEntry("h", "z0", "box", 0, 1.0, 9, "up")])
+    router.handle(
+        2, EndpointsUpdated(EndpointListForm.CHANGES, [Endpoint("h", "z0", "box", 0, 1.0, 9, "up")])
+    )
     for position in (2, 3, 4):
         assert auditor.missing(router, configured, told, Position(0, position)) == []
-    router.hosts_listed(3, "changes", [HostEntry("h", "z0", "box", 0, 1.0, 11, "up")])
+    router.handle(
+        3, EndpointsUpdated(EndpointListForm.CHANGES, [Endpoint("h", "z0", "box", 0, 1.0, 11, "up")])
+    )
     assert auditor.missing(router, configured, told, Position(0, 2)) != []
 
 
 def test_audit_takes_a_floor_under_all_objects_for_a_purge() -> None:
     auditor, router = audited(Expect(0, 2, "ab", 50 * S), Expect(0, 3, "cd", 60 * S))
-    router.floors[ALL_OBJECTS] = (55 * S, 90 * S)
+    router.parts.purges.by_key[ALL_OBJECTS] = PurgeWatermark(55 * S, 90 * S)
     assert [number for number, _ in auditor.missing(router, NOTHING, Position(0, 1), Position(0, 3))] == [3]
     # One that is heard long after it was made is in force all the same.
-    router.purged(60 * S + 2 * router.floors_us, "cd", 0, 2 * router.floors_us)
+    late_us = 2 * router.parts.purges.hold_us
+    router.handle(60 * S + late_us, PurgeReceived("cd", 0, late_us))
     assert auditor.missing(router, NOTHING, Position(0, 2), Position(0, 3)) == []
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,6 +9,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
+import pytest
+
+from hoistplank.decision.events import ClientDisconnected, Event
 from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost
 from hoistplank.program.service import Phase
 from tests.dispatcher_scene import BODY, Calm, request_bytes, run, served, silent
@@ -163,14 +166,22 @@
     run(scene())
 
 
-def test_broken_module_fails_what_is_open_and_ends(tmp_path: Path) -> None:
+def test_broken_module_fails_what_is_open_and_ends(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with Running(
             tmp_path, {"a": ScriptedCacheHost(silent), "o": ScriptedCacheHost(silent)}
         ) as dispatcher:
             dispatcher.client.send(1, "page")
             await until(lambda: bool(dispatcher.service.owner.requests))
-            dispatcher.service.owner.router.client_left = None  # type: ignore[assignment, method-assign]
+            router = dispatcher.service.owner.router
+            handle = router.handle
+
+            def broken(now: int, event: Event) -> None:
+                if isinstance(event, ClientDisconnected):
+                    raise TypeError("a fault of the module")
+                handle(now, event)
+
+            monkeypatch.setattr(router, "handle", broken)
             other = await dispatcher.connect()
             other.send(2, "page")
             await until(lambda: len(dispatcher.service.owner.requests) == 2)
