--- a/hoistplank/authorization/admin_routes.py
+++ b/hoistplank/authorization/admin_routes.py
@@ -34,7 +34,8 @@
 from hoistplank.authorization.tls_listener import HandshakeCounts
 from hoistplank.authorization.token_bucket import TokenBucket
 from hoistplank.routing.clock import Clock
-from hoistplank.routing.router_task import Owner, Purged
+from hoistplank.routing.events import PurgeReceived
+from hoistplank.routing.router_task import RouterTask
 
 log = structlog.get_logger()
 
@@ -53,20 +54,20 @@
     """What the routes use of the service levels of a dispatcher that has them."""
 
     @property
-    def ladder(self) -> Any:
-        """The state machine; its `name` is the level in force."""
+    def level_name(self) -> str:
+        """The level in force."""
 
-    def look(self, now: int) -> dict[str, Any]:
+    def status(self, now: int) -> msgspec.Struct:
         """The state, for operators."""
 
-    def word(self, now: int, what: str, level: str, for_us: int, who: str) -> str:
+    def override(self, now: int, action: str, level: str, duration_us: int, operator: str) -> str:
         """An operator's override; returns what was done; raises ValueError with why not."""
 
 
 class Dispatcher(Protocol):
     """What the routes use of the program that they are part of."""
 
-    owner: Owner
+    router_task: RouterTask
 
 
 class AuthorizationControl(Protocol):
@@ -150,9 +151,9 @@
         wait_us = self._take_purge(caller.tenant)
         if wait_us:
             return refusal(429, "purges come too fast", wait_us)
-        owner = self.dispatcher.owner
+        router_task = self.dispatcher.router_task
         group = body.group if body.group is not None and not body.object_key else 0
-        owner.tell(Purged(body.object_key, group, owner.clock.now()))
+        router_task.submit(PurgeReceived(body.object_key, group, router_task.clock.now()))
         log.info(
             "purge", tenant=caller.tenant.name, by=caller.name, object_key=body.object_key, group=body.group
         )
@@ -198,14 +199,14 @@
             return refusal(400, f"'for_s' is to be from 0 to {MAX_LEVEL_S}")
         now, for_us = self.service.clock.now(), int(body.for_s * 1e6)
         try:
-            done = degradation.word(now, body.action, body.level, for_us, caller.name)
+            done = degradation.override(now, body.action, body.level, for_us, caller.name)
         except ValueError as error:
             return refusal(400, str(error))
-        return AdminResponse(200, LevelChangedBody(done, degradation.ladder.name))
+        return AdminResponse(200, LevelChangedBody(done, degradation.level_name))
 
     def _levels(self) -> msgspec.Struct | Mapping[str, Any]:
         degradation = self._degradation
-        return NoLevelsBody() if degradation is None else degradation.look(self.service.clock.now())
+        return NoLevelsBody() if degradation is None else degradation.status(self.service.clock.now())
 
 
 def _purge_problem(body: PurgeBody) -> str:
--- a/hoistplank/authorization/tls_listener.py
+++ b/hoistplank/authorization/tls_listener.py
@@ -12,7 +12,8 @@
 from hoistplank.authorization.identity import CertificateIdentity
 from hoistplank.authorization.settings import TlsSettings
 from hoistplank.authorization.tls_connections import TlsConnections
-from hoistplank.routing.frontend import Front, Session
+from hoistplank.routing.client_session import ClientSession
+from hoistplank.routing.frontend import Frontend
 from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 
@@ -34,10 +35,10 @@
     loop's time at which it began."""
 
     def __init__(
-        self, settings: TlsSettings, tls: TlsConnections, front: Front, descriptors: DescriptorBudget
+        self, settings: TlsSettings, tls: TlsConnections, frontend: Frontend, descriptors: DescriptorBudget
     ) -> None:
-        self.settings, self.tls, self.front = settings, tls, front
-        self.pending: dict[Session, float] = {}
+        self.settings, self.tls, self.frontend = settings, tls, frontend
+        self.pending: dict[ClientSession, float] = {}
         self.counts = HandshakeCounts()
         self._listener = Listener(settings.listen, descriptors, self._accept)
 
@@ -51,7 +52,7 @@
             session.connection.close()
 
     def _accept(self, sock: socket.socket, peer: str) -> None:
-        session: Session | None = None
+        session: ClientSession | None = None
 
         def verified(identity: CertificateIdentity | None) -> None:
             assert session is not None
@@ -69,10 +70,10 @@
             # Danger: half-open handshakes hold every place. The oldest yields: a usual one needs some ms of
             # it.
             self._abandon(next(iter(self.pending)))
-        session = self.front.greet(sock, peer, self.tls.factory(verified, rejected))
+        session = self.frontend.serve(sock, peer, self.tls.factory(verified, rejected))
         self.pending[session] = asyncio.get_running_loop().time()
 
-    def _abandon(self, session: Session) -> None:
+    def _abandon(self, session: ClientSession) -> None:
         del self.pending[session]
         self.counts.abandoned += 1
         session.connection.close()
--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -69,7 +69,7 @@
     Without --certificate only loopback addresses are served. Exit code 2: what was given can't be used.
     """
     from hoistplank.program.configuration import BadConfiguration, read
-    from hoistplank.program.logging_setup import open_log
+    from hoistplank.program.logging_setup import configure_logging
 
     try:
         configuration = read({**os.environ, **({"EDGE_CONFIG": config} if config else {})})
@@ -78,7 +78,7 @@
         fail(str(error))
     if credentials is None and not listen.startswith(LOOPBACK):
         fail(f"--listen {listen}: without certificates only a loopback address is served")
-    open_log(configuration.name, os.environ.get("HOISTPLANK_LOG", "lines"))
+    configure_logging(configuration.name, os.environ.get("HOISTPLANK_LOG", "lines"))
     try:
         asyncio.run(_serve(configuration, listen, look_every))
     except OSError as error:
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -17,9 +17,9 @@
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
 from hoistplank.program.configuration import BadConfiguration, Configuration
-from hoistplank.routing.endpoint_watcher import Listing
-from hoistplank.routing.frontend import Front
-from hoistplank.routing.router_task import Owner
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
+from hoistplank.routing.frontend import Frontend
+from hoistplank.routing.router_task import RouterTask
 
 log = structlog.get_logger()
 
@@ -30,9 +30,9 @@
 class Host(Protocol):
     """What this uses of the program that it is part of."""
 
-    owner: Owner
-    front: Front
-    listing: Listing
+    router_task: RouterTask
+    frontend: Frontend
+    endpoint_watcher: EndpointWatcher
 
 
 class DistributionService:
@@ -56,16 +56,16 @@
         """Takes the place of the change log's watch, before anything else watches it."""
         configuration = self.configuration
         follower = ReplicaFollower(
-            host.owner,
+            host.router_task,
             self.settings(),
             configuration.known,
             Random(configuration.seed),
             configuration.site.rules.drain_grace_us / 1e6,
             self._prepare,
         )
-        self.follower = host.listing = follower
-        host.owner.before_turn = follower.check_silence
-        host.front.health_detail = follower.detail
+        self.follower = host.endpoint_watcher = follower
+        host.router_task.before_turn = follower.check_silence
+        host.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
     async def _prepare(self, version: Version, text: str) -> TakeUp:
--- a/hoistplank/lab/backends/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -180,7 +180,8 @@
         if writer.is_closing():
             return
         if result in (Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED):
-            return self._reset(writer)
+            self._reset(writer)
+            return
         detail = f"detail={WIRE_DETAIL[note]}" if note in WIRE_DETAIL else "-"
         if result == Outcome.CONNECTION_SPOILT:
             writer.write(f"{id} served detail= {len(BODY)}\r\n".encode() + BODY)
@@ -297,7 +298,8 @@
         self.open[at, self.numbers[at]] = request
         client = self.clients[at]
         if client is not None:
-            return client.send(self.numbers[at], row.name, fields)
+            client.send(self.numbers[at], row.name, fields)
+            return
         rows = self.waiting.setdefault(at, [])
         rows.append((self.numbers[at], row.name, fields))
         if len(rows) == 1:
@@ -457,7 +459,8 @@
         world = self.day.world
         world.rules.answers.answered(world.events.now, id)
         if status == 200:
-            return world.clients.answered(id, SERVED, note=self.notes.pop(id, 0))
+            world.clients.answered(id, SERVED, note=self.notes.pop(id, 0))
+            return
         told = dict(line.split(": ", 1) for line in head.decode().split("\r\n") if ": " in line)
         wait_us = int(told.get("X-Pushback-Ms", 0)) * 1_000
         world.clients.answered(id, REJECTED if status == 503 else FAILED, wait_us)
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -23,14 +23,15 @@
     TimerFired,
 )
 from hoistplank.decision.settings import Degradation
-from hoistplank.lab.backends.degradation_controller import Plan, Steward
+from hoistplank.degradation.observer import CompletedFill
+from hoistplank.lab.backends.degradation_controller import DegradationController, DegradationPlan
 from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, Request
 from hoistplank.lab.model.faults import FaultInjector, ScheduledFault
 from hoistplank.lab.model.servers import Server, ServerRequest
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB, WorldSettings
 from hoistplank.lab.policies import Make, Plain, Policy
-from hoistplank.routing.clock_offset import LogClock
+from hoistplank.routing.clock_offset import ClockOffset
 
 CONNECT_US = 400_000
 
@@ -83,7 +84,9 @@
 class VirtualDispatcher:
     """A dispatcher: the owner's turn over a queue of what came, then all decisions in order."""
 
-    def __init__(self, world: World, number: int, zone: int, make: Make, plan: Plan | None = None) -> None:
+    def __init__(
+        self, world: World, number: int, zone: int, make: Make, plan: DegradationPlan | None = None
+    ) -> None:
         self.world, self.number, self.zone, self.make_policy, self.plan = world, number, zone, make, plan
         self.events, self.zone_name = world.events, f"z{zone}"
         self.alive, self.runs, self.skew_us = True, 0, 0
@@ -93,10 +96,10 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.turn_scheduled, self.scheduled_at, self.next_turn = False, 0, 0
         self.frozen_until = 0
-        self.clock = LogClock()
+        self.clock = ClockOffset()
         self.debt_us = 0  # of the core, for requests shed since the last turn
-        self.steward: Steward | None = None
-        self.stewards: list[Steward] = []  # of each run, for what they saw
+        self.degradation: DegradationController | None = None
+        self.degradation_runs: list[DegradationController] = []  # one for each run of the process
         self.policy = self._create_policy()
 
     def _create_policy(self) -> Policy:
@@ -105,11 +108,13 @@
         if self.plan is not None:
             # A restart forgets the level in force, as a dispatcher's process does.
             utility = {row.name: row.utility for row in self.world.settings.classes}
-            self.steward = Steward(self.plan, utility, self.events.now)
-            self.stewards.append(self.steward)
+            self.degradation = DegradationController(self.plan, utility, self.events.now)
+            self.degradation_runs.append(self.degradation)
             if not isinstance(policy, Plain):
-                policy.handle(self.events.now, DegradationChanged(self.plan.base))
-            self.events.schedule(self.events.now + self.plan.every_us, self._judge, self.runs)
+                policy.handle(self.events.now, DegradationChanged(self.plan.settings.base))
+            self.events.schedule(
+                self.events.now + self.plan.settings.evaluation_interval_us, self._judge, self.runs
+            )
         return policy
 
     # What the world tells.
@@ -127,16 +132,16 @@
         self.enqueue(self._notify_purge, object_key, group, made)
 
     def accept(self, request: Request) -> None:
-        steward, now = self.steward, self.events.now
+        degradation, now = self.degradation, self.events.now
         class_name = self.world.settings.classes[request.class_index].name
-        if steward is not None and not steward.admits(
+        if degradation is not None and not degradation.admits(
             now, class_name, len(self.requests) - len(self.ended_requests)
         ):
             # Shed as it begins, before the owner's turn: it costs a share of an event.
             assert self.plan is not None
-            self.debt_us += int(self.world.settings.event_cpu_us * self.plan.shed_share)
+            self.debt_us += int(self.world.settings.event_cpu_us * self.plan.shed_cost_share)
             self.world.rules.answers.answered(now, request.id)
-            steward.watch.answered(now, class_name, False)
+            degradation.observer.record_response(now, class_name, in_target=False)
             wait = self.world.settings.dispatcher_settings(self.zone, self.number)["limits"][
                 "max_retry_after"
             ]
@@ -164,7 +169,7 @@
 
     def restart(self) -> None:
         self.frozen_until, self.turn_scheduled = 0, False
-        self.alive, self.runs, self.clock = True, self.runs + 1, LogClock()
+        self.alive, self.runs, self.clock = True, self.runs + 1, ClockOffset()
         self.policy = self._create_policy()
 
     # A turn.
@@ -180,8 +185,8 @@
         # What came first has waited for the turn before, longer than a tick where that was dear.
         lag = max(0, now - self.scheduled_at - settings.tick_us)
         self.policy.handle(now, EventLoopMeasured(len(queue), lag))
-        if self.steward is not None:
-            self.steward.turn(now, lag, len(self.requests) - len(self.ended_requests), len(queue))
+        if self.degradation is not None:
+            self.degradation.observe_turn(now, lag, len(self.requests) - len(self.ended_requests), len(queue))
         for call, args in queue:
             call(now, *args)
         acts = 0
@@ -192,13 +197,13 @@
         self.debt_us = 0
 
     def _judge(self, runs: int) -> None:
-        steward, now = self.steward, self.events.now
-        if not self.alive or runs != self.runs or steward is None or self.plan is None:
+        degradation, now = self.degradation, self.events.now
+        if not self.alive or runs != self.runs or degradation is None or self.plan is None:
             return
-        reduced = steward.judge(now)
+        reduced = degradation.evaluate(now)
         if reduced is not None and not isinstance(self.policy, Plain):
             self.enqueue(self._degraded, reduced)
-        self.events.schedule(now + self.plan.every_us, self._judge, runs)
+        self.events.schedule(now + self.plan.settings.evaluation_interval_us, self._judge, runs)
 
     def _carry_out(self, now: int, action: Action) -> None:
         if isinstance(action, SendAttempt):
@@ -220,10 +225,11 @@
 
     def _answer(self, now: int, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
         request = self.requests.get(id)
-        if self.steward is not None and request is not None:
+        if self.degradation is not None and request is not None:
             row = self.world.settings.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
-            self.steward.watch.answered(now, row.name, how == SERVED and now - request.asked_at <= target)
+            in_target = how == SERVED and now - request.asked_at <= target
+            self.degradation.observer.record_response(now, row.name, in_target=in_target)
         self.ended_requests.add(id)
         self.world.rules.answers.answered(now, id)
         if self.world.paths is None:
@@ -252,11 +258,11 @@
             self.policy.handle(now, EndpointsUpdated(EndpointListForm(form), entries))
 
     def _notify_purge(self, now: int, object_key: str, group: int, made: int) -> None:
-        if self.steward is not None:
-            self.steward.watch.purged(now, object_key, group)
+        if self.degradation is not None:
+            self.degradation.observer.record_purge(now, object_key, group)
         # As a dispatcher does: heard by its own clock, which may be wrong, made by the log's.
         heard = now + self.skew_us
-        age_us = max(0, heard - self.clock.ours(heard, made))
+        age_us = max(0, heard - self.clock.to_local_us(heard, made))
         self.policy.handle(now, PurgeReceived(object_key, group, age_us))
 
     def _notify_arrival(self, now: int, request: Request, id: str) -> None:
@@ -337,14 +343,14 @@
                 )
             self._answer(now, id, SERVED, note=note)
         took = at - attempt.sent_at
-        action, steward = attempt.action, self.steward
+        action, degradation = attempt.action, self.degradation
         filled = note in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN) and action.source != action.host
-        if steward is not None and filled:
+        if degradation is not None and filled:
             row = self.world.settings.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             slowed = took / (request.size_us + 100_000)
-            steward.watch.filled(
-                now, action.source, request.object_key, request.group, took <= target, slowed
+            degradation.observer.record_fill(
+                now, CompletedFill(action.source, request.object_key, request.group, took <= target, slowed)
             )
         closed = id in self.ended_requests or id not in self.requests
         self.policy.handle(now, AttemptEnded(id, action.attempt, result, closed, took, note, []))
@@ -356,7 +362,7 @@
     seed: int,
     make: Make,
     rows: list[ScheduledFault] | None = None,
-    plan: Plan | None = None,
+    plan: DegradationPlan | None = None,
 ) -> World:
     """A world with all its dispatchers and the script of its day, ready for `run`; `plan`: levels and the
     admission at each dispatcher, else neither."""
--- a/hoistplank/lab/model/cache_storage.py
+++ b/hoistplank/lab/model/cache_storage.py
@@ -24,7 +24,7 @@
     isn't kept.
     """
 
-    __slots__ = ("_used_by_rank", "_ranks", "_copies", "used_kb", "capacity_kb")
+    __slots__ = ("_copies", "_ranks", "_used_by_rank", "capacity_kb", "used_kb")
 
     def __init__(self, capacity_kb: float) -> None:
         self.capacity_kb, self.used_kb = capacity_kb, 0.0
--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -28,20 +28,20 @@
 
     __slots__ = (
         "asked_at",
+        "class_index",
+        "dispatcher",
         "done",
         "due_at",
+        "give_up_at",
         "group",
         "id",
         "key",
         "number",
+        "object_key",
         "part",
-        "dispatcher",
         "session",
         "size_us",
-        "object_key",
-        "class_index",
         "tries",
-        "give_up_at",
         "zone",
     )
 
@@ -62,15 +62,15 @@
     """One client: an object and its parts, one after another; `due` are the times of parts that have come."""
 
     __slots__ = (
-        "next_part",
+        "abandoned",
+        "class_index",
         "due_times",
         "group",
-        "abandoned",
         "migration_draw",
+        "next_part",
+        "object_key",
         "open_request",
         "parts",
-        "object_key",
-        "class_index",
         "zone",
     )
 
@@ -209,7 +209,8 @@
         if self.observer is not None:
             self.observer.asked(self.events.now, session.zone, session.class_index)
         if session.abandoned:
-            return self._abandon_part(session, self.events.now)
+            self._abandon_part(session, self.events.now)
+            return
         session.due_times.append(self.events.now)
         if session.open_request is None:
             self._request_part(session, size)
@@ -243,7 +244,8 @@
     def _retry_elsewhere(self, request: Request) -> None:
         """Nobody took the connection: another dispatcher, a little later."""
         if request.tries > 8:
-            return self._end(request, 0.0, UNREACHABLE)
+            self._end(request, 0.0, UNREACHABLE)
+            return
         self.events.schedule(self.events.now + RECONNECT_DELAY_US, self._send, request)
 
     def connection_refused(self, id: str) -> None:
@@ -270,7 +272,8 @@
             cause = (
                 "served old" if note == CacheStatus.STALE else "served" if took <= target else "served late"
             )
-            return self._end(request, share, cause, took)
+            self._end(request, share, cause, took)
+            return
         may = row.semantics != "at_most_once" or how == REJECTED
         # Danger: a repeat of what may have run elsewhere is the client's own risk; failed is not
         # repeated.
@@ -282,7 +285,8 @@
                 else int(settings.backoff_us * (0.5 + mood))
             )
             if now + wait + MIN_RETRY_TIME_US < request.give_up_at:
-                return self.events.schedule(now + wait, self._send, request)
+                self.events.schedule(now + wait, self._send, request)
+                return
         self._end(request, 0.0, how)
 
     def _give_up(self, request: Request) -> None:
--- a/hoistplank/lab/model/links.py
+++ b/hoistplank/lab/model/links.py
@@ -31,10 +31,10 @@
         "_heap",
         "_rate",
         "_turn",
-        "carried_us",
         "active",
         "capacity",
         "capacity_share",
+        "carried_us",
         "overload_loss",
     )
 
--- a/hoistplank/lab/model/rule_checker.py
+++ b/hoistplank/lab/model/rule_checker.py
@@ -72,7 +72,8 @@
     def answered(self, now: int, request: str) -> None:
         row = self.open.get(request)
         if row is None:
-            return self.report(1, now, f"an answer to {request}, which nobody has open")
+            self.report(1, now, f"an answer to {request}, which nobody has open")
+            return
         row.answers += 1
         if row.answers > 1:
             self.report(1, now, f"answer {row.answers} to {request}")
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -30,24 +30,24 @@
 
     __slots__ = (
         "active",
-        "return_delay_us",
-        "on_complete",
-        "transfers",
+        "cache_key",
+        "cache_rank",
+        "class_index",
+        "dispatcher",
+        "extra_links",
         "fill_result",
         "group",
-        "pending_parts",
-        "may_join",
-        "cache_rank",
         "idempotency_key",
         "max_age_us",
-        "cache_key",
+        "may_join",
         "may_renew",
-        "dispatcher",
+        "on_complete",
+        "on_first_byte",
+        "pending_parts",
+        "return_delay_us",
         "size_us",
         "source",
-        "on_first_byte",
-        "class_index",
-        "extra_links",
+        "transfers",
         "zone",
     )
 
@@ -175,7 +175,8 @@
     def arrive(self, request: ServerRequest) -> None:
         now = self.events.now
         if self.phase == DOWN:
-            return self._complete(request, Outcome.CONNECT_FAILED, 0, -1)
+            self._complete(request, Outcome.CONNECT_FAILED, 0, -1)
+            return
         if self.phase == SILENT:
             if request.dispatcher not in self.connected_dispatchers and request.dispatcher >= 0:
                 # A connection that is to be made anew is not up in time; over one that is, silence.
@@ -197,7 +198,8 @@
             self.reject_share and self.random.uniform() < self.reject_share
         ):
             self.rejected += 1
-            return self._finish(request, Outcome.OVERLOADED, 0, -1)
+            self._finish(request, Outcome.OVERLOADED, 0, -1)
+            return
         done = begin + int(self._work_us() * self.slowdown * (0.5 + 0.5 * self.random.exponential()))
         heapreplace(self.core_free_at, done)
         self.events.schedule(done, self._work_done, request, self.incarnation)
@@ -228,7 +230,8 @@
         if incarnation != self.incarnation or not request.active or self.phase == HUNG:
             return
         if self.paused_until > self.events.now:
-            return self.events.schedule(self.paused_until, self._work_done, request, incarnation)
+            self.events.schedule(self.paused_until, self._work_done, request, incarnation)
+            return
         self.process(request)
 
     def process(self, request: ServerRequest) -> None:
@@ -249,9 +252,10 @@
         request.pending_parts -= 1
         if request.pending_parts == 0 and request.active and incarnation == self.incarnation:
             if self.paused_until > self.events.now:
-                return self.events.schedule(
+                self.events.schedule(
                     self.paused_until, self._finish, request, Outcome.SUCCEEDED, note, created
                 )
+                return
             self._finish(request, Outcome.SUCCEEDED, note, created)
 
     def _finish(self, request: ServerRequest, result: int, note: int, created: int) -> None:
@@ -261,11 +265,13 @@
         if self.phase == HUNG:
             return
         if self.reset_share and self.random.uniform() < self.reset_share:
-            return self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
+            self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
+            return
         if self.loss_share and self.random.uniform() < self.loss_share:
             return
         if result == Outcome.SUCCEEDED and self.corrupt_share and self.random.uniform() < self.corrupt_share:
-            return self._complete(request, Outcome.CONNECTION_SPOILT, 0, -1)
+            self._complete(request, Outcome.CONNECTION_SPOILT, 0, -1)
+            return
         self._complete(request, result, note, created)
 
     def _complete(self, request: ServerRequest, result: int, note: int, created: int) -> None:
@@ -322,13 +328,13 @@
     """One transfer from a source, and all that wait for it."""
 
     __slots__ = (
-        "request",
+        "attempts",
         "first",
-        "oldest_created",
-        "streaming",
         "max_age_us",
+        "oldest_created",
+        "request",
         "source",
-        "attempts",
+        "streaming",
         "waiting",
     )
 
@@ -371,7 +377,8 @@
     def process(self, request: ServerRequest) -> None:
         row = self.settings.classes[request.class_index]
         if row.uncached:
-            return self._forward_uncached(request)
+            self._forward_uncached(request)
+            return
         copy = self.storage.peek(request.cache_key)
         if copy is not None and self._is_purged(request, copy):
             self.storage.remove(request.cache_key)
@@ -390,13 +397,15 @@
                 ):
                     self._fill(request, request.source, newer_than=age)
                 old = row.fresh_us and age > row.fresh_us
-                return self.respond(
+                self.respond(
                     request, request.size_us, CacheStatus.STALE if old else CacheStatus.HIT, copy.created
                 )
+                return
         source = self._source_of(request)
         if not source:
             under = request.cache_key in self.fills
-            return self._finish(request, Outcome.MISS, CacheStatus.JOINED if under else 0, -1)
+            self._finish(request, Outcome.MISS, CacheStatus.JOINED if under else 0, -1)
+            return
         self._fill(request, source)
 
     def _source_of(self, request: ServerRequest) -> str:
@@ -420,9 +429,11 @@
         oldest_created = self.events.now - request.max_age_us if request.max_age_us else NEVER
         if under is not None and joins and under.oldest_created >= oldest_created:
             self.joined_requests += 1
-            return self._add_waiter(under, request, CacheStatus.JOINED)
+            self._add_waiter(under, request, CacheStatus.JOINED)
+            return
         if self.active_fills >= self.settings.max_fills:
-            return self._finish(request, Outcome.OVERLOADED, CacheStatus.NOT_STORED, -1)
+            self._finish(request, Outcome.OVERLOADED, CacheStatus.NOT_STORED, -1)
+            return
         # Danger: a source whose copy is as old would renew nothing.
         fill = Fill(
             request, source, oldest_created, max(1, newer_than - 1) if newer_than else request.max_age_us
@@ -495,9 +506,11 @@
         fill.request = source_request
         source = self.world.servers.get(fill.source)
         if source is None:
-            return ended(Outcome.CONNECT_FAILED, 0, -1)
+            ended(Outcome.CONNECT_FAILED, 0, -1)
+            return
         if self.world.is_cut(self.zone, source.zone):
-            return self.events.schedule(self.events.now + 400_000, ended, Outcome.CONNECT_FAILED, 0, -1)
+            self.events.schedule(self.events.now + 400_000, ended, Outcome.CONNECT_FAILED, 0, -1)
+            return
         self.events.schedule(self.events.now + settings.hub_delay_us, source.arrive, source_request)
         self.events.schedule(
             self.events.now + settings.fill_timeout_us,
@@ -538,7 +551,8 @@
         wanted = any(request.active and request in self.open_requests for request, _ in fill.waiting)
         again = wanted and not fill.streaming and fill.attempts < self.settings.fill_attempts
         if result != Outcome.SUCCEEDED and again:
-            return self._request_from_source(fill)
+            self._request_from_source(fill)
+            return
         self.active_fills -= 1
         if self.fills.get(fill.first.cache_key) is fill:
             del self.fills[fill.first.cache_key]
--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -129,7 +129,8 @@
         self.is_up = True
         held, self.held = self.held, []
         if whole:
-            return self.publish_hosts(self.world.host_entries(), "whole")
+            self.publish_hosts(self.world.host_entries(), "whole")
+            return
         for what in held:
             self.publish(what)
 
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -15,13 +15,13 @@
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.lab.scale.hollow import HollowOwner, Position, Source
 from hoistplank.operator_configuration.errors import ConfigurationError
-from hoistplank.program.sections import understood
+from hoistplank.program.sections import parse_file
 
 _checks: dict[Version, asyncio.Task[None]] = {}  # of this process
 
 
 async def _check(version: Version, text: str) -> None:
-    await asyncio.to_thread(understood, text.encode(), f"configuration {version}")
+    await asyncio.to_thread(parse_file, text.encode(), f"configuration {version}")
 
 
 class ReplicaFollowing:
@@ -58,7 +58,7 @@
         return Position(*self.taken)
 
     def reconnects(self) -> int:
-        return self.following.complaints.counts.get("control replica lost", 0)
+        return self.following.rate_limited_log.counts.get("control replica lost", 0)
 
     async def run(self) -> None:
         async with asyncio.TaskGroup() as group:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -30,9 +30,9 @@
 from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
 from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
-from hoistplank.program import service
+from hoistplank.program import graceful_shutdown
 from hoistplank.program.configuration import Configuration, read, read_again
-from hoistplank.program.extensions import added
+from hoistplank.program.extensions import load_extensions
 from hoistplank.program.service import Service
 
 RULES = RuleLimits(
@@ -268,7 +268,7 @@
         port = await serve(self.changelog.serve_connection)
         changes = {"changelog": f"127.0.0.1:{port}", "known": known} | self.changes
         made = configuration(self.folder, **changes)
-        self.additions = added(str(self.folder / "op.sexp"), made) if self.operator else None
+        self.additions = load_extensions(str(self.folder / "op.sexp"), made) if self.operator else None
         self.service = Service(
             made,
             lambda: read_again({"EDGE_CONFIG": str(self.folder / "config.json")}),
@@ -283,10 +283,10 @@
         return FastCgiClient(*await asyncio.open_connection(*self.service.listener.sock.getsockname()))
 
     async def __aexit__(self, *_: object) -> None:
-        windows, service.WINDOWS_S = service.WINDOWS_S, 0.01
+        window_s, graceful_shutdown.ACCEPT_WINDOW_S = graceful_shutdown.ACCEPT_WINDOW_S, 0.01
         self.service.terminated.set()
         await asyncio.wait_for(self.task, 10)
-        service.WINDOWS_S = windows
+        graceful_shutdown.ACCEPT_WINDOW_S = window_s
 
     async def ask(self, number: int, class_name: str, **more: Any) -> tuple[int, bytes, bytes]:
         self.client.send(number, class_name, **more)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -23,7 +23,7 @@
     write_key_set,
 )
 from hoistplank.fakes.deployment import deployment_settings, free_port
-from hoistplank.program.logging_setup import WITHHELD, conceal
+from hoistplank.program.logging_setup import REDACTED, redact
 
 
 def call(*words: str, text: str = "") -> Result:
@@ -138,7 +138,7 @@
     signer = TokenSigner("k1")
     private = private_key_pem(signer.key).decode()
     token = signer.token("coast-1")
-    event = conceal(
+    event = redact(
         None,
         "info",
         {
@@ -153,7 +153,7 @@
     )
     text = repr(event)
     assert token.split(".")[2] not in text and private.split("\n")[1] not in text and "x" * 20 not in text
-    assert "A" * 43 not in text and text.count(WITHHELD) == 5 and event["n"] == 5
+    assert "A" * 43 not in text and text.count(REDACTED) == 5 and event["n"] == 5
 
 
 @pytest.mark.parametrize(
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -37,8 +37,8 @@
     async def scene() -> None:
         hosts = {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
         async with Running(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
-            front, stay = dispatcher.service.front, []
-            while len(front.sessions) < dispatcher.service.descriptors.limits[ConnectionKind.CLIENT]:
+            frontend, stay = dispatcher.service.frontend, []
+            while len(frontend.sessions) < dispatcher.service.descriptors.limits[ConnectionKind.CLIENT]:
                 stay.append(await dispatcher.connect())
                 stay[-1].send(1, "", script="/-/healthy")
                 assert (await stay[-1].read_answer())[1] == 200
@@ -62,9 +62,9 @@
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
         ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
-            front = dispatcher.service.front
-            for number, close in enumerate((front.reclaim, front.sweep), 2):
-                for session in front.sessions:
+            frontend = dispatcher.service.frontend
+            for number, close in enumerate((frontend.reclaim, frontend.sweep), 2):
+                for session in frontend.sessions:
                     session.connection.last_read_at -= 100
                 number_of = dispatcher.client.writer.get_extra_info("socket").fileno()
                 with socket.socket(fileno=os.dup(number_of)) as raw:
@@ -106,7 +106,9 @@
                 stay.append(await dispatcher.connect())
                 stay[-1].send(number + 1, "", script="/-/healthy")
             since = len(dispatcher.since)
-            dispatcher.service.listing.move(("127.0.0.1", await serve(dispatcher.changelog.serve_connection)))
+            dispatcher.service.endpoint_watcher.set_address(
+                ("127.0.0.1", await serve(dispatcher.changelog.serve_connection))
+            )
             await until(lambda: len(dispatcher.since) == since + 1)
             late = await dispatcher.connect()
             late.send(1, "page")
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -24,7 +24,7 @@
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Event, Fleet, Snapshot, Target
 from hoistplank.protocol.errors import ProtocolError
-from hoistplank.routing.router_task import Applied, Listed
+from hoistplank.routing.events import Checkpoint, EndpointWatchFailed
 from tests.distribution_rig import EPOCH, Relay, Rig, asked
 from tests.helpers import until
 
@@ -148,8 +148,8 @@
             assert rig.replicas[1].state.version == at(2)
             assert one.in_force == at(4) and one.configurations == [(at(4), "new")]
             assert one.owner.hosts == {"a": "ready", "b": "draining"}
-            later = [event for event in one.owner.events[told:] if not isinstance(event, Applied)]
-            assert all(event == Listed("failed", []) for event in later)
+            later = [event for event in one.owner.events[told:] if not isinstance(event, Checkpoint)]
+            assert all(event == EndpointWatchFailed() for event in later)
             # A replica that lags says nothing of the present: in the end the list counts as stale.
             assert one.follower.state.unheard(one.owner.clock.now() + 7_000_000)
             # The old one hears the rest, and goes on from what the dispatcher holds.
@@ -516,7 +516,10 @@
             rig.hosts(1, whole=True, a="ready")
             rig.log.publish_configuration(2, "two")
             replica = rig.replicas[0]
-            await until(lambda: replica.log_follower.anew and replica.log_follower.last == 2, patience_s=10)
+            await until(
+                lambda: replica.log_follower.numbering_restarted and replica.log_follower.last_seq == 2,
+                patience_s=10,
+            )
             await until(lambda: one.owner.is_blind, patience_s=10)
             assert not replica.is_log_heard() and replica.state.version == Version(0, 3)
             assert [text for _, text in one.configurations] == ["one"]
@@ -561,7 +564,7 @@
             replica = rig.replicas[0]
             await until(replica.log_follower.is_read)
             assert replica.is_log_heard()
-            replica.clock.ahead += 60_000_000_000  # a minute, in which this process did not run
+            replica.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
             rig.purge(2, "ab")
             assert not replica.is_log_heard()
             await until(lambda: replica.state.version == at(2))
