--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -29,7 +29,7 @@
 from hoistplank.fakes.proxy import FakeProxy
 from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
-from hoistplank.program.configuration import Configuration, read
+from hoistplank.program.configuration import Configuration, read_configuration
 from hoistplank.xds.control import Control
 from hoistplank.xds.resources import ENDPOINT, VHOST, ResourceCache
 
@@ -72,7 +72,7 @@
                 }
             )
         )
-        return read({"EDGE_CONFIG": str(file)})
+        return read_configuration({"EDGE_CONFIG": str(file)})
 
     async def __aenter__(self) -> Place:
         self.port = await serve(self.log.serve_connection)
