--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -30,8 +30,9 @@
 from hoistplank.lab.load.crew import LATE_MS, load
 from hoistplank.lab.load.plan import mixes, plan
 from hoistplank.lab.model.clients import REJECTED, SERVED, Request
-from hoistplank.lab.model.faults import draw_day, script
-from hoistplank.lab.model.servers import ServerRequest
+from hoistplank.lab.model.days import draw_day
+from hoistplank.lab.model.faults import script
+from hoistplank.lab.model.server_request import ServerRequest
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
 from hoistplank.lab.policies import Make, policy
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -30,7 +30,8 @@
 from hoistplank.lab.load.crew import load
 from hoistplank.lab.load.plan import Step, mixes
 from hoistplank.lab.model.core import Core, Costs
-from hoistplank.lab.model.faults import draw_day, script
+from hoistplank.lab.model.days import draw_day
+from hoistplank.lab.model.faults import script
 from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
 from hoistplank.lab.policies import policy
 from hoistplank.lab.profile import cpu_s
--- a/hoistplank/cli/lab_days.py
+++ b/hoistplank/cli/lab_days.py
@@ -20,7 +20,8 @@
 @click.command()
 def days() -> None:
     """List the days by name, the policies, and the faults that a script may hold."""
-    from hoistplank.lab.model.faults import DAYS, KINDS
+    from hoistplank.lab.model.days import DAYS
+    from hoistplank.lab.model.faults import KINDS
     from hoistplank.lab.policies import names
 
     click.echo("days: calm, any, or some of these joined by '+'")
@@ -48,7 +49,8 @@
     """Play one day by NAME, or the script of a file. Exit code 1: a rule was broken, or the day was void."""
     from hoistplank.lab.backends.sockets import RunTooLateError
     from hoistplank.lab.experiment import Cell
-    from hoistplank.lab.model.faults import draw_day, script
+    from hoistplank.lab.model.days import draw_day
+    from hoistplank.lab.model.faults import script
     from hoistplank.lab.policies import UnknownPolicy
     from hoistplank.lab.worker import Job, play
 
--- /dev/null
+++ b/hoistplank/lab/backends/server_port.py
@@ -0,0 +1,185 @@
+"""A simulated server's listening port on loopback, one for each dispatcher that reaches it."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+import struct
+from typing import TYPE_CHECKING
+
+from hoistplank.decision.events import CacheStatus, Outcome
+from hoistplank.fakes.deployment import reserve_port
+from hoistplank.lab.model.objects import purge_group_of
+from hoistplank.lab.model.server_request import ServerRequest
+from hoistplank.lab.model.servers import Server
+
+if TYPE_CHECKING:
+    from hoistplank.lab.backends.socket_dispatcher import SocketDispatcher
+    from hoistplank.lab.backends.sockets import SocketDay
+
+
+BODY = b"o" * 64
+
+
+WIRE_STATUS = {
+    Outcome.MISS: "not_here",
+    Outcome.OVERLOADED: "overload",
+    Outcome.ERROR: "crashed",
+}
+
+
+WIRE_DETAIL = {
+    CacheStatus.HIT: "hit",
+    CacheStatus.FILLED: "filled",
+    CacheStatus.FROM_ORIGIN: "via_origin",
+    CacheStatus.JOINED: "joined",
+    CacheStatus.STALE: "stale",
+    CacheStatus.SOURCE_REFUSED: "src_refused",
+    CacheStatus.SOURCE_UNREACHABLE: "src_broke",
+    CacheStatus.SOURCE_LACKS: "src_lacks",
+    CacheStatus.NOT_STORED: "no_slot",
+    CacheStatus.ORIGIN_UNREACHABLE: "origin_failed",
+}
+
+
+class ServerPort:
+    """A server's listening port for one dispatcher, closed while its process is gone."""
+
+    def __init__(self, day: SocketDay, dispatcher: SocketDispatcher, server: Server) -> None:
+        self.day, self.dispatcher, self.server, self.port = day, dispatcher, server, 0
+        self.listening: asyncio.Server | None = None
+        self.reservation: socket.socket | None = None  # holds the port while the process is gone
+        self.writers: dict[asyncio.StreamWriter, None] = {}
+
+    async def open(self) -> None:
+        """Listen on the port, which stays the same over `close` and `open`."""
+        if self.reservation is None:
+            self.reservation = reserve_port()
+            self.port = int(self.reservation.getsockname()[1])
+        self.listening = await asyncio.start_server(self._talk, "127.0.0.1", self.port, reuse_port=True)
+
+    def close(self) -> None:
+        """Refuse new connections and reset the open ones, as the end of a process does."""
+        if self.listening is not None:
+            self.listening.close()
+            self.listening = None
+        for writer in list(self.writers):
+            self._reset(writer)
+
+    def _reset(self, writer: asyncio.StreamWriter) -> None:
+        sock = writer.get_extra_info("socket")
+        if sock is not None and not writer.is_closing():
+            # A process that is killed leaves a reset behind, no orderly end.
+            with contextlib.suppress(OSError):
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        writer.transport.abort()
+
+    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.writers[writer] = None
+        open_requests: dict[str, ServerRequest] = {}
+        try:
+            while words := (await reader.readline()).decode().split():
+                self.day.advance()
+                if words[0] == "GET":
+                    await reader.readexactly(int(words[3]) + 2)
+                    self._get(
+                        words[1], dict(p.split("=", 1) for p in words[2].split(",")), writer, open_requests
+                    )
+                elif words[0] == "DROP" and words[1] in open_requests:
+                    self.server.cancel(open_requests.pop(words[1]))
+                elif words[0] in ("PING", "LOAD") and self.server.phase == "up":
+                    writer.write(f"{words[1]} green - 0\r\n\r\n".encode())
+        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError, ValueError):
+            pass  # the other side is gone, or the day is over
+        finally:
+            for server_request in open_requests.values():
+                self.server.cancel(server_request)
+            self.writers.pop(writer, None)
+            writer.close()
+
+    def _get(
+        self,
+        id: str,
+        fields: dict[str, str],
+        writer: asyncio.StreamWriter,
+        open_requests: dict[str, ServerRequest],
+    ) -> None:
+        world, now = self.day.world, self.day.world.events.now
+        class_index, object_key = self.day.classes[fields["queue"]], fields["path"]
+        uncached = world.settings.classes[class_index].uncached
+        source = fields.get("parent", "") or ("" if uncached else self.server.uid)
+        number = int(object_key, 16)
+        drains = world.rules.drains
+        drains.attempt(now, self.dispatcher.number, self.server.uid, "host")
+        if source not in ("", self.server.uid):
+            drains.attempt(now, self.dispatcher.number, source, "source")
+
+        made: ServerRequest
+
+        def end(result: int, note: int, created: int) -> None:
+            open_requests.pop(id, None)
+            self._end(id, made, now, writer, result, note, created)
+
+        size = world.catalog.size_kb(class_index, number) / world.settings.transfer_kb_s * 1e6
+        place = (object_key, int(fields.get("blk", "0")))
+        made = server_request = ServerRequest(
+            self.dispatcher.number,
+            self.dispatcher.zone,
+            class_index,
+            place,
+            purge_group_of(number, world.settings),
+            size,
+            end,
+        )
+        server_request.source, server_request.idempotency_key = source, fields.get("uniq", "") or id[:12]
+        server_request.cache_rank, server_request.max_age_us = (
+            int(fields.get("shelf", "0")),
+            int(fields.get("accept", "0")) * 1_000,
+        )
+        hints = fields.get("hints", "").split("+")
+        server_request.may_join, server_request.may_renew = "wait-for" in hints, "background" in hints
+        server_request.return_delay_us = world.settings.hub_delay_us if self.server.zone == "hub" else 0
+        if self.server.zone == "hub":
+            server_request.extra_links = [world.zone_links[self.dispatcher.zone]]
+        open_requests[id] = server_request
+        world.events.schedule(now + server_request.return_delay_us, self.server.arrive, server_request)
+
+    def _end(
+        self,
+        id: str,
+        server_request: ServerRequest,
+        sent: int,
+        writer: asyncio.StreamWriter,
+        result: int,
+        note: int,
+        created: int,
+    ) -> None:
+        world = self.day.world
+        if writer.is_closing():
+            return
+        if result in (Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED):
+            self._reset(writer)
+            return
+        detail = f"detail={WIRE_DETAIL[note]}" if note in WIRE_DETAIL else "-"
+        if result == Outcome.CONNECTION_SPOILT:
+            writer.write(f"{id} served detail= {len(BODY)}\r\n".encode() + BODY)
+        elif result == Outcome.SUCCEEDED:
+            if not world.settings.classes[server_request.class_index].uncached:
+                world.rules.purges.served(
+                    world.events.now,
+                    self.dispatcher.number,
+                    id,
+                    server_request.cache_key[0],
+                    server_request.group,
+                    sent,
+                    created,
+                )
+            self.dispatcher.notes[id] = note
+            dated = self.day.unix_ms(created - self.dispatcher.skew_us)
+            head = (
+                f"{id} served {detail},digest={server_request.cache_key[0][:8]},dated={dated} {len(BODY)}\r\n"
+            )
+            writer.write(head.encode() + BODY + b"\r\n")
+        else:
+            writer.write(f"{id} {WIRE_STATUS.get(result, 'crashed')} {detail} 0\r\n\r\n".encode())
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -26,8 +26,10 @@
 from hoistplank.degradation.observer import CompletedFill
 from hoistplank.lab.backends.degradation_controller import DegradationController, DegradationPlan
 from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, Request
-from hoistplank.lab.model.faults import FaultInjector, ScheduledFault
-from hoistplank.lab.model.servers import Server, ServerRequest
+from hoistplank.lab.model.fault_injector import FaultInjector
+from hoistplank.lab.model.faults import ScheduledFault
+from hoistplank.lab.model.server_request import ServerRequest
+from hoistplank.lab.model.servers import Server
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB, WorldSettings
 from hoistplank.lab.policies import Make, Plain, Policy
@@ -39,7 +41,7 @@
 class Attempt:
     """One attempt that is out. `over` once its end was told to the policy, or is on its way to it."""
 
-    __slots__ = ("action", "server_request", "is_over", "dispatcher", "sent_at", "server", "request")
+    __slots__ = ("action", "dispatcher", "is_over", "request", "sent_at", "server", "server_request")
 
     def __init__(
         self, dispatcher: VirtualDispatcher, request: Request, action: SendAttempt, sent: int
@@ -53,7 +55,8 @@
         """Its end has left the host; how it comes here is for the path between them."""
         paths, dispatcher = self.dispatcher.world.paths, self.dispatcher
         if paths is None:
-            return self.end(result, note, created)
+            self.end(result, note, created)
+            return
         paths.send(
             f"d{dispatcher.number}>{self.action.host}",
             True,
@@ -65,6 +68,7 @@
         )
 
     def end(self, result: int, note: int, created: int) -> None:
+        """Hand the outcome to the dispatcher's queue, once."""
         if not self.is_over:
             self.is_over = True
             self.dispatcher.enqueue(
@@ -72,11 +76,13 @@
             )
 
     def timed_out(self) -> None:
+        """End an attempt that took longer than it was given."""
         if not self.is_over:
             self.cancel()
             self.end(Outcome.TIMED_OUT, 0, -1)
 
     def cancel(self) -> None:
+        """Take the request back at its host."""
         if self.server_request is not None and self.server is not None:
             self.server.cancel(self.server_request)
 
@@ -120,18 +126,22 @@
     # What the world tells.
 
     def enqueue(self, call: Callable[..., None], *args: Any) -> None:
+        """Queue a call for the next turn of the dispatcher's event loop."""
         self.queue.append((call, args))
         if not self.turn_scheduled:
             self.turn_scheduled, self.scheduled_at = True, self.events.now
             self.events.schedule(max(self.events.now, self.next_turn), self._turn)
 
     def update_hosts(self, form: str, entries: list[Endpoint]) -> None:
+        """Queue an update of the host list."""
         self.enqueue(self._notify_hosts, form, entries)
 
     def purge(self, object_key: str, group: int, made: int) -> None:
+        """Queue a purge that was made at `made` (us)."""
         self.enqueue(self._notify_purge, object_key, group, made)
 
     def accept(self, request: Request) -> None:
+        """Admit and queue a client's request, or shed it at once."""
         degradation, now = self.degradation, self.events.now
         class_name = self.world.settings.classes[request.class_index].name
         if degradation is not None and not degradation.admits(
@@ -150,9 +160,11 @@
         self.enqueue(self._notify_arrival, request, request.id)
 
     def client_left(self, request: Request) -> None:
+        """Queue that the client of a request has left."""
         self.enqueue(self._notify_client_left, request.id)
 
     def kill(self) -> None:
+        """End the process: all that it has open is gone."""
         self.alive = False
         for attempt in self.attempts.values():
             attempt.is_over = True
@@ -160,6 +172,7 @@
         self.queue, self.requests, self.ended_requests, self.attempts = [], {}, set(), {}
 
     def step_clock(self, step_us: int) -> None:
+        """Let its wall clock jump."""
         self.skew_us += step_us
 
     def freeze(self, length_us: int) -> None:
@@ -168,6 +181,7 @@
         self.frozen_until = max(self.frozen_until, self.events.now + length_us)
 
     def restart(self) -> None:
+        """Begin anew with a policy that knows nothing."""
         self.frozen_until, self.turn_scheduled = 0, False
         self.alive, self.runs, self.clock = True, self.runs + 1, ClockOffset()
         self.policy = self._create_policy()
@@ -176,7 +190,8 @@
 
     def _turn(self) -> None:
         if self.frozen_until > self.events.now and self.alive:
-            return self.events.schedule(self.frozen_until, self._turn)
+            self.events.schedule(self.frozen_until, self._turn)
+            return
         self.turn_scheduled = False
         if not self.alive:
             return
@@ -303,7 +318,8 @@
         way = world.settings.hub_delay_us if server.zone == HUB else world.settings.zone_delay_us
         self.events.schedule(now + action.timeout_us, attempt.timed_out)
         if world.is_cut(self.zone_name, server.zone):
-            return self.events.schedule(now + CONNECT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
+            self.events.schedule(now + CONNECT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
+            return
         server_request = attempt.server_request = ServerRequest(
             self.number,
             self.zone,
@@ -333,6 +349,7 @@
     def attempt_ended(
         self, now: int, attempt: Attempt, result: int, note: int, created: int, at: int
     ) -> None:
+        """Pass an attempt's outcome on to the policy, the client and the checkers."""
         id = attempt.action.request_id
         self.attempts.pop((id, attempt.action.attempt), None)
         request = attempt.request
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from hoistplank.lab.model.faults import DAYS, draw_day, read_faults, script, unsupported
+from hoistplank.lab.model.days import DAYS, draw_day
+from hoistplank.lab.model.faults import read_faults, script, unsupported
 from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
 from hoistplank.lab.policies import names
 from hoistplank.operator_configuration import schema
@@ -56,6 +57,7 @@
     warm: float = 6.0
 
     def world_settings(self) -> WorldSettings:
+        """The settings of the cell's world."""
         zones = max(1, round(self.size / self.location))
         many, rate = zones * self.dispatchers, self.rate * self.size
         made = scaled_settings(self.size, many, zones, rate, self.load, seconds=self.seconds)
@@ -68,6 +70,8 @@
 
 
 class Experiment(msgspec.Struct, frozen=True):
+    """An experiment file, as its cells."""
+
     name: str
     cells: tuple[Cell, ...]
 
--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -7,8 +7,11 @@
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
 from hoistplank.lab.fleet.scene import DATAGRAMS, KINDS, PARTY, WHO
-from hoistplank.lab.model.faults import FaultInjector, ScheduledFault
-from hoistplank.lab.model.world import ClientMigration, Dispatcher, World
+from hoistplank.lab.model.dispatcher import Dispatcher
+from hoistplank.lab.model.fault_injector import FaultInjector
+from hoistplank.lab.model.faults import ScheduledFault
+from hoistplank.lab.model.load_balancer import ClientMigration
+from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB
 from hoistplank.operator_configuration.values import ValueType
 
--- a/hoistplank/lab/fleet/metrics.py
+++ b/hoistplank/lab/fleet/metrics.py
@@ -65,6 +65,7 @@
     by_time: list[float] = field(default_factory=list)
 
     def sample(self, parts: list[float]) -> None:
+        """Take one sample of the parts that all hold now."""
         held = sum(parts)
         self.samples += 1
         self.over += held > self.whole
@@ -101,11 +102,13 @@
     # What the clients tell.
 
     def asked(self, now: int, zone: int, class_index: int) -> None:
+        """Count the utility of a part that a client wants."""
         spot = self._bin(now)
         if spot is not None:
             self.asked_in[zone][spot] += self.settings.classes[class_index].utility
 
     def tried(self, now: int, request: Request) -> None:
+        """Count a try that a dispatcher has accepted."""
         zone = self.zones[request.dispatcher]
         self.out[request.id] = request.zone, zone
         if request.zone != zone:
@@ -117,6 +120,7 @@
             self.by_dispatcher[request.dispatcher][0] += 1
 
     def answered(self, now: int, request: Request, how: str) -> None:
+        """Count how a try ended, one of `OUTCOMES`."""
         way = self.out.pop(request.id, None)
         if way is None:
             self.stray_answers.append(f"{request.id}: {how}, though nobody has it")
@@ -132,6 +136,7 @@
                 self.refused_in[request.class_index][spot] += 1
 
     def ended(self, due_at: int, zone: int, class_index: int, share: float, cause: str) -> None:
+        """Count the share of a part's utility that was earned, and the cause of the rest."""
         spot = self._bin(due_at)
         if spot is None:
             return
@@ -145,6 +150,7 @@
     # What the hosts tell.
 
     def attempt(self, now: int, dispatcher: int, host: str, role: str) -> None:
+        """Count an attempt, and whether its host was a wrong choice under each fault."""
         if role == "host" and now >= self.start:
             self.attempts += 1
         for mark in self.marks:
--- a/hoistplank/lab/fleet/processes.py
+++ b/hoistplank/lab/fleet/processes.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from hoistplank.fakes.deployment import free_port
-from hoistplank.lab.backends.sockets import SocketDay, SocketDispatcher
+from hoistplank.lab.backends.socket_dispatcher import SocketDispatcher
+from hoistplank.lab.backends.sockets import SocketDay
 from hoistplank.lab.fleet.fault_injector import (
     FleetFaultInjector,
     PathDirection,
@@ -26,8 +27,8 @@
 from hoistplank.lab.fleet.relay_pool import RelayError, RelayPool
 from hoistplank.lab.fleet.scene import Scene
 from hoistplank.lab.fleet.virtual import VirtualPaths, observe
+from hoistplank.lab.model.dispatcher import Dispatcher
 from hoistplank.lab.model.servers import Server
-from hoistplank.lab.model.world import Dispatcher
 from hoistplank.lab.model.world_settings import SECOND_US
 
 STARVE_S = 0.02  # a core is taken away in slices of this
--- a/hoistplank/lab/fleet/scene.py
+++ b/hoistplank/lab/fleet/scene.py
@@ -165,6 +165,7 @@
     bounds: tuple[Bound, ...]
 
     def world_settings(self) -> WorldSettings:
+        """The settings of the scene's world."""
         made = scaled_settings(
             self.locations * self.caches,
             self.locations * self.dispatchers,
@@ -184,6 +185,7 @@
         )
 
     def faults(self) -> list[ScheduledFault]:
+        """The scene's faults, in the order of their times."""
         faults: list[Diagnostic] = []
         return read_faults(
             parse(self.script.encode(), self.name).forms, SourceLocation(self.name, 1, 1), faults, KINDS
--- a/hoistplank/lab/fleet/virtual.py
+++ b/hoistplank/lab/fleet/virtual.py
@@ -11,7 +11,8 @@
 from hoistplank.lab.fleet.path_conditions import UNIMPAIRED, StreamDirection, chance
 from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
 from hoistplank.lab.fleet.scene import Scene
-from hoistplank.lab.model.world import Dispatcher, World
+from hoistplank.lab.model.dispatcher import Dispatcher
+from hoistplank.lab.model.world import World
 from hoistplank.lab.policies import Make
 
 SAMPLE_US = 50_000  # between two samples of what is shared
--- a/hoistplank/lab/fleet/worker.py
+++ b/hoistplank/lab/fleet/worker.py
@@ -139,6 +139,7 @@
 
 
 def main() -> int:
+    """Play the job on standard input, and write its result to standard output."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # an interrupt at the terminal is the runner's to answer
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     job = msgspec.json.decode(sys.stdin.buffer.readline(), type=Job)
--- a/hoistplank/lab/load/echo.py
+++ b/hoistplank/lab/load/echo.py
@@ -25,16 +25,20 @@
 
 
 class Echo(asyncio.Protocol):
+    """Answers each FastCGI request at once with an empty body."""
+
     def __init__(self) -> None:
         self.rest = b""
         self.transport: asyncio.Transport | None = None
         self.data, self.places = _patched()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         # uvloop's transports are not of asyncio's class, but do all that it does.
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Answer the requests that are whole."""
         data = self.rest + data if self.rest else data
         at, size, out = 0, len(data), []
         while size - at >= 8:
@@ -54,12 +58,14 @@
 
 
 async def serve(port: int) -> None:
+    """Listen until standard input ends."""
     server = await asyncio.get_running_loop().create_server(Echo, "127.0.0.1", port, reuse_port=True)
     print(server.sockets[0].getsockname()[1], flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)  # ends with its parent
 
 
 def main() -> int:
+    """Run an echo server on the port of the command line."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(int(sys.argv[1]) if len(sys.argv) > 1 else 0))
     return 0
--- a/hoistplank/lab/load/engine.py
+++ b/hoistplank/lab/load/engine.py
@@ -83,7 +83,8 @@
         except ValueError:
             self.engine.counts["no FastCGI"] += 1
             assert self.transport is not None
-            return self.transport.abort()
+            self.transport.abort()
+            return
         for number, status in found:
             sent = self.open.pop(number, None)
             if sent is not None:
@@ -167,7 +168,8 @@
         if self.job.fresh_share and self.wants.chance.random() < self.job.fresh_share:
             line = Line(self, once=True)
             line.first.append((template, id, object_number, due, row, tenant))
-            return self._opening(line)
+            self._opening(line)
+            return
         found = self._line()
         if found is None:
             # Danger: to wait for room would turn the open loop into a closed one. It is told as what it is.
--- a/hoistplank/lab/load/plan.py
+++ b/hoistplank/lab/load/plan.py
@@ -26,6 +26,7 @@
     last: float
 
     def requests(self) -> float:
+        """How many requests the step sends."""
         return self.seconds * (self.first + self.last) / 2
 
 
--- a/hoistplank/lab/model/cache_storage.py
+++ b/hoistplank/lab/model/cache_storage.py
@@ -1,6 +1,4 @@
-"""What a cache keeps: copies by rank, the lowest rank evicted first, within a rank what was used
-longest ago.
-"""
+"""The storage of a cache: copies by rank; the lowest rank is evicted first, in it the least recently used."""
 
 from __future__ import annotations
 
@@ -75,6 +73,7 @@
         return True
 
     def remove(self, cache_key: CacheKey) -> None:
+        """Remove a copy, if there is one."""
         copy = self._copies.pop(cache_key, None)
         if copy is not None:
             del self._ranks[copy.rank - 1][cache_key]
@@ -82,6 +81,7 @@
             self._used_by_rank[copy.rank - 1] -= copy.kb
 
     def clear(self) -> None:
+        """Remove all copies."""
         for row in self._ranks:
             row.clear()
         self._copies.clear()
--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -92,7 +92,8 @@
 class ClientObserver(Protocol):
     """Hears of every first part's time, every try and every end, beside what the utility counts."""
 
-    def asked(self, now: int, zone: int, class_index: int) -> None: ...
+    def asked(self, now: int, zone: int, class_index: int) -> None:
+        """A part is wanted by a client of a location."""
 
     def tried(self, now: int, request: Request) -> None:
         """A dispatcher's connection took it; `request.seat` names the dispatcher."""
@@ -100,7 +101,8 @@
     def answered(self, now: int, request: Request, how: str) -> None:
         """How that try ended; `LEFT` if its client went."""
 
-    def ended(self, due_at: int, zone: int, class_index: int, share: float, cause: str) -> None: ...
+    def ended(self, due_at: int, zone: int, class_index: int, share: float, cause: str) -> None:
+        """A part has ended, with the share of its utility that was earned."""
 
 
 class RequestSink(Protocol):
@@ -129,6 +131,7 @@
         self.outcomes: Counter[str] = Counter()
 
     def part_requested(self, now: int, class_index: int) -> None:
+        """Count the utility of a part that is asked for."""
         if now < self.start_us:
             return
         worth = self.settings.classes[class_index].utility
@@ -137,6 +140,7 @@
         self.counts[class_index][0] += 1
 
     def part_ended(self, due_at: int, class_index: int, share: float, cause: str, took: int = 0) -> None:
+        """Count what was earned of a part that was due at `due_at`; `took` in microseconds."""
         if due_at < self.start_us:
             return
         worth = self.settings.classes[class_index].utility
@@ -151,6 +155,7 @@
             self.latencies_us[class_index].append(took)
 
     def score(self) -> float:
+        """The utility earned as a share of all asked for."""
         return sum(self.earned) / max(1e-9, sum(self.asked))
 
 
@@ -176,6 +181,7 @@
         self._shares = [value / shares[-1] for value in shares]
 
     def begin(self) -> None:
+        """Schedule the first client of each location."""
         for zone in range(self.settings.zones):
             self._next(zone)
 
--- a/hoistplank/lab/model/core.py
+++ b/hoistplank/lab/model/core.py
@@ -51,9 +51,11 @@
     limits: list[float] = field(default_factory=list)
 
     def goodput(self, seconds: float) -> float:
+        """Requests a second that were served within their target."""
         return self.in_target / seconds
 
     def lag_us(self, share: float) -> int:
+        """The event loop's lag at a quantile, in microseconds."""
         ranked = sorted(self.lags)
         return ranked[min(len(ranked) - 1, int(len(ranked) * share))] if ranked else 0
 
--- a/hoistplank/lab/model/event_queue.py
+++ b/hoistplank/lab/model/event_queue.py
@@ -1,4 +1,4 @@
-"""What is to happen, in the order of its time: the one clock of a world, whichever drive moves it on."""
+"""The event queue of a simulated world, and its one clock, whichever backend moves it on."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
         heappush(self._heap, (when, self._sequence, call, args))
 
     def next_time(self) -> int | None:
+        """The time of the next event, or None."""
         return self._heap[0][0] if self._heap else None
 
     def run_until(self, until: int) -> None:
--- a/hoistplank/lab/model/links.py
+++ b/hoistplank/lab/model/links.py
@@ -112,4 +112,5 @@
             call(*args)
 
     def utilization(self) -> float:
+        """Active transfers as a share of the capacity; above 1 where it is overloaded."""
         return self.active / max(0.001, self.capacity * self.capacity_share)
--- a/hoistplank/lab/model/objects.py
+++ b/hoistplank/lab/model/objects.py
@@ -52,6 +52,7 @@
             self._chance.append(self.streams.stream(f"popularity of {row.name}"))
 
     def size_kb(self, class_index: int, object_number: int) -> float:
+        """The size of an object's parts, the same at each call."""
         spot = (object_number * 0x9E3779B1 + class_index) & 0xFFFFF
         share, times = self.enlarged.get(class_index, (0.0, 1.0))
         return self._sizes[class_index][spot & 1_023] * (times if (spot >> 10) < share * 1_024 else 1.0)
@@ -85,8 +86,10 @@
 
 
 def object_key_of(object_number: int) -> str:
+    """The key of an object by its number."""
     return f"{object_number:016x}"
 
 
 def purge_group_of(object_number: int, settings: WorldSettings) -> int:
+    """The purge group that an object belongs to, from 1."""
     return object_number % settings.groups + 1
--- a/hoistplank/lab/model/rule_checker.py
+++ b/hoistplank/lab/model/rule_checker.py
@@ -49,6 +49,7 @@
         ] = {}  # dispatchers not to blame for answers now, by how many causes
 
     def accepted(self, now: int, dispatcher: int, request: str, until: int) -> None:
+        """A dispatcher has accepted a request that is due by `until` (us)."""
         self.open[request] = AcceptedRequest(
             dispatcher, until, excused=dispatcher in self.excused_dispatchers
         )
@@ -70,6 +71,7 @@
             del self.excused_dispatchers[dispatcher]
 
     def answered(self, now: int, request: str) -> None:
+        """An answer has been sent."""
         row = self.open.get(request)
         if row is None:
             self.report(1, now, f"an answer to {request}, which nobody has open")
@@ -138,16 +140,19 @@
         self.on_attempt: Callable[[int, int, str, str], None] | None = None  # of every attempt
 
     def dispatcher_notified(self, now: int, dispatcher: int, host: str, state: str) -> None:
+        """A dispatcher was notified of a host's state."""
         if state == "up":
             self.notified_at.pop((dispatcher, host), None)
         else:
             self.notified_at.setdefault((dispatcher, host), now)
 
     def forget(self, dispatcher: int) -> None:
+        """A dispatcher's process is gone, and what it knew with it."""
         for pair in [pair for pair in self.notified_at if pair[0] == dispatcher]:
             del self.notified_at[pair]
 
     def attempt(self, now: int, dispatcher: int, host: str, role: str) -> None:
+        """A dispatcher has sent an attempt to a host, or named it as a source."""
         if self.on_attempt is not None:
             self.on_attempt(now, dispatcher, host, role)
         at = self.notified_at.get((dispatcher, host))
@@ -161,6 +166,8 @@
 
 @dataclass(slots=True)
 class WarmingHost:
+    """A host that is warming up, and the work that it was sent in the last window."""
+
     started: int
     capacity: float
     work: deque[tuple[int, float, bool]] = field(default_factory=deque)
@@ -182,12 +189,15 @@
         self.highest_ever = 0.0
 
     def host_started(self, now: int, host: str, capacity: float) -> None:
+        """A host has started, cold."""
         self.warming[host] = WarmingHost(now, capacity)
 
     def dispatcher_notified(self, dispatcher: int, host: str, started_us: int) -> None:
+        """A dispatcher was notified of a host's start."""
         self.known_starts[dispatcher, host] = max(self.known_starts.get((dispatcher, host), 0), started_us)
 
     def forget(self, dispatcher: int) -> None:
+        """A dispatcher's process is gone, and what it knew with it."""
         for pair in [pair for pair in self.known_starts if pair[0] == dispatcher]:
             del self.known_starts[pair]
 
@@ -242,16 +252,19 @@
         self.report, self.watermarks = report, dict[tuple[int, str | int], deque[tuple[int, int]]]()
 
     def dispatcher_notified(self, now: int, dispatcher: int, what: str | int, made: int) -> None:
+        """A dispatcher was notified of a purge of an object or a group."""
         row = self.watermarks.setdefault((dispatcher, what), deque(maxlen=8))
         row.append((now, made))
 
     def forget(self, dispatcher: int) -> None:
+        """A dispatcher's process is gone, and what it knew with it."""
         for pair in [pair for pair in self.watermarks if pair[0] == dispatcher]:
             del self.watermarks[pair]
 
     def served(
         self, now: int, dispatcher: int, request: str, object_key: str, group: int, sent: int, created: int
     ) -> None:
+        """A dispatcher has answered a request, sent at `sent`, with a copy created at `created`."""
         for what in (object_key, group):
             for told, made in self.watermarks.get((dispatcher, what), ()):
                 if sent > told + PURGE_GRACE_US and created < made:
--- a/hoistplank/lab/model/streams.py
+++ b/hoistplank/lab/model/streams.py
@@ -35,14 +35,17 @@
         return self._exponential.pop()
 
     def normal(self) -> float:
+        """With the mean 0 and the standard deviation 1."""
         if not self._normal:
             self._normal = self._generator.standard_normal(BATCH).tolist()
         return self._normal.pop()
 
     def below(self, count: int) -> int:
+        """A whole number from 0 up to, but without, `count`."""
         return int(self.uniform() * count)
 
     def between(self, low: float, high: float) -> float:
+        """A number from `low` up to `high`."""
         return low + (high - low) * self.uniform()
 
     def shuffled(self, count: int) -> list[int]:
@@ -57,6 +60,7 @@
         self.seed = seed
 
     def stream(self, name: str) -> RandomStream:
+        """A new stream, at the beginning of its numbers."""
         words = blake2b(name.encode(), digest_size=16).digest()
         way = tuple(int.from_bytes(words[at : at + 4], "big") for at in range(0, 16, 4))
         return RandomStream(
--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -1,138 +1,25 @@
-"""A world: servers, locations, change log, purges and clients under one clock, with all that can be done to
-it.
-"""
+"""A simulated world: servers, locations, change log, purges and clients under one clock."""
 
 from __future__ import annotations
 
 import gc
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any, Protocol
 
 from hoistplank.decision.events import Endpoint
-from hoistplank.lab.model.clients import UNREACHABLE, Clients, Request
+from hoistplank.lab.model.caching_server import CachingServer
+from hoistplank.lab.model.change_log import SimulatedChangeLog
+from hoistplank.lab.model.clients import UNREACHABLE, Clients
+from hoistplank.lab.model.dispatcher import Dispatcher, PathModel
 from hoistplank.lab.model.event_queue import EventQueue
 from hoistplank.lab.model.links import Link
+from hoistplank.lab.model.load_balancer import LoadBalancer
 from hoistplank.lab.model.objects import ObjectCatalog
+from hoistplank.lab.model.origin import Origin
 from hoistplank.lab.model.rule_checker import RuleChecker
-from hoistplank.lab.model.servers import DOWN, SILENT, UP, CachingServer, Origin, Server, ServerEnvironment
+from hoistplank.lab.model.servers import DOWN, SILENT, UP, Server, ServerEnvironment
 from hoistplank.lab.model.streams import RandomStream, RandomStreams
 from hoistplank.lab.model.world_settings import CACHE_HOST, HUB, PARENT, SECOND_US, WorldSettings
 
 MONITORED_CACHES = 48  # cache hosts whose load is kept by second
-LOG_TIMEOUT_US = 2_200_000  # a change log that says nothing for so long counts as lost
-
-
-class Dispatcher(Protocol):
-    """A dispatcher as the world knows it."""
-
-    number: int
-    zone: int
-    alive: bool
-
-    def update_hosts(self, form: str, entries: list[Endpoint]) -> None:
-        """The change log reaches it: kept, whole, changes or failed."""
-
-    def purge(self, object_key: str, group: int, made: int) -> None:
-        """So does a purge that was made at a time."""
-
-    def accept(self, request: Request) -> None:
-        """A try of a request, over a connection that it accepts."""
-
-    def client_left(self, request: Request) -> None:
-        """Its client has left."""
-
-    def kill(self) -> None: ...
-
-    def restart(self) -> None: ...
-
-    def step_clock(self, step_us: int) -> None:
-        """Its wall clock jumps; what it measures by its steady one goes on."""
-
-    def freeze(self, length_us: int) -> None:
-        """Its process stands still for so long, and goes on as if nothing were."""
-
-
-class PathModel(Protocol):
-    """The paths between parties, in virtual time; on sockets the relays stand there themselves."""
-
-    def send(self, name: str, back: bool, at: int, call: Callable[..., None], *args: Any) -> None:
-        """`call(*args)` once something that is sent at a time has come through."""
-
-
-class SimulatedChangeLog:
-    """Tells each dispatcher of hosts and purges, late by chance but in order; may stop, skip and come
-    back.
-    """
-
-    def __init__(self, world: World) -> None:
-        self.world, self.random = world, world.stream("change log")
-        self.is_up, self.stopped_at = True, 0
-        self.held: list[Callable[[Dispatcher], None]] = []
-        self.last_delivery_at: dict[int, int] = {}
-        self.delay_factor = 1.0
-
-    def set_delay_factor(self, factor: float) -> None:
-        """Make deliveries take this many times as long."""
-        self.delay_factor = factor
-
-    def publish(self, what: Callable[[Dispatcher], None]) -> None:
-        """Something that all are to hear; kept while the log is stopped."""
-        if not self.is_up:
-            self.held.append(what)
-            return
-        for dispatcher in self.world.dispatchers:
-            self._send(dispatcher, what)
-
-    def _send(self, dispatcher: Dispatcher, what: Callable[[Dispatcher], None]) -> None:
-        low, high = self.world.settings.log_delay_us
-        now = self.world.events.now
-        at = max(
-            self.last_delivery_at.get(dispatcher.number, 0),
-            now + int(self.delay_factor * self.random.between(low, high)),
-        )
-        self.last_delivery_at[dispatcher.number] = at
-        if self.world.paths is None:
-            self.world.events.schedule(at, self._deliver, dispatcher, what)
-        else:
-            self.world.events.schedule(at, self._send_over_path, dispatcher, what)
-
-    def _send_over_path(self, dispatcher: Dispatcher, what: Callable[[Dispatcher], None]) -> None:
-        assert self.world.paths is not None
-        self.world.paths.send(
-            f"d{dispatcher.number}>log", True, self.world.events.now, self._deliver, dispatcher, what
-        )
-
-    def _deliver(self, dispatcher: Dispatcher, what: Callable[[Dispatcher], None]) -> None:
-        if dispatcher.alive:
-            what(dispatcher)
-
-    def publish_hosts(self, rows: list[Endpoint], form: str = "changes") -> None:
-        def told(dispatcher: Dispatcher) -> None:
-            self.world.notify_hosts(dispatcher, form, rows)
-
-        self.publish(told)
-
-    def stop(self) -> None:
-        if self.is_up:
-            self.is_up, self.stopped_at = False, self.world.events.now
-            self.world.events.schedule(self.stopped_at + LOG_TIMEOUT_US, self._lost, self.stopped_at)
-
-    def _lost(self, stopped_at: int) -> None:
-        if not self.is_up and self.stopped_at == stopped_at:
-            for dispatcher in self.world.dispatchers:
-                if dispatcher.alive:
-                    dispatcher.update_hosts("failed", [])
-
-    def start(self, whole: bool = False) -> None:
-        """It is back, with what it held, or with nothing but a whole list (a gap)."""
-        self.is_up = True
-        held, self.held = self.held, []
-        if whole:
-            self.publish_hosts(self.world.host_entries(), "whole")
-            return
-        for what in held:
-            self.publish(what)
 
 
 class World(ServerEnvironment):
@@ -179,6 +66,7 @@
         self._carried = [0.0] * len(self.monitored)
 
     def stream(self, name: str) -> RandomStream:
+        """The random stream of that name."""
         return self.streams.stream(name)
 
     def record_fault(self, what: str) -> None:
@@ -188,9 +76,11 @@
     # Hosts.
 
     def host_entries(self) -> list[Endpoint]:
+        """All hosts that the change log lists."""
         return [self.host_entry(server) for server in self.servers.values() if server.listed_state != "gone"]
 
     def host_entry(self, server: Server) -> Endpoint:
+        """A host as the change log lists it."""
         return Endpoint(
             server.uid,
             server.zone,
@@ -216,6 +106,7 @@
         dispatcher.update_hosts(form, rows)
 
     def set_listed_state(self, servers: list[Server], state: str) -> None:
+        """List hosts as up, draining or gone, and publish it."""
         for server in servers:
             server.listed_state = state
         self.change_log.publish_hosts([self.host_entry(server) for server in servers])
@@ -242,6 +133,7 @@
         )
 
     def restart_server(self, server: Server, incarnation: int, warm: bool) -> None:
+        """Start a server again, unless another incarnation of it has started meanwhile."""
         if server.incarnation != incarnation:
             return
         if warm:
@@ -262,8 +154,9 @@
 
         self.events.schedule(self.events.now + noticed_after, noticed)
 
-    def is_cut(self, server: str, other: str) -> bool:
-        return bool(self.cut_zones) and frozenset((server, other)) in self.cut_zones
+    def is_cut(self, one: str, other: str) -> bool:
+        """Whether the path between two zones is cut."""
+        return bool(self.cut_zones) and frozenset((one, other)) in self.cut_zones
 
     # Purges.
 
@@ -282,6 +175,7 @@
     # The day.
 
     def begin(self) -> None:
+        """Give all dispatchers their first list, and let the clients come."""
         for dispatcher in self.dispatchers:
             self.notify_hosts(dispatcher, "kept", self.host_entries())
         self.clients.begin()
@@ -350,99 +244,3 @@
             self.load_balancer.dispatcher_restarted(dispatcher)
 
         self.events.schedule(self.events.now + back_after, again)
-
-
-@dataclass(frozen=True, slots=True)
-class ClientMigration:
-    """From `since` on, spread over `spread` (us), this share of a location's clients asks in another one."""
-
-    home: int
-    destination: int
-    share: float
-    since_us: int
-    spread_us: int
-
-
-class LoadBalancer:
-    """Spreads the requests of a location over its dispatchers; learns late that one is gone.
-
-    `moves`: clients that go to another location's dispatchers, as addresses at clients do. `weights`: of a
-    dispatcher against its siblings, where they are not all alike.
-    """
-
-    def __init__(self, world: World) -> None:
-        self.world, self.random = world, world.stream("front")
-        self.migrations: list[ClientMigration] = []
-        self.weights: dict[int, float] = {}
-        self._healthy: list[list[Dispatcher]] = []
-
-    def _healthy_in(self, zone: int) -> list[Dispatcher]:
-        if not self._healthy:
-            self._healthy = [[] for _ in range(self.world.settings.zones)]
-            for dispatcher in self.world.dispatchers:
-                self._healthy[dispatcher.zone].append(dispatcher)
-        return self._healthy[zone]
-
-    def deliver(self, request: Request) -> bool:
-        dispatchers = self._healthy_in(self._zone_of(request) if self.migrations else request.zone)
-        if not dispatchers:
-            return False
-        dispatcher = (
-            self._weighted_choice(dispatchers)
-            if self.weights
-            else dispatchers[self.random.below(len(dispatchers))]
-        )
-        if not dispatcher.alive:
-            return False
-        request.dispatcher = dispatcher.number
-        # The deadline that a dispatcher is given is the traffic class's, less what earlier tries took.
-        until = request.asked_at + self.world.settings.classes[request.class_index].deadline_us
-        now, paths = self.world.events.now, self.world.paths
-        self.world.rules.answers.accepted(now, dispatcher.number, request.id, until)
-        if self.world.clients.observer is not None:
-            self.world.clients.observer.tried(now, request)
-        if paths is None:
-            dispatcher.accept(request)
-        else:
-            paths.send(f"clients>d{dispatcher.number}", False, now, dispatcher.accept, request)
-        return True
-
-    def _zone_of(self, request: Request) -> int:
-        session = request.session
-        if session.migration_draw < 0:
-            session.migration_draw = self.random.uniform()
-        now, below = self.world.events.now, 0.0
-        for move in self.migrations:
-            if move.home != request.zone:
-                continue
-            # Each client by its own lot: the same ones go, one after the other over the spread.
-            if below <= session.migration_draw < below + move.share:
-                late = (session.migration_draw - below) / move.share * move.spread_us
-                return move.destination if now >= move.since_us + late else request.zone
-            below += move.share
-        return request.zone
-
-    def _weighted_choice(self, dispatchers: list[Dispatcher]) -> Dispatcher:
-        weights = [self.weights.get(dispatcher.number, 1.0) for dispatcher in dispatchers]
-        spot = self.random.uniform() * sum(weights)
-        for dispatcher, weight in zip(dispatchers, weights, strict=True):
-            spot -= weight
-            if spot < 0:
-                return dispatcher
-        return dispatchers[-1]
-
-    def abandon(self, request: Request) -> None:
-        self.world.rules.answers.client_left(self.world.events.now, request.id)
-        if request.dispatcher >= 0:
-            self.world.dispatchers[request.dispatcher].client_left(request)
-
-    def dispatcher_crashed(self, dispatcher: Dispatcher) -> None:
-        def noticed() -> None:
-            if not dispatcher.alive and dispatcher in self._healthy_in(dispatcher.zone):
-                self._healthy_in(dispatcher.zone).remove(dispatcher)
-
-        self.world.events.schedule(self.world.events.now + self.world.settings.crash_detection_us, noticed)
-
-    def dispatcher_restarted(self, dispatcher: Dispatcher) -> None:
-        if dispatcher not in self._healthy_in(dispatcher.zone):
-            self._healthy_in(dispatcher.zone).append(dispatcher)
--- a/hoistplank/lab/model/world_settings.py
+++ b/hoistplank/lab/model/world_settings.py
@@ -229,6 +229,7 @@
         }
 
     def site(self, zone: int, index: int) -> RouterSettings:
+        """The router settings of a dispatcher, read as a dispatcher reads them."""
         facts = Fields([])
         facts.pairs = flat(self.dispatcher_settings(zone, index))
         return site(facts)
--- a/hoistplank/lab/profile.py
+++ b/hoistplank/lab/profile.py
@@ -102,4 +102,5 @@
 
 
 def run(rate: float, seconds: float, fresh: float) -> dict[str, Any]:
+    """Load a small deployment at a rate, and profile where its dispatcher's CPU time goes."""
     return asyncio.run(profiled(rate, seconds, fresh))
--- a/hoistplank/lab/report.py
+++ b/hoistplank/lab/report.py
@@ -70,6 +70,7 @@
 
 
 def cells_of(cells: list[str], kind: str = "td") -> str:
+    """A row of an HTML table."""
     return "<tr>" + "".join(f"<{kind}>{cell}</{kind}>" for cell in cells) + "</tr>"
 
 
--- a/hoistplank/lab/results.py
+++ b/hoistplank/lab/results.py
@@ -92,12 +92,14 @@
                 file.truncate(whole)
 
     def add(self, row: dict[str, Any]) -> None:
+        """Append a row, and keep it under its key."""
         self.rows[row["key"]] = row
         self._file.write(json.dumps(row).encode() + b"\n")
         self._file.flush()
         os.fsync(self._file.fileno())
 
     def close(self) -> None:
+        """Close the file."""
         self._file.close()
 
 
--- a/hoistplank/lab/worker.py
+++ b/hoistplank/lab/worker.py
@@ -86,6 +86,7 @@
 
 
 def main() -> int:
+    """Play the job on standard input, and write its result to standard output."""
     job = msgspec.json.decode(sys.stdin.buffer.read(), type=Job)
     try:
         found = play(job)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -34,7 +34,11 @@
             "known.results: '127.0.0.1:70000'",
         ),
         ("known", {"seq": 1, "results": [{"fleet": {}}]}, "seq"),
-        ("known", {"seq": 1, "results": [fleet_event(1, [endpoint_entry("a,hints=x", "box", 7)])]}, "uid 'a,hints=x'"),
+        (
+            "known",
+            {"seq": 1, "results": [fleet_event(1, [endpoint_entry("a,hints=x", "box", 7)])]},
+            "uid 'a,hints=x'",
+        ),
     ],
 )
 def test_bad_configuration_names_its_key(tmp_path: Path, key: str, value: Any, told: str) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -532,7 +532,7 @@
             asked.append(taken if not asked else free_port())
             return asked[-1]
 
-        monkeypatch.setattr("hoistplank.lab.backends.sockets.free_port", port)
+        monkeypatch.setattr("hoistplank.lab.backends.socket_dispatcher.free_port", port)
         scene = read(SMALL.format("").encode(), "s")
         day, rig = processes.play(scene, 1, tmp_path, tmp_path)
     assert len(asked) == 3 and rig["chunks"] > 0 and day.metrics.firsts > 0
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -16,11 +16,13 @@
 from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.model.cache_storage import CacheStorage
 from hoistplank.lab.model.clients import ANSWER_GRACE_US, SERVED, Clients, Request
+from hoistplank.lab.model.days import DAYS, draw_day
 from hoistplank.lab.model.event_queue import EventQueue
-from hoistplank.lab.model.faults import DAYS, KINDS, draw_day, script, unsupported
+from hoistplank.lab.model.faults import KINDS, script, unsupported
 from hoistplank.lab.model.links import Link
 from hoistplank.lab.model.objects import ObjectCatalog
-from hoistplank.lab.model.servers import Server, ServerRequest
+from hoistplank.lab.model.server_request import ServerRequest
+from hoistplank.lab.model.servers import Server
 from hoistplank.lab.model.streams import RandomStreams
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings, scaled_settings
