--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -1,65 +1,79 @@
-"""Carries a scene's faults out on a world and on what drives it: processes and relays, or virtual time."""
+"""Carries a scene's faults out on a world and on the backend that drives it: processes or virtual time."""
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from hoistplank.lab.fleet.metrics import FleetMetrics
+from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
 from hoistplank.lab.fleet.scene import DATAGRAMS, KINDS, PARTY, WHO
-from hoistplank.lab.model.faults import Event, Troubles
-from hoistplank.lab.model.world import Move, Seat, World
+from hoistplank.lab.model.dispatcher import Dispatcher
+from hoistplank.lab.model.fault_injector import FaultInjector
+from hoistplank.lab.model.faults import ScheduledFault
+from hoistplank.lab.model.load_balancer import ClientMigration
+from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB
 from hoistplank.operator_configuration.values import ValueType
 
-Direction = tuple[str, bool]  # a path's name, and whether it is the direction back to the near party
+CLIENT_PATH = "clients>d"
 
 
-class Hands(Protocol):
-    """What a drive does to paths and processes."""
+class PathDirection(NamedTuple):
+    """One direction of a path by the path's name; `backward` leads from the far party to the near one."""
 
-    def set_conditions(self, directions: list[Direction], **conditions: Any) -> None:
-        """Other conditions (see `PathConditions`) for these directions."""
+    path: str
+    backward: bool
 
-    def tell(self, paths: list[str], do: str) -> None:
-        """`shut`, `open` or `deaden`, both directions. Processes only."""
 
-    def older(self, seat: Seat, file: str, down_us: int) -> None:
-        """Restarts a dispatcher with another operator's file. Processes only."""
+class FaultBackend(Protocol):
+    """What a backend does to paths and processes."""
 
-    def starve(self, seat: Seat, share: float, length_us: int) -> None:
-        """Takes a share of its core away. Processes only."""
+    def set_conditions(self, directions: list[PathDirection], **conditions: ConditionValue) -> None:
+        """Change these conditions (fields of `PathConditions`) of directions."""
 
+    def apply_to_paths(self, paths: list[str], action: PathAction) -> None:
+        """Apply an action to both directions of paths. Processes only."""
 
-class FleetTroubles(Troubles):
-    """`hands` carry out what the world's model has not."""
+    def restart_with_file(self, dispatcher: Dispatcher, file: str, down_us: int) -> None:
+        """Restart a dispatcher with another operator's file. Processes only."""
+
+    def starve(self, dispatcher: Dispatcher, share: float, length_us: int) -> None:
+        """Take a share of a dispatcher's core away for a time. Processes only."""
+
+
+class FleetFaultInjector(FaultInjector):
+    """Faults of processes, paths, places and clients; `backend` carries out what the model has not."""
 
     kinds = KINDS
 
-    def __init__(self, world: World, rows: list[Event], hands: Hands, metrics: FleetMetrics) -> None:
+    def __init__(
+        self, world: World, rows: list[ScheduledFault], backend: FaultBackend, metrics: FleetMetrics
+    ) -> None:
         super().__init__(world, rows)
-        self.hands, self.metrics = hands, metrics
+        self.backend = backend
+        self.metrics = metrics
 
-    def _struck(self, kind: ValueType, value: Any) -> Any:
-        return self._who(value) if kind is WHO else super()._struck(kind, value)
+    def _resolve(self, kind: ValueType, value: Any) -> Any:
+        return self._who(value) if kind is WHO else super()._resolve(kind, value)
 
-    def _who(self, text: str) -> list[Seat]:
+    def _who(self, text: str) -> list[Dispatcher]:
         name, _, share = text.partition(":")
-        seats = self.world.seats
+        dispatchers = self.world.dispatchers
         if name.startswith("z"):
-            return [seat for seat in seats if seat.zone == int(name[1:])]
+            return [dispatcher for dispatcher in dispatchers if dispatcher.zone == int(name[1:])]
         if name == "dispatchers":
-            return self._seats(float(share)) if share else list(seats)
-        return [seats[int(name[1:])]]
+            return self._some_dispatchers(float(share)) if share else list(dispatchers)
+        return [dispatchers[int(name[1:])]]
 
     # Paths.
 
     def _dispatchers(self, party: str) -> list[int] | None:
         """The numbers of the dispatchers that a party stands for; None where it is something else."""
-        seats = self.world.seats
+        dispatchers = self.world.dispatchers
         if party == "dispatchers":
-            return [seat.number for seat in seats]
+            return [dispatcher.number for dispatcher in dispatchers]
         if party.startswith("dz"):
-            return [seat.number for seat in seats if seat.zone == int(party[2:])]
+            return [dispatcher.number for dispatcher in dispatchers if dispatcher.zone == int(party[2:])]
         return [int(party[1:])] if party.startswith("d") else None
 
     def _servers(self, party: str) -> list[str]:
@@ -72,31 +86,31 @@
             return [one.uid for one in world.caches if one.zone == party]
         return [party]  # a host, the origin or the log
 
-    def directions(self, one: str, other: str) -> list[Direction]:
+    def directions(self, one: str, other: str) -> list[PathDirection]:
         """The directions that lead from one party to another."""
         ours, theirs = self._dispatchers(one), self._dispatchers(other)
         if ours is not None and theirs is not None:
-            return [(f"d{min(a, b)}~d{max(a, b)}", a > b) for a in ours for b in theirs if a != b]
-        back = theirs is not None
-        many, party = (theirs, one) if back else (ours, other)
-        assert many is not None  # the scene was checked
+            return [PathDirection(sibling_path(a, b), a > b) for a in ours for b in theirs if a != b]
+        backward = theirs is not None
+        numbers, party = (theirs, one) if backward else (ours, other)
+        assert numbers is not None  # the scene was checked
         if party == "clients":
-            return [(f"clients>d{n}", not back) for n in many]
-        return [(f"d{n}>{uid}", back) for n in many for uid in self._servers(party)]
+            return [PathDirection(client_path(n), not backward) for n in numbers]
+        return [PathDirection(host_path(n, uid), backward) for n in numbers for uid in self._servers(party)]
 
-    def _set(self, one: str, other: str, length: int, **conditions: Any) -> None:
+    def _set(self, one: str, other: str, length: int, **conditions: ConditionValue) -> None:
         directions = self.directions(one, other)
-        self._blind([name for name, _ in directions], length)
-        self.hands.set_conditions(directions, **conditions)
-        plain = {name: False if value is True else type(value)() for name, value in conditions.items()}
+        self._excuse_held_answers([direction.path for direction in directions], length)
+        self.backend.set_conditions(directions, **conditions)
+        unimpaired = {name: type(value)() for name, value in conditions.items()}
 
-        def over() -> None:
-            self.hands.set_conditions(directions, **plain)
+        def restore() -> None:
+            self.backend.set_conditions(directions, **unimpaired)
 
-        self._later(length, over)
+        self._later(length, restore)
 
     def _hush(self, one: str, other: str, length: int) -> None:
-        self._wrong(one, other, length, f"hush {one} {other}")
+        self._mark_unreachable(one, other, length, f"hush {one} {other}")
         self._set(one, other, length, silent=True)
 
     def _delay(self, one: str, other: str, delay: int, spread: int, length: int) -> None:
@@ -106,27 +120,27 @@
         self._set(one, other, length, rate=rate * 1_000.0)
 
     def _break(self, one: str, other: str, length: int) -> None:
-        self._wrong(one, other, length, f"break {one} {other}")
-        names = [name for name, _ in self.directions(one, other)]
-        self._blind(names, length)
-        self.hands.tell(names, "shut")
-        self._later(length, self.hands.tell, names, "open")
+        self._mark_unreachable(one, other, length, f"break {one} {other}")
+        names = [direction.path for direction in self.directions(one, other)]
+        self._excuse_held_answers(names, length)
+        self.backend.apply_to_paths(names, PathAction.SHUT)
+        self._later(length, self.backend.apply_to_paths, names, PathAction.OPEN)
 
     def _halfway(self, one: str, other: str) -> None:
-        names = [name for name, _ in self.directions(one, other)]
-        self._blind(names, 1)
-        self.hands.tell(names, "deaden")
+        names = [direction.path for direction in self.directions(one, other)]
+        self._excuse_held_answers(names, 1)
+        self.backend.apply_to_paths(names, PathAction.DEADEN)
 
-    def _blind(self, names: list[str], length: int) -> None:
+    def _excuse_held_answers(self, names: list[str], length: int) -> None:
         """Danger: an answer that the rig itself holds back would count as a rule that a dispatcher broke."""
         for name in names:
-            if name.startswith("clients>d"):
-                self._excuse(int(name.removeprefix("clients>d")), length)
+            if name.startswith(CLIENT_PATH):
+                self._excuse(int(name.removeprefix(CLIENT_PATH)), length)
 
-    def _excuse(self, seat: int, length: int) -> None:
-        answers = self.world.truth.answers
-        answers.blinded(seat)
-        self._later(length, answers.seeing, seat)
+    def _excuse(self, dispatcher: int, length: int) -> None:
+        answers = self.world.rules.answers
+        answers.begin_excuse(dispatcher)
+        self._later(length, answers.end_excuse, dispatcher)
 
     def _loss(self, one: str, other: str, share: float, length: int) -> None:
         self._set(one, other, length, loss=share)
@@ -143,12 +157,12 @@
     def _flip(self, one: str, other: str, share: float, length: int) -> None:
         self._set(one, other, length, flip=share)
 
-    def _wrong(self, one: str, other: str, length: int, text: str) -> None:
+    def _mark_unreachable(self, one: str, other: str, length: int, text: str) -> None:
         """Hosts that a dispatcher can't reach, or not hear, are a wrong choice for it."""
         for party, rest in ((one, other), (other, one)):
-            seats = self._dispatchers(party)
-            if seats is not None and rest not in ("clients", "log") and self._dispatchers(rest) is None:
-                self.metrics.struck(self.agenda.now, length, self._servers(rest), text, seats)
+            dispatchers = self._dispatchers(party)
+            if dispatchers is not None and rest not in ("clients", "log") and self._dispatchers(rest) is None:
+                self.metrics.mark_fault(self.events.now, length, self._servers(rest), text, dispatchers)
 
     def _cut(self, one: str, other: str, length: int) -> None:
         super()._cut(one, other, length)
@@ -158,36 +172,38 @@
                 party = f"d{zone}"
                 for pair in ((party, far), (far, party)):
                     self._set(*pair, length, silent=True)
-                seats = self._dispatchers(party)
-                self.metrics.struck(self.agenda.now, length, self._servers(far), f"cut {one} {other}", seats)
+                dispatchers = self._dispatchers(party)
+                self.metrics.mark_fault(
+                    self.events.now, length, self._servers(far), f"cut {one} {other}", dispatchers
+                )
 
     # Dispatcher processes.
 
-    def _down(self, seats: list[Seat], length: int) -> None:
-        for seat in seats:
-            self.world.crash_seat(seat, length)
+    def _down(self, dispatchers: list[Dispatcher], length: int) -> None:
+        for dispatcher in dispatchers:
+            self.world.crash_dispatcher(dispatcher, length)
 
-    def _freeze(self, seats: list[Seat], length: int) -> None:
-        for seat in seats:
-            self._excuse(seat.number, length)
-            seat.freeze(length)
+    def _freeze(self, dispatchers: list[Dispatcher], length: int) -> None:
+        for dispatcher in dispatchers:
+            self._excuse(dispatcher.number, length)
+            dispatcher.freeze(length)
 
-    def _restart(self, seats: list[Seat], within: int, down: int) -> None:
-        for seat in seats:
-            self._later(int(within * self.chance.uniform()), self.world.crash_seat, seat, down)
+    def _restart(self, dispatchers: list[Dispatcher], within: int, down: int) -> None:
+        for dispatcher in dispatchers:
+            self._later(int(within * self.random.uniform()), self.world.crash_dispatcher, dispatcher, down)
 
-    def _older(self, seats: list[Seat], file: str, down: int) -> None:
-        for seat in seats:
-            self.hands.older(seat, file, down)
+    def _older(self, dispatchers: list[Dispatcher], file: str, down: int) -> None:
+        for dispatcher in dispatchers:
+            self.backend.restart_with_file(dispatcher, file, down)
 
-    def _starve(self, seats: list[Seat], share: float, length: int) -> None:
-        for seat in seats:
-            self.hands.starve(seat, share, length)
+    def _starve(self, dispatchers: list[Dispatcher], share: float, length: int) -> None:
+        for dispatcher in dispatchers:
+            self.backend.starve(dispatcher, share, length)
 
-    def _skew(self, seats: list[Seat], step: int, length: int) -> None:
-        for seat in seats:
-            seat.step_clock(step)
-            self._later(length, seat.step_clock, -step)
+    def _skew(self, dispatchers: list[Dispatcher], step: int, length: int) -> None:
+        for dispatcher in dispatchers:
+            dispatcher.step_clock(step)
+            self._later(length, dispatcher.step_clock, -step)
 
     # Places.
 
@@ -195,12 +211,14 @@
         world, hosts = self.world, self._targets(place)
         if what == "view":
             # The log tells that they are gone; they are well.
-            world.list_as(hosts, "gone")
-            self._later(length, world.list_as, hosts, "up")
+            world.set_listed_state(hosts, "gone")
+            self._later(length, world.set_listed_state, hosts, "up")
         if what == "link":
             self._cut(place, HUB, length)
         if what in ("caches", "all"):
-            self.metrics.struck(self.agenda.now, length, [host.uid for host in hosts], f"gone {place} {what}")
+            self.metrics.mark_fault(
+                self.events.now, length, [host.uid for host in hosts], f"gone {place} {what}"
+            )
             self._vanish(hosts, length, noticed)
         if what in ("dispatchers", "all"):
             self._down(self._who(place), length)
@@ -208,7 +226,7 @@
     def _hub(self, name: str, length: int, noticed: int) -> None:
         parents, half = self.world.parents, (len(self.world.parents) + 1) // 2
         hosts = parents[:half] if name == "h0" else parents[half:]
-        self.metrics.struck(self.agenda.now, length, [host.uid for host in hosts], f"hub {name}")
+        self.metrics.mark_fault(self.events.now, length, [host.uid for host in hosts], f"hub {name}")
         self._vanish([*hosts], length, noticed)
 
     def _flap(self, place: str, what: str, on: int, off: int, length: int) -> None:
@@ -219,18 +237,18 @@
     # Clients.
 
     def _move(self, home: str, to: str, share: float, after: int, spread: int, length: int) -> None:
-        front, begin = self.world.front, self.agenda.now
-        move = Move(int(home[1:]), int(to[1:]), share, begin + after, spread)
-        self._later(after, front.moves.append, move)
+        front, begin = self.world.load_balancer, self.events.now
+        move = ClientMigration(int(home[1:]), int(to[1:]), share, begin + after, spread)
+        self._later(after, front.migrations.append, move)
 
         def back() -> None:
-            if move in front.moves:
-                front.moves.remove(move)
+            if move in front.migrations:
+                front.migrations.remove(move)
 
         self._later(max(length, after + 1), back)
 
     def _uneven(self, place: str, times: float, length: int) -> None:
-        front, first = self.world.front, self._who(place)[0]
+        front, first = self.world.load_balancer, self._who(place)[0]
         front.weights[first.number] = times
 
         def even() -> None:
@@ -239,7 +257,22 @@
         self._later(length, even)
 
 
-def sibling_paths(rows: list[Event]) -> bool:
+def client_path(number: int) -> str:
+    """The name of the path from clients to a dispatcher."""
+    return f"{CLIENT_PATH}{number}"
+
+
+def host_path(number: int, uid: str) -> str:
+    """The name of the path from a dispatcher to a host, or to the change log (`log`)."""
+    return f"d{number}>{uid}"
+
+
+def sibling_path(one: int, other: int) -> str:
+    """The name of the datagram path between two dispatchers; the lower number is the near party."""
+    return f"d{min(one, other)}~d{max(one, other)}"
+
+
+def needs_sibling_paths(rows: list[ScheduledFault]) -> bool:
     """Whether a script has faults between dispatchers, so that paths between them are to be opened."""
     return any(
         row.kind in DATAGRAMS or all(str(value).startswith("d") for value in row.values[:2])
--- a/hoistplank/lab/scale/hollow_pairing.py
+++ b/hoistplank/lab/scale/hollow_pairing.py
@@ -24,10 +24,10 @@
 import numpy as np
 
 from hoistplank.fakes.deployment import free_port
-from hoistplank.fakes.settings import listing
-from hoistplank.fakes.wire import connected
+from hoistplank.fakes.settings import fleet_event
+from hoistplank.fakes.wire import connect
 from hoistplank.lab.backends.orphans import with_parent
-from hoistplank.lab.fleet.relays import Relays
+from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.scale.fleet import Fleet, Seat
 from hoistplank.lab.scale.hollow_messages import (
     BeginAnew,
@@ -169,9 +169,9 @@
         while time.monotonic() < until and self.process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
                 async with asyncio.timeout(1):
-                    client = await connected(self.address)
+                    client = await connect(self.address)
                     client.send(1, "", script="/-/healthy")
-                    status = (await client.answer())[1]
+                    status = (await client.read_answer())[1]
                 client.writer.close()
                 if status == 200:
                     return
@@ -216,25 +216,25 @@
     def __init__(self, log: LogChild, fleet: Fleet) -> None:
         self.log, self.fleet = log, fleet
         self.replicas = Replicas(fleet)
-        self.relays = {kind: Relays() for kind in KINDS}
+        self.relays = {kind: RelayPool() for kind in KINDS}
 
     async def open(self) -> dict[str, int]:
-        """Raises ReplicaLost and RelayLost."""
+        """Raises ReplicaLost and RelayError."""
         paths = ReplicaPaths(self.fleet)
         paths.log_ports = list((await self.log.doors(paths.doors())).values())
         await self.replicas.start(paths, LIFETIME_S)
         ports = {}
         for kind, relays in self.relays.items():
             await relays.start(1, 1)
-            ports[kind] = await relays.stream(f"{kind}>c0", self.replicas.ports[0], 0)
+            ports[kind] = await relays.open_stream_path(f"{kind}>c0", self.replicas.ports[0], 0)
         return ports
 
     async def taken(self) -> dict[str, DoorUsage]:
         """Both directions together; pieces as they went through, in place of lines."""
         found = {}
         for kind, relays in self.relays.items():
-            stats = await relays.stats()
-            found[kind] = DoorUsage(bytes_out=int(stats["bytes"]), lines_out=int(stats["chunks"]))
+            carried = await relays.statistics()
+            found[kind] = DoorUsage(bytes_out=carried.bytes, lines_out=carried.chunks)
         return found
 
     async def close(self) -> None:
@@ -257,7 +257,7 @@
         self.alone: list[HollowChild] = []
         self.shared: list[HollowChild] = []
         rows = [*self.fleet.hub_rows(), *(self.fleet.host_row(n, 0, 100.0) for n in range(plan.hosts))]
-        self.first = listing(1, rows, whole=True)
+        self.first = fleet_event(1, rows, whole=True)
         self.known = {"seq": 1, "results": [self.first]}
 
     def _heard(self, report: Report) -> None:
@@ -298,7 +298,7 @@
         self.number += 1
         if self.number % HOST_CHANGE_EVERY == 0:
             host = self.chance.randrange(self.plan.hosts)
-            event = listing(self.number, [self.fleet.host_row(host, 0, 100.0 + self.number % 50)])
+            event = fleet_event(self.number, [self.fleet.host_row(host, 0, 100.0 + self.number % 50)])
             expected = Expect(self.epoch, self.number)
         else:
             made_ms, object_key = int(time.time() * 1e3), f"{self.chance.getrandbits(64):016x}"
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -43,13 +43,13 @@
 from hoistplank.authorization.revocations import InvalidRevocationError, Revocation, RevocationSet
 from hoistplank.authorization.signature_budget import SignatureBudget
 from hoistplank.authorization.token_bucket import TokenBucket
-from hoistplank.fakes.certificate_authority import Signer, b64
+from hoistplank.fakes.certificate_authority import TokenSigner, base64url
 
 ISS, S = "https://id.example", 1_000_000
-OLD, NEW, ES = Signer("k1"), Signer("k2"), Signer("k3", "ES256")
+OLD, NEW, ES = TokenSigner("k1"), TokenSigner("k2"), TokenSigner("k3", "ES256")
 
 
-def key(signer: Signer, name: str = "") -> VerificationKey:
+def key(signer: TokenSigner, name: str = "") -> VerificationKey:
     public: Any = signer.key.public_key()
     verify = eddsa_verifier(public) if signer.algorithm == "EdDSA" else es256_verifier(public)
     return VerificationKey(name or signer.kid, signer.algorithm, signer.jwk()["x"], verify)
@@ -62,7 +62,7 @@
 class Scene:
     """An authorizer with three tenants; `ask` is one request."""
 
-    def __init__(self, *signers: Signer, **policy: Any) -> None:
+    def __init__(self, *signers: TokenSigner, **policy: Any) -> None:
         rights = RIGHT_BITS["read"] | RIGHT_BITS["book"] | RIGHT_BITS["purge"]
         self.tenants = [
             Tenant("coast", rights, groups=0xFF, key_prefixes=("c0",)),
@@ -103,7 +103,7 @@
         credentials, rules = Credentials(identity, held, source), ClassRules(BOOK if op else READ, 6 * S)
         return self.authorizer.admit(self.now, credentials, request, rules, room)
 
-    def keys(self, *signers: Signer) -> None:
+    def keys(self, *signers: TokenSigner) -> None:
         held = self.authenticator.issuers[ISS]
         self.authenticator.replace_issuers(
             {ISS: held.with_key_set(KeySet({one.kid: key(one) for one in signers}), self.now)}
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("signer", [OLD, ES], ids=["EdDSA", "ES256"])
-def test_a_good_token_is_let_in_and_checked_once(signer: Signer) -> None:
+def test_a_good_token_is_let_in_and_checked_once(signer: TokenSigner) -> None:
     scene, checks = Scene(), list[bytes]()
     held = scene.authenticator.issuers[ISS].keys[signer.kid]
 
@@ -152,7 +152,8 @@
     "token, told",
     [
         (
-            f'{b64(json.dumps({"alg": "none", "kid": "k1"}).encode())}.{b64(json.dumps(SAID).encode())}.',
+            ".".join(base64url(json.dumps(part).encode()) for part in ({"alg": "none", "kid": "k1"}, SAID))
+            + ".",
             "token alg",
         ),
         (made(json.dumps({"alg": "HS256", "kid": "k1"})), "token alg"),
@@ -206,7 +207,7 @@
     st.one_of(
         st.text(max_size=300),
         st.lists(st.binary(max_size=80), min_size=3, max_size=3).map(
-            lambda parts: ".".join(b64(part) for part in parts)
+            lambda parts: ".".join(base64url(part) for part in parts)
         ),
         st.tuples(
             st.recursive(
@@ -239,7 +240,7 @@
     assert isinstance(scene.ask(short), Caller)
     scene.keys(NEW)  # k1 is retired
     assert cause(scene.ask(tokens[1]))[0] in (401, 503)
-    other = Signer("k1")  # another key under the same name proves none of the old ones
+    other = TokenSigner("k1")  # another key under the same name proves none of the old ones
     scene.keys(other, NEW)
     assert cause(scene.ask(tokens[2])) == (401, "token signature")
 
--- a/tests/test_authorization_certificates.py
+++ b/tests/test_authorization_certificates.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from hoistplank.fakes.wire import connected
+from hoistplank.fakes.wire import connect
 from hoistplank.protocol import fastcgi
 from tests.authorization_rig import OLD, Known, run
 from tests.helpers import until
@@ -22,8 +22,8 @@
 def test_certificates_of_tenants_and_a_server_chain_that_changes(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Known(tmp_path) as place:
-            coast, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
-            both, _ = place.authority.leaf("both.pem", ["uri:hoistplank:coast", "uri:hoistplank:inland"])
+            coast, _ = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
+            both, _ = place.authority.issue("both.pem", ["uri:hoistplank:coast", "uri:hoistplank:inland"])
             client = await place.secure(coast)
             assert await place.ask(client=client) == (200, "")
             assert await place.ask(client=client, group=40) == (403, "group")
@@ -31,7 +31,7 @@
             assert await place.ask(client=await place.secure(both)) == (401, "two tenants")
             assert await place.ask(OLD.token("coast-1"), await place.secure()) == (200, "")
             before = place.callers.tls.state
-            place.authority.server()
+            place.authority.renew_server()
             await until(lambda: place.callers.tls.state is not before)
             assert await place.ask(client=client) == (200, "")  # the kept connection goes on
             assert await place.ask(client=await place.secure(coast)) == (200, "")
@@ -79,13 +79,13 @@
             (tmp_path / "op.sexp").write_text(text)
             place.running.service.renewed.set()
             await until(lambda: place.callers.generation == 2)
-            leaf, serial = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
-            context = place.authority.context(leaf)
+            leaf, serial = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
+            context = place.authority.client_context(leaf)
             context.maximum_version = version
-            client = await connected(("127.0.0.1", place.tls), context)
+            client = await connect(("127.0.0.1", place.tls), context)
             for first in range(10, 40):
                 client.send(first, "page", {"HTTP_X_DEADLINE_MS": "2500"})
-                told = asyncio.ensure_future(client.answer())
+                told = asyncio.ensure_future(client.read_answer())
                 await until(lambda told=told: bool(held) or told.done())  # type: ignore[misc]
                 if held:
                     break  # else a stall of the machine has had the module turn it back
@@ -94,7 +94,7 @@
             assert await asyncio.to_thread(spoken, address, context, session)  # until then it is let in
             at = time.monotonic()
             if how == "crl":
-                place.authority.crl([serial])
+                place.authority.write_revocation_list([serial])
             else:
                 row = {
                     "kind": how,
@@ -107,7 +107,12 @@
             client.send(2, "page")
             number, status, head, _ = await told
             assert (number, status) == (2, 401) and b"revoked" in head
-            _, status, _, _ = await client.answer()  # what was open has its answer, then the connection ends
+            (
+                _,
+                status,
+                _,
+                _,
+            ) = await client.read_answer()  # what was open has its answer, then the connection ends
             assert status in (502, 503)
             assert await client.reader.read() == b""
             # Neither a new handshake nor one that would resume the old session brings it back.
@@ -122,14 +127,16 @@
 def test_an_expired_revocation_list_refuses_new_handshakes_only(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Known(tmp_path) as place:
-            leaf, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
+            leaf, _ = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
             client = await place.secure(leaf)
             assert await place.ask(client=client) == (200, "")
-            place.authority.crl([], lasts_s=-5)  # an expired one is not taken up: the one in force stays
+            place.authority.write_revocation_list(
+                [], lasts_s=-5
+            )  # an expired one is not taken up: the one in force stays
             await until(lambda: any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(client=await place.secure(leaf)) == (200, "")
             # Long enough to be taken up on a machine that has other work, too.
-            place.authority.crl([], lasts_s=4)
+            place.authority.write_revocation_list([], lasts_s=4)
             ends = time.monotonic() + 4.1
             await until(lambda: not any(source.failed for source in place.callers.loader.sources))
             await asyncio.sleep(ends - time.monotonic())
--- a/tests/test_authorization_keys.py
+++ b/tests/test_authorization_keys.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hoistplank.authorization.service import AuthorizationService
-from hoistplank.fakes.certificate_authority import write_keys
+from hoistplank.fakes.certificate_authority import write_key_set
 from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.program.sections import load_file
 from tests.authorization_rig import NEW, OLD, Known, run, served
@@ -24,9 +24,9 @@
             assert await place.ask(OLD.token("coast-1"), group=40) == (403, "group")
             assert await place.ask("rubbish") == (401, "token form")
             assert await place.ask(NEW.token("coast-1", header={"alg": "none"})) == (401, "token alg")
-            assert place.box.seen == [] and place.callers.authorizer.limiter.total_open == 0
+            assert place.box.requests == [] and place.callers.authorizer.limiter.total_open == 0
             assert await place.ask(OLD.token("coast-1")) == (200, "")
-            assert len(place.box.seen) == 1 and place.callers.authorizer.limiter.total_open == 0
+            assert len(place.box.requests) == 1 and place.callers.authorizer.limiter.total_open == 0
 
     run(scene())
 
@@ -58,13 +58,13 @@
             # A token of the next key, before the set that publishes it was read: rejected, then let in.
             told = await place.ask(NEW.token("coast-1"))
             assert told == (503, "key not known yet")
-            write_keys(tmp_path / "ring.json", OLD.jwk("verifying"), NEW.jwk())
+            write_key_set(tmp_path / "ring.json", OLD.jwk("verifying"), NEW.jwk())
             await until(
                 lambda: "k2" in place.callers.authorizer.authenticator.issuers["https://id.example"].keys
             )
             assert await place.ask(NEW.token("coast-1")) == (200, "")
             assert await place.ask(OLD.token("coast-2")) == (200, "")
-            write_keys(tmp_path / "ring.json", OLD.jwk("retired"), NEW.jwk())
+            write_key_set(tmp_path / "ring.json", OLD.jwk("retired"), NEW.jwk())
             await until(
                 lambda: "k1" not in place.callers.authorizer.authenticator.issuers["https://id.example"].keys
             )
@@ -72,7 +72,7 @@
             # The first request is still out: its key's end does not strike it.
             assert place.callers.authorizer.limiter.total_open == 1
             released.set()
-            number, status, _, _ = await client.answer()
+            number, status, _, _ = await client.read_answer()
             assert (number, status) == (9, 200)
 
     run(scene())
@@ -86,9 +86,9 @@
             row, spoils = OLD.jwk(), dict[str, Callable[[], Any]]()
             spoils["half"] = lambda: file.write_text(file.read_text()[:-9])
             spoils["gone"] = file.unlink
-            spoils["wrong kind"] = lambda: write_keys(file, row | {"kty": "oct", "k": "AAAA"})
-            spoils["two alike"] = lambda: write_keys(file, row, row)
-            spoils["private"] = lambda: write_keys(file, row | {"d": "A"})
+            spoils["wrong kind"] = lambda: write_key_set(file, row | {"kty": "oct", "k": "AAAA"})
+            spoils["two alike"] = lambda: write_key_set(file, row, row)
+            spoils["private"] = lambda: write_key_set(file, row | {"d": "A"})
             spoils[spoil]()
             await until(lambda: any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(OLD.token("coast-1")) == (200, "")
@@ -96,7 +96,7 @@
             place.running.service.renewed.set()  # a reload with it changes nothing either
             await asyncio.sleep(0.05)
             assert await place.ask(OLD.token("coast-3")) == (200, "")
-            write_keys(file, OLD.jwk(), NEW.jwk())
+            write_key_set(file, OLD.jwk(), NEW.jwk())
             await until(lambda: not any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(NEW.token("coast-1")) == (200, "")
 
--- a/tests/test_distribution_log.py
+++ b/tests/test_distribution_log.py
@@ -20,7 +20,7 @@
         async with Rig(replicas=2) as rig:
             rig.hosts(1, whole=True, a="ready", b="ready", c="ready")
             rig.hosts(2, b="draining")
-            rig.log.configure(3, "old")
+            rig.log.publish_configuration(3, "old")
             one, other = rig.dispatcher("d1"), rig.dispatcher("d2")
             await until(lambda: one.in_force == at(3) == other.in_force)
             # It counts from 1 again, with a list from before the drain, and is soon past the number held.
@@ -34,7 +34,7 @@
                 assert each.owner.hosts == {"a": "ready", "b": "draining", "d": "ready"}
                 assert each.owner.purges == ["0002", "0003", "0004", "0005"]
                 assert each.configurations == [(at(3), "old")]
-            rig.log.configure(6, "new")
+            rig.log.publish_configuration(6, "new")
             await until(lambda: len(one.configurations) == 2)
             assert one.configurations[-1] == (Version(EPOCH + 1, 6), "new")
 
@@ -48,12 +48,12 @@
         async with Rig(replicas=1, epoch=0) as rig:
             rig.hosts(1, whole=True, a="ready")
             rig.purge(2, "ab")
-            rig.log.configure(3, "one")
+            rig.log.publish_configuration(3, "one")
             one = rig.dispatcher("d1", silence_us=3_000_000)
             await until(lambda: one.in_force == Version(0, 3) and not one.owner.is_blind)
             rig.restart_log(0)
             rig.hosts(1, whole=True, a="ready")
-            rig.log.configure(2, "two")
+            rig.log.publish_configuration(2, "two")
             replica = rig.replicas[0]
             await until(
                 lambda: replica.log_follower.numbering_restarted and replica.log_follower.last_seq == 2,
@@ -73,7 +73,7 @@
         monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENCE_US", 300_000)
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
-            rig.log.configure(2, "one")
+            rig.log.publish_configuration(2, "one")
             relay = await Relay(ReplicaAddress("log", "", ("127.0.0.1", rig.log_port))).start()
             replica = rig.start_replica("c2", changelog=relay.address.address[1])
             rig.connect_peers()
@@ -120,7 +120,7 @@
             rig.hosts(1, whole=True, a="ready")
             for number in range(2, 40):
                 rig.purge(number, f"{number:04x}")
-            rig.log.configure(40, "new")
+            rig.log.publish_configuration(40, "new")
             lines = list[int]()
 
             async def cutting(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
