--- a/hoistplank/membership/fallback.py
+++ b/hoistplank/membership/fallback.py
@@ -13,6 +13,7 @@
 from hoistplank.membership.host_registry import HostRegistry
 from hoistplank.membership.host_states import USABLE_STATES, Evidence
 from hoistplank.membership.probe import probe
+from hoistplank.routing.attempt_ending import AttemptEnding
 from hoistplank.routing.attempts import Attempt
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
@@ -25,17 +26,16 @@
 
 POLL_INTERVAL_S = 0.02
 LOG_INTERVAL_US = 1_000_000
-OWN_LIST = "own"  # the form of a list that no change log vouches for
 # What the end of a request's attempt shows of a host that no log vouches for. Ends that prove nothing are
 # left out.
 EVIDENCE_OF_ENDING = {
-    "served": Evidence.REQUEST_SERVED,
-    "still_good": Evidence.REQUEST_SERVED,
-    "overload": Evidence.REQUEST_FAILED,
-    "crashed": Evidence.REQUEST_FAILED,
-    "late": Evidence.REQUEST_FAILED,
-    "refused": Evidence.NO_RESPONSE,
-    "not up": Evidence.NO_RESPONSE,
+    AttemptEnding.SERVED: Evidence.REQUEST_SERVED,
+    AttemptEnding.NOT_MODIFIED: Evidence.REQUEST_SERVED,
+    AttemptEnding.OVERLOADED: Evidence.REQUEST_FAILED,
+    AttemptEnding.ERROR: Evidence.REQUEST_FAILED,
+    AttemptEnding.TIMED_OUT: Evidence.REQUEST_FAILED,
+    AttemptEnding.CONNECTION_REFUSED: Evidence.NO_RESPONSE,
+    AttemptEnding.CONNECT_TIMED_OUT: Evidence.NO_RESPONSE,
 }
 PROBE_RESULTS = (Evidence.HEALTHY, Evidence.DRAINING, Evidence.NO_RESPONSE, Evidence.UNEXPECTED_RESPONSE)
 
@@ -141,8 +141,8 @@
         has_cache = any(host.kind not in sources and host.zone == self._site.zone for host in usable)
         return has_cache and any(host.kind in sources for host in usable)
 
-    def _attempt_ended(self, attempt: Attempt, how: str) -> None:
+    def _attempt_ended(self, attempt: Attempt, ending: AttemptEnding) -> None:
         """How requests fare at a host: the only sign of a drain that no log reports."""
-        evidence = EVIDENCE_OF_ENDING.get(how)
+        evidence = EVIDENCE_OF_ENDING.get(ending)
         if evidence is not None:
             self._registry.record(self._clock.now(), attempt.host, evidence)
