--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -32,6 +32,7 @@
     encode_record,
     merge_changes,
 )
+from tests.fixture_files import FIXTURES
 
 
 def host(uid: str, since: int = 1, state: str = "ready") -> PersistedHost:
@@ -156,7 +157,7 @@
 
 def test_files_of_the_first_format_are_read(tmp_path: Path) -> None:
     for what in ("snap", "log"):
-        shutil.copy(Path(__file__).parent / "kept" / f"format-1.{what}", tmp_path / f"list-0000000001.{what}")
+        shutil.copy(FIXTURES / "store-formats" / f"format-1.{what}", tmp_path / f"list-0000000001.{what}")
     loaded = StateFolder(tmp_path).load()
     assert (
         names(loaded.state) == ["b"] and loaded.state is not None and loaded.state.history == RemovalHistory()
@@ -167,7 +168,7 @@
 def test_files_of_the_second_format_are_read_and_written_the_same_to_the_byte(tmp_path: Path) -> None:
     """The fixtures were written before the records got their present names: the names in files are older."""
     for suffix in ("snap", "log"):
-        fixture = Path(__file__).parent / "kept" / f"format-2.{suffix}"
+        fixture = FIXTURES / "store-formats" / f"format-2.{suffix}"
         shutil.copy(fixture, tmp_path / f"list-0000000001.{suffix}")
         data = fixture.read_bytes()
         sequence = frames.decode_frames(data)
