--- a/hoistplank/protocol/fastcgi/events.py
+++ b/hoistplank/protocol/fastcgi/events.py
@@ -4,6 +4,8 @@
 
 from dataclasses import dataclass, field
 
+import msgspec
+
 from hoistplank.protocol.errors import FastCgiError
 from hoistplank.protocol.fastcgi.records import decode_pairs
 
@@ -42,23 +44,20 @@
         return int(text) == len(self.body)
 
 
-@dataclass(frozen=True, slots=True)
-class RequestReceived:
+class RequestReceived(msgspec.Struct, frozen=True):
     """A request is complete, or has an `error` that makes the rest of it useless."""
 
     request: FastCgiRequest
 
 
-@dataclass(frozen=True, slots=True)
-class RequestAborted:
+class RequestAborted(msgspec.Struct, frozen=True):
     """The client no longer waits for a request, which may not have been complete."""
 
     number: int
     was_complete: bool
 
 
-@dataclass(frozen=True, slots=True)
-class ProtocolReply:
+class ProtocolReply(msgspec.Struct, frozen=True):
     """Bytes that the protocol itself owes the client; to be sent as they are."""
 
     data: bytes
--- a/hoistplank/protocol/fastcgi/reader.py
+++ b/hoistplank/protocol/fastcgi/reader.py
@@ -163,16 +163,26 @@
         if kind == BEGIN_REQUEST:
             self.shed_requests.pop(number, None)  # its END_REQUEST has gone out: the number may come again
             return self._begin(number, content, request)
-        if number in self.shed_requests:
-            self._skip_shed(kind, number, content)
-            return None
         if request is None:
-            self._count_stray()  # the specification: records of a request that is not active are ignored
+            self._skip_inactive(kind, number, content)
             return None
         if kind == ABORT_REQUEST:
             was_complete = number in self.complete
             self.release(number)
             return RequestAborted(number, was_complete)
+        return self._read_stream(request, kind, content)
+
+    def _skip_inactive(self, kind: int, number: int, content: bytearray) -> None:
+        """A record of a request that is not active: ignored, as the specification says. The last one of a
+        request that was shed ends it."""
+        if number not in self.shed_requests:
+            self._count_stray()
+        elif kind == ABORT_REQUEST or (kind == STDIN and not content):
+            keep_connection = self.shed_requests.pop(number)
+            self.close_requested = self.close_requested or not keep_connection
+
+    def _read_stream(self, request: FastCgiRequest, kind: int, content: bytearray) -> Event | None:
+        """A record of a request's PARAMS or STDIN; what is neither belongs to nothing."""
         event: Event | None = None
         if kind == PARAMS and not request.params_complete:
             event = self._read_params(request, content)
@@ -184,8 +194,8 @@
             return event
         request.held_bytes += len(content)
         self.held_bytes += len(content)
-        if request.params_complete and request.body_complete and number not in self.complete:
-            self.complete.add(number)
+        if request.params_complete and request.body_complete and request.number not in self.complete:
+            self.complete.add(request.number)
             return RequestReceived(request)
         return None
 
@@ -215,12 +225,6 @@
         self.requests[number] = FastCgiRequest(number, keep_connection)
         return None
 
-    def _skip_shed(self, kind: int, number: int, content: bytearray) -> None:
-        """A record of a request that has been shed: skipped, and the last one ends the request."""
-        if kind == ABORT_REQUEST or (kind == STDIN and not content):
-            keep_connection = self.shed_requests.pop(number)
-            self.close_requested = self.close_requested or not keep_connection
-
     def _read_params(self, request: FastCgiRequest, content: bytearray) -> Event | None:
         if content:
             if len(request.params) + len(content) > MAX_PARAMS_BYTES:
--- a/hoistplank/protocol/fastcgi/responses.py
+++ b/hoistplank/protocol/fastcgi/responses.py
@@ -42,11 +42,12 @@
 def encode_response(number: int, status: int, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
     """A whole response: its STDOUT records, the stream's end, END_REQUEST."""
     head = encode_head(status, fields, len(body))
-    first = min(len(body), MAX_CONTENT_BYTES - len(head))
-    first_header = HEADER.pack(VERSION, STDOUT, number, len(head) + first, 0)
-    if first == len(body):
-        return b"".join((first_header, head, body, _encode_end(number)))
-    parts = [first_header, head, memoryview(body)[:first]]
+    size = len(head) + len(body)
+    if size <= MAX_CONTENT_BYTES:
+        header = HEADER.pack(VERSION, STDOUT, number, size, 0)
+        return b"".join((header, head, body, _encode_end(number)))
+    first = MAX_CONTENT_BYTES - len(head)
+    parts = [HEADER.pack(VERSION, STDOUT, number, MAX_CONTENT_BYTES, 0), head, memoryview(body)[:first]]
     for position in range(first, len(body), MAX_CONTENT_BYTES):
         piece = memoryview(body)[position : position + MAX_CONTENT_BYTES]
         parts += [HEADER.pack(VERSION, STDOUT, number, len(piece), 0), piece]
--- a/hoistplank/protocol/fastcgi/script_name.py
+++ b/hoistplank/protocol/fastcgi/script_name.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 _NAME = b"SCRIPT_NAME"
+_NAME_BYTES = len(_NAME)
 _MAX_SHORT_LENGTH = 0x7F
 
 
@@ -11,11 +12,12 @@
     others; b"" where it is not found. A text in another value that looks like it misleads only load shedding,
     on its sender's own request."""
     position = buffer.find(_NAME, start, end)
-    if position < start + 2:
+    # Before the name stand its length and that of the value.
+    if position < start + 2 or buffer[position - 2] != _NAME_BYTES:
         return b""
-    name_length, value_length = buffer[position - 2], buffer[position - 1]
-    if name_length != len(_NAME) or value_length > _MAX_SHORT_LENGTH:
+    value_bytes = buffer[position - 1]
+    if value_bytes > _MAX_SHORT_LENGTH:
         return b""
-    value_start = position + len(_NAME)
-    value_end = value_start + value_length
+    value_start = position + _NAME_BYTES
+    value_end = value_start + value_bytes
     return bytes(buffer[value_start:value_end]) if value_end <= end else b""
--- a/hoistplank/protocol/fastcgi/whole_request.py
+++ b/hoistplank/protocol/fastcgi/whole_request.py
@@ -9,10 +9,19 @@
 MAX_PARAMS_BYTES = 32_768  # all parameters of a request; those in use take some 400 bytes
 MAX_BODY_BYTES = 48_000
 
-_BEGIN = struct.Struct(">BBHHBxHB5x")  # BEGIN_REQUEST with its role and flags
-_HEADER_BYTES, _BEGIN_BYTES = HEADER.size, _BEGIN.size
-_MIN_BYTES = _BEGIN_BYTES + 3 * _HEADER_BYTES
-_RESPONDER_BEGINS = (VERSION, BEGIN_REQUEST, 8, 0, RESPONDER)  # version, type, length, padding, role
+# Records that stand together are unpacked in one step, as each request takes this path.
+_BEGIN_AND_HEADER = struct.Struct(">BBHHBxHB5xBBHHBx")  # BEGIN_REQUEST with its role and flags, a header
+_TWO_HEADERS = struct.Struct(">BBHHBxBBHHBx")
+_HEADER_BYTES, _BEGIN_AND_HEADER_BYTES, _TWO_HEADERS_BYTES = (
+    HEADER.size,
+    _BEGIN_AND_HEADER.size,
+    _TWO_HEADERS.size,
+)
+_MIN_BYTES = _BEGIN_AND_HEADER_BYTES + _TWO_HEADERS_BYTES
+# Version, type, length, padding, role; then version and type of the next record.
+_RESPONDER_BEGINS = (VERSION, BEGIN_REQUEST, 8, 0, RESPONDER, VERSION, PARAMS)
+# Version, type, length, padding; then version and type of the next record.
+_PARAMS_END = (VERSION, PARAMS, 0, 0, VERSION, STDIN)
 
 
 class WholeRequestLayout:
@@ -33,34 +42,60 @@
         responder, one PARAMS record and its end, at most one STDIN record and its end."""
         if end - start < _MIN_BYTES:
             return False
-        version, kind, number, size, padding, role, self.flags = _BEGIN.unpack_from(buffer, start)
-        if (version, kind, size, padding, role) != _RESPONDER_BEGINS or not number:
+        (
+            version,
+            kind,
+            number,
+            size,
+            padding,
+            role,
+            flags,
+            params_version,
+            params_kind,
+            params_number,
+            params_size,
+            params_padding,
+        ) = _BEGIN_AND_HEADER.unpack_from(buffer, start)
+        begins = (version, kind, size, padding, role, params_version, params_kind)
+        if begins != _RESPONDER_BEGINS or not number or params_number != number:
             return False
-        self.number = number
+        if not 0 < params_size <= MAX_PARAMS_BYTES:
+            return False
+        self.number, self.flags = number, flags
+        self.params_start = start + _BEGIN_AND_HEADER_BYTES
+        self.params_end = self.params_start + params_size
+        return self._find_body(buffer, self.params_end + params_padding, end)
 
-        version, kind, owner, size, padding = HEADER.unpack_from(buffer, start + _BEGIN_BYTES)
-        if version != VERSION or kind != PARAMS or owner != number or not 0 < size <= MAX_PARAMS_BYTES:
+    def _find_body(self, buffer: bytearray, start: int, end: int) -> bool:
+        """Whether the end of the parameters and a whole body stand from `start` on."""
+        if end < start + _TWO_HEADERS_BYTES:
             return False
-        self.params_start = start + _BEGIN_BYTES + _HEADER_BYTES
-        self.params_end = self.params_start + size
-        position = self.params_end + padding
-        if end < position + 2 * _HEADER_BYTES:
+        (
+            version,
+            kind,
+            end_number,
+            size,
+            padding,
+            body_version,
+            body_kind,
+            body_number,
+            body_size,
+            body_padding,
+        ) = _TWO_HEADERS.unpack_from(buffer, start)
+        if (version, kind, size, padding, body_version, body_kind) != _PARAMS_END:
             return False
-        if HEADER.unpack_from(buffer, position) != (VERSION, PARAMS, number, 0, 0):
+        if not end_number == body_number == self.number or body_size > MAX_BODY_BYTES:
             return False
-        position += _HEADER_BYTES
+        self.body_start = start + _TWO_HEADERS_BYTES
+        self.body_end = self.body_start + body_size
+        self.end = self.body_end + body_padding
+        return self._find_body_end(buffer, end) if body_size else not body_padding
 
-        version, kind, owner, size, padding = HEADER.unpack_from(buffer, position)
-        if version != VERSION or kind != STDIN or owner != number or size > MAX_BODY_BYTES:
+    def _find_body_end(self, buffer: bytearray, end: int) -> bool:
+        """Whether an empty STDIN record stands behind the body."""
+        if end < self.end + _HEADER_BYTES:
+            return False
+        if HEADER.unpack_from(buffer, self.end) != (VERSION, STDIN, self.number, 0, 0):
             return False
-        self.body_start = position + _HEADER_BYTES
-        self.body_end = self.body_start + size
-        self.end = self.body_end + padding
-        if size:
-            if end < self.end + _HEADER_BYTES:
-                return False
-            if HEADER.unpack_from(buffer, self.end) != (VERSION, STDIN, number, 0, 0):
-                return False
-            self.end += _HEADER_BYTES
-            return True
-        return not padding
+        self.end += _HEADER_BYTES
+        return True
--- a/hoistplank/transport/message_writer.py
+++ b/hoistplank/transport/message_writer.py
@@ -124,14 +124,14 @@
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError as error:
-                return self._end(error)
+                self._end(error)
+                return
             if sent == len(data):
                 self._write_stalled_at = 0.0
                 self._report_written(batch)
             else:
                 self._keep_rest(batch, data, sent, is_plain=data is plain)
         self._after_write()
-        return None
 
     def _keep_rest(self, batch: list[OutgoingMessage], data: bytes, sent: int, *, is_plain: bool) -> None:
         """The system took `sent` bytes of a batch: what it has whole is written, what it has begun is
