--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -1,5 +1,5 @@
-"""Runs the distribution in a dispatcher: replicas are followed in place of the change log, and the
-configuration that they hand on is taken up."""
+"""Runs the distribution in a dispatcher: it follows replicas in place of the change log, and applies the
+configuration that they forward."""
 
 from __future__ import annotations
 
@@ -7,12 +7,11 @@
 import time
 from collections.abc import Callable, Coroutine
 from random import Random
-from typing import Any, Protocol
+from typing import Any, Protocol, TypeAlias
 
-import structlog
-
-from hoistplank.distribution.assignment import Replica
-from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
+from hoistplank.distribution.assignment import ReplicaAddress
+from hoistplank.distribution.configuration_applier import ApplyConfiguration
+from hoistplank.distribution.errors import ConfigurationRefusedError
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import Version
 from hoistplank.operator_configuration.schema import Section
@@ -21,14 +20,12 @@
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import RouterTask
 
-log = structlog.get_logger()
-
-# A text with the name that its faults are told by: read and checked, and what is returned takes it up.
-ReadText = Callable[[bytes, str], Callable[[], TakeUp]]
+# Parses a text, given the name that its faults are reported under; the result checks it against what runs.
+ParseConfiguration: TypeAlias = Callable[[bytes, str], Callable[[], ApplyConfiguration]]
 
 
 class Host(Protocol):
-    """What this uses of the program that it is part of."""
+    """What the service uses of the program that it extends."""
 
     router_task: RouterTask
     frontend: Frontend
@@ -36,16 +33,20 @@
 
 
 class DistributionService:
-    """One for the program. `read` parses a configuration's text, which may be done in a thread; the call
-    that it returns checks it against what runs, and returns the call that takes it up."""
+    """The distribution of one dispatcher."""
 
-    def __init__(self, section: Section, configuration: Configuration, read: ReadText) -> None:
-        self.section, self.configuration, self.read = section, configuration, read
+    def __init__(self, section: Section, configuration: Configuration, parse: ParseConfiguration) -> None:
+        """`parse` may be called in a thread; the call that it returns is made on the event loop."""
+        self.section = section
+        self.configuration = configuration
+        self.parse = parse
         self.follower: ReplicaFollower | None = None
 
     def settings(self) -> FollowerSettings:
-        """Who this dispatcher is, as replicas are told. Each start is a later incarnation than the last."""
-        replicas = [Replica(row.title, row["region"], row["endpoint"]) for row in self.section["replica"]]
+        """Who this dispatcher is. Each start has a higher incarnation than the one before."""
+        replicas = [
+            ReplicaAddress(row.title, row["region"], row["endpoint"]) for row in self.section["replica"]
+        ]
         name = self.section["name"] or self.configuration.name
         incarnation = time.time_ns() // 1_000_000
         return FollowerSettings(
@@ -53,7 +54,10 @@
         )
 
     def attach(self, host: Host) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """Takes the place of the change log's watch, before anything else watches it."""
+        """Replaces the change log's watcher, before anything else refers to it.
+
+        Returns the names and coroutines of the tasks that the program is to run.
+        """
         configuration = self.configuration
         follower = ReplicaFollower(
             host.router_task,
@@ -68,13 +72,13 @@
         host.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
-    async def _prepare(self, version: Version, text: str) -> TakeUp:
+    async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
         # Danger: a megabyte takes seconds to parse, in which no request would be answered: a thread does it.
         try:
-            check = await asyncio.to_thread(self.read, text.encode(), f"configuration {version}")
+            check = await asyncio.to_thread(self.parse, text.encode(), f"configuration {version}")
             return check()
-        except DispatcherConfigurationError as wrong:
-            raise ConfigurationRefused(str(wrong)) from None
+        except DispatcherConfigurationError as error:
+            raise ConfigurationRefusedError(str(error)) from error
 
     def close(self) -> None:
-        """Nothing is held beside the tasks."""
+        """Nothing to release: the program owns the tasks."""
