--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,7 +24,8 @@
 from benchmarks.verdict import verdict
 from hoistplank.lab.fleet import faulty_dispatchers, runner
 from hoistplank.lab.fleet.relay_pool import RelayPool
-from hoistplank.lab.fleet.scene import Scene, read
+from hoistplank.lab.fleet.scene import Scene
+from hoistplank.lab.fleet.scene_reader import read
 from hoistplank.lab.statistics import interval
 
 ROOT = Path(__file__).resolve().parents[1]
--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -6,7 +6,7 @@
 
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.relay_messages import ConditionValue, PathAction
-from hoistplank.lab.fleet.scene import DATAGRAMS, KINDS, PARTY, WHO
+from hoistplank.lab.fleet.scene_faults import DATAGRAMS, KINDS, PARTY, WHO
 from hoistplank.lab.model.dispatcher import Dispatcher
 from hoistplank.lab.model.fault_injector import FaultInjector
 from hoistplank.lab.model.faults import ScheduledFault
--- a/hoistplank/lab/fleet/faulty_dispatchers.py
+++ b/hoistplank/lab/fleet/faulty_dispatchers.py
@@ -8,7 +8,8 @@
 from hoistplank.decision.events import AttemptEnded, EndpointsUpdated
 from hoistplank.lab.faulty_dispatchers import all_up
 from hoistplank.lab.fleet.metrics import FleetMetrics
-from hoistplank.lab.fleet.scene import Scene, read
+from hoistplank.lab.fleet.scene import Scene
+from hoistplank.lab.fleet.scene_reader import read
 from hoistplank.lab.fleet.virtual import build_world
 from hoistplank.lab.model.clients import Request
 from hoistplank.lab.policies import ByHash, Make, Plain, PlainRequest, policy
--- a/hoistplank/lab/fleet/metrics.py
+++ b/hoistplank/lab/fleet/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of a whole fleet, from the world's own events and samples: utility by location, the outcome of
-displaced requests, use of shared things against their whole, fairness, attempts for each first try, and how
-long wrong choices lasted.
+"""Metrics of a whole fleet, from the simulated world's own events and samples.
 
-No dispatcher reports any of it. No I/O, no clock; times are whole microseconds of the world.
+Utility by location, the outcome of displaced requests, use of shared resources, fairness, attempts for each
+first try, and how long wrong choices lasted. No dispatcher reports any of it. No I/O, no clock; times are
+whole microseconds of the world.
 """
 
 from __future__ import annotations
@@ -39,9 +39,12 @@
     attempts: int = 0  # at what it struck
 
     def first_right_choice_us(self, dispatcher: int) -> int:
-        """From its beginning to a dispatcher's first right choice: the first attempt elsewhere of which the
-        row of `ROW` has one wrong at most, since a try now and then at what was lost is how its return is
-        found. The fault's whole length where there is none."""
+        """The time from the fault's beginning to a dispatcher's first right choice.
+
+        That is the first attempt elsewhere after which `RIGHT_CHOICE_WINDOW` attempts have one wrong at most,
+        since an attempt now and then at a lost host is how its return is found. Where there is none, it is
+        the fault's whole length.
+        """
         trail = self.choices.get(dispatcher, [])
         for n, (at, wrong) in enumerate(trail):
             row = trail[n : n + RIGHT_CHOICE_WINDOW]
@@ -203,32 +206,41 @@
         return found
 
     def measure(self, name: str, place: str, low: int, high: int) -> float:
-        """A scene's figure. Raises KeyError for what it does not know."""
+        """A figure by the name that a scene's bound gives it (see `scene.MEASURES`).
+
+        `place` is a location as `z0`, or "" for all; of `lost`, a cause with '-' for its blanks. `low` and
+        `high` are a window in us from the first second; 0, 0 for the whole day. Raises KeyError for a name
+        that it does not know.
+        """
         zones = [int(place[1:])] if place.startswith("z") else list(range(self.settings.zones))
         if name == "earned":
             return self.earned(zones, low, high)
-        if name == "lost":
-            asked = sum(map(sum, self.asked_in))
-            lost = sum(self.lost[zone][place.replace("-", " ")] for zone in self.lost)
-            return lost / asked if asked else 0.0
-        if name == "displaced":
-            served = sum(many for (_, _, how), many in self.displaced_outcomes.items() if how == SERVED)
-            return served / max(1, sum(self.displaced.values()))
-        if name == "amplified":
-            return self.attempts / max(1, self.firsts)
-        if name == "asked-again":
-            return self.tries / max(1, self.firsts)
-        if name == "link":
-            return max(row.most for key, row in self.shared.items() if key in [f"link z{z}" for z in zones])
-        if name == "fair":
-            return self.fair()
         if name == "fair-places":
             return jain_index([self.earned([zone], low, high) for zone in zones])
-        if name == "wrong":
-            return max((mark.slowest_us() for mark in self.marks), default=0) / SECOND_US
-        if name == "refused":
-            return self.answers[REJECTED] / max(1, self.tries)
-        raise KeyError(name)
+        if name == "lost":
+            return self._lost_share(place.replace("-", " "))
+        if name == "link":
+            links = [f"link z{zone}" for zone in zones]
+            return max(resource.most for key, resource in self.shared.items() if key in links)
+        return self._whole_scene_figures()[name]
+
+    def _whole_scene_figures(self) -> dict[str, float]:
+        served_elsewhere = sum(
+            count for (_, _, outcome), count in self.displaced_outcomes.items() if outcome == SERVED
+        )
+        return {
+            "displaced": served_elsewhere / max(1, sum(self.displaced.values())),
+            "amplified": self.attempts / max(1, self.firsts),
+            "asked-again": self.tries / max(1, self.firsts),
+            "fair": self.fair(),
+            "wrong": max((mark.slowest_us() for mark in self.marks), default=0) / SECOND_US,
+            "refused": self.answers[REJECTED] / max(1, self.tries),
+        }
+
+    def _lost_share(self, cause: str) -> float:
+        asked = sum(map(sum, self.asked_in))
+        lost = sum(by_cause[cause] for by_cause in self.lost.values())
+        return lost / asked if asked else 0.0
 
     def figures(self) -> dict[str, Any]:
         """All that a report needs; plain values."""
--- a/hoistplank/lab/fleet/runner.py
+++ b/hoistplank/lab/fleet/runner.py
@@ -16,7 +16,8 @@
 
 import msgspec
 
-from hoistplank.lab.fleet.scene import Scene, read
+from hoistplank.lab.fleet.scene import Scene
+from hoistplank.lab.fleet.scene_reader import read
 from hoistplank.lab.fleet.worker import BROKE, DONE, VOID, Job
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
 
--- a/hoistplank/lab/fleet/worker.py
+++ b/hoistplank/lab/fleet/worker.py
@@ -21,7 +21,8 @@
 from hoistplank.lab.experiment import Cell
 from hoistplank.lab.fleet import processes, virtual
 from hoistplank.lab.fleet.metrics import FleetMetrics
-from hoistplank.lab.fleet.scene import Bound, Scene, lasts
+from hoistplank.lab.fleet.scene import Bound, Scene
+from hoistplank.lab.fleet.scene_faults import lasts
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.policies import UnknownPolicy, policy
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,7 +32,9 @@
 )
 from hoistplank.lab.fleet.relay_messages import PathAction
 from hoistplank.lab.fleet.relay_pool import RelayPool
-from hoistplank.lab.fleet.scene import Scene, lasts, read
+from hoistplank.lab.fleet.scene import Scene
+from hoistplank.lab.fleet.scene_faults import lasts
+from hoistplank.lab.fleet.scene_reader import read
 from hoistplank.lab.fleet.worker import Job, told
 from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.policies import policy
