--- a/tests/test_fleet_scenes.py
+++ b/tests/test_fleet_scenes.py
@@ -11,7 +11,8 @@
 from hoistplank.cli.main import main
 from hoistplank.lab.fleet import faulty_dispatchers, runner, virtual
 from hoistplank.lab.fleet.metrics import FleetMetrics, SharedResource, jain_index
-from hoistplank.lab.fleet.scene import lasts, read
+from hoistplank.lab.fleet.scene_faults import lasts
+from hoistplank.lab.fleet.scene_reader import read
 from hoistplank.lab.fleet.worker import Job, told
 from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.policies import policy
