--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -10,6 +10,7 @@
 
 
 def main() -> int:
+    """Runs the dispatcher until it has ended; returns the exit code of docs/on-call.md."""
     # Danger: a SIGHUP that comes before there is a handler for it ends the program. Those that come while it
     # starts are kept and looked at once it runs.
     early: list[int] = []
--- a/hoistplank/benchlink/__main__.py
+++ b/hoistplank/benchlink/__main__.py
@@ -6,7 +6,7 @@
 import sys
 
 from hoistplank.benchlink.hosting import Hosting
-from hoistplank.settings_reader import FactError
+from hoistplank.wire_fields import FieldError
 
 
 def main() -> int:
@@ -16,7 +16,7 @@
         for reply in Hosting().play(source):
             sys.stdout.write(reply + "\n" if not reply.endswith("\n") else reply)
             sys.stdout.flush()
-    except (FactError, UnicodeDecodeError) as wrong:
+    except (FieldError, UnicodeDecodeError) as wrong:
         print(f"benchlink: {wrong}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/hoistplank/benchlink/codec.py
+++ b/hoistplank/benchlink/codec.py
@@ -26,7 +26,7 @@
     ResponseStarted,
     TimerFired,
 )
-from hoistplank.settings_reader import FactError, Fields, numbers
+from hoistplank.wire_fields import FieldError, Fields, parse_numbers
 
 OUTCOMES = {
     "GOOD": Outcome.SUCCEEDED,
@@ -62,12 +62,12 @@
     """One row of a list of endpoints."""
     state = fields.text("health", "U")
     if state not in ENDPOINT_STATES:
-        raise FactError(f"field 'health' has no state '{state[:20]}'")
+        raise FieldError(f"field 'health' has no state '{state[:20]}'")
     return Endpoint(
         host=fields.text("host"),
         zone=fields.text("rack_zone", ""),
         kind=fields.text("type", ""),
-        cell=fields.whole("stripe", 0),
+        cell=fields.integer("stripe", 0),
         units=fields.number("units", 1.0),
         started_us=fields.micros("online_since", 0),
         state=ENDPOINT_STATES[state],
@@ -80,8 +80,8 @@
         request_id=fields.text("request_id"),
         class_name=fields.text("lane"),
         object_key=fields.text("file", ""),
-        part=fields.whole("piece", 0),
-        purge_group=fields.whole("label_no", 0),
+        part=fields.integer("piece", 0),
+        purge_group=fields.integer("label_no", 0),
         size_kb=fields.number("volume_kb", 0.0),
         deadline_us=fields.micros("give_up_at"),
         is_repeat=fields.flag("is_retry"),
@@ -92,21 +92,21 @@
     """The end of an attempt."""
     status = fields.text("status")
     if status not in OUTCOMES:
-        raise FactError(f"field 'status' has no meaning '{status[:20]}'")
+        raise FieldError(f"field 'status' has no meaning '{status[:20]}'")
     return AttemptEnded(
         request_id=fields.text("request_id"),
-        attempt=fields.whole("trial"),
+        attempt=fields.integer("trial"),
         outcome=OUTCOMES[status],
         request_closed=fields.flag("ended"),
         took_us=fields.micros("time_taken", 0),
-        cache_status=fields.whole("info", 0),
-        load_report=numbers(fields.text("feedback", ""), "feedback"),
+        cache_status=fields.integer("info", 0),
+        load_report=parse_numbers(fields.text("feedback", ""), "feedback"),
     )
 
 
 def response_started(fields: Fields) -> ResponseStarted:
     """The first bytes of an answer went on to the client."""
-    return ResponseStarted(fields.text("request_id"), fields.whole("trial"))
+    return ResponseStarted(fields.text("request_id"), fields.integer("trial"))
 
 
 def client_disconnected(fields: Fields) -> ClientDisconnected:
@@ -116,12 +116,12 @@
 
 def timer_fired(fields: Fields) -> TimerFired:
     """A timer whose time is over."""
-    return TimerFired(fields.whole("tag"))
+    return TimerFired(fields.integer("tag"))
 
 
 def purge_received(fields: Fields) -> PurgeReceived:
     """A purge of an object or of a purge group."""
-    return PurgeReceived(fields.text("file", ""), fields.whole("bucket", 0), fields.micros("oldness", 0))
+    return PurgeReceived(fields.text("file", ""), fields.integer("bucket", 0), fields.micros("oldness", 0))
 
 
 def line(instance: str, action: Action) -> str:
--- a/hoistplank/benchlink/hosting.py
+++ b/hoistplank/benchlink/hosting.py
@@ -8,7 +8,8 @@
 from hoistplank.decision.events import Endpoint, EndpointsUpdated, EndpointWatchFailed, Event
 from hoistplank.decision.router import Router
 from hoistplank.decision.settings import RouterSettings
-from hoistplank.settings_reader import FactError, Fields, site
+from hoistplank.settings_reader import read_settings
+from hoistplank.wire_fields import FieldError, Fields
 
 # The lines that are for one instance, and the event that each is to it.
 EVENTS: dict[str, Callable[[Fields], Event]] = {
@@ -46,10 +47,10 @@
                 if reply is not None:
                     yield reply
             if self.in_batch:
-                raise FactError("the input ends inside a batch")
-        except FactError as wrong:
+                raise FieldError("the input ends inside a batch")
+        except FieldError as wrong:
             name = stream.text.partition(" ")[0][:MOST_QUOTED]
-            raise FactError(f"line {stream.number}: {name}: {wrong}") from None
+            raise FieldError(f"line {stream.number}: {name}: {wrong}") from None
 
     def _line(self, text: str, stream: _Lines) -> str | None:
         """Takes one line in; returns the reply where it ends a batch."""
@@ -58,11 +59,11 @@
         name, _, rest = text.partition(" ")
         if name == "FRAME":
             if self.in_batch:
-                raise FactError("a batch begins inside another")
+                raise FieldError("a batch begins inside another")
             self.now_us = Fields(rest.split(" ")).micros("moment")
             self.in_batch = True
         elif not self.in_batch:
-            raise FactError(f"'{name[:MOST_QUOTED]}' stands outside a batch")
+            raise FieldError(f"'{name[:MOST_QUOTED]}' stands outside a batch")
         elif name == "COMMIT":
             self.in_batch = False
             return self._reply()
@@ -73,16 +74,16 @@
         return None
 
     def _read_list(self, fields: Fields, stream: _Lines) -> None:
-        count = fields.whole("members_list", 0)
+        count = fields.integer("members_list", 0)
         if count < 0:
-            raise FactError("field 'members_list' is below 0")
+            raise FieldError("field 'members_list' is below 0")
         endpoints: list[Endpoint] = []
         for _ in range(count):
             text = next(stream, "")
             if not text.startswith("ITEM "):
-                raise FactError("a list ends before its stated number of ITEM lines")
+                raise FieldError("a list ends before its stated number of ITEM lines")
             endpoints.append(codec.endpoint(Fields(text[5:].split(" "))))
-        self.lists[fields.whole("buffer", 0)] = endpoints
+        self.lists[fields.integer("buffer", 0)] = endpoints
 
     def _instance_line(self, name: str, fields: Fields) -> None:
         """A line for one instance: its start, its end or an event of it. Unknown ones are passed over."""
@@ -100,7 +101,9 @@
         router = self.routers.get(instance)
         if router is None:
             if instance not in self.crashes:
-                raise FactError(f"field 'dispatcher_id' names no running instance '{instance[:MOST_QUOTED]}'")
+                raise FieldError(
+                    f"field 'dispatcher_id' names no running instance '{instance[:MOST_QUOTED]}'"
+                )
             return
         if read is not None:
             self._handle(instance, router, read(fields))
@@ -109,9 +112,9 @@
 
     def _launch(self, instance: str, fields: Fields) -> None:
         self.crashes.pop(instance, None)
-        settings = site(fields)
+        settings = read_settings(fields)
         try:
-            self.routers[instance] = self.make(settings, fields.whole("salt", 0))
+            self.routers[instance] = self.make(settings, fields.integer("salt", 0))
         except Exception as broken:
             self._crashed(instance, broken)
 
@@ -123,12 +126,12 @@
     def _endpoint_event(self, fields: Fields) -> Event:
         form = fields.text("form")
         if form != codec.WATCH_FAILED and form not in codec.LIST_FORMS:
-            raise FactError(f"field 'form' has no meaning '{form[:20]}'")
-        number = fields.whole("buffer", 0)
+            raise FieldError(f"field 'form' has no meaning '{form[:20]}'")
+        number = fields.integer("buffer", 0)
         if form == codec.WATCH_FAILED:
             return EndpointWatchFailed()
         if number not in self.lists:
-            raise FactError("field 'buffer' names no list")
+            raise FieldError("field 'buffer' names no list")
         return EndpointsUpdated(codec.LIST_FORMS[form], self.lists[number])
 
     def _handle(self, instance: str, router: Router, event: Event) -> None:
--- a/hoistplank/lab/model/world_settings.py
+++ b/hoistplank/lab/model/world_settings.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from hoistplank.decision.settings import RouterSettings
-from hoistplank.settings_reader import Fields, flat, site
+from hoistplank.settings_reader import read_settings
+from hoistplank.wire_fields import Fields, flatten
 
 SECOND_US = 1_000_000
 CACHE_HOST, PARENT, ORIGIN = "box", "parent", "origin"
@@ -231,8 +232,8 @@
     def site(self, zone: int, index: int) -> RouterSettings:
         """The router settings of a dispatcher, read as a dispatcher reads them."""
         facts = Fields([])
-        facts.pairs = flat(self.dispatcher_settings(zone, index))
-        return site(facts)
+        facts.pairs = flatten(self.dispatcher_settings(zone, index))
+        return read_settings(facts)
 
 
 def scaled_settings(
--- a/hoistplank/lab/scale/hollow_process.py
+++ b/hoistplank/lab/scale/hollow_process.py
@@ -37,7 +37,8 @@
 )
 from hoistplank.lab.scale.run_lateness import Lateness
 from hoistplank.protocol.changelog import Snapshot
-from hoistplank.settings_reader import Fields, flat, site
+from hoistplank.settings_reader import read_settings
+from hoistplank.wire_fields import Fields, flatten
 
 FLUSH_S = 0.1  # how often acknowledgements are handed on
 MOST_LINE = 1 << 26
@@ -61,8 +62,8 @@
 
 def site_of(settings: dict[str, object]) -> RouterSettings:
     facts = Fields([])
-    facts.pairs = flat(settings)
-    return site(facts)
+    facts.pairs = flatten(settings)
+    return read_settings(facts)
 
 
 class HollowHost:
--- a/hoistplank/lab/scale/role_dispatcher.py
+++ b/hoistplank/lab/scale/role_dispatcher.py
@@ -17,7 +17,8 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.router_task import RouterTask
-from hoistplank.settings_reader import Fields, flat, site
+from hoistplank.settings_reader import read_settings
+from hoistplank.wire_fields import Fields, flatten
 
 ROLE = "dispatcher"
 SEED = 7
@@ -33,8 +34,8 @@
 def planned_site() -> RouterSettings:
     """The stand-ins' site, with purges that have to be remembered for an hour."""
     fields = Fields([])
-    fields.pairs = flat(SETTINGS)
-    made = site(fields)
+    fields.pairs = flatten(SETTINGS)
+    made = read_settings(fields)
     return replace(
         made, traffic_classes=tuple(replace(row, fresh_us=FRESH_US) for row in made.traffic_classes)
     )
--- a/hoistplank/program/configuration.py
+++ b/hoistplank/program/configuration.py
@@ -17,7 +17,8 @@
 from hoistplank.decision.settings import RouterSettings
 from hoistplank.protocol.changelog import Snapshot, check_event, parse_address
 from hoistplank.protocol.errors import ProtocolError
-from hoistplank.settings_reader import FactError, Fields, flat, site
+from hoistplank.settings_reader import read_settings
+from hoistplank.wire_fields import FieldError, Fields, flatten
 
 DEFAULT_IDLE_CLOSE_S = 30.0
 FIXED_KEYS = ("name", "listen", "limits", "settings")  # can't be changed while the program runs
@@ -84,7 +85,7 @@
     seed = _parse_seed(file.seed)
     _check_known(file.known)
     fields = Fields([])
-    fields.pairs = flat(file.settings)
+    fields.pairs = flatten(file.settings)
     try:
         return Configuration(
             file=file,
@@ -101,7 +102,7 @@
             idle_close_s=_number(fields, "limits.idle_close", least=0, default=DEFAULT_IDLE_CLOSE_S),
             load_report_fields=tuple(name for name in fields.text("report.fields", "").split(",") if name),
         )
-    except FactError as error:
+    except FieldError as error:
         raise DispatcherConfigurationError(f"settings: {error}") from error
 
 
@@ -160,13 +161,13 @@
 def _number(fields: Fields, name: str, *, least: float, default: float) -> float:
     value = fields.number(name, default)
     if value < least:
-        raise FactError(f"field '{name}' is {value:g}, below {least:g}")
+        raise FieldError(f"field '{name}' is {value:g}, below {least:g}")
     return value
 
 
 def _read_router_settings(fields: Fields) -> RouterSettings:
     """The settings for the Router; the simulator's are always sound, a file's may hold anything."""
-    settings = site(fields)
+    settings = read_settings(fields)
     _check_traffic_classes(settings)
     rules = settings.rules
     for key, value in (
@@ -177,17 +178,17 @@
         ("limits.max_attempts", rules.max_attempts),
     ):
         if value < 0:
-            raise FactError(f"field '{key}' is below 0")
+            raise FieldError(f"field '{key}' is below 0")
     return settings
 
 
 def _check_traffic_classes(settings: RouterSettings) -> None:
     if not settings.traffic_classes:
-        raise FactError("field 'classes' is absent or empty")
+        raise FieldError("field 'classes' is absent or empty")
     for index, traffic_class in enumerate(settings.traffic_classes):
         for key, value in (
             ("target", traffic_class.latency_objective_us),
             ("give_up", traffic_class.deadline_us),
         ):
             if value <= 0:
-                raise FactError(f"field 'classes.{index}.{key}' is not above 0")
+                raise FieldError(f"field 'classes.{index}.{key}' is not above 0")
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -4,7 +4,7 @@
 
 from hoistplank.benchlink.codec import seconds
 from hoistplank.benchlink.hosting import Hosting
-from hoistplank.settings_reader import FactError, micros
+from hoistplank.wire_fields import FieldError, parse_seconds
 
 LAUNCH = (
     "LAUNCH dispatcher_id=d/1 salt=7 areas=hub,z1 models=box,parent,origin zone=z1 group_size=1 later.key=x"
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("text", ["0", "0.000001", "392845.868034", "7.5"])
 def test_times_come_back_as_they_were(text: str) -> None:
-    assert seconds(micros(text, "time")) == text
+    assert seconds(parse_seconds(text, "time")) == text
 
 
 def test_request_is_answered_from_its_own_list() -> None:
@@ -51,5 +51,5 @@
     ],
 )
 def test_malformed_line_is_named(line: str, told: str) -> None:
-    with pytest.raises(FactError, match=told.replace("=", ".")):
+    with pytest.raises(FieldError, match=told.replace("=", ".")):
         play(LAUNCH, *LIST, line)
