--- a/hoistplank/distribution/sections.py
+++ b/hoistplank/distribution/sections.py
@@ -1,14 +1,14 @@
-"""The form of the operator's file for following control replicas in place of the change log."""
+"""The `(distribution …)` section of the operator's file: following control replicas, not the change log."""
 
 from __future__ import annotations
 
-from hoistplank.distribution.follower_state import SILENCE_US
 from hoistplank.distribution.messages import NAME_PATTERN
+from hoistplank.distribution.silence import SILENCE_US
 from hoistplank.operator_configuration.errors import Diagnostic
 from hoistplank.operator_configuration.schema import Field, FormSchema, Section
 from hoistplank.operator_configuration.values import ADDRESS, duration, matching
 
-MOST_REPLICAS = 5
+MAX_REPLICAS = 5
 
 NAME = matching(NAME_PATTERN, "a name of letters, digits and '._:/-', at most 120")
 REGION = matching(r"[A-Za-z0-9._:/-]{1,120}", "a region's name of letters, digits and '._:/-'")
@@ -37,7 +37,7 @@
 
 
 def checked(section: Section, faults: list[Diagnostic]) -> None:
-    """What the shapes alone can't say."""
+    """Adds the faults that the shapes alone do not find: names given twice, too few or too many replicas."""
     names: set[str] = set()
     for replica in section["replica"]:
         if replica.title in names:
@@ -46,7 +46,7 @@
             )
         names.add(replica.title)
     if not names:
-        faults.append(Diagnostic(section.location, "no 'replica'", f"from 1 to {MOST_REPLICAS} of them"))
-    elif len(section["replica"]) > MOST_REPLICAS:
-        place = section["replica"][MOST_REPLICAS].location
-        faults.append(Diagnostic(place, f"{len(section['replica'])} replicas", f"{MOST_REPLICAS} at most"))
+        faults.append(Diagnostic(section.location, "no 'replica'", f"from 1 to {MAX_REPLICAS} of them"))
+    elif len(section["replica"]) > MAX_REPLICAS:
+        place = section["replica"][MAX_REPLICAS].location
+        faults.append(Diagnostic(place, f"{len(section['replica'])} replicas", f"{MAX_REPLICAS} at most"))
--- a/hoistplank/fakes/proxy.py
+++ b/hoistplank/fakes/proxy.py
@@ -23,9 +23,16 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 from envoy.service.runtime.v3 import rtds_pb2
 
-from hoistplank.xds.ranking_cache import key_of, order
-from hoistplank.xds.resources import CLUSTER, ENDPOINT, PURGES, ROUTES, RUNTIME, VHOST
-from hoistplank.xds.service import refusal
+from hoistplank.xds.ranking_cache import ranked_hosts, ranking_key
+from hoistplank.xds.resource_types import (
+    CLUSTER_TYPE,
+    ENDPOINT_TYPE,
+    PURGES_NAME,
+    ROUTES_NAME,
+    RUNTIME_TYPE,
+    VIRTUAL_HOST_TYPE,
+)
+from hoistplank.xds.response_encoder import error_detail
 
 HEALTHY = 1  # of an endpoint's health status
 POINTS_PER_HOST = 64  # on the hash ring, of a host whose share is 1
@@ -103,7 +110,7 @@
         if not pool:
             return ""
         if self.extension:
-            return order(key_of(object_key, part), pool)[0]
+            return ranked_hosts(ranking_key(object_key, part), pool)[0]
         uid = self.virtual_hosts.get(virtual_host_name(object_key, part, self.zone), "")
         if uid in pool:
             return uid
@@ -124,7 +131,7 @@
         """Subscribe to an object's virtual host, as a proxy does at the first request for it."""
         name = virtual_host_name(object_key, part, self.zone)
         if name not in self.virtual_hosts:
-            self._send(VHOST, more=[name])
+            self._send(VIRTUAL_HOST_TYPE, more=[name])
 
     # The stream.
 
@@ -143,7 +150,7 @@
                 resource_names_subscribe=more or [],
                 initial_resource_versions=held or {},
                 response_nonce=nonce,
-                error_detail=refusal(error) if error else None,
+                error_detail=error_detail(error) if error else None,
             )
         )
 
@@ -172,12 +179,16 @@
             self.call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources(
                 self._requests()
             )
-            self._send(CLUSTER, held=self.versions.get(CLUSTER))
+            self._send(CLUSTER_TYPE, held=self.versions.get(CLUSTER_TYPE))
             names = [f"caches-{self.zone}"]
-            self._send(ENDPOINT, more=names, held=self.versions.get(ENDPOINT))
-            self._send(RUNTIME, more=[PURGES], held=self.versions.get(RUNTIME))
+            self._send(ENDPOINT_TYPE, more=names, held=self.versions.get(ENDPOINT_TYPE))
+            self._send(RUNTIME_TYPE, more=[PURGES_NAME], held=self.versions.get(RUNTIME_TYPE))
             if self.virtual_hosts:
-                self._send(VHOST, more=sorted(self.virtual_hosts), held=self.versions.get(VHOST))
+                self._send(
+                    VIRTUAL_HOST_TYPE,
+                    more=sorted(self.virtual_hosts),
+                    held=self.versions.get(VIRTUAL_HOST_TYPE),
+                )
             async for response in self.call:
                 await self.may_read.wait()
                 self._take(response)
@@ -202,7 +213,7 @@
             held[resource.name] = resource.version
             if resource.HasField("resource"):
                 self._apply(type_url, resource.name, resource.resource.value)
-            if type_url == ENDPOINT:
+            if type_url == ENDPOINT_TYPE:
                 self.fresh_until = time.monotonic() + resource.ttl.seconds
         for name in response.removed_resources:
             held.pop(name, None)
@@ -212,14 +223,14 @@
         self.changed.set()
 
     def _apply(self, type_url: str, name: str, data: bytes) -> None:
-        if type_url == CLUSTER:
+        if type_url == CLUSTER_TYPE:
             self.clusters.add(cluster_pb2.Cluster.FromString(data).name)
-        elif type_url == ENDPOINT:
+        elif type_url == ENDPOINT_TYPE:
             self._apply_endpoints(endpoint_pb2.ClusterLoadAssignment.FromString(data))
-        elif type_url == VHOST:
+        elif type_url == VIRTUAL_HOST_TYPE:
             action = route_components_pb2.VirtualHost.FromString(data).routes[0].route
             self.virtual_hosts[name] = action.metadata_match.filter_metadata["envoy.lb"]["uid"]
-        elif type_url == RUNTIME:
+        elif type_url == RUNTIME_TYPE:
             layer = rtds_pb2.Runtime.FromString(data).layer
             self.purge_watermarks = {name: int(layer[name]) for name in layer}
 
@@ -237,4 +248,4 @@
 
 def virtual_host_name(object_key: str, part: int, zone: str) -> str:
     """The name of the virtual host of an object's part for the proxies of a zone."""
-    return f"{ROUTES}/{object_key}.{part}@{zone}"
+    return f"{ROUTES_NAME}/{object_key}.{part}@{zone}"
