--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -26,8 +26,8 @@
 from hoistplank.lab.scale import run_broken
 from hoistplank.lab.scale.hollow_pairing import Pairing, PairingPlan, paired
 from hoistplank.lab.scale.measurements import RunInfo, write
-from hoistplank.lab.scale.run import Played, RunLost, ScaleRun
-from hoistplank.lab.scale.run_children import ChildLost
+from hoistplank.lab.scale.run import Played, RunLostError, ScaleRun
+from hoistplank.lab.scale.run_children import ChildLostError
 from hoistplank.lab.scale.run_paths import LOG, REPLICAS
 from hoistplank.lab.scale.run_record import records
 from hoistplank.lab.scale.run_verdict import OF_TIME, RATIO_LEAST, RATIO_MOST, Verdict, judged
@@ -153,7 +153,7 @@
     began, began_at = time.monotonic(), datetime.now(UTC).strftime("%Y-%m-%dT%H:%MZ")
     try:
         pairing, fired, played = uvloop.run(measured(chosen.scene, chosen.through))
-    except (RunLost, ChildLost, RuntimeError) as wrong:
+    except (RunLostError, ChildLostError, RuntimeError) as wrong:
         return verdict({"quick": QUICK, "claims": {}}, (), f"the rig broke: {wrong}")
     found = judged(played, pairing)
     out = {"quick": QUICK, "through": chosen.through} | figures(found, played, pairing, fired)
--- a/hoistplank/cli/lab_load.py
+++ b/hoistplank/cli/lab_load.py
@@ -80,14 +80,14 @@
     Plan: steps and ramps, SECONDS:RATE or SECONDS:RATE-RATE. Traffic classes: weights, '!' for an operation
     key each. Exit code 1: not all were answered; 3: void, the tool itself was late.
     """
-    from hoistplank.lab.load.plan import BadPlan, mixes, plan
+    from hoistplank.lab.load.plan import LoadPlanError, mixes, plan
 
     host, _, port = address.rpartition(":")
     if not host.startswith("127.") or not port.isdecimal():
         fail(f"'{address}', expected an address of this machine with a port, as 127.0.0.1:9000")
     try:
         steps, mix = plan(options["steps"]), mixes(options["classes"])
-    except BadPlan as error:
+    except LoadPlanError as error:
         fail(str(error))
     result = _play((host, int(port)), steps, mix, options)
     if options["out"]:
@@ -122,7 +122,7 @@
         work = crew.load(address, steps, mix, processes, report_part, late_ms=options["late_ms"], **job)
         try:
             return asyncio.run(work)
-        except crew.NoLoad as error:
+        except crew.LoadError as error:
             raise click.ClickException(str(error)) from None
 
 
--- a/hoistplank/cli/lab_output.py
+++ b/hoistplank/cli/lab_output.py
@@ -36,9 +36,9 @@
 
 def load_rows(path: str) -> list[Row]:
     """The results of a file or folder; ends the command where they can't be read."""
-    from hoistplank.lab.results import BadResults, load
+    from hoistplank.lab.results import ResultsError, load
 
     try:
         return load(Path(path))
-    except BadResults as error:
+    except ResultsError as error:
         fail(str(error))
--- a/hoistplank/cli/lab_profile.py
+++ b/hoistplank/cli/lab_profile.py
@@ -16,12 +16,12 @@
 @click.option("--json", "as_json", is_flag=True)
 def profile(rate: float, seconds: float, fresh: float, as_json: bool) -> None:
     """Where a request's CPU goes by layer, of a dispatcher that is started for it with small stand-ins."""
-    from hoistplank.lab.load.crew import NoLoad
+    from hoistplank.lab.load.crew import LoadError
     from hoistplank.lab.profile import run as profiled
 
     try:
         found = profiled(rate, seconds, fresh)
-    except (NoLoad, RuntimeError) as error:
+    except (LoadError, RuntimeError) as error:
         raise click.ClickException(str(error)) from None
     if as_json:
         click.echo(json.dumps(found))
--- a/hoistplank/cli/scale.py
+++ b/hoistplank/cli/scale.py
@@ -41,7 +41,7 @@
 def slopes(quick: bool, out: str, only: str) -> None:
     """Measure every role at four sizes or more: some minutes, the quick form some 20 s."""
     from hoistplank.lab.runner import revision
-    from hoistplank.lab.scale.children import ChildFailed
+    from hoistplank.lab.scale.children import ChildFailedError
     from hoistplank.lab.scale.measure import carried_out, steps, titled
     from hoistplank.lab.scale.measurements import RunInfo, write
     from hoistplank.lab.scale.metering import QUICK, WHOLE, Step
@@ -87,17 +87,17 @@
         try:
             found = carried_out(chosen, effort, info.run, began)
             write(Path(out), found, info)
-        except (ChildFailed, OSError) as error:
+        except (ChildFailedError, OSError) as error:
             raise click.ClickException(str(error)) from None
     click.echo(f"{out}: {len(found)} measurements in {len(chosen)} steps")
 
 
 def _measurements(folder: Path) -> list[Measurement]:
-    from hoistplank.lab.scale.measurements import BadMeasurements, read_folder
+    from hoistplank.lab.scale.measurements import MeasurementsError, read_folder
 
     try:
         found = read_folder(folder)
-    except BadMeasurements as error:
+    except MeasurementsError as error:
         fail(str(error))
     if not found:
         fail(f"{folder}: no results; 'hoistplank lab scale slopes --out {folder / SLOPES_FILE}' makes them")
@@ -118,7 +118,7 @@
 @_results
 def table(check: bool, page: Path, results: Path) -> None:
     """Write the tables of docs/CAPACITY.md from the committed results."""
-    from hoistplank.lab.scale.tables import BadPage, rewritten
+    from hoistplank.lab.scale.tables import PageError, rewritten
 
     found = _measurements(results)
     try:
@@ -126,7 +126,7 @@
         after = rewritten(before, found)
     except OSError as error:
         fail(f"{page}: can't be read ({error.strerror})")
-    except (BadPage, ValueError) as error:
+    except (PageError, ValueError) as error:
         fail(f"{page.name}: {error}")
     if check:
         if before != after:
--- a/hoistplank/lab/load/crew.py
+++ b/hoistplank/lab/load/crew.py
@@ -21,7 +21,7 @@
 LATE_MS = 5.0  # the tool's own lateness at its 99th percentile, beyond which a run is void
 
 
-class NoLoad(Exception):
+class LoadError(Exception):
     """A run that could not be carried out; its text says why."""
 
 
@@ -52,9 +52,9 @@
                 assert isinstance(found, dict)
                 return found
             if "wrong" in row:
-                raise NoLoad(row["wrong"])
+                raise LoadError(row["wrong"])
             told(job.part, row)
-        raise NoLoad(f"process {job.part} of the load tool ended without a result")
+        raise LoadError(f"process {job.part} of the load tool ended without a result")
     finally:
         if process.returncode is None:
             with contextlib.suppress(ProcessLookupError, TimeoutError):
@@ -76,7 +76,7 @@
     """One run: counts, quantiles by traffic class (ms from the moment a request was due), the tool's
     lateness, `void` or not.
 
-    `more` are fields of `Job`. Raises NoLoad where a process of the tool could not do its part.
+    `more` are fields of `Job`. Raises LoadError where a process of the tool could not do its part.
     """
     begin = time.time() + 0.6 + 0.05 * processes
     jobs = [
--- a/hoistplank/lab/load/plan.py
+++ b/hoistplank/lab/load/plan.py
@@ -14,7 +14,7 @@
 MOST_S = 86_400.0
 
 
-class BadPlan(ValueError):
+class LoadPlanError(ValueError):
     """Its text says what was found and what was expected."""
 
 
@@ -36,15 +36,17 @@
     for word in text.split():
         found = PIECE(word)
         if found is None:
-            raise BadPlan(
+            raise LoadPlanError(
                 f"'{word[:40]}' in the plan, expected SECONDSs:RATE or SECONDSs:RATE-RATE, as 10s:500"
             )
         step = Step(float(found[1]), float(found[2]), float(found[3] or found[2]))
         if not step.seconds or step.requests() <= 0:
-            raise BadPlan(f"'{word[:40]}' in the plan sends nothing, expected a time and a rate above 0")
+            raise LoadPlanError(
+                f"'{word[:40]}' in the plan sends nothing, expected a time and a rate above 0"
+            )
         steps.append(step)
     if not steps or sum(step.seconds for step in steps) > MOST_S:
-        raise BadPlan(f"{len(steps)} steps in the plan, expected at least one and a day in all at most")
+        raise LoadPlanError(f"{len(steps)} steps in the plan, expected at least one and a day in all at most")
     return tuple(steps)
 
 
@@ -85,10 +87,10 @@
         except ValueError:
             share = 0.0
         if not re.fullmatch(r"[A-Za-z0-9_-]{1,60}", class_name) or not 0 < share < 1e9:
-            raise BadPlan(f"'{word[:40]}' among the traffic classes, expected TRACK=WEIGHT, as page=9")
+            raise LoadPlanError(f"'{word[:40]}' among the traffic classes, expected TRACK=WEIGHT, as page=9")
         found.append(Mix(class_name, share, keyed))
     if not found:
-        raise BadPlan("no traffic class, expected at least one, as page=9")
+        raise LoadPlanError("no traffic class, expected at least one, as page=9")
     return tuple(found)
 
 
--- a/hoistplank/lab/results.py
+++ b/hoistplank/lab/results.py
@@ -60,7 +60,7 @@
 MAPS = ("tracks", "lost", "ends", "times", "broken")
 
 
-class BadResults(Exception):
+class ResultsError(Exception):
     """Its text names the file and what is wrong with it."""
 
 
@@ -128,15 +128,15 @@
 
 
 def load(path: Path) -> list[dict[str, Any]]:
-    """The rows of a results file or its folder; maps as dictionaries. Raises BadResults."""
+    """The rows of a results file or its folder; maps as dictionaries. Raises ResultsError."""
     file = path / TABLE if path.is_dir() else path
     try:
         table = pq.read_table(file)
     except (OSError, pa.ArrowException) as wrong:
-        raise BadResults(f"{file.name} can't be read: {str(wrong)[:200]}") from None
+        raise ResultsError(f"{file.name} can't be read: {str(wrong)[:200]}") from None
     told = (table.schema.metadata or {}).get(VERSION, b"none").decode()
     if told != str(LAYOUT):
-        raise BadResults(f"{file.name} has layout {told}, expected {LAYOUT}: run the experiment again")
+        raise ResultsError(f"{file.name} has layout {told}, expected {LAYOUT}: run the experiment again")
     rows: list[dict[str, Any]] = table.to_pylist()
     for row in rows:
         for name in MAPS:
--- a/hoistplank/lab/scale/children.py
+++ b/hoistplank/lab/scale/children.py
@@ -15,7 +15,7 @@
 END_S = 5.0
 
 
-class ChildFailed(Exception):
+class ChildFailedError(Exception):
     """A child process that ended or did not answer; the text names it."""
 
 
@@ -27,25 +27,25 @@
         self.process = process
 
     async def ask(self, command: str = "usage") -> Usage:
-        """Sends a command and waits for the answer. Raises ChildFailed."""
+        """Sends a command and waits for the answer. Raises ChildFailedError."""
         assert self.process.stdin is not None
         self.process.stdin.write(command.encode() + b"\n")
         return await self.answer()
 
     async def answer(self) -> Usage:
-        """The next answer. Raises ChildFailed."""
+        """The next answer. Raises ChildFailedError."""
         assert self.process.stdout is not None
         try:
             async with asyncio.timeout(ANSWER_S):
                 told = await self.process.stdout.readline()
         except TimeoutError:
-            raise ChildFailed(f"{self.module} did not answer within {ANSWER_S:g} s") from None
+            raise ChildFailedError(f"{self.module} did not answer within {ANSWER_S:g} s") from None
         if not told:
-            raise ChildFailed(f"{self.module} ended")
+            raise ChildFailedError(f"{self.module} ended")
         try:
             return msgspec.json.decode(told, type=Usage)
         except msgspec.MsgspecError as error:
-            raise ChildFailed(f"{self.module} answered {told[:80]!r}: {error}") from None
+            raise ChildFailedError(f"{self.module} answered {told[:80]!r}: {error}") from None
 
     async def end(self) -> None:
         """Ends the process; what doesn't go by itself is killed."""
--- a/hoistplank/lab/scale/faults.py
+++ b/hoistplank/lab/scale/faults.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from hoistplank.lab.model.faults import ScheduledFault
-from hoistplank.lab.scale.fleet import Fleet, Seat
+from hoistplank.lab.scale.fleet import DispatcherSite, Fleet
 from hoistplank.lab.scale.run_paths import Cut
 from hoistplank.lab.scale.scene import S, lasts_us
 
@@ -31,7 +31,7 @@
     """What a fault does to the run."""
 
     fleet: Fleet
-    seats: list[Seat]
+    seats: list[DispatcherSite]
 
     def now_us(self) -> int:
         """Since the scene's first moment."""
--- a/hoistplank/lab/scale/fleet.py
+++ b/hoistplank/lab/scale/fleet.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class DispatcherSite:
     """One dispatcher: its number in the fleet, and where it stands."""
 
     number: int
@@ -39,18 +39,18 @@
     regions: int
     hosts: int
 
-    def seats(self) -> list[Seat]:
+    def seats(self) -> list[DispatcherSite]:
         return [self._seat(number) for number in range(self.dispatchers)]
 
-    def _seat(self, number: int) -> Seat:
+    def _seat(self, number: int) -> DispatcherSite:
         site = number % self.sites
         zone = site % self.zones
-        return Seat(number, site, zone, zone % self.regions)
+        return DispatcherSite(number, site, zone, zone % self.regions)
 
     def zone_name(self, zone: int) -> str:
         return f"z{zone}"
 
-    def settings(self, seat: Seat, lifetime_s: float) -> dict[str, Any]:
+    def settings(self, seat: DispatcherSite, lifetime_s: float) -> dict[str, Any]:
         """What a dispatcher is told at its start, by the platform's names and units. `lifetime_s`: how long
         a copy may be served, which bounds how long a purge is kept in mind."""
         here = [0] * (self.zones + 1)
--- a/hoistplank/lab/scale/hollow_messages.py
+++ b/hoistplank/lab/scale/hollow_messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class HollowSeat(msgspec.Struct, frozen=True):
+class HollowDispatcherPlan(msgspec.Struct, frozen=True):
     """One hollow dispatcher: its number, name and region in the fleet, its settings, and the ports of its
     source: of the change log, or of each control replica."""
 
@@ -23,7 +23,7 @@
     a configuration file. `through`: which follower they use; `broken`: the broken build, if any, of those
     whose numbers `broken_numbers` holds; `audited`: whether their Routers are looked into."""
 
-    seats: list[HollowSeat]
+    seats: list[HollowDispatcherPlan]
     known: dict[str, Any]
     through: str = "log"
     broken: str = ""
--- a/hoistplank/lab/scale/hollow_pairing.py
+++ b/hoistplank/lab/scale/hollow_pairing.py
@@ -28,14 +28,14 @@
 from hoistplank.fakes.wire import connect
 from hoistplank.lab.backends.orphans import with_parent
 from hoistplank.lab.fleet.relay_pool import RelayPool
-from hoistplank.lab.scale.fleet import Fleet, Seat
+from hoistplank.lab.scale.fleet import DispatcherSite, Fleet
 from hoistplank.lab.scale.hollow_messages import (
     BeginAnew,
     DoorUsage,
     Expect,
     FalseAcknowledgement,
+    HollowDispatcherPlan,
     HollowPlan,
-    HollowSeat,
     Report,
     Start,
 )
@@ -72,6 +72,7 @@
     door: DoorUsage
 
     def since(self, before: Taken) -> Taken:
+        """What was used since an earlier moment."""
         names = DoorUsage.__struct_fields__
         door = DoorUsage(*(getattr(self.door, name) - getattr(before.door, name) for name in names))
         return Taken(self.cpu_s - before.cpu_s, door)
@@ -131,7 +132,9 @@
     process: asyncio.subprocess.Process | None = None
     address: tuple[str, int] = field(default=("127.0.0.1", 0))
 
-    async def start(self, fleet: Fleet, seat: Seat, port: int, known: dict[str, Any], through: str) -> None:
+    async def start(
+        self, fleet: Fleet, seat: DispatcherSite, port: int, known: dict[str, Any], through: str
+    ) -> None:
         """`port`: of the log, or of a control replica. Raises RuntimeError where it does not come up."""
         self.address = ("127.0.0.1", free_port())
         configuration = self.folder / f"real-{self.number}.json"
@@ -179,10 +182,12 @@
         raise RuntimeError(f"real dispatcher {self.number} did not come up")
 
     def cpu_s(self) -> float:
+        """Processor time of the process, in seconds."""
         assert self.process is not None
         return processor_s(self.process.pid)
 
     async def stop(self) -> None:
+        """End the process."""
         process = self.process
         if process is None or process.returncode is not None:
             return
@@ -201,9 +206,11 @@
         self.log = log
 
     async def open(self) -> dict[str, int]:
+        """The port for each kind of dispatcher."""
         return await self.log.doors(list(KINDS))
 
     async def taken(self) -> dict[str, DoorUsage]:
+        """What each kind has sent and received so far."""
         return (await self.log.usage()).doors
 
     async def close(self) -> None:
@@ -219,7 +226,7 @@
         self.relays = {kind: RelayPool() for kind in KINDS}
 
     async def open(self) -> dict[str, int]:
-        """Raises ReplicaLost and RelayError."""
+        """Raises ReplicaLostError and RelayError."""
         paths = ReplicaPaths(self.fleet)
         paths.log_ports = list((await self.log.doors(paths.doors())).values())
         await self.replicas.start(paths, LIFETIME_S)
@@ -238,6 +245,7 @@
         return found
 
     async def close(self) -> None:
+        """End the replica and the relays."""
         await self.replicas.stop()
         for relays in self.relays.values():
             await relays.stop()
@@ -263,10 +271,10 @@
     def _heard(self, report: Report) -> None:
         self.false += isinstance(report, FalseAcknowledgement)
 
-    def _child(self, seats: list[Seat], port: int, audited: bool) -> HollowChild:
+    def _child(self, seats: list[DispatcherSite], port: int, audited: bool) -> HollowChild:
         # Danger: what the rig does for each event would count as a dispatcher's in a process of one.
         rows = [
-            HollowSeat(seat.number, seat.name, "r0", self.fleet.settings(seat, LIFETIME_S), [port])
+            HollowDispatcherPlan(seat.number, seat.name, "r0", self.fleet.settings(seat, LIFETIME_S), [port])
             for seat in seats
         ]
         numbers = [seat.number for seat in seats]
@@ -276,6 +284,7 @@
         return HollowChild(plan, self._heard)
 
     async def begin(self) -> None:
+        """Start the change log, then dispatchers of all kinds."""
         await self.log.start()
         self.log.command(BeginAnew(self.epoch))
         self.log.events([self.first])
@@ -329,6 +338,7 @@
         return {kind: Taken(cpu_s, doors[kind]) for kind, cpu_s in used}
 
     async def end(self) -> None:
+        """End all processes."""
         await asyncio.gather(
             *(one.stop() for one in self.real), *(child.stop() for child in (*self.alone, *self.shared))
         )
@@ -354,7 +364,7 @@
 
 
 async def paired(plan: PairingPlan, folder: Path) -> Pairing:
-    """Runs the check; `folder` takes the real dispatchers' files. Raises RuntimeError and ChildLost."""
+    """Runs the check; `folder` takes the real dispatchers' files. Raises RuntimeError and ChildLostError."""
     run = PairedRun(plan, folder)
     try:
         await run.begin()
--- a/hoistplank/lab/scale/hollow_process.py
+++ b/hoistplank/lab/scale/hollow_process.py
@@ -27,8 +27,8 @@
     Command,
     Expect,
     FalseAcknowledgement,
+    HollowDispatcherPlan,
     HollowPlan,
-    HollowSeat,
     Ready,
     Report,
     Start,
@@ -80,7 +80,7 @@
         # Acknowledgements of events that are not known here yet.
         self.early: list[tuple[HollowDispatcher, Position, Position]] = []
 
-    def _dispatcher(self, seat: HollowSeat) -> HollowDispatcher:
+    def _dispatcher(self, seat: HollowDispatcherPlan) -> HollowDispatcher:
         broken = self.plan.broken and seat.number in self.plan.broken_numbers
         kind = HOLLOW[self.plan.broken] if broken else HollowDispatcher
         return kind(seat.number, seat.name, site_of(seat.settings), self.acknowledged)
@@ -146,7 +146,7 @@
                 self.flush()
                 self.report(self._usage())
 
-    def _start(self, seat: HollowSeat, epoch: int) -> None:
+    def _start(self, seat: HollowDispatcherPlan, epoch: int) -> None:
         dispatcher = self.dispatchers[seat.number]
         dispatcher.lives += 1
         chance = Random(f"{self.plan.seed}/{seat.number}/{dispatcher.lives}")
--- a/hoistplank/lab/scale/measurements.py
+++ b/hoistplank/lab/scale/measurements.py
@@ -46,7 +46,7 @@
     form: str
 
 
-class BadMeasurements(Exception):
+class MeasurementsError(Exception):
     """A file of measurements that can't be used; its text names the file and what is wrong with it."""
 
 
@@ -86,31 +86,33 @@
     try:
         table = pq.read_table(path)
     except (OSError, pa.ArrowException) as error:
-        raise BadMeasurements(f"{path.name} can't be read: {str(error)[:200]}") from None
+        raise MeasurementsError(f"{path.name} can't be read: {str(error)[:200]}") from None
     found = (table.schema.metadata or {}).get(_LAYOUT_KEY, b"none").decode(errors="replace")
     if found != LAYOUT:
-        raise BadMeasurements(f"{path.name} has layout {found}, expected {LAYOUT}: run the measurement again")
+        raise MeasurementsError(
+            f"{path.name} has layout {found}, expected {LAYOUT}: run the measurement again"
+        )
     for field in _FIELDS:
         index = table.schema.get_field_index(field.name)
         if index < 0:
-            raise BadMeasurements(f"{path.name} lacks the column '{field.name}'")
+            raise MeasurementsError(f"{path.name} lacks the column '{field.name}'")
         if table.schema.field(index).type != field.type:
-            raise BadMeasurements(f"{path.name}: the column '{field.name}' is no {field.type}")
+            raise MeasurementsError(f"{path.name}: the column '{field.name}' is no {field.type}")
     return table
 
 
 def read(path: Path) -> list[Measurement]:
-    """All measurements of a file, in its order. Raises BadMeasurements."""
+    """All measurements of a file, in its order. Raises MeasurementsError."""
     table = _table(path)
     rows = table.select([field.name for field in _FIELDS]).to_pylist()
     for row in rows:
         if any(value is None for value in row.values()):
-            raise BadMeasurements(f"{path.name} holds a row with an empty field")
+            raise MeasurementsError(f"{path.name} holds a row with an empty field")
     return [Measurement(**row) for row in rows]
 
 
 def read_info(path: Path) -> RunInfo:
-    """What produced a file. Raises BadMeasurements."""
+    """What produced a file. Raises MeasurementsError."""
     metadata = _table(path).schema.metadata or {}
     values = {}
     for name in _RUN_KEYS:
@@ -119,7 +121,7 @@
 
 
 def read_folder(folder: Path) -> list[Measurement]:
-    """The measurements of all Parquet files of a folder, by file name. Raises BadMeasurements."""
+    """The measurements of all Parquet files of a folder, by file name. Raises MeasurementsError."""
     found: list[Measurement] = []
     for path in sorted(folder.glob("*.parquet")):
         found += read(path)
--- a/hoistplank/lab/scale/replay.py
+++ b/hoistplank/lab/scale/replay.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class GeneratedEvent:
     """One event: its kind, its line of the log, and what a Router must hold once it is in force."""
 
     kind: str
@@ -24,7 +24,7 @@
     expected: Expect
 
 
-class Teller:
+class EventGenerator:
     """The source's state: its epoch and number, and the cache hosts as they were last told.
 
     A configuration change is told as other capacities of one zone's cache hosts: the only configuration that
@@ -38,27 +38,27 @@
         self.boot_ms = [0] * fleet.hosts
         self.states = ["ready"] * fleet.hosts
 
-    def first(self) -> Told:
+    def first(self) -> GeneratedEvent:
         """The whole list, as the first event of an epoch."""
         self.number += 1
         listed = [host for host in range(self.fleet.hosts) if self.states[host] != "gone"]
         rows = [*self.fleet.hub_rows(), *(self._row(host) for host in listed)]
         states = [self._state(host) for host in range(self.fleet.hosts)]
         expected = Expect(self.epoch, self.number, hosts=states)
-        return Told(RENEWAL, fleet_event(self.number, rows, whole=True), expected)
+        return GeneratedEvent(RENEWAL, fleet_event(self.number, rows, whole=True), expected)
 
-    def begin_anew(self) -> Told:
+    def begin_anew(self) -> GeneratedEvent:
         """The source has lost its state: it counts from 1 again."""
         self.epoch, self.number = self.epoch + 1, 0
         return self.first()
 
-    def next(self, planned: Planned, unix_ms: int) -> Told:
+    def next(self, planned: Planned, unix_ms: int) -> GeneratedEvent:
         match planned:
             case Purge(_, object_key):
                 self.number += 1
                 event = {"seq": self.number, "invalidate": {"time": unix_ms, "object": object_key}}
                 expected = Expect(self.epoch, self.number, object_key, unix_ms * 1_000)
-                return Told(PURGE, event, expected)
+                return GeneratedEvent(PURGE, event, expected)
             case Change(_, number):
                 return self._change(number)
             case HostStep(_, host, state):
@@ -67,22 +67,24 @@
                     self.boot_ms[host] = unix_ms
                 return self._listed(HOST, [host])
 
-    def _change(self, number: int) -> Told:
+    def _change(self, number: int) -> GeneratedEvent:
         if self.configuration:
             self.number += 1
             text = f"; change {number}\n{self.configuration}"
             event = {"seq": self.number, "configuration": {"text": text}}
-            return Told(CHANGE, event, Expect(self.epoch, self.number, configures=True))
+            return GeneratedEvent(CHANGE, event, Expect(self.epoch, self.number, configures=True))
         zones = self.fleet.zones
         hosts = [host for host in range(self.fleet.hosts) if host % zones == number % zones]
         for host in hosts:
             self.units[host] = FIRST_UNITS + number % STEPS_OF_UNITS
         return self._listed(CHANGE, [host for host in hosts if self.states[host] != "gone"])
 
-    def _listed(self, kind: str, hosts: list[int]) -> Told:
+    def _listed(self, kind: str, hosts: list[int]) -> GeneratedEvent:
         self.number += 1
         event = fleet_event(self.number, [self._row(host) for host in hosts])
-        return Told(kind, event, Expect(self.epoch, self.number, hosts=[self._state(host) for host in hosts]))
+        return GeneratedEvent(
+            kind, event, Expect(self.epoch, self.number, hosts=[self._state(host) for host in hosts])
+        )
 
     def _row(self, host: int) -> dict[str, Any]:
         return self.fleet.host_row(host, self.boot_ms[host], self.units[host], self.states[host])
--- a/hoistplank/lab/scale/requirements.py
+++ b/hoistplank/lab/scale/requirements.py
@@ -116,15 +116,15 @@
         return self.budget.most - self.value
 
 
-class NotMeasured(ValueError):
+class NotMeasuredError(ValueError):
     """A requirement whose quantity no result holds; the text names it."""
 
 
 def figure_of(requirement: Requirement, measurements: Sequence[Measurement]) -> Figure:
-    """Works one requirement out. Raises NotMeasured and TooFewSizes."""
+    """Works one requirement out. Raises NotMeasuredError and TooFewSizesError."""
     rows = of_quantity(measurements, *requirement.source)
     if not rows:
-        raise NotMeasured(f"no result holds '{requirement.quantity}' of the {requirement.source[0]}")
+        raise NotMeasuredError(f"no result holds '{requirement.quantity}' of the {requirement.source[0]}")
     slope = judge([row.size for row in rows], [row.value for row in rows])
     chosen = slope.chosen()
     factor = requirement.times.value * requirement.unit.factor
--- a/hoistplank/lab/scale/run.py
+++ b/hoistplank/lab/scale/run.py
@@ -21,18 +21,18 @@
     Acknowledged,
     BeginAnew,
     FalseAcknowledgement,
+    HollowDispatcherPlan,
     HollowPlan,
-    HollowSeat,
     Report,
     Start,
     Stop,
 )
-from hoistplank.lab.scale.replay import Teller, Told
-from hoistplank.lab.scale.run_children import ChildLost, HollowChild, LogChild
+from hoistplank.lab.scale.replay import EventGenerator, GeneratedEvent
+from hoistplank.lab.scale.run_children import ChildLostError, HollowChild, LogChild
 from hoistplank.lab.scale.run_delays import Deliveries
 from hoistplank.lab.scale.run_lateness import Lateness
 from hoistplank.lab.scale.run_paths import LOG, REPLICAS, Cut, LogPaths, ReplicaPaths
-from hoistplank.lab.scale.run_replicas import ReplicaLost, Replicas
+from hoistplank.lab.scale.run_replicas import ReplicaLostError, Replicas
 from hoistplank.lab.scale.run_usage import LEAST_SHARED, HollowSample, LogSample, PathSample, UsageSeries
 from hoistplank.lab.scale.scene import S, Scene
 from hoistplank.lab.scale.scene_schedule import Planned, schedule
@@ -56,7 +56,7 @@
 """
 
 
-class RunLost(Exception):
+class RunLostError(Exception):
     """A process of the rig broke: the run proves nothing."""
 
 
@@ -99,6 +99,7 @@
 
 
 def monotonic_us() -> int:
+    """The monotonic clock in whole microseconds."""
     return time.monotonic_ns() // 1_000
 
 
@@ -120,11 +121,11 @@
         self.replicas = Replicas(scene.fleet) if through == REPLICAS else None
         self.paths: LogPaths | ReplicaPaths
         if self.replicas is None:
-            self.paths, self.teller = LogPaths(scene.fleet), Teller(scene.fleet)
+            self.paths, self.teller = LogPaths(scene.fleet), EventGenerator(scene.fleet)
         else:
             self.paths = ReplicaPaths(scene.fleet)
             # A log that tells its epoch: replicas could not tell a new one from the old one otherwise.
-            self.teller = Teller(scene.fleet, 1, CONFIGURATION)
+            self.teller = EventGenerator(scene.fleet, 1, CONFIGURATION)
         self.log, self.lateness, self.usage = LogChild(self.broken.log), Lateness(), UsageSeries()
         self.statuses: list[ReplicaStatus] = []
         self.deliveries = Deliveries([seat.name for seat in self.seats])
@@ -137,12 +138,12 @@
     # From start to end.
 
     async def play(self) -> Played:
-        """Raises RunLost."""
+        """Raises RunLostError."""
         try:
             await self._begin()
             relays = await self._play()
-        except (ChildLost, RelayError, ReplicaLost, OSError) as wrong:
-            raise RunLost(str(wrong)) from wrong
+        except (ChildLostError, RelayError, ReplicaLostError, OSError) as wrong:
+            raise RunLostError(str(wrong)) from wrong
         finally:
             await self._end()
         return Played(
@@ -181,7 +182,7 @@
             await asyncio.sleep(START_PAUSE_S)
         await asyncio.sleep(self.scene.warm_us / S)
 
-    def _make_children(self, first: Told) -> list[HollowChild]:
+    def _make_children(self, first: GeneratedEvent) -> list[HollowChild]:
         """The dispatchers dealt over processes; the last one has a process to itself, so that it can be made
         to stand still."""
         known = {"seq": 1, "results": [first.event]}
@@ -198,10 +199,10 @@
             self.child_of.update(dict.fromkeys(share, child))
         return children
 
-    def _hollow_seat(self, number: int) -> HollowSeat:
+    def _hollow_seat(self, number: int) -> HollowDispatcherPlan:
         seat = self.seats[number]
         settings = self.fleet.settings(seat, self.scene.lifetime_us / S)
-        return HollowSeat(number, seat.name, f"r{seat.region}", settings, self.paths.ports(seat))
+        return HollowDispatcherPlan(number, seat.name, f"r{seat.region}", settings, self.paths.ports(seat))
 
     async def _play(self) -> RelayStatistics:
         self.began_us = monotonic_us()
@@ -237,7 +238,7 @@
             self._tell(due)
             await asyncio.sleep(TURN_S)
 
-    def _tell(self, rows: list[Told]) -> None:
+    def _tell(self, rows: list[GeneratedEvent]) -> None:
         if not rows:
             return
         for row in rows:
@@ -328,26 +329,32 @@
     # What faults do.
 
     def now_us(self) -> int:
+        """The time since the scene's beginning."""
         return monotonic_us() - self.began_us
 
     def stop(self, numbers: list[int]) -> None:
+        """Stop dispatchers."""
         for number in numbers:
             self.deliveries.unreachable(number, monotonic_us())
             self.child_of[number].command(Stop([number]))
 
     def start(self, numbers: list[int]) -> None:
+        """Start dispatchers that were stopped."""
         for number in numbers:
             self.deliveries.reachable(number, monotonic_us(), True)
             self.child_of[number].command(Start([number], self.teller.epoch))
 
     def cut(self, cut: Cut, silent: bool) -> None:
+        """Silence the paths of what is cut off, or open them again."""
         self.paths.set_silent(cut, silent)
         self._mark([seat.number for seat in self.seats if cut.holds(seat)], silent)
 
     def refuse(self, cut: Cut, refused: bool) -> None:
+        """Refuse connections of what is cut off, or accept them again."""
         self.paths.set_refused(cut, refused)
 
     async def lose_replica(self, number: int, lost: bool) -> int:
+        """Kill a replica or start it again; returns how many were struck."""
         if self.replicas is None:
             return 0
         one = self.replicas.each[number]
@@ -355,6 +362,7 @@
         return 1
 
     def stall(self, stalled: bool) -> int:
+        """Stop the last dispatcher's process by a signal, or continue it; returns its number."""
         number = self.seats[-1].number
         child = self.child_of[number]
         child.freeze(stalled)
@@ -363,11 +371,13 @@
         return number
 
     def renew(self) -> None:
+        """Let the change log begin anew, with the next epoch."""
         first = self.teller.begin_anew()
         self.log.command(BeginAnew(self.teller.epoch))
         self._tell([first])
 
     def hold(self, held: bool) -> None:
+        """Hold events back, or publish them again."""
         self.held = held
 
     def _mark(self, numbers: list[int], unreachable: bool) -> None:
--- a/hoistplank/lab/scale/run_broken.py
+++ b/hoistplank/lab/scale/run_broken.py
@@ -47,12 +47,12 @@
 
 
 async def played(broken: Broken | None = None, seed: int = 1, through: str = LOG) -> Verdict:
-    """One run at the small size. Raises RunLost."""
+    """One run at the small size. Raises RunLostError."""
     return judged(await ScaleRun(small(), seed, through, broken).play())
 
 
 async def fires(case: Case, seed: int = 1) -> bool:
-    """Whether the build is found out, by its own claim. Raises RunLost."""
+    """Whether the build is found out, by its own claim. Raises RunLostError."""
     verdict = await played(case.broken, seed)
     if case.claim == VOID:
         return bool(verdict.void)
@@ -61,7 +61,7 @@
 
 
 async def all_fire(at_once: int, cases: tuple[Case, ...] = CASES) -> dict[str, bool]:
-    """Each case by its name. Raises RunLost."""
+    """Each case by its name. Raises RunLostError."""
     turns = asyncio.Semaphore(at_once)
 
     async def one(case: Case) -> bool:
--- a/hoistplank/lab/scale/run_children.py
+++ b/hoistplank/lab/scale/run_children.py
@@ -34,7 +34,7 @@
 Message = TypeVar("Message")
 
 
-class ChildLost(Exception):
+class ChildLostError(Exception):
     """A child process has ended or answers no more: the run proves nothing."""
 
 
@@ -76,7 +76,7 @@
                 waiting.set_result(message)
         for waiting in self.answers.values():
             if not waiting.done():
-                waiting.set_exception(ChildLost(f"a process of {self.module} has ended"))
+                waiting.set_exception(ChildLostError(f"a process of {self.module} has ended"))
 
     def tell(self, message: msgspec.Struct) -> None:
         assert self.process is not None and self.process.stdin is not None
@@ -86,16 +86,16 @@
     def expect(self, kind: type) -> asyncio.Future[Any]:
         """The next message of a type. To be called before what causes it is told."""
         if self.reading is None or self.reading.done():
-            raise ChildLost(f"a process of {self.module} has ended")
+            raise ChildLostError(f"a process of {self.module} has ended")
         waiting = self.answers[kind] = asyncio.get_running_loop().create_future()
         return waiting
 
     async def answered(self, waiting: asyncio.Future[Any]) -> Any:
-        """Raises ChildLost."""
+        """Raises ChildLostError."""
         try:
             return await asyncio.wait_for(waiting, ANSWER_S)
         except TimeoutError:
-            raise ChildLost(f"a process of {self.module} answers no more") from None
+            raise ChildLostError(f"a process of {self.module} answers no more") from None
 
     async def ask(self, message: msgspec.Struct, kind: type) -> Any:
         waiting = self.expect(kind)
@@ -137,7 +137,7 @@
         self.empty_rss_kb = 0
 
     async def begin(self) -> None:
-        """Starts the process; its dispatchers are not started yet. Raises ChildLost."""
+        """Starts the process; its dispatchers are not started yet. Raises ChildLostError."""
         await self.start()
         ready = await self.ask(self.plan, Ready)
         self.empty_rss_kb = ready.rss_kb
--- a/hoistplank/lab/scale/run_paths.py
+++ b/hoistplank/lab/scale/run_paths.py
@@ -13,7 +13,7 @@
 
 from hoistplank.lab.fleet.relay_messages import PathAction, RelayStatistics
 from hoistplank.lab.fleet.relay_pool import RelayPool
-from hoistplank.lab.scale.fleet import Fleet, Seat
+from hoistplank.lab.scale.fleet import DispatcherSite, Fleet
 
 FRONT_RELAYS, BACK_RELAYS = 2, 1
 LOG, REPLICAS = "log", "replicas"  # what dispatchers follow
@@ -26,7 +26,7 @@
     sites: tuple[int, ...] = ()
     regions: tuple[int, ...] = ()
 
-    def holds(self, seat: Seat) -> bool:
+    def holds(self, seat: DispatcherSite) -> bool:
         """Whether a dispatcher hears nothing new while this is cut."""
         return seat.site in self.sites or seat.region in self.regions
 
@@ -34,7 +34,7 @@
 class Paths(Protocol):
     """The paths of a run, once they are open."""
 
-    def ports(self, seat: Seat) -> list[int]:
+    def ports(self, seat: DispatcherSite) -> list[int]:
         """Where a dispatcher finds what it follows: the log, or each replica in its order."""
 
     def set_silent(self, cut: Cut, silent: bool) -> None:
@@ -49,7 +49,8 @@
     async def back_bytes(self) -> int:
         """What those of `back` carried."""
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """End the relay processes."""
 
 
 def _set_silent(relays: RelayPool, names: Iterable[str], silent: bool) -> None:
@@ -71,6 +72,7 @@
 
     @staticmethod
     def name(site: int) -> str:
+        """The name of a site's path."""
         return f"s{site:02d}>log"
 
     def doors(self) -> list[str]:
@@ -83,16 +85,19 @@
         for site, name in enumerate(self.doors()):
             self.site_ports.append(await self.front.open_stream_path(name, doors[name], site))
 
-    def ports(self, seat: Seat) -> list[int]:
+    def ports(self, seat: DispatcherSite) -> list[int]:
+        """Where a dispatcher finds the change log."""
         return [self.site_ports[seat.site]]
 
     def _names(self, cut: Cut) -> list[str]:
         return sorted({self.name(seat.site) for seat in self.fleet.seats() if cut.holds(seat)})
 
     def set_silent(self, cut: Cut, silent: bool) -> None:
+        """Let nothing through the cut paths any more, or all again."""
         _set_silent(self.front, self._names(cut), silent)
 
     def set_refused(self, cut: Cut, refused: bool) -> None:
+        """Refuse connections on the cut paths, or accept them again."""
         self.front.apply(self._names(cut), _refusal(refused))
 
     async def statistics(self) -> RelayStatistics:
@@ -100,9 +105,11 @@
         return await self.front.statistics()
 
     async def back_bytes(self) -> int:
+        """Nothing: there are no replicas."""
         return 0
 
     async def stop(self) -> None:
+        """End the relay processes."""
         await self.front.stop()
 
 
@@ -118,6 +125,7 @@
 
     @staticmethod
     def log_name(replica: int) -> str:
+        """The name of a replica's path to the change log."""
         return f"c{replica}>log"
 
     def doors(self) -> list[str]:
@@ -143,7 +151,8 @@
                 [await self.front.open_stream_path(name, port, site) for name, port in pairs]
             )
 
-    def ports(self, seat: Seat) -> list[int]:
+    def ports(self, seat: DispatcherSite) -> list[int]:
+        """Where a dispatcher finds each replica."""
         return self.site_ports[seat.site]
 
     def _front_names(self, cut: Cut) -> list[str]:
@@ -165,10 +174,12 @@
         return names
 
     def set_silent(self, cut: Cut, silent: bool) -> None:
+        """Let nothing through the cut paths any more, or all again."""
         _set_silent(self.front, self._front_names(cut), silent)
         _set_silent(self.back, self._back_names(cut), silent)
 
     def set_refused(self, cut: Cut, refused: bool) -> None:
+        """Refuse connections on the cut paths, or accept them again."""
         action = _refusal(refused)
         self.front.apply(self._front_names(cut), action)
         self.back.apply(self._back_names(cut), action)
@@ -178,8 +189,10 @@
         return await self.front.statistics()
 
     async def back_bytes(self) -> int:
+        """The bytes among replicas, and between them and the change log."""
         return (await self.back.statistics()).bytes
 
     async def stop(self) -> None:
+        """End the relay processes."""
         await self.front.stop()
         await self.back.stop()
--- a/hoistplank/lab/scale/run_replicas.py
+++ b/hoistplank/lab/scale/run_replicas.py
@@ -24,7 +24,7 @@
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1_024
 
 
-class ReplicaLost(Exception):
+class ReplicaLostError(Exception):
     """A replica did not come up."""
 
 
@@ -68,7 +68,7 @@
                 self.command += ["--peer", f"{replica_name(far)}=127.0.0.1:{port}"]
 
     async def start(self) -> None:
-        """Raises ReplicaLost where it does not answer in time."""
+        """Raises ReplicaLostError where it does not answer in time."""
         self.lives += 1
         with (self.folder / f"{replica_name(self.number)}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -85,7 +85,7 @@
                 return
             await asyncio.sleep(0.05)
         text = (self.folder / f"{replica_name(self.number)}.log").read_text()[-1_000:]
-        raise ReplicaLost(f"control replica {self.number} did not come up: {text}")
+        raise ReplicaLostError(f"control replica {self.number} did not come up: {text}")
 
     @property
     def running(self) -> bool:
@@ -139,7 +139,7 @@
         return [one.port for one in self.each]
 
     async def start(self, paths: ReplicaPaths, lifetime_s: float) -> None:
-        """Raises ReplicaLost."""
+        """Raises ReplicaLostError."""
         for one in self.each:
             one.configure(self.fleet, paths, lifetime_s)
         await asyncio.gather(*(one.start() for one in self.each))
--- a/hoistplank/lab/scale/slopes.py
+++ b/hoistplank/lab/scale/slopes.py
@@ -34,7 +34,7 @@
 Floats = NDArray[np.float64]
 
 
-class TooFewSizes(ValueError):
+class TooFewSizesError(ValueError):
     """Points at fewer sizes than a slope may be drawn from; the text says how many there were."""
 
 
@@ -117,7 +117,7 @@
 
 
 def fit(sizes: Sequence[float], values: Sequence[float], form: Form = Form.LINE) -> Fit:
-    """Ordinary least squares of one form. Raises TooFewSizes, and ValueError for points that don't pair
+    """Ordinary least squares of one form. Raises TooFewSizesError, and ValueError for points that don't pair
     up."""
     x, y = _checked(sizes, values)
     terms = form.of(x)
@@ -148,7 +148,7 @@
 def judge(sizes: Sequence[float], values: Sequence[float]) -> Slope:
     """The line through the points, and whether n log n or n² describes them where it does not.
 
-    Raises TooFewSizes, and ValueError for points that don't pair up.
+    Raises TooFewSizesError, and ValueError for points that don't pair up.
     """
     x, y = _checked(sizes, values)
     fits = [fit(sizes, values, form) for form in Form]
@@ -169,7 +169,7 @@
         raise ValueError("a size or value is no finite number")
     distinct = len(set(x.tolist()))
     if distinct < LEAST_SIZES:
-        raise TooFewSizes(f"a slope needs {LEAST_SIZES} sizes, there are {distinct}")
+        raise TooFewSizesError(f"a slope needs {LEAST_SIZES} sizes, there are {distinct}")
     return x, y
 
 
--- a/hoistplank/lab/scale/tables.py
+++ b/hoistplank/lab/scale/tables.py
@@ -28,7 +28,7 @@
 SMALLEST_SHOWN = 1e-6
 
 
-class BadPage(Exception):
+class PageError(Exception):
     """A page whose places can't be filled; the text names the place."""
 
 
@@ -214,18 +214,18 @@
 
 
 def rewritten(page: str, measurements: Sequence[Measurement]) -> str:
-    """The page with all its tables made anew. Raises BadPage, and ValueError where a slope can't be drawn."""
+    """The page with all its tables made anew. Raises PageError, and ValueError where no slope can be drawn."""
     tables = generated(measurements)
     begins, places = page.count("<!-- table: "), PLACE.findall(page)
     if begins != len(places) or begins != page.count("<!-- end of table -->"):
-        raise BadPage("a place for a table does not end with '<!-- end of table -->'")
+        raise PageError("a place for a table does not end with '<!-- end of table -->'")
     if not places:
-        raise BadPage("there is no place for a table")
+        raise PageError("there is no place for a table")
 
     def fill(found: re.Match[str]) -> str:
         name = found.group(1)
         if name not in tables:
-            raise BadPage(f"no table is called '{name}': {', '.join(tables)}")
+            raise PageError(f"no table is called '{name}': {', '.join(tables)}")
         return f"<!-- table: {name} -->\n\n{tables[name]()}\n<!-- end of table -->"
 
     return PLACE.sub(fill, page)
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -28,7 +28,7 @@
 from hoistplank.lab.backends import sockets
 from hoistplank.lab.experiment import Cell, Experiment, read
 from hoistplank.lab.load import crew
-from hoistplank.lab.load.plan import BadPlan, Step, mixes, plan, times
+from hoistplank.lab.load.plan import LoadPlanError, Step, mixes, plan, times
 from hoistplank.lab.load.wire import Answers, Template
 from hoistplank.lab.statistics import difference, of_way, ranks, spearman
 from hoistplank.lab.worker import Job, play
@@ -65,13 +65,13 @@
 
 @pytest.mark.parametrize("text", ["10:500", "10s500", "0s:5", "5s:0", "", "99999s:1", "-5s:10", "5s:10 x"])
 def test_a_plan_that_can_not_be_used(text: str) -> None:
-    with pytest.raises(BadPlan, match="expected"):
+    with pytest.raises(LoadPlanError, match="expected"):
         plan(text)
 
 
 @pytest.mark.parametrize("text", ["", "page=0", "page=x", "pa ge=1=2", "=3", "page=-1"])
 def test_tracks_that_can_not_be_used(text: str) -> None:
-    with pytest.raises(BadPlan, match="expected"):
+    with pytest.raises(LoadPlanError, match="expected"):
         mixes(text)
 
 
@@ -124,7 +124,7 @@
 
 
 def test_load_with_nobody_there_says_so() -> None:
-    with pytest.raises(crew.NoLoad, match="nobody listens"):
+    with pytest.raises(crew.LoadError, match="nobody listens"):
         asyncio.run(crew.load(("127.0.0.1", 1), plan("1s:5"), mixes("page=1"), 1))
 
 
@@ -264,10 +264,10 @@
     import pyarrow.parquet as pq
 
     pq.write_table(pa.table({"key": ["a"]}), tmp_path / "results.parquet")
-    with pytest.raises(results.BadResults, match="layout none, expected 2"):
+    with pytest.raises(results.ResultsError, match="layout none, expected 2"):
         results.load(tmp_path)
     (tmp_path / "results.parquet").write_bytes(b"PAR1 nothing")
-    with pytest.raises(results.BadResults, match="can't be read"):
+    with pytest.raises(results.ResultsError, match="can't be read"):
         results.load(tmp_path)
 
 
--- a/tests/test_scale_replay.py
+++ b/tests/test_scale_replay.py
@@ -12,7 +12,7 @@
 from hoistplank.fakes.wire import serve
 from hoistplank.lab.fleet.relay_messages import PathAction
 from hoistplank.lab.scale.fleet import Fleet
-from hoistplank.lab.scale.replay import CHANGE, HOST, PURGE, RENEWAL, Teller
+from hoistplank.lab.scale.replay import CHANGE, HOST, PURGE, RENEWAL, EventGenerator
 from hoistplank.lab.scale.run_paths import Cut, LogPaths, ReplicaPaths
 from hoistplank.lab.scale.scene import S
 from hoistplank.lab.scale.scene_schedule import BATCH_US, Change, HostStep, Purge, schedule
@@ -33,7 +33,7 @@
 
 def test_teller_counts_within_its_epoch_and_lists_what_there_is() -> None:
     made = scene("(hosts 5)")
-    teller = Teller(made.fleet)
+    teller = EventGenerator(made.fleet)
     reader = changelog.ChangeLogReader()
     first = teller.first()
     rows = [first, teller.next(Purge(0, "ab"), 17), teller.next(HostStep(0, 3, "gone"), 18)]
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -27,8 +27,8 @@
     tables,
 )
 from hoistplank.lab.scale.measurements import (
-    BadMeasurements,
     Measurement,
+    MeasurementsError,
     RunInfo,
     read,
     read_folder,
@@ -42,7 +42,7 @@
     Basis,
     Count,
     Mechanism,
-    NotMeasured,
+    NotMeasuredError,
     Requirement,
     figure_of,
     figures,
@@ -51,7 +51,7 @@
 )
 from hoistplank.lab.scale.roles import ROLES
 from hoistplank.lab.scale.sizes import PERCENT
-from hoistplank.lab.scale.slopes import Form, TooFewSizes, fit, judge, t_quantile
+from hoistplank.lab.scale.slopes import Form, TooFewSizesError, fit, judge, t_quantile
 from hoistplank.lab.scale.target import TARGET, Budget
 
 SIZES = (100, 200, 400, 800, 1_600)
@@ -146,9 +146,9 @@
 
 @pytest.mark.parametrize("sizes", [(), (1,), (1, 2, 3), (1, 2, 3, 3, 3, 3)])
 def test_fewer_than_four_sizes_are_refused(sizes: tuple[int, ...]) -> None:
-    with pytest.raises(TooFewSizes, match=f"there are {len(set(sizes))}"):
+    with pytest.raises(TooFewSizesError, match=f"there are {len(set(sizes))}"):
         judge(sizes, [1.0] * len(sizes))
-    with pytest.raises(TooFewSizes):
+    with pytest.raises(TooFewSizesError):
         fit(sizes, [1.0] * len(sizes))
 
 
@@ -214,23 +214,23 @@
 
 def test_files_that_cannot_be_used_are_named(tmp_path: Path) -> None:
     path = tmp_path / "slopes.parquet"
-    with pytest.raises(BadMeasurements, match="slopes.parquet can't be read"):
+    with pytest.raises(MeasurementsError, match="slopes.parquet can't be read"):
         read(path)
     path.write_bytes(b"PAR1 no such thing")
-    with pytest.raises(BadMeasurements, match="slopes.parquet can't be read"):
+    with pytest.raises(MeasurementsError, match="slopes.parquet can't be read"):
         read(path)
     pq.write_table(pa.table({"role": ["dispatcher"]}), path)
-    with pytest.raises(BadMeasurements, match="layout none, expected 1"):
+    with pytest.raises(MeasurementsError, match="layout none, expected 1"):
         read(path)
     metadata = {b"hoistplank.scale.layout": b"1"}
     pq.write_table(pa.table({"role": ["dispatcher"]}).replace_schema_metadata(metadata), path)
-    with pytest.raises(BadMeasurements, match="lacks the column 'quantity'"):
+    with pytest.raises(MeasurementsError, match="lacks the column 'quantity'"):
         read(path)
     write(path, some(), INFO)
     whole = pq.read_table(path)
     wrong = whole.set_column(whole.schema.get_field_index("value"), "value", pa.array(["1", "2", "3"]))
     pq.write_table(wrong, path)
-    with pytest.raises(BadMeasurements, match="the column 'value' is no double"):
+    with pytest.raises(MeasurementsError, match="the column 'value' is no double"):
         read(path)
 
 
@@ -285,7 +285,7 @@
 def test_what_was_not_measured_is_left_out_and_named() -> None:
     wanted = asked(1, Basis.AT_SIZE, quantity="other")
     assert figures((wanted,), rows_of(1)) == []
-    with pytest.raises(NotMeasured, match="'other' of the role"):
+    with pytest.raises(NotMeasuredError, match="'other' of the role"):
         figure_of(wanted, rows_of(1))
 
 
