--- a/hoistplank/cli/control_dump.py
+++ b/hoistplank/cli/control_dump.py
@@ -28,13 +28,13 @@
         import grpc
         from envoy.service.discovery.v3 import ads_pb2_grpc
 
-        from hoistplank.xds.resources import CLUSTER, PURGES, RUNTIME
+        from hoistplank.xds.resource_types import CLUSTER_TYPE, PURGES_NAME, RUNTIME_TYPE
 
         async with grpc.aio.insecure_channel(address) as channel, asyncio.timeout(TIMEOUT_S):
             stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
             call = stub.StreamAggregatedResources(self._sent_requests())
-            self._subscribe(CLUSTER, [])
-            self._subscribe(RUNTIME, [PURGES])
+            self._subscribe(CLUSTER_TYPE, [])
+            self._subscribe(RUNTIME_TYPE, [PURGES_NAME])
             async for response in call:
                 self._receive(response.type_url, [resource.value for resource in response.resources])
                 if self._is_complete():
@@ -58,17 +58,17 @@
         from envoy.service.runtime.v3 import rtds_pb2
         from google.protobuf.json_format import MessageToDict
 
-        from hoistplank.xds.resources import CLUSTER, ENDPOINT, RUNTIME
+        from hoistplank.xds.resource_types import CLUSTER_TYPE, ENDPOINT_TYPE, RUNTIME_TYPE
 
-        if type_url == CLUSTER:
+        if type_url == CLUSTER_TYPE:
             names = sorted(cluster_pb2.Cluster.FromString(value).name for value in values)
             wanted = [name for name in names if not self.zone or name == f"caches-{self.zone}"]
             self.sections["clusters"] = wanted
-            self._subscribe(ENDPOINT, wanted)
-        elif type_url == ENDPOINT:
+            self._subscribe(ENDPOINT_TYPE, wanted)
+        elif type_url == ENDPOINT_TYPE:
             rows = [endpoint_pb2.ClusterLoadAssignment.FromString(value) for value in values]
             self.sections["endpoints"] = {row.cluster_name: MessageToDict(row)["endpoints"] for row in rows}
-        elif type_url == RUNTIME:
+        elif type_url == RUNTIME_TYPE:
             self.sections["purges"] = MessageToDict(rtds_pb2.Runtime.FromString(values[0]).layer)
 
     def _is_complete(self) -> bool:
--- a/hoistplank/lab/scale/hollow_replicas.py
+++ b/hoistplank/lab/scale/hollow_replicas.py
@@ -9,8 +9,9 @@
 
 import asyncio
 
-from hoistplank.distribution.assignment import Replica
-from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
+from hoistplank.distribution.assignment import ReplicaAddress
+from hoistplank.distribution.configuration_applier import ApplyConfiguration
+from hoistplank.distribution.errors import ConfigurationRefusedError
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.lab.scale.hollow import HollowOwner, Position, Source
@@ -30,7 +31,8 @@
     def __init__(self, hearer: HollowOwner, source: Source) -> None:
         self.taken = NOTHING  # the configuration in force
         replicas = [
-            Replica(f"c{number}", f"r{number}", address) for number, address in enumerate(source.addresses)
+            ReplicaAddress(f"c{number}", f"r{number}", address)
+            for number, address in enumerate(source.addresses)
         ]
         settings = FollowerSettings(source.name, source.region, source.life, replicas)
         self.following = ReplicaFollower(
@@ -38,14 +40,14 @@
         )
         hearer.before_turn = self.following.check_silence
 
-    async def _prepare(self, version: Version, text: str) -> TakeUp:
+    async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
         checking = _checks.get(version)
         if checking is None:
             checking = _checks[version] = asyncio.create_task(_check(version, text))
         try:
             await asyncio.shield(checking)
         except ConfigurationError as wrong:
-            raise ConfigurationRefused(str(wrong)) from None
+            raise ConfigurationRefusedError(str(wrong)) from None
         return lambda: self._take_up(version)
 
     def _take_up(self, version: Version) -> None:
--- a/hoistplank/lab/scale/role_replica_follower.py
+++ b/hoistplank/lab/scale/role_replica_follower.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.messages import Configuration, ReplicatedEvent, encode
 from hoistplank.distribution.state import ReplicatedState
@@ -114,7 +114,7 @@
         self.far.setblocking(False)
         self.follower.connection = Connection(self.near, self.consume, LARGEST_READ, LARGEST_READ)
         self.buffer = bytearray()
-        self.follower.state.connection_began(self.control.owner.clock.now())
+        self.follower.state.connection_opened(self.control.owner.clock.now())
 
     def read(self, data: bytes) -> None:
         """What one read of the socket brings, and the owner's turn with it."""
@@ -125,7 +125,7 @@
 
     async def acknowledge(self) -> int:
         """Sends the acknowledgement, with the loop's turn that writes it; its bytes."""
-        self.follower._acknowledge()
+        self.follower.acknowledgements.send()
         await asyncio.sleep(0)
         return len(self.far.recv(READ_BYTES))
 
@@ -189,7 +189,7 @@
     try:
         await path.caught_up(listed_state())
         found = await path.together(b"".join(state.lines_since(LISTED)))
-        assert path.follower.state.told == state.version
+        assert path.follower.state.received == state.version
         return found
     finally:
         path.close()
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -13,11 +13,16 @@
 import uvloop
 
 from hoistplank.cli.distribution import in_force_words
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
-from hoistplank.distribution.assignment import load_bound
-from hoistplank.distribution.dispatcher_session import MOST_WAITING
+from hoistplank.distribution.assignment import ReplicaAddress, load_bound
+from hoistplank.distribution.dispatcher_session import MAX_PENDING_BYTES
 from hoistplank.distribution.lines import LineReader
-from hoistplank.distribution.messages import Follow, InForce, RequestLine, VersionFields, encode
+from hoistplank.distribution.messages import (
+    Acknowledgement,
+    FollowRequest,
+    RequestLine,
+    VersionFields,
+    encode,
+)
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
@@ -53,11 +58,11 @@
                 assert one.configurations == [(at(4), "(log)")] and not one.owner.is_blind
             for replica in rig.replicas:
                 # A peer hears within a tenth of a second what the dispatchers of the other have in force.
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 3)  # type: ignore[misc]
                 status = await asked(replica.address, at(4))
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total, status.change.missing) == (3, 3, [])
-                assert status.configuration.version() == at(4) == status.version.version()
+                assert status.configuration.to_version() == at(4) == status.version.to_version()
 
     run(scene())
 
@@ -77,12 +82,12 @@
                 "wide" if one is each[2] else "narrow" for one in each
             ]
             for replica in rig.replicas:
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 4)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 4)  # type: ignore[misc]
                 status = await asked(replica.address, at(3))
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total) == (3, 4)
                 (row,) = status.change.missing
-                assert row.dispatcher == "d2" and row.version.version() == at(2)
+                assert row.dispatcher == "d2" and row.version.to_version() == at(2)
                 assert row.refused.startswith("configuration 7/3:1:1: the form 'bad'")
 
     run(scene())
@@ -137,8 +142,8 @@
             rig.log.configure(4, "new")
             new, old = rig.addresses
             one = rig.dispatcher("d1", [new, old])
-            one.follower.order = (new, old)
-            one.follower.place = 0
+            one.follower.selection.order = (new, old)
+            one.follower.selection.position = 0
             await until(lambda: one.in_force == at(4))
             told = len(one.owner.events)
             await rig.stop_replica(0)
@@ -149,7 +154,7 @@
             later = [event for event in one.owner.events[told:] if not isinstance(event, Checkpoint)]
             assert all(event == EndpointWatchFailed() for event in later)
             # A replica that lags says nothing of the present: in the end the list counts as stale.
-            assert one.follower.state.unheard(one.owner.clock.now() + 7_000_000)
+            assert one.follower.state.is_silent(one.owner.clock.now() + 7_000_000)
             # The old one hears the rest, and goes on from what the dispatcher holds.
             old_log.tell(listing(3, [target("b", "box", 9, "draining")]))
             old_log.configure(4, "new")
@@ -169,17 +174,19 @@
 
             async def life(incarnation: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
                 reader, writer = await asyncio.open_connection(*address)
-                writer.write(encode(RequestLine(follow=Follow("d1", incarnation))))
+                writer.write(encode(RequestLine(follow=FollowRequest("d1", incarnation))))
                 return reader, writer
 
             def says(writer: asyncio.StreamWriter, number: int) -> None:
-                writer.write(encode(RequestLine(in_force=InForce(VersionFields(EPOCH, number)))))
+                writer.write(
+                    encode(RequestLine(acknowledgement=Acknowledgement(VersionFields(EPOCH, number))))
+                )
 
             def known() -> Version:
-                status = replica.table.in_force(0, at(99))
+                status = replica.table.change_status(at(99))
                 return status.missing[0].version if status.missing else NOTHING
 
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             reader, earlier = await life(1)
             await reader.readline()
             rig.purge(2, "ab")
@@ -208,16 +215,16 @@
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             one = rig.dispatcher("d1")
-            await until(lambda: rig.replicas[0].table.in_force(0, at(1)).in_force == 1)
+            await until(lambda: rig.replicas[0].table.change_status(at(1)).in_force == 1)
             connection = one.follower.connection
             assert connection is not None
             send, lost = connection.send, list[bytes]()
             connection.send = lambda data, *more: lost.append(data)  # type: ignore[method-assign]
             rig.purge(2, "ab")
             await until(lambda: bool(lost))
-            assert rig.replicas[0].table.in_force(0, at(2)).in_force == 0
+            assert rig.replicas[0].table.change_status(at(2)).in_force == 0
             connection.send = send  # type: ignore[method-assign]
-            await until(lambda: rig.replicas[0].table.in_force(0, at(2)).in_force == 1)
+            await until(lambda: rig.replicas[0].table.change_status(at(2)).in_force == 1)
 
     run(scene())
 
@@ -228,16 +235,16 @@
             rig.hosts(1, whole=True, a="ready")
             one = rig.dispatcher("d1")
             table = rig.replicas[0].table
-            await until(lambda: table.in_force(0, at(1)).in_force == 1)
+            await until(lambda: table.change_status(at(1)).in_force == 1)
             one.owner.is_halted = True
             rig.purge(2, "ab")
             rig.log.configure(3, "new")
             await until(lambda: one.owner.purges == ["ab"] and one.configurations != [])
             rows = table.revision
             await until(lambda: table.revision > rows + 1)  # two more heartbeats of the dispatcher
-            assert one.in_force == at(1) and table.in_force(0, at(2)).in_force == 0
+            assert one.in_force == at(1) and table.change_status(at(2)).in_force == 0
             one.owner.turn()
-            await until(lambda: table.in_force(0, at(3)).in_force == 1)
+            await until(lambda: table.change_status(at(3)).in_force == 1)
 
     run(scene())
 
@@ -251,17 +258,19 @@
             deaf = socket.socket()
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             deaf.connect(rig.addresses[0].address)
-            deaf.sendall(encode(RequestLine(follow=Follow("deaf", 1, at=VersionFields(EPOCH, 1)))))
+            deaf.sendall(
+                encode(RequestLine(follow=FollowRequest("deaf", 1, resume_at=VersionFields(EPOCH, 1))))
+            )
             replica = rig.replicas[0]
             await until(lambda: "deaf" in replica.sessions)
             number, most = 1, 0
             while "deaf" in replica.sessions:
                 number += 1
                 rig.log.configure(number, "x" * 200_000)
-                await until(lambda: replica.table.in_force(0, at(number)).in_force >= 1)  # noqa: B023
+                await until(lambda: replica.table.change_status(at(number)).in_force >= 1)  # noqa: B023
                 most = max(most, *(session.connection.unsent_bytes for session in replica.sessions.values()))
                 assert number < 200
-            assert replica.cut_off == 1 and most <= MOST_WAITING + 210_000
+            assert replica.slow_readers == 1 and most <= MAX_PENDING_BYTES + 210_000
             status = await asked(replica.address)
             assert [row.dispatcher for row in status.events.missing] == ["deaf"]
             assert not status.events.missing[0].connected
@@ -295,7 +304,7 @@
                 finally:
                     far_writer.close()
 
-            await until(rig.replicas[0].log_follower.is_read)
+            await until(rig.replicas[0].log_follower.is_caught_up)
             relay = ReplicaAddress("c1", "east", ("127.0.0.1", await serve(cutting)))
             one = rig.dispatcher("d1", [relay])
             await until(lambda: len(lines) == 6)
@@ -358,9 +367,9 @@
                 taken = [version for version, _ in one.configurations]
                 assert taken[-1] == at(61) and taken == sorted(set(taken))
                 assert one.owner.purges == ["ab"]
-                assert one.follower.state.in_force().refused is None
+                assert one.follower.state.acknowledgement().refusal is None
             for replica in rig.replicas:
-                await until(lambda replica=replica: replica.table.in_force(0, at(62)).in_force == 5)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(62)).in_force == 5)  # type: ignore[misc]
                 status = await asked(replica.address)
                 assert (status.configurations.in_force, status.configurations.missing) == (5, [])
 
@@ -412,7 +421,7 @@
             ]
             rig.purge(3, "ab")
             rig.log.configure(4, "two")
-            await until(lambda: all(one.follower._is_warned for one in again))
+            await until(lambda: all(one.follower._is_silence_logged for one in again))
             for one in again:
                 assert one.owner.hosts == {"a": "ready"} and one.owner.is_blind
                 assert one.follower.detail() == "no control replica heard; in force: 0/0"
@@ -424,7 +433,7 @@
                 assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "two")]
                 await until(lambda one=one: not one.owner.is_blind)  # type: ignore[misc]
             for replica in rig.replicas[2:]:
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 3)  # type: ignore[misc]
 
     run(scene())
 
@@ -433,14 +442,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENT_US", 300_000)
+        monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENCE_US", 300_000)
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             rig.log.configure(2, "one")
             relay = await Relay(ReplicaAddress("log", "", ("127.0.0.1", rig.log_port))).start()
             replica = rig.start_replica("c2", changelog=relay.address.address[1])
             rig.connect_peers()
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             relay.cut()
             await until(lambda: not replica.is_log_heard())
             rig.purge(3, "ab")
@@ -484,7 +493,7 @@
             rig.log.tell({"seq": 3, "configuration": {"text": 5}})
             rig.log.tell({"seq": 4, "configuration": "x" * 1_100_000})
             rig.purge(5, "ab")
-            await until(lambda: rig.replicas[0].table.in_force(0, at(5)).in_force == 1)
+            await until(lambda: rig.replicas[0].table.change_status(at(5)).in_force == 1)
             assert one.configurations == [(at(2), "good")] and one.owner.purges == ["ab"]
             for number, wrong in (
                 (3, "Expected `str`, got `int` - at `$.text`"),
@@ -528,10 +537,10 @@
 
     async def scene() -> None:
         monkeypatch.setattr("hoistplank.distribution.follower.return_delay_us", lambda chance: 200_000)
-        monkeypatch.setattr("hoistplank.distribution.follower.REDIRECTED_S", 0.5)
+        monkeypatch.setattr("hoistplank.distribution.replica_selection.REDIRECT_HOLD_S", 0.5)
         async with Rig(replicas) as rig:
             rig.hosts(1, whole=True, a="ready")
-            await until(lambda: all(replica.log_follower.is_read() for replica in rig.replicas))
+            await until(lambda: all(replica.log_follower.is_caught_up() for replica in rig.replicas))
             each = [rig.dispatcher(f"d{number}") for number in range(count)]
             await until(lambda: all(one.in_force == at(1) for one in each), patience_s=20)
             assert all(len(replica.sessions) <= load_bound(count, replicas) for replica in rig.replicas)
@@ -558,7 +567,7 @@
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             replica = rig.replicas[0]
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             assert replica.is_log_heard()
             replica.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
             rig.purge(2, "ab")
