--- a/tests/test_operator.py
+++ b/tests/test_operator_configuration.py
@@ -16,8 +16,9 @@
 from hoistplank.operator_configuration.schema import FormSchema
 from hoistplank.operator_configuration.syntax import Atom, Form
 from hoistplank.program.sections import FILE, parse_file
+from tests.fixture_files import FIXTURES
 
-BROKEN = sorted((Path(__file__).parent / "broken").glob("*.sexp"))
+BROKEN = sorted((FIXTURES / "operator" / "refused").glob("*.sexp"))
 
 
 @pytest.mark.parametrize("file", BROKEN, ids=lambda file: file.stem)
