--- a/hoistplank/cli/lab_days.py
+++ b/hoistplank/cli/lab_days.py
@@ -20,7 +20,8 @@
 @click.command()
 def days() -> None:
     """List the days by name, the policies, and the faults that a script may hold."""
-    from hoistplank.lab.model.faults import DAYS, KINDS
+    from hoistplank.lab.model.days import DAYS
+    from hoistplank.lab.model.faults import KINDS
     from hoistplank.lab.policies import names
 
     click.echo("days: calm, any, or some of these joined by '+'")
@@ -46,14 +47,15 @@
     name: str, policy: str, size: int, seed: int, seconds: float, share: float, sockets: bool, as_json: bool
 ) -> None:
     """Play one day by NAME, or the script of a file. Exit code 1: a rule was broken, or the day was void."""
-    from hoistplank.lab.backends.sockets import TooLate
+    from hoistplank.lab.backends.sockets import RunTooLateError
     from hoistplank.lab.experiment import Cell
-    from hoistplank.lab.model.faults import drawn, script
+    from hoistplank.lab.model.days import draw_day
+    from hoistplank.lab.model.faults import script
     from hoistplank.lab.policies import UnknownPolicy
     from hoistplank.lab.worker import Job, play
 
     try:
-        text = Path(name).read_text() if Path(name).is_file() else drawn(name, seed, seconds)
+        text = Path(name).read_text() if Path(name).is_file() else draw_day(name, seed, seconds)
         script(text, name)
         cell = Cell(
             Path(name).stem,
@@ -71,7 +73,7 @@
         result = play(Job(cell))
     except (OSError, ValueError, ConfigurationError, UnknownPolicy) as error:
         fail(str(error))
-    except (TooLate, RuntimeError) as error:
+    except (RunTooLateError, RuntimeError) as error:
         raise click.ClickException(str(error)) from None
     if as_json:
         click.echo(json.dumps(result))
--- a/hoistplank/cli/request.py
+++ b/hoistplank/cli/request.py
@@ -10,7 +10,7 @@
 
 import click
 
-from hoistplank.fakes.wire import connected
+from hoistplank.fakes.wire import connect
 
 TIMEOUT_S = 5
 OK = 200
@@ -72,7 +72,7 @@
 ) -> tuple[int, bytes, bytes]:
     """The status, the head and the body of the answer."""
     host, _, port = address.rpartition(":")
-    client = await connected((host, int(port)), context)
+    client = await connect((host, int(port)), context)
     client.send(1, class_name, fields)
-    _, status, head, body = await asyncio.wait_for(client.answer(), TIMEOUT_S)
+    _, status, head, body = await asyncio.wait_for(client.read_answer(), TIMEOUT_S)
     return status, head, body
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -25,11 +25,13 @@
 from hoistplank.decision.settings import Degradation
 from hoistplank.degradation.observer import CompletedFill
 from hoistplank.lab.backends.degradation_controller import DegradationController, DegradationPlan
-from hoistplank.lab.model.clients import BACK, OFF, SERVED, Request
-from hoistplank.lab.model.faults import Event, Troubles
-from hoistplank.lab.model.servers import Ask, Server
+from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, Request
+from hoistplank.lab.model.fault_injector import FaultInjector
+from hoistplank.lab.model.faults import ScheduledFault
+from hoistplank.lab.model.server_request import ServerRequest
+from hoistplank.lab.model.servers import Server
 from hoistplank.lab.model.world import World
-from hoistplank.lab.model.world_settings import HUB, Shape
+from hoistplank.lab.model.world_settings import HUB, WorldSettings
 from hoistplank.lab.policies import Make, Plain, Policy
 from hoistplank.routing.clock_offset import ClockOffset
 
@@ -39,171 +41,198 @@
 class Attempt:
     """One attempt that is out. `over` once its end was told to the policy, or is on its way to it."""
 
-    __slots__ = ("action", "ask", "over", "seat", "sent", "server", "request")
+    __slots__ = ("action", "dispatcher", "is_over", "request", "sent_at", "server", "server_request")
 
-    def __init__(self, seat: VirtualSeat, request: Request, action: SendAttempt, sent: int) -> None:
-        self.seat, self.request, self.action, self.sent = seat, request, action, sent
-        self.over = False
-        self.ask: Ask | None = None
+    def __init__(
+        self, dispatcher: VirtualDispatcher, request: Request, action: SendAttempt, sent: int
+    ) -> None:
+        self.dispatcher, self.request, self.action, self.sent_at = dispatcher, request, action, sent
+        self.is_over = False
+        self.server_request: ServerRequest | None = None
         self.server: Server | None = None
 
-    def came(self, result: int, note: int, born: int) -> None:
+    def answered(self, result: int, note: int, created: int) -> None:
         """Its end has left the host; how it comes here is for the path between them."""
-        paths, seat = self.seat.world.paths, self.seat
+        paths, dispatcher = self.dispatcher.world.paths, self.dispatcher
         if paths is None:
-            return self.end(result, note, born)
-        paths.send(f"d{seat.number}>{self.action.host}", True, seat.agenda.now, self.end, result, note, born)
+            self.end(result, note, created)
+            return
+        paths.send(
+            f"d{dispatcher.number}>{self.action.host}",
+            True,
+            dispatcher.events.now,
+            self.end,
+            result,
+            note,
+            created,
+        )
 
-    def end(self, result: int, note: int, born: int) -> None:
-        if not self.over:
-            self.over = True
-            self.seat.tell(self.seat.ended, self, result, note, born, self.seat.world.agenda.now)
+    def end(self, result: int, note: int, created: int) -> None:
+        """Hand the outcome to the dispatcher's queue, once."""
+        if not self.is_over:
+            self.is_over = True
+            self.dispatcher.enqueue(
+                self.dispatcher.attempt_ended, self, result, note, created, self.dispatcher.world.events.now
+            )
 
-    def late(self) -> None:
-        if not self.over:
-            self.leave()
+    def timed_out(self) -> None:
+        """End an attempt that took longer than it was given."""
+        if not self.is_over:
+            self.cancel()
             self.end(Outcome.TIMED_OUT, 0, -1)
 
-    def leave(self) -> None:
-        if self.ask is not None and self.server is not None:
-            self.server.left(self.ask)
+    def cancel(self) -> None:
+        """Take the request back at its host."""
+        if self.server_request is not None and self.server is not None:
+            self.server.cancel(self.server_request)
 
 
-class VirtualSeat:
+class VirtualDispatcher:
     """A dispatcher: the owner's turn over a queue of what came, then all decisions in order."""
 
     def __init__(
         self, world: World, number: int, zone: int, make: Make, plan: DegradationPlan | None = None
     ) -> None:
-        self.world, self.number, self.zone, self.make, self.plan = world, number, zone, make, plan
-        self.agenda, self.place = world.agenda, f"z{zone}"
+        self.world, self.number, self.zone, self.make_policy, self.plan = world, number, zone, make, plan
+        self.events, self.zone_name = world.events, f"z{zone}"
         self.alive, self.runs, self.skew_us = True, 0, 0
         self.queue: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.requests: dict[str, Request] = {}
-        self.over: set[str] = set()
+        self.ended_requests: set[str] = set()
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.planned, self.planned_at, self.next_turn = False, 0, 0
+        self.turn_scheduled, self.scheduled_at, self.next_turn = False, 0, 0
         self.frozen_until = 0
         self.clock = ClockOffset()
         self.debt_us = 0  # of the core, for requests shed since the last turn
         self.degradation: DegradationController | None = None
         self.degradation_runs: list[DegradationController] = []  # one for each run of the process
-        self.policy = self._made()
+        self.policy = self._create_policy()
 
-    def _made(self) -> Policy:
+    def _create_policy(self) -> Policy:
         seed = (self.world.streams.seed * 1_000 + self.number) * 16 + self.runs
-        policy = self.make(self.world.shape.site(self.zone, self.number), seed, self.world)
+        policy = self.make_policy(self.world.settings.site(self.zone, self.number), seed, self.world)
         if self.plan is not None:
             # A restart forgets the level in force, as a dispatcher's process does.
-            utility = {row.name: row.utility for row in self.world.shape.classes}
-            self.degradation = DegradationController(self.plan, utility, self.agenda.now)
+            utility = {row.name: row.utility for row in self.world.settings.classes}
+            self.degradation = DegradationController(self.plan, utility, self.events.now)
             self.degradation_runs.append(self.degradation)
             if not isinstance(policy, Plain):
-                policy.handle(self.agenda.now, DegradationChanged(self.plan.settings.base))
-            self.agenda.at(
-                self.agenda.now + self.plan.settings.evaluation_interval_us, self._judge, self.runs
+                policy.handle(self.events.now, DegradationChanged(self.plan.settings.base))
+            self.events.schedule(
+                self.events.now + self.plan.settings.evaluation_interval_us, self._judge, self.runs
             )
         return policy
 
     # What the world tells.
 
-    def tell(self, call: Callable[..., None], *args: Any) -> None:
+    def enqueue(self, call: Callable[..., None], *args: Any) -> None:
+        """Queue a call for the next turn of the dispatcher's event loop."""
         self.queue.append((call, args))
-        if not self.planned:
-            self.planned, self.planned_at = True, self.agenda.now
-            self.agenda.at(max(self.agenda.now, self.next_turn), self._turn)
+        if not self.turn_scheduled:
+            self.turn_scheduled, self.scheduled_at = True, self.events.now
+            self.events.schedule(max(self.events.now, self.next_turn), self._turn)
 
-    def listed(self, form: str, entries: list[Endpoint]) -> None:
-        self.tell(self._listed, form, entries)
+    def update_hosts(self, form: str, entries: list[Endpoint]) -> None:
+        """Queue an update of the host list."""
+        self.enqueue(self._notify_hosts, form, entries)
 
     def purge(self, object_key: str, group: int, made: int) -> None:
-        self.tell(self._purged, object_key, group, made)
+        """Queue a purge that was made at `made` (us)."""
+        self.enqueue(self._notify_purge, object_key, group, made)
 
-    def take(self, request: Request) -> None:
-        degradation, now = self.degradation, self.agenda.now
-        class_name = self.world.shape.classes[request.class_index].name
+    def accept(self, request: Request) -> None:
+        """Admit and queue a client's request, or shed it at once."""
+        degradation, now = self.degradation, self.events.now
+        class_name = self.world.settings.classes[request.class_index].name
         if degradation is not None and not degradation.admits(
-            now, class_name, len(self.requests) - len(self.over)
+            now, class_name, len(self.requests) - len(self.ended_requests)
         ):
             # Shed as it begins, before the owner's turn: it costs a share of an event.
             assert self.plan is not None
-            self.debt_us += int(self.world.shape.cpu_us * self.plan.shed_cost_share)
-            self.world.truth.answers.answered(now, request.id)
+            self.debt_us += int(self.world.settings.event_cpu_us * self.plan.shed_cost_share)
+            self.world.rules.answers.answered(now, request.id)
             degradation.observer.record_response(now, class_name, in_target=False)
-            wait = self.world.shape.settings(self.zone, self.number)["limits"]["max_retry_after"]
-            self.world.clients.answered(request.id, BACK, int(wait * 500_000))
+            wait = self.world.settings.dispatcher_settings(self.zone, self.number)["limits"][
+                "max_retry_after"
+            ]
+            self.world.clients.answered(request.id, REJECTED, int(wait * 500_000))
             return
-        self.tell(self._came, request, request.id)
+        self.enqueue(self._notify_arrival, request, request.id)
 
-    def leave(self, request: Request) -> None:
-        self.tell(self._left, request.id)
+    def client_left(self, request: Request) -> None:
+        """Queue that the client of a request has left."""
+        self.enqueue(self._notify_client_left, request.id)
 
     def kill(self) -> None:
+        """End the process: all that it has open is gone."""
         self.alive = False
         for attempt in self.attempts.values():
-            attempt.over = True
-            attempt.leave()
-        self.queue, self.requests, self.over, self.attempts = [], {}, set(), {}
+            attempt.is_over = True
+            attempt.cancel()
+        self.queue, self.requests, self.ended_requests, self.attempts = [], {}, set(), {}
 
     def step_clock(self, step_us: int) -> None:
+        """Let its wall clock jump."""
         self.skew_us += step_us
 
     def freeze(self, length_us: int) -> None:
         """Lines stay up and take what comes; nothing is decided. An attempt that is overdue meanwhile is
         dropped at its host at once, where a process would do that when it goes on."""
-        self.frozen_until = max(self.frozen_until, self.agenda.now + length_us)
+        self.frozen_until = max(self.frozen_until, self.events.now + length_us)
 
     def restart(self) -> None:
-        self.frozen_until, self.planned = 0, False
+        """Begin anew with a policy that knows nothing."""
+        self.frozen_until, self.turn_scheduled = 0, False
         self.alive, self.runs, self.clock = True, self.runs + 1, ClockOffset()
-        self.policy = self._made()
+        self.policy = self._create_policy()
 
     # A turn.
 
     def _turn(self) -> None:
-        if self.frozen_until > self.agenda.now and self.alive:
-            return self.agenda.at(self.frozen_until, self._turn)
-        self.planned = False
+        if self.frozen_until > self.events.now and self.alive:
+            self.events.schedule(self.frozen_until, self._turn)
+            return
+        self.turn_scheduled = False
         if not self.alive:
             return
-        now, shape = self.agenda.now, self.world.shape
+        now, settings = self.events.now, self.world.settings
         queue, self.queue = self.queue, []
         # What came first has waited for the turn before, longer than a tick where that was dear.
-        lag = max(0, now - self.planned_at - shape.tick_us)
+        lag = max(0, now - self.scheduled_at - settings.tick_us)
         self.policy.handle(now, EventLoopMeasured(len(queue), lag))
         if self.degradation is not None:
-            self.degradation.observe_turn(now, lag, len(self.requests) - len(self.over), len(queue))
+            self.degradation.observe_turn(now, lag, len(self.requests) - len(self.ended_requests), len(queue))
         for call, args in queue:
             call(now, *args)
         acts = 0
         while (action := self.policy.next_action(now)) is not None:
             acts += 1
-            self._act(now, action)
-        self.next_turn = now + shape.tick_us + shape.cpu_us * (len(queue) + acts) + self.debt_us
+            self._carry_out(now, action)
+        self.next_turn = now + settings.tick_us + settings.event_cpu_us * (len(queue) + acts) + self.debt_us
         self.debt_us = 0
 
     def _judge(self, runs: int) -> None:
-        degradation, now = self.degradation, self.agenda.now
+        degradation, now = self.degradation, self.events.now
         if not self.alive or runs != self.runs or degradation is None or self.plan is None:
             return
         reduced = degradation.evaluate(now)
         if reduced is not None and not isinstance(self.policy, Plain):
-            self.tell(self._degraded, reduced)
-        self.agenda.at(now + self.plan.settings.evaluation_interval_us, self._judge, runs)
+            self.enqueue(self._degraded, reduced)
+        self.events.schedule(now + self.plan.settings.evaluation_interval_us, self._judge, runs)
 
-    def _act(self, now: int, action: Action) -> None:
+    def _carry_out(self, now: int, action: Action) -> None:
         if isinstance(action, SendAttempt):
-            self._attempt(now, action)
+            self._send_attempt(now, action)
         elif isinstance(action, SetTimer):
-            self.agenda.at(now + action.delay_us, self._woken, action.timer_id, self.runs)
+            self.events.schedule(now + action.delay_us, self._timer_fired, action.timer_id, self.runs)
         elif isinstance(action, Reject):
-            self._answer(now, action.request_id, BACK, action.retry_after_us)
+            self._answer(now, action.request_id, REJECTED, action.retry_after_us)
         elif isinstance(action, Fail):
-            self._answer(now, action.request_id, OFF)
+            self._answer(now, action.request_id, FAILED)
         elif isinstance(action, CancelAttempt):
             attempt = self.attempts.get((action.request_id, action.attempt))
-            if attempt is not None and not attempt.over:
-                attempt.leave()
+            if attempt is not None and not attempt.is_over:
+                attempt.cancel()
                 attempt.end(Outcome.CANCELLED, 0, -1)
 
     def _degraded(self, now: int, degradation: Degradation) -> None:
@@ -212,12 +241,12 @@
     def _answer(self, now: int, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
         request = self.requests.get(id)
         if self.degradation is not None and request is not None:
-            row = self.world.shape.classes[request.class_index]
+            row = self.world.settings.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             in_target = how == SERVED and now - request.asked_at <= target
             self.degradation.observer.record_response(now, row.name, in_target=in_target)
-        self.over.add(id)
-        self.world.truth.answers.answered(now, id)
+        self.ended_requests.add(id)
+        self.world.rules.answers.answered(now, id)
         if self.world.paths is None:
             self.world.clients.answered(id, how, wait_us, note)
         else:
@@ -226,24 +255,24 @@
         self._forget(id)
 
     def _forget(self, id: str) -> None:
-        if id in self.over and not any((id, n) in self.attempts for n in range(8)):
+        if id in self.ended_requests and not any((id, n) in self.attempts for n in range(8)):
             self.requests.pop(id, None)
-            self.over.discard(id)
+            self.ended_requests.discard(id)
 
-    def _woken(self, token: int, runs: int) -> None:
+    def _timer_fired(self, token: int, runs: int) -> None:
         if self.alive and runs == self.runs:
-            self.tell(self._due, token)
+            self.enqueue(self._notify_timer, token)
 
-    def _due(self, now: int, token: int) -> None:
+    def _notify_timer(self, now: int, token: int) -> None:
         self.policy.handle(now, TimerFired(token))
 
-    def _listed(self, now: int, form: str, entries: list[Endpoint]) -> None:
+    def _notify_hosts(self, now: int, form: str, entries: list[Endpoint]) -> None:
         if form == "failed":
             self.policy.handle(now, EndpointWatchFailed())
         else:
             self.policy.handle(now, EndpointsUpdated(EndpointListForm(form), entries))
 
-    def _purged(self, now: int, object_key: str, group: int, made: int) -> None:
+    def _notify_purge(self, now: int, object_key: str, group: int, made: int) -> None:
         if self.degradation is not None:
             self.degradation.observer.record_purge(now, object_key, group)
         # As a dispatcher does: heard by its own clock, which may be wrong, made by the log's.
@@ -251,9 +280,9 @@
         age_us = max(0, heard - self.clock.to_local_us(heard, made))
         self.policy.handle(now, PurgeReceived(object_key, group, age_us))
 
-    def _came(self, now: int, request: Request, id: str) -> None:
+    def _notify_arrival(self, now: int, request: Request, id: str) -> None:
         self.requests[id] = request
-        row = self.world.shape.classes[request.class_index]
+        row = self.world.settings.classes[request.class_index]
         until = request.asked_at + row.deadline_us
         arrived = RequestArrived(
             request_id=id,
@@ -267,81 +296,97 @@
         )
         self.policy.handle(now, arrived)
 
-    def _left(self, now: int, id: str) -> None:
-        if id in self.requests and id not in self.over:
-            self.over.add(id)
+    def _notify_client_left(self, now: int, id: str) -> None:
+        if id in self.requests and id not in self.ended_requests:
+            self.ended_requests.add(id)
             self.policy.handle(now, ClientDisconnected(id))
             self._forget(id)
 
     # Attempts.
 
-    def _attempt(self, now: int, action: SendAttempt) -> None:
+    def _send_attempt(self, now: int, action: SendAttempt) -> None:
         request, world = self.requests.get(action.request_id), self.world
         if request is None:
             return
         attempt = Attempt(self, request, action, now)
         self.attempts[action.request_id, action.attempt] = attempt
-        drains = world.truth.drains
+        drains = world.rules.drains
         drains.attempt(now, self.number, action.host, "host")
         if action.source and action.source != action.host:
             drains.attempt(now, self.number, action.source, "source")
         server = attempt.server = world.servers[action.host]
-        way = world.shape.far_us if server.zone == HUB else world.shape.near_us
-        self.agenda.at(now + action.timeout_us, attempt.late)
-        if world.cut(self.place, server.zone):
-            return self.agenda.at(now + CONNECT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
-        ask = attempt.ask = Ask(
+        way = world.settings.hub_delay_us if server.zone == HUB else world.settings.zone_delay_us
+        self.events.schedule(now + action.timeout_us, attempt.timed_out)
+        if world.is_cut(self.zone_name, server.zone):
+            self.events.schedule(now + CONNECT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
+            return
+        server_request = attempt.server_request = ServerRequest(
             self.number,
             self.zone,
             request.class_index,
             (request.object_key, request.part),
             request.group,
             request.size_us,
-            attempt.came,
+            attempt.answered,
+        )
+        server_request.source, server_request.cache_rank, server_request.max_age_us = (
+            action.source,
+            action.retention,
+            action.max_age_us,
+        )
+        server_request.may_join, server_request.idempotency_key, server_request.return_delay_us = (
+            action.join_fill,
+            request.key,
+            way,
         )
-        ask.source, ask.keep, ask.oldest_us = action.source, action.retention, action.max_age_us
-        ask.join, ask.key, ask.back = action.join_fill, request.key, way
         if server.zone == HUB:
-            ask.extra_links = [world.zone_links[self.zone]]
+            server_request.extra_links = [world.zone_links[self.zone]]
         if world.paths is None:
-            self.agenda.at(now + way, server.arrive, ask)
+            self.events.schedule(now + way, server.arrive, server_request)
         else:
-            world.paths.send(f"d{self.number}>{server.uid}", False, now + way, server.arrive, ask)
+            world.paths.send(f"d{self.number}>{server.uid}", False, now + way, server.arrive, server_request)
 
-    def ended(self, now: int, attempt: Attempt, result: int, note: int, born: int, at: int) -> None:
+    def attempt_ended(
+        self, now: int, attempt: Attempt, result: int, note: int, created: int, at: int
+    ) -> None:
+        """Pass an attempt's outcome on to the policy, the client and the checkers."""
         id = attempt.action.request_id
         self.attempts.pop((id, attempt.action.attempt), None)
         request = attempt.request
-        if result == Outcome.SUCCEEDED and id not in self.over:
-            if not self.world.shape.classes[request.class_index].uncached:
-                self.world.truth.purges.served(
-                    now, self.number, id, request.object_key, request.group, attempt.sent, born
+        if result == Outcome.SUCCEEDED and id not in self.ended_requests:
+            if not self.world.settings.classes[request.class_index].uncached:
+                self.world.rules.purges.served(
+                    now, self.number, id, request.object_key, request.group, attempt.sent_at, created
                 )
             self._answer(now, id, SERVED, note=note)
-        took = at - attempt.sent
+        took = at - attempt.sent_at
         action, degradation = attempt.action, self.degradation
         filled = note in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN) and action.source != action.host
         if degradation is not None and filled:
-            row = self.world.shape.classes[request.class_index]
+            row = self.world.settings.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             slowed = took / (request.size_us + 100_000)
             degradation.observer.record_fill(
                 now, CompletedFill(action.source, request.object_key, request.group, took <= target, slowed)
             )
-        closed = id in self.over or id not in self.requests
+        closed = id in self.ended_requests or id not in self.requests
         self.policy.handle(now, AttemptEnded(id, action.attempt, result, closed, took, note, []))
         self._forget(id)
 
 
-def built(
-    shape: Shape, seed: int, make: Make, rows: list[Event] | None = None, plan: DegradationPlan | None = None
+def build_world(
+    settings: WorldSettings,
+    seed: int,
+    make: Make,
+    rows: list[ScheduledFault] | None = None,
+    plan: DegradationPlan | None = None,
 ) -> World:
     """A world with all its dispatchers and the script of its day, ready for `run`; `plan`: levels and the
     admission at each dispatcher, else neither."""
-    world = World(shape, seed)
-    Troubles(world, rows or []).begin()
-    for number in range(shape.zones * shape.dispatchers):
-        world.seats.append(VirtualSeat(world, number, number % shape.zones, make, plan))
+    world = World(settings, seed)
+    FaultInjector(world, rows or []).begin()
+    for number in range(settings.zones * settings.dispatchers):
+        world.dispatchers.append(VirtualDispatcher(world, number, number % settings.zones, make, plan))
     return world
 
 
@@ -353,10 +398,10 @@
     rows = [
         repr([round(value, 6) for value in utility.asked]),
         repr([round(value, 6) for value in utility.earned]),
-        repr(sorted(utility.ends.items())),
-        repr([(one.uid, one.asked, one.refused, one.fell) for one in world.servers.values()]),
-        repr(sorted(world.truth.counts.items())),
-        repr([list(times) for times in utility.times]),
-        repr(world.agenda.done),
+        repr(sorted(utility.outcomes.items())),
+        repr([(one.uid, one.received, one.rejected, one.overload_crashes) for one in world.servers.values()]),
+        repr(sorted(world.rules.counts.items())),
+        repr([list(times) for times in utility.latencies_us]),
+        repr(world.events.executed),
     ]
     return hashlib.blake2b("\n".join(rows).encode(), digest_size=16).hexdigest()
--- a/tests/test_distribution_delivery.py
+++ b/tests/test_distribution_delivery.py
@@ -15,7 +15,7 @@
             await until(lambda: all(one.in_force == at(1) for one in each))
             rig.purge(2, "ab")
             rig.hosts(3, b="draining")
-            rig.log.configure(4, "(log)")
+            rig.log.publish_configuration(4, "(log)")
             await until(lambda: all(one.in_force == at(4) for one in each))
             for one in each:
                 assert one.owner.purges == ["ab"] and one.owner.hosts == {"a": "ready", "b": "draining"}
@@ -37,9 +37,9 @@
             rig.hosts(1, whole=True, a="ready")
             each = [rig.dispatcher(f"d{number}") for number in range(4)]
             each[2].refuses = "narrow"
-            rig.log.configure(2, "wide")
+            rig.log.publish_configuration(2, "wide")
             await until(lambda: all(one.in_force == at(2) for one in each))
-            rig.log.configure(3, "narrow")
+            rig.log.publish_configuration(3, "narrow")
             rig.purge(4, "ab")
             await until(lambda: all(one.in_force == at(4) for one in each))
             assert [one.configurations[-1][1] for one in each] == [
@@ -64,7 +64,9 @@
             each = [rig.dispatcher(f"d{number}") for number in range(5)]
             await until(lambda: all(one.in_force == at(1) for one in each))
             for number in range(2, 62):
-                rig.log.configure(number, f"change {number}" + (" bad" if number % 7 == 0 else ""))
+                rig.log.publish_configuration(
+                    number, f"change {number}" + (" bad" if number % 7 == 0 else "")
+                )
             rig.purge(62, "ab")
             await until(lambda: all(one.in_force == at(62) for one in each))
             for one in each:
@@ -88,7 +90,7 @@
             one = rig.dispatcher("d1", [relay.address])
             await until(lambda: one.in_force == at(1))
             relay.cut()
-            rig.log.configure(2, "x" * 1_000_000)
+            rig.log.publish_configuration(2, "x" * 1_000_000)
             await until(lambda: rig.replicas[0].state.version == at(2))
             relay.join()
             await until(lambda: one.in_force == at(2))
@@ -102,9 +104,9 @@
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             one = rig.dispatcher("d1")
-            rig.log.configure(2, "good")
-            rig.log.tell({"seq": 3, "configuration": {"text": 5}})
-            rig.log.tell({"seq": 4, "configuration": "x" * 1_100_000})
+            rig.log.publish_configuration(2, "good")
+            rig.log.publish({"seq": 3, "configuration": {"text": 5}})
+            rig.log.publish({"seq": 4, "configuration": "x" * 1_100_000})
             rig.purge(5, "ab")
             await until(lambda: rig.replicas[0].table.change_status(at(5)).in_force == 1)
             assert one.configurations == [(at(2), "good")] and one.owner.purges == ["ab"]
--- a/tests/test_distribution_failover.py
+++ b/tests/test_distribution_failover.py
@@ -8,8 +8,8 @@
 import pytest
 
 from hoistplank.distribution.assignment import load_bound
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Event, Fleet, Snapshot, Target
 from hoistplank.routing.events import Checkpoint, EndpointWatchFailed
@@ -36,7 +36,7 @@
                 session.connection.send = lambda *words: None  # type: ignore[method-assign]
             rig.purge(2, "ab")
             rig.hosts(3, b="draining")
-            rig.log.configure(4, "new")
+            rig.log.publish_configuration(4, "new")
             await until(lambda: rig.replicas[0].state.version == at(4) and each[0].in_force == at(4))
             assert all(one.in_force == at(1) for one in followers)
             await rig.stop_replica(0)
@@ -59,15 +59,17 @@
     """The older one is cut off from the log: it tells nothing old again, nor that nothing is newer."""
 
     async def scene() -> None:
-        old_log = ChangeLog(EPOCH)
+        old_log = FakeChangeLog(EPOCH)
         async with Rig(replicas=1) as rig:
-            rig.start_replica("old", changelog=await serve(old_log.talk))
+            rig.start_replica("old", changelog=await serve(old_log.serve_connection))
             rig.connect_peers()
             for log in (rig.log, old_log):
-                log.tell(listing(1, [target("a", "box", 9), target("b", "box", 9)], whole=True))
-                log.tell({"seq": 2, "configuration": {"text": "old"}})
+                log.publish(
+                    fleet_event(1, [endpoint_entry("a", "box", 9), endpoint_entry("b", "box", 9)], whole=True)
+                )
+                log.publish({"seq": 2, "configuration": {"text": "old"}})
             rig.hosts(3, b="draining")
-            rig.log.configure(4, "new")
+            rig.log.publish_configuration(4, "new")
             new, old = rig.addresses
             one = rig.dispatcher("d1", [new, old])
             one.follower.selection.order = (new, old)
@@ -84,9 +86,9 @@
             # A replica that lags says nothing of the present: in the end the list counts as stale.
             assert one.follower.state.is_silent(one.owner.clock.now() + 7_000_000)
             # The old one hears the rest, and goes on from what the dispatcher holds.
-            old_log.tell(listing(3, [target("b", "box", 9, "draining")]))
-            old_log.configure(4, "new")
-            old_log.tell({"seq": 5, "invalidate": {"object": "ab", "time": 1.0}})
+            old_log.publish(fleet_event(3, [endpoint_entry("b", "box", 9, "draining")]))
+            old_log.publish_configuration(4, "new")
+            old_log.publish({"seq": 5, "invalidate": {"object": "ab", "time": 1.0}})
             await until(lambda: one.in_force == at(5))
             assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "new")]
 
@@ -112,7 +114,7 @@
                     purged.append(f"{int(chance.paretovariate(0.7)) % 5_000:016x}")
                     rig.purge(number, purged[-1])
                 number += 1
-                rig.log.configure(number, f"change {change}" + "x" * 20_000)
+                rig.log.publish_configuration(number, f"change {change}" + "x" * 20_000)
             number += 1
             rig.hosts(number, b="draining")
             await until(lambda: rig.replicas[0].state.version == at(number), patience_s=20)
@@ -125,7 +127,7 @@
             assert sorted(one.owner.purges) == sorted(objects), seed
             assert one.owner.hosts == {"a": "ready", "b": "draining"}
             assert came < 110 * len(objects) + 25_000, (seed, came, len(objects))
-            assert came < sum(len(json.dumps(event)) for event in rig.log.log) / 4, (seed, came)
+            assert came < sum(len(json.dumps(event)) for event in rig.log.events) / 4, (seed, came)
 
     run(scene())
 
@@ -134,7 +136,7 @@
     async def scene() -> None:
         async with Rig(replicas=2) as rig:
             rig.hosts(1, whole=True, a="ready")
-            rig.log.configure(2, "one")
+            rig.log.publish_configuration(2, "one")
             each = [rig.dispatcher(f"d{number}") for number in range(3)]
             await until(lambda: all(one.in_force == at(2) for one in each))
             for index in range(2):
@@ -148,7 +150,7 @@
                 for number in range(3)
             ]
             rig.purge(3, "ab")
-            rig.log.configure(4, "two")
+            rig.log.publish_configuration(4, "two")
             await until(lambda: all(one.follower._is_silence_logged for one in again))
             for one in again:
                 assert one.owner.hosts == {"a": "ready"} and one.owner.is_blind
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from hoistplank.fakes.settings import SETTINGS, listing, target
-from hoistplank.fakes.wire import CacheHost, Client, serve
+from hoistplank.fakes.settings import SETTINGS, endpoint_entry, fleet_event
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
 from hoistplank.program.phase import Phase
 from tests.dispatcher_scene import (
     run,
@@ -36,13 +36,15 @@
             writer.write(b"".join(json.dumps(event).encode() + b"\n" for event in events))
             await reader.read()
 
-        box = CacheHost(lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body))
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        box = ScriptedCacheHost(
+            lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
+        )
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
             dispatcher.tell({"seq": 2, "invalidate": {"bucket": 2, "time": 1}})
             watcher = dispatcher.service.endpoint_watcher
             await until(lambda: watcher.last_seq == 2)
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "900"})
-            await until(lambda: bool(box.seen))
+            await until(lambda: bool(box.requests))
             file = tmp_path / "config.json"
             good = json.loads(file.read_text())
             file.write_text("{")  # a file that can't be used changes nothing
@@ -57,7 +59,7 @@
             await until(lambda: watcher.last_seq == 3)
             assert asked == [2] and dispatcher.service.phase is Phase.SERVING
             assert (await dispatcher.ask(2, "page"))[0] == 200
-            assert (await dispatcher.client.answer())[:2] == (1, 503)
+            assert (await dispatcher.client.read_answer())[:2] == (1, 503)
 
     run(scene())
 
@@ -65,13 +67,13 @@
 class StatusReader:
     """Reads a client's answers as they come."""
 
-    def __init__(self, client: Client) -> None:
+    def __init__(self, client: FastCgiClient) -> None:
         self.statuses = dict[int, int]()  # by the request's number
         self._task = asyncio.create_task(self._read(client), name="answers")
 
-    async def _read(self, client: Client) -> None:
+    async def _read(self, client: FastCgiClient) -> None:
         while True:
-            number, status, _, _ = await client.answer()
+            number, status, _, _ = await client.read_answer()
             assert number not in self.statuses, "a request is answered once"
             self.statuses[number] = status
 
@@ -83,7 +85,7 @@
 
 
 async def send_pages_until_one_is_tried(
-    client: Client, answers: StatusReader, box: CacheHost, first: int
+    client: FastCgiClient, answers: StatusReader, box: ScriptedCacheHost, first: int
 ) -> int:
     """Sends requests one after another, the first numbered `first`, until one is at the host; its number.
 
@@ -92,8 +94,8 @@
     """
     for number in range(first, first + 20):
         client.send(number, "page", {"HTTP_X_DEADLINE_MS": "900"})
-        await until(lambda: bool(box.seen) or number in answers.statuses)  # noqa: B023 (awaited at once)
-        if box.seen:
+        await until(lambda: bool(box.requests) or number in answers.statuses)  # noqa: B023 (awaited at once)
+        if box.requests:
             return number
         assert answers.statuses[number] == 503
         await asyncio.sleep(0.02)
@@ -107,8 +109,13 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             listen = f"127.0.0.1:{free.getsockname()[1]}"
-        box = CacheHost(silent)
-        known = {"seq": 1, "results": [listing(1, [target("a", "box", await serve(box.talk))], whole=True)]}
+        box = ScriptedCacheHost(silent)
+        known = {
+            "seq": 1,
+            "results": [
+                fleet_event(1, [endpoint_entry("a", "box", await serve(box.serve_connection))], whole=True)
+            ],
+        }
         short = copy.deepcopy(SETTINGS["classes"])
         for class_name in short:
             class_name["give_up"] = 0.9
@@ -130,7 +137,7 @@
         while b"serving" not in (line := await program.stdout.readline()):
             assert line
         program.send_signal(signal.SIGHUP)
-        client = Client(*await asyncio.open_connection(*listen.split(":")))
+        client = FastCgiClient(*await asyncio.open_connection(*listen.split(":")))
         client.send(1, "booking", {"HTTP_X_DEADLINE_MS": "900", "HTTP_X_OPERATION_KEY": "5c0f" * 8})
         answers = StatusReader(client)
         sent = await send_pages_until_one_is_tried(client, answers, box, first=2)
