--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -18,7 +18,7 @@
 
 from hoistplank.fakes.deployment import free_port
 from hoistplank.lab.fleet import processes, runner, worker
-from hoistplank.lab.fleet.scene import read
+from hoistplank.lab.fleet.scene_reader import read
 from hoistplank.lab.fleet.worker import Job
 from hoistplank.operator_configuration.errors import ConfigurationError
 
