--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -214,7 +214,8 @@
                 put_in_force = self.extensions.read_again() if self.extensions is not None else None
             except DispatcherConfigurationError as error:
                 # Danger: a file that is half written or wrong would take the running dispatcher with it.
-                log.error("configuration can't be used, the running one stays", wrong=str(error))
+                # The message names the key at fault; a traceback of a wrong file would say nothing more.
+                log.error("configuration can't be used, the running one stays", wrong=str(error))  # noqa: TRY400
                 continue
             if put_in_force is not None:
                 put_in_force()
@@ -234,7 +235,7 @@
         """The open requests of a broken program are failed, as far as that still works."""
         self.router_task.requests.fail_all()
         until = self.loop.time() + FAILED_ANSWERS_S
-        while not self.frontend.all_sent() and self.loop.time() < until:
+        while not self.frontend.all_sent() and self.loop.time() < until:  # noqa: ASYNC110  no event tells it
             await asyncio.sleep(0.01)
 
     def _log_limits(self) -> None:
