--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -1,6 +1,6 @@
 """A dispatcher's connection to a control replica, which replaces its connection to the change log.
 
-What it receives goes to the owner as if it came from the change log itself. It follows the first replica of
+What it receives goes to the receiver as if from the change log itself. It follows the first replica of
 its order that accepts it, acknowledges what is in force, and marks the list as stale while no replica that is
 up to date is heard.
 """
@@ -68,11 +68,11 @@
 
 
 class ReplicaFollower(EndpointWatcher):
-    """Follows control replicas for an owner; `run` and `configurations.run` go on until cancelled."""
+    """Follows control replicas for a dispatcher; `run` and `configurations.run` go on until cancelled."""
 
     def __init__(
         self,
-        owner: EventReceiver,
+        receiver: EventReceiver,
         settings: FollowerSettings,
         known: Snapshot,
         random: Random,
@@ -83,7 +83,7 @@
         order = preference(settings.name, settings.region, settings.replicas)
         self.selection = ReplicaSelection(order)
         self.state = FollowerState(settings.silence_us)
-        self.hosts = HostRecord(owner)
+        self.hosts = HostRecord(receiver)
         super().__init__(self.hosts, order[0].address, known, random, grace_s)
         self.random = random
         self.check_interval_s, self.stall_timeout_s = CHECK_INTERVAL_S, STALLED_LINE_S
@@ -92,7 +92,7 @@
         self.loop = asyncio.get_running_loop()
         self.epoch = 0
         self.behind_lines = 0  # heartbeats and events older than what is held
-        self._started_us = owner.clock.now()
+        self._started_us = receiver.clock.now()
         self._is_silence_logged = False
 
     @property
@@ -102,7 +102,7 @@
 
     def detail(self) -> str:
         """For the health answer: empty while a replica is heard. It is called between turns, too."""
-        if not (self.hosts.is_stale or self.state.is_silent(self.owner.clock.now())):
+        if not (self.hosts.is_stale or self.state.is_silent(self.receiver.clock.now())):
             return ""
         return f"no control replica heard; in force: {self.state.resume_at}"
 
@@ -118,7 +118,7 @@
     # Lines from the replica.
 
     def _first_line(self) -> bytes:
-        self.state.connection_opened(self.owner.clock.now())
+        self.state.connection_opened(self.receiver.clock.now())
         settings = self.settings
         resume_at = VersionFields(*self.state.resume_at)
         request = FollowRequest(settings.name, settings.incarnation, settings.region, resume_at)
@@ -143,7 +143,7 @@
     def _handle(self, message: ReplicatedEvent | Redirect) -> None:
         if isinstance(message, Redirect):
             raise RedirectedError(message.reason)
-        verdict = self.state.receive(self.owner.clock.now(), message)
+        verdict = self.state.receive(self.receiver.clock.now(), message)
         if verdict is Verdict.GAP:
             held = self.state.received
             raise ProtocolError(f"event {message.version} after {message.after} does not follow {held}")
@@ -168,9 +168,9 @@
             self._apply(Event(event.seq, event.fleet, event.invalidate, epoch=event.epoch))
 
     def _batch_received(self) -> None:
-        """All lines that were read together have been forwarded to the owner."""
-        self.owner.submit(Checkpoint(partial(self._turn_ended, self.state.received)))
-        if self.hosts.is_stale and not self.state.is_silent(self.owner.clock.now()):
+        """All lines that were read together have been forwarded to the receiver."""
+        self.receiver.submit(Checkpoint(partial(self._turn_ended, self.state.received)))
+        if self.hosts.is_stale and not self.state.is_silent(self.receiver.clock.now()):
             self.hosts.mark_current()
             self._log_silence_over()
 
@@ -182,15 +182,15 @@
     # What is in force.
 
     def _turn_ended(self, received: Version) -> None:
-        """The owner's turn is over in which everything up to `received` was applied."""
+        """The router task's turn is over in which everything up to `received` was applied."""
         before = self.state.acknowledgement()
         self.state.mark_applied(received)
         if self.state.acknowledgement() != before:
             self.acknowledgements.schedule()
 
     def configuration_applied(self, version: Version) -> None:
-        """A configuration was applied: it is in force after the owner's next turn."""
-        self.owner.submit(Checkpoint(partial(self._configuration_in_force, version)))
+        """A configuration was applied: it is in force after the router task's next turn."""
+        self.receiver.submit(Checkpoint(partial(self._configuration_in_force, version)))
 
     def _configuration_in_force(self, version: Version) -> None:
         self.state.mark_configuration_applied(version)
@@ -208,10 +208,10 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self.acknowledgements.send_heartbeat(tolerance_s=CHECK_INTERVAL_S / 2)
-            now = self.owner.clock.now()
+            now = self.receiver.clock.now()
             stale = self.check_silence(now)
             if stale is not None:
-                self.hosts.owner.submit(stale)
+                self.hosts.receiver.submit(stale)
             if self.hosts.is_stale and not self._is_silence_logged:
                 self._log_silence(now)
 
@@ -247,7 +247,7 @@
             if await self._follow_current():
                 self.selection.restart()
                 continue
-            self.owner.submit(EndpointWatchFailed())
+            self.receiver.submit(EndpointWatchFailed())
             if self.is_current:
                 backoff_s = MIN_BACKOFF_S
             self.selection.advance()
--- a/hoistplank/distribution/host_record.py
+++ b/hoistplank/distribution/host_record.py
@@ -8,15 +8,15 @@
 
 
 class HostRecord:
-    """Forwards a follower's events to its owner, recording the list and marking it as stale where it is.
+    """Forwards a follower's events to its receiver, recording the list and marking it as stale where it is.
 
     A stale list has the form UNCONFIRMED, for which the Router asks for no copy past its fresh time: purges
     may have been missed (docs/design.md, "An own list").
     """
 
-    def __init__(self, owner: EventReceiver) -> None:
-        self.owner = owner
-        self.clock = owner.clock
+    def __init__(self, receiver: EventReceiver) -> None:
+        self.receiver = receiver
+        self.clock = receiver.clock
         self.is_stale = True  # until a replica has sent everything
         self._targets: dict[str, Target] = {}
         self._is_listed = False
@@ -25,13 +25,13 @@
         return len(self._targets)
 
     def submit(self, event: Event) -> None:
-        """Records the event if it is a list, and forwards it to the owner."""
+        """Records the event if it is a list, and forwards it to the receiver."""
         if isinstance(event, EndpointsUpdated):
             self._record(event)
             if self.is_stale:
                 # Danger: any other form claims that purges are received, while missed ones are still to come.
                 event = self._stale_list()
-        self.owner.submit(event)
+        self.receiver.submit(event)
 
     def _record(self, event: EndpointsUpdated) -> None:
         self._is_listed = True
@@ -47,12 +47,12 @@
         return EndpointsUpdated(EndpointListForm.UNCONFIRMED, list(self._targets.values()))
 
     def mark_stale(self) -> EndpointsUpdated | None:
-        """No replica is heard any more: returns the event for the owner, None if no list is known."""
+        """No replica is heard any more: returns the event for the receiver, None if no list is known."""
         self.is_stale = True
         return self._stale_list() if self._is_listed else None
 
     def mark_current(self) -> None:
-        """Everything has been forwarded to the owner: says so to it."""
+        """Everything has been forwarded to the receiver: says so to it."""
         self.is_stale = False
         if self._is_listed:
-            self.owner.submit(EndpointsUpdated(EndpointListForm.CHANGES, []))
+            self.receiver.submit(EndpointsUpdated(EndpointListForm.CHANGES, []))
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -38,7 +38,7 @@
 
 
 class _DiscardingOwner:
-    """Takes the place of a dispatcher's owner: a replica applies whole events instead."""
+    """Takes the place of a dispatcher's router task: a replica applies whole events instead."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -67,7 +67,7 @@
 
         Danger: lines that were pending meanwhile are old, and would say that nothing was missed since.
         """
-        now = self.owner.clock.now()
+        now = self.receiver.clock.now()
         if now - self._running_us > SUSPENSION_US:
             self._trusted_from_us = now + DISTRUST_US
         self._running_us = now
@@ -79,11 +79,11 @@
 
     def silence_us(self) -> int | None:
         """For how long nothing has arrived in order; None if nothing ever has."""
-        return self.owner.clock.now() - self.last_heard_us if self.last_heard_us else None
+        return self.receiver.clock.now() - self.last_heard_us if self.last_heard_us else None
 
     def is_caught_up(self) -> bool:
         """Whether everything that the log held at the start has arrived, as far as can be known."""
-        since_first_us = self.owner.clock.now() - self._first_heard_us
+        since_first_us = self.receiver.clock.now() - self._first_heard_us
         has_settled = self._first_heard_us > 0 and since_first_us > INITIAL_READ_US
         return self._has_number or has_settled
 
@@ -127,7 +127,7 @@
             log.error("change log began anew without an epoch", epoch=self.epoch, last=self.last_seq)
         if self.progress_count == progress_count:
             return
-        now = self.owner.clock.now()
+        now = self.receiver.clock.now()
         if now >= self._trusted_from_us:
             self.last_heard_us = now
         self._first_heard_us = self._first_heard_us or now
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -52,7 +52,7 @@
 
 
 class EndpointWatcher:
-    """Keeps a connection to the change log and hands its events to `owner`.
+    """Keeps a connection to the change log and hands its events to `receiver`.
 
     `chance` spreads the backoff of a fleet; `grace_s` is how long a draining host still takes requests.
     `last_seq` is the number of the last event handed on, `has_list` whether a list was among them.
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        owner: EventReceiver,
+        receiver: EventReceiver,
         address: tuple[str, int],
         known: Snapshot,
         chance: Random,
@@ -69,7 +69,7 @@
         self.check_interval_s, self.stall_timeout_s = CHECK_INTERVAL_S, STALL_TIMEOUT_S
         self.max_backoff_s = max(MIN_BACKOFF_S, min(MAX_BACKOFF_S, MAX_BACKOFF_OF_DRAIN_GRACE * grace_s))
         self.observer: LogObserver | None = None
-        self.owner, self.address, self.chance = owner, address, chance.random
+        self.receiver, self.address, self.chance = receiver, address, chance.random
         self.last_seq = 0
         self.has_list = False
         self.is_current = False  # whether this connection has brought anything in its order
@@ -99,11 +99,11 @@
         if event.fleet is not None:
             form = self._list_form(is_whole=event.fleet.all)
             self.has_list = True
-            self.owner.submit(EndpointsUpdated(form, event.fleet.targets))
+            self.receiver.submit(EndpointsUpdated(form, event.fleet.targets))
         if event.invalidate is not None:
             purge = event.invalidate
-            made_us = self._clock_offset.to_local_us(self.owner.clock.now(), int(purge.time * 1000))
-            self.owner.submit(PurgeReceived(purge.object, purge.bucket, made_us))
+            made_us = self._clock_offset.to_local_us(self.receiver.clock.now(), int(purge.time * 1000))
+            self.receiver.submit(PurgeReceived(purge.object, purge.bucket, made_us))
 
     def _list_form(self, *, is_whole: bool) -> EndpointListForm:
         if not self.has_list:
@@ -170,7 +170,7 @@
             self.rate_limited_log.warning(
                 "change log lost", wrong=str(error) or type(error).__name__, last=self.last_seq
             )
-            self.owner.submit(EndpointWatchFailed())
+            self.receiver.submit(EndpointWatchFailed())
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._address_changed.wait(), backoff_s * (0.5 + self.chance() / 2))
             backoff_s = min(self.max_backoff_s, backoff_s * 2)
