--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -76,7 +76,7 @@
 class Attempt:
     """One request on its way to one cache host, in the pool's hands; it reports its end to its owner once.
 
-    `started_us` and `ended_us` are times of the sockets, not of the owner's turns: the loop's lag and a
+    `started_us` and `ended_us` are times of the sockets, not of the router task's turns: the loop's lag and a
     connection's set-up are no part of what a cache host took.
     """
 
