--- a/tests/authorization_rig.py
+++ b/tests/authorization_rig.py
@@ -4,33 +4,26 @@
 
 import asyncio
 import json
-from collections.abc import Awaitable, Callable, Coroutine
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
-import uvloop
-
 from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
 from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.wire import CacheHost, Client, connected
 from hoistplank.program.phase import Phase
 from hoistplank.routing.client_session import ClientSession
-from tests.dispatcher_scene import Calm
+from tests.dispatcher_scene import SteadyDispatcher
 from tests.helpers import until
 
 OLD, NEW = Signer("k1"), Signer("k2", "ES256")
 
 
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(scene, 20))
-
-
 def served(id: str, fields: dict[str, str], body: bytes) -> bytes:
     return f"{id} served detail=hit,digest=aa,dated=1 4\r\nwell\r\n".encode()
 
 
-class Known:
+class AuthorizingDispatcher:
     """A dispatcher for two members, in the middle of its files."""
 
     def __init__(
@@ -46,14 +39,14 @@
         self.operator(**words)
         self.box = CacheHost(answer)
         # Danger: what a dispatcher rejects for its own load has taken one of its caller's rate tokens.
-        self.running = Calm(folder, {"a": self.box, "o": CacheHost(answer)})
+        self.running = SteadyDispatcher(folder, {"a": self.box, "o": CacheHost(answer)})
         self.running.operator = True
         self.asked = 0
 
     def operator(self, **words: Any) -> None:
         (self.folder / "op.sexp").write_text(operator_text(self.tls, self.control, **words))
 
-    async def __aenter__(self) -> Known:
+    async def __aenter__(self) -> AuthorizingDispatcher:
         await self.running.__aenter__()
         await until(lambda: self.running.service.phase is Phase.SERVING)
         assert self.running.additions is not None and self.running.additions.authorizer is not None
--- a/tests/dispatcher_scene.py
+++ b/tests/dispatcher_scene.py
@@ -2,12 +2,9 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable
 from typing import Any
 
-import uvloop
-
 from hoistplank.fakes.wire import Client
 from hoistplank.program.phase import Phase
 from tests.helpers import Running, until
@@ -18,12 +15,7 @@
 KEY = {"HTTP_X_OPERATION_KEY": "5c0f" * 8}
 
 
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(scene, 20))
-
-
-class Calm(Running):
+class SteadyDispatcher(Running):
     """A dispatcher that takes no notice of its loop's lag: one whose machine holds it up rejects what comes
     then, before any attempt, and nothing of what these tests are about begins."""
 
@@ -44,16 +36,16 @@
     return None
 
 
-def said(word: str) -> Callable[[str, dict[str, str], bytes], bytes]:
+def answering_with(word: str) -> Callable[[str, dict[str, str], bytes], bytes]:
     fields = "digest=aa,dated=1" if word in ("served", "still_good") else "-"
     return lambda id, _, body: f"{id} {word} {fields} 0\r\n\r\n".encode()
 
 
-def whole(id: str) -> bytes:
+def whole_answer(id: str) -> bytes:
     return served(id, {}, b"")
 
 
-def spied(call: Callable[..., None], told: list[Any]) -> Callable[..., None]:
+def recorded_call(call: Callable[..., None], told: list[Any]) -> Callable[..., None]:
     def inner(*words: Any) -> None:
         told.append(words)
         call(*words)
@@ -74,7 +66,7 @@
     return sent[0]
 
 
-async def only(dispatcher: Running) -> Any:
+async def session_of_the_client(dispatcher: Running) -> Any:
     """The session of the one client that has sent requests."""
     await until(lambda: any(each.has_sent_request for each in dispatcher.service.frontend.sessions))
     return next(each for each in dispatcher.service.frontend.sessions if each.has_sent_request)
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -3,12 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine
 from random import Random
 from typing import Any
 
 import msgspec
-import uvloop
 
 from hoistplank.distribution.assignment import Replica as ReplicaAddress
 from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
@@ -240,10 +238,5 @@
         writer.close()
 
 
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(scene, 60))
-
-
 def at(number: int) -> Version:
     return Version(EPOCH, number)
--- a/tests/test_authorization_certificates.py
+++ b/tests/test_authorization_certificates.py
@@ -15,13 +15,14 @@
 
 from hoistplank.fakes.wire import connected
 from hoistplank.protocol import fastcgi
-from tests.authorization_rig import OLD, Known, run
+from tests.authorization_rig import OLD, AuthorizingDispatcher
 from tests.helpers import until
+from tests.scene_runner import run_scene
 
 
 def test_certificates_of_tenants_and_a_server_chain_that_changes(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Known(tmp_path) as place:
+        async with AuthorizingDispatcher(tmp_path) as place:
             coast, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
             both, _ = place.authority.leaf("both.pem", ["uri:hoistplank:coast", "uri:hoistplank:inland"])
             client = await place.secure(coast)
@@ -37,7 +38,7 @@
             assert await place.ask(client=await place.secure(coast)) == (200, "")
             assert place.handshakes() == {}
 
-    run(scene())
+    run_scene(scene())
 
 
 def spoken(address: tuple[str, int], context: ssl.SSLContext, session: ssl.SSLSession | None) -> bytes:
@@ -70,7 +71,7 @@
         held.append(id)
 
     async def scene() -> None:
-        async with Known(tmp_path, slow, extra="") as place:
+        async with AuthorizingDispatcher(tmp_path, slow, extra="") as place:
             text = (
                 (tmp_path / "op.sexp")
                 .read_text()
@@ -116,12 +117,12 @@
                 assert await asyncio.to_thread(spoken, address, context, resumed) == b""
             assert len(held) == taken
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_an_expired_revocation_list_refuses_new_handshakes_only(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Known(tmp_path) as place:
+        async with AuthorizingDispatcher(tmp_path) as place:
             leaf, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
             client = await place.secure(leaf)
             assert await place.ask(client=client) == (200, "")
@@ -138,12 +139,12 @@
                 await place.ask(client=await place.secure(leaf))
             assert await place.ask(OLD.token("coast-1"), await place.secure()) == (200, "")
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_half_open_handshakes_yield_to_whole_ones(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Known(tmp_path) as place:
+        async with AuthorizingDispatcher(tmp_path) as place:
             text = (tmp_path / "op.sexp").read_text()
             (tmp_path / "op.sexp").write_text(
                 text.replace('(key "server.key")', '(key "server.key") (handshakes 4)')
@@ -174,4 +175,4 @@
             for _, writer in rest:
                 writer.close()
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_authorization_control.py
+++ b/tests/test_authorization_control.py
@@ -12,13 +12,14 @@
 
 from hoistplank.authorization.http import BadRequestError, HttpRequestParser
 from hoistplank.routing.events import PurgeReceived
-from tests.authorization_rig import OLD, Known, run
+from tests.authorization_rig import OLD, AuthorizingDispatcher
 from tests.helpers import until
+from tests.scene_runner import run_scene
 
 
 def test_a_reload_swaps_tenants_whole_or_not_at_all(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Known(tmp_path) as place:
+        async with AuthorizingDispatcher(tmp_path) as place:
             good = (tmp_path / "op.sexp").read_text()
             (tmp_path / "op.sexp").write_text(good + "(log (format loud))")
             place.running.service.renewed.set()
@@ -44,12 +45,12 @@
             told = [await place.ask(OLD.token("inland-1"), group=200) for _ in range(3)]
             assert told == [(200, ""), (200, ""), (429, "rate")]
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_the_control_front_purges_revokes_and_tells(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Known(tmp_path) as place:
+        async with AuthorizingDispatcher(tmp_path) as place:
             coast, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
             inland, _ = place.authority.leaf("inland.pem", ["uri:hoistplank:inland"])
             staff, _ = place.authority.leaf("staff.pem", ["uri:hoistplank:operations"])
@@ -109,7 +110,7 @@
             with pytest.raises((OSError, IndexError)):
                 await place.http(coast, "GET", "/v1/tenants")
 
-    run(scene())
+    run_scene(scene())
 
 
 @given(
--- a/tests/test_authorization_keys.py
+++ b/tests/test_authorization_keys.py
@@ -13,13 +13,14 @@
 from hoistplank.fakes.certificate_authority import write_keys
 from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.program.sections import load_file
-from tests.authorization_rig import NEW, OLD, Known, run, served
+from tests.authorization_rig import NEW, OLD, AuthorizingDispatcher, served
 from tests.helpers import configuration, until
+from tests.scene_runner import run_scene
 
 
 def test_tokens_on_the_plain_listener_and_nothing_of_a_refused_request_goes_on(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Known(tmp_path) as place:
+        async with AuthorizingDispatcher(tmp_path) as place:
             assert await place.ask() == (401, "no credentials")
             assert await place.ask(OLD.token("coast-1"), group=40) == (403, "group")
             assert await place.ask("rubbish") == (401, "token form")
@@ -28,7 +29,7 @@
             assert await place.ask(OLD.token("coast-1")) == (200, "")
             assert len(place.box.seen) == 1 and place.callers.authorizer.limiter.total_open == 0
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_key_change_with_requests_in_flight_refuses_nobody(tmp_path: Path) -> None:
@@ -46,7 +47,7 @@
         return released_later(id)
 
     async def scene() -> None:
-        async with Known(tmp_path, slow) as place:
+        async with AuthorizingDispatcher(tmp_path, slow) as place:
             client = await place.running.connect()
             fields = {
                 "HTTP_X_DEADLINE_MS": "2500",
@@ -75,13 +76,13 @@
             number, status, _, _ = await client.answer()
             assert (number, status) == (9, 200)
 
-    run(scene())
+    run_scene(scene())
 
 
 @pytest.mark.parametrize("spoil", ["half", "wrong kind", "two alike", "private", "gone"])
 def test_a_key_set_that_can_t_be_used_changes_nothing(tmp_path: Path, spoil: str) -> None:
     async def scene() -> None:
-        async with Known(tmp_path) as place:
+        async with AuthorizingDispatcher(tmp_path) as place:
             file = tmp_path / "ring.json"
             row, spoils = OLD.jwk(), dict[str, Callable[[], Any]]()
             spoils["half"] = lambda: file.write_text(file.read_text()[:-9])
@@ -100,7 +101,7 @@
             await until(lambda: not any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(NEW.token("coast-1")) == (200, "")
 
-    run(scene())
+    run_scene(scene())
 
 
 @pytest.mark.parametrize(
@@ -121,7 +122,7 @@
 def test_files_that_can_t_be_used_stop_the_start_with_their_place(
     tmp_path: Path, change: Callable[[Path], Any], told: str
 ) -> None:
-    Known(tmp_path)
+    AuthorizingDispatcher(tmp_path)
     change(tmp_path)
     with pytest.raises(ConfigurationError) as caught:
         AuthorizationService(
--- a/tests/test_cache_host_attempts.py
+++ b/tests/test_cache_host_attempts.py
@@ -22,15 +22,15 @@
 from hoistplank.transport.descriptor_budget import ConnectionKind
 from tests.dispatcher_scene import (
     BODY,
-    Calm,
-    run,
-    said,
+    SteadyDispatcher,
+    answering_with,
+    recorded_call,
     served,
     silent,
-    spied,
-    whole,
+    whole_answer,
 )
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,9 @@
 
     async def scene() -> None:
         told: list[Any] = []
-        answer: Any = {"broken": lambda *_: b"reset", "late": silent, "refused": silent}.get(how, said(how))
+        answer: Any = {"broken": lambda *_: b"reset", "late": silent, "refused": silent}.get(
+            how, answering_with(how)
+        )
         async with Running(tmp_path, {"a": CacheHost(answer), "o": CacheHost(answer)}) as dispatcher:
             owner = dispatcher.service.router_task
             if how == "refused":
@@ -58,12 +60,12 @@
                 gone = [target("a", "box", port), target("o", "origin", port)]
                 dispatcher.tell(listing(2, gone, whole=True))
                 await until(lambda: owner.endpoints.by_host["a"].address[1] == port)
-            monkeypatch.setattr(owner.router, "handle", spied(owner.router.handle, told))
+            monkeypatch.setattr(owner.router, "handle", recorded_call(owner.router.handle, told))
             status, _, _ = await dispatcher.ask(1, "page", fields={"HTTP_X_DEADLINE_MS": "300"})
             ends = [event for _, event in told if isinstance(event, AttemptEnded)]
             assert status in (502, 503) and ends[0].outcome == OUTCOMES[AttemptEnding(how)]
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_only_what_proves_it_counts_as_never_run() -> None:
@@ -94,7 +96,7 @@
             status, _, body = await dispatcher.ask(1, "page")
             assert status == 200 and not box.seen and origin.seen
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_new_host_at_an_old_address_gets_its_own_connection(tmp_path: Path) -> None:
@@ -108,7 +110,7 @@
             await dispatcher.ask(2, "page")
             assert box.connections == 2 and len(box.seen) == 2
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_hosts_that_come_and_go_leave_nothing_behind(tmp_path: Path) -> None:
@@ -117,7 +119,7 @@
         settings = copy.deepcopy(SETTINGS["classes"])
         for class_name in settings:
             class_name["give_up"] = 0.9
-        async with Calm(
+        async with SteadyDispatcher(
             tmp_path, {"a": box, "o": CacheHost(silent)}, **{"settings.classes": settings}
         ) as dispatcher:
             owner, old = dispatcher.service.router_task, dispatcher.targets[0]
@@ -137,7 +139,7 @@
             assert len(kept) <= 3 and pool is not None, "hosts that were replaced are forgotten"
             await until(lambda: set(pool.connections) <= {"b29"})
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_late_answer_of_a_dropped_attempt_harms_nobody(
@@ -154,7 +156,7 @@
             return b"".join(later if box.drops else []) + served(id, fields, body)
 
         box = CacheHost(slowly)
-        async with Running(tmp_path, {"a": box, "o": CacheHost(said("overload"))}) as dispatcher:
+        async with Running(tmp_path, {"a": box, "o": CacheHost(answering_with("overload"))}) as dispatcher:
             dispatcher.client.send(2, "page", {"HTTP_X_CHUNK": "2", "HTTP_X_SUBJECT": f"{5:016x}"})
             assert (await dispatcher.client.answer())[1] == 200
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "500"})
@@ -166,25 +168,25 @@
             await until(lambda: box.drops == [f"{1:016x}"])
             assert (await dispatcher.ask(3, "page"))[0] == 200
 
-    run(scene())
+    run_scene(scene())
 
 
 Kinds = dict[str, Callable[[str], bytes]]
 
 
-SURPLUS: Kinds = {
-    "second copy": lambda id: whole(id) * 2,
-    "unknown id ahead": lambda id: whole("f" * 16) + whole(id),
+SURPLUS_ANSWERS: Kinds = {
+    "second copy": lambda id: whole_answer(id) * 2,
+    "unknown id ahead": lambda id: whole_answer("f" * 16) + whole_answer(id),
 }
 
 
-SPOILT: Kinds = {
+SPOILT_ANSWERS: Kinds = {
     "noise": lambda id: b"\x00\xffnoise\r\n" * 3,
     "line that never ends": lambda id: b"x" * 9000,
-    "length that does not fit": lambda id: whole(id).replace(b"230400", b"230300"),
+    "length that does not fit": lambda id: whole_answer(id).replace(b"230400", b"230300"),
     "huge length": lambda id: f"{id} served digest=aa,dated=1 3000000000\r\n".encode() + bytes(70_000),
     "negative length": lambda id: f"{id} served digest=aa,dated=1 -3\r\n".encode(),
-    "half an answer": lambda id: whole(id)[:5000],
+    "half an answer": lambda id: whole_answer(id)[:5000],
     "probe's word": lambda id: f"{id} green - 0\r\n\r\n".encode(),
     "no copy named": lambda id: f"{id} still_good digest=aa,dated=1 0\r\n\r\n".encode(),
     "another copy named": lambda id: f"{id} still_good digest=aa,dated=1 0\r\n\r\n".encode(),
@@ -193,7 +195,7 @@
 }
 
 
-@pytest.mark.parametrize("kind", [*SURPLUS, *SPOILT])
+@pytest.mark.parametrize("kind", [*SURPLUS_ANSWERS, *SPOILT_ANSWERS])
 def test_bad_answer_costs_its_connection_alone(
     tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -206,7 +208,7 @@
         def bad(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
             if len(box.seen) == 1:
                 return None  # the first waits on the same connection
-            return (SURPLUS | SPOILT)[kind](id) if len(box.seen) == 2 else whole(id)
+            return (SURPLUS_ANSWERS | SPOILT_ANSWERS)[kind](id) if len(box.seen) == 2 else whole_answer(id)
 
         box, origin = CacheHost(bad), CacheHost(silent)
         async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
@@ -214,7 +216,7 @@
             await until(lambda: len(box.seen) == 1)
             dispatcher.client.send(2, "page", {"HTTP_X_KNOWN": "cd" * 8} if kind[:7] == "another" else {})
             answers = [await asyncio.wait_for(dispatcher.client.answer(), 2)]
-            if kind in SPOILT:
+            if kind in SPOILT_ANSWERS:
                 answers.append(await asyncio.wait_for(dispatcher.client.answer(), 2))
                 # A halt is known only after the latency target: what can't be in time any more is turned
                 # back.
@@ -228,13 +230,13 @@
             hosts = router.parts.hosts.by_name
             assert hosts["a"].warming_since_us < 0 and not any(host.loss_signs for host in hosts.values())
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_attempts_share_few_connections_till_one_ends_with_attempts_on_it(tmp_path: Path) -> None:
     async def scene() -> None:
         def answer(id: str, fields: dict[str, str], body: bytes) -> bytes | None:
-            return {"1": None, "2": b"reset"}.get(fields["blk"], whole(id))
+            return {"1": None, "2": b"reset"}.get(fields["blk"], whole_answer(id))
 
         box = CacheHost(answer)
         few = {"limits.sockets": 64, "settings.limits.max_attempts": 1}
@@ -261,13 +263,13 @@
             pool.sweep()
             assert pool.connections_per_host == spread // 2
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_id_that_was_on_every_line_gets_a_new_one(tmp_path: Path) -> None:
     async def scene() -> None:
         def answer(id: str, fields: dict[str, str], body: bytes) -> bytes:
-            return whole(id) if len(box.seen) > 4 else said("crashed")(id, fields, body)
+            return whole_answer(id) if len(box.seen) > 4 else answering_with("crashed")(id, fields, body)
 
         box = CacheHost(answer)
         hosts = {"a": box, "o": CacheHost(silent)}
@@ -275,4 +277,4 @@
             assert (await dispatcher.ask(1, "page"))[0] == 200
             assert dispatcher.service.router_task.counts.attempts == 5 and box.connections == 5
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -10,8 +10,9 @@
 
 from hoistplank.fakes.wire import CacheHost, Client, serve
 from hoistplank.transport.descriptor_budget import ConnectionKind
-from tests.dispatcher_scene import Calm, run, served, silent
+from tests.dispatcher_scene import SteadyDispatcher, served, silent
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 
 def test_usual_client_comes_in_past_hundreds_that_say_nothing(tmp_path: Path) -> None:
@@ -28,7 +29,7 @@
             for client in mute:
                 client.writer.close()
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_idle_clients_make_room_though_a_few_say_nothing(tmp_path: Path) -> None:
@@ -49,7 +50,7 @@
             async with asyncio.timeout(0.8):
                 assert [(await client.answer())[1] for client in late] == [200] * 30
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_request_that_lies_unread_keeps_its_idle_connection(tmp_path: Path) -> None:
@@ -73,7 +74,7 @@
                     close()
                 assert (await dispatcher.client.answer())[:2] == (number, 200)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_descriptors_are_counted_and_idle_connections_go_first(tmp_path: Path) -> None:
@@ -90,13 +91,13 @@
                 assert (await asyncio.wait_for(clients[-1].answer(), 5))[1] == 200
                 assert sum(descriptors.held.values()) <= 40
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_idle_clients_leave_the_descriptors_of_the_watch_and_the_hosts(tmp_path: Path) -> None:
     async def scene() -> None:
         hosts = {"a": CacheHost(served), "o": CacheHost(silent)}
-        async with Calm(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, hosts, **{"limits.sockets": 64}) as dispatcher:
             descriptors, stay = dispatcher.service.descriptors, list[Client]()
             for number in range(2 * descriptors.limits[ConnectionKind.CLIENT]):
                 stay.append(await dispatcher.connect())
@@ -112,4 +113,4 @@
             for client in stay:
                 client.writer.close()
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -18,11 +18,20 @@
 from hoistplank.routing.events import ClientDisconnected, RequestArrived
 from hoistplank.transport.pooled_connection import PooledConnection
 from hoistplank.transport.pooled_request import RequestFailure
-from tests.dispatcher_scene import BODY, KEY, Calm, only, request_bytes, run, served, silent
+from tests.dispatcher_scene import (
+    BODY,
+    KEY,
+    SteadyDispatcher,
+    request_bytes,
+    served,
+    session_of_the_client,
+    silent,
+)
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 
-async def narrow(dispatcher: Running) -> socket.socket:
+async def slow_reading_socket(dispatcher: Running) -> socket.socket:
     """A client's connection that takes little of what it is owed until somebody reads."""
     sock = socket.socket()
     sock.setblocking(False)
@@ -31,7 +40,7 @@
     return sock
 
 
-class Gate:
+class ConnectionGate:
     """Holds up connections to hosts until it is opened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -53,8 +62,8 @@
             if fields["blk"] == "9"
             else served(id, fields, body)
         )
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
-            loop, sock = asyncio.get_running_loop(), await narrow(dispatcher)
+        async with SteadyDispatcher(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+            loop, sock = asyncio.get_running_loop(), await slow_reading_socket(dispatcher)
             late = {"HTTP_X_CHUNK": "9", "HTTP_X_DEADLINE_MS": "2400"}
             await loop.sock_sendall(sock, request_bytes(32, fields=late))
             await until(lambda: len(box.seen) == 1)
@@ -71,17 +80,17 @@
             assert loop.time() - began < 1  # and not when its time is over
             sock.close()
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_requests_of_one_that_does_not_read_are_held_back_and_answered_in_time(tmp_path: Path) -> None:
     async def scene() -> None:
         box = CacheHost(served)
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
-            loop, sock = asyncio.get_running_loop(), await narrow(dispatcher)
+        async with SteadyDispatcher(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+            loop, sock = asyncio.get_running_loop(), await slow_reading_socket(dispatcher)
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
-            session = await only(dispatcher)
+            session = await session_of_the_client(dispatcher)
             await until(lambda: session.connection.unsent_bytes > 2 << 20 and not session.open_requests)
             seen = len(box.seen)
             for number in (31, 32):
@@ -98,16 +107,16 @@
             assert got.pop(31) == 503 and set(got.values()) == {200}
             writer.close()
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_an_end_that_is_told_before_its_request_counts_nothing(tmp_path: Path) -> None:
     """While late, the owner takes what ends before what comes."""
 
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
-            session, owner = await only(dispatcher), dispatcher.service.router_task
+            session, owner = await session_of_the_client(dispatcher), dispatcher.service.router_task
             nobody: Any = None
             request = dispatcher.service.frontend.intake.parser.parse(
                 Clock().now(),
@@ -126,7 +135,7 @@
             owner.turn()
             assert owner.requests.open_count == 0 and not owner.requests.by_id and session.frontend.all_sent()
 
-    run(scene())
+    run_scene(scene())
 
 
 @pytest.mark.parametrize(
@@ -138,8 +147,8 @@
 ) -> None:
     async def scene() -> None:
         box, origin = CacheHost(served), CacheHost(served)
-        async with Calm(tmp_path, {"a": box, "o": origin}) as dispatcher:
-            owner, gate = dispatcher.service.router_task, Gate(monkeypatch)
+        async with SteadyDispatcher(tmp_path, {"a": box, "o": origin}) as dispatcher:
+            owner, gate = dispatcher.service.router_task, ConnectionGate(monkeypatch)
             client = await dispatcher.connect()
             if what == "window over":
                 # As a repeat whose time in which it would be dropped ends while its connection comes up.
@@ -179,7 +188,7 @@
             if what != "source drains":
                 assert not box.seen
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_attempts_of_a_client_that_left_are_taken_back(tmp_path: Path) -> None:
@@ -194,7 +203,7 @@
             await until(lambda: not owner.requests.by_id and not owner.router.in_flight)
             assert asyncio.get_running_loop().time() - began < 0.5  # well before its time is over
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_aborted_request_gets_no_answer_and_frees_its_number(tmp_path: Path) -> None:
@@ -207,7 +216,7 @@
             assert (await dispatcher.client.answer())[1] == 0  # END_REQUEST alone
             assert (await dispatcher.ask(1, "page", fields={"HTTP_X_CORRELATION_ID": "ab" * 8}))[0] == 200
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_slow_reader_costs_only_itself(tmp_path: Path) -> None:
@@ -222,4 +231,4 @@
             slow.reader._transport.resume_reading()  # type: ignore[attr-defined]
             assert sorted([(await slow.answer())[3] == BODY for _ in range(30)]) == [True] * 30
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,10 +11,8 @@
 
 from hoistplank.fakes.settings import listing, target
 from hoistplank.program.configuration import DispatcherConfigurationError, read_configuration
-from tests.dispatcher_scene import (
-    run,
-)
 from tests.helpers import configuration
+from tests.scene_runner import run_scene
 
 
 @pytest.mark.parametrize(
@@ -68,4 +66,4 @@
         _, said = await program.communicate()
         assert program.returncode == 2 and said.startswith(b"hoistplank: EDGE_CONFIG: the file can't be read")
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -15,13 +15,11 @@
 from hoistplank.transport.connecting import connect_socket, open_tcp_socket
 from hoistplank.transport.connection import Connection
 from hoistplank.transport.errors import MessageTooLongError
-from tests.dispatcher_scene import (
-    run,
-)
 from tests.helpers import until
+from tests.scene_runner import run_scene
 
 
-class Peer:
+class SocketPeer:
     """The other end of a connection, by plain socket calls: each step is taken when it is told."""
 
     def __init__(self, room: int = 0) -> None:
@@ -54,7 +52,7 @@
         self.sock.close()
 
 
-def taken(into: list[bytes]) -> Callable[[bytearray, int, int], int]:
+def collecting(into: list[bytes]) -> Callable[[bytearray, int, int], int]:
     def consume(buffer: bytearray, start: int, end: int) -> int:
         into.append(bytes(buffer[start:end]))
         return end
@@ -64,8 +62,8 @@
 
 def test_a_message_of_which_the_system_took_no_byte_is_asked_again() -> None:
     async def scene() -> None:
-        peer, may, asked = Peer(room=8_192), [True], list[bool]()
-        made, task = peer.serve(taken([]))
+        peer, may, asked = SocketPeer(room=8_192), [True], list[bool]()
+        made, task = peer.serve(collecting([]))
         await asyncio.sleep(0)
         full = 0
         while True:
@@ -91,13 +89,13 @@
         await task
         peer.sock.close()
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_what_stands_behind_a_message_that_is_cut_is_asked_again_and_what_was_whole_is_told() -> None:
     async def scene() -> None:
-        peer, may, told = Peer(room=8_192), [True], list[str]()
-        made, task = peer.serve(taken([]))
+        peer, may, told = SocketPeer(room=8_192), [True], list[str]()
+        made, task = peer.serve(collecting([]))
         await asyncio.sleep(0)
         made.send(b"first", on_written=lambda: told.append("first"))
         made.send(bytes(4 << 20), on_written=lambda: told.append("large"))
@@ -114,15 +112,15 @@
         peer.sock.close()
         await task
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_message_is_told_as_written_in_the_turn_in_which_its_last_byte_goes_out() -> None:
     """A reset that is read next must not make it one that never ran."""
 
     async def scene() -> None:
-        peer, told = Peer(room=8_192), list[str]()
-        made, task = peer.serve(taken([]))
+        peer, told = SocketPeer(room=8_192), list[str]()
+        made, task = peer.serve(collecting([]))
         await asyncio.sleep(0)
         made.send(bytes(4 << 20), on_written=lambda: told.append("whole"))
         await until(lambda: made._partial is not None)
@@ -134,13 +132,13 @@
         assert told == ["whole"]
         await task
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_bytes_that_come_in_the_instant_of_a_close_reset_nothing_and_are_not_taken() -> None:
     async def scene() -> None:
-        peer, into = Peer(), list[bytes]()
-        made, task = peer.serve(taken(into))
+        peer, into = SocketPeer(), list[bytes]()
+        made, task = peer.serve(collecting(into))
         await asyncio.sleep(0)
 
         # It comes between the write and the end, and nobody has read it.
@@ -156,13 +154,13 @@
         await asyncio.wait_for(task, connections.LINGER_S / 2)  # the other side's end is ours
         assert b"after the end" not in b"".join(into)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_one_that_goes_on_sending_after_our_end_costs_little_and_not_for_long() -> None:
     async def scene() -> None:
-        peer, into = Peer(), list[bytes]()
-        made, task = peer.serve(taken(into))
+        peer, into = SocketPeer(), list[bytes]()
+        made, task = peer.serve(collecting(into))
         await asyncio.sleep(0)
         made.close_gracefully()
         loop = asyncio.get_running_loop()
@@ -175,25 +173,25 @@
         assert made.discarded_bytes <= connections.MAX_DISCARDED_BYTES + len(connections.DISCARD_BUFFER)
         peer.sock.close()
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_an_end_with_output_that_nobody_takes_is_closed_in_time() -> None:
     async def scene() -> None:
-        peer = Peer(room=8_192)
-        made, task = peer.serve(taken([]))
+        peer = SocketPeer(room=8_192)
+        made, task = peer.serve(collecting([]))
         await asyncio.sleep(0)
         made.send(bytes(4 << 20))
         made.close_gracefully()
         await asyncio.wait_for(task, 2 * connections.LINGER_S + 0.2)
         peer.sock.close()
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_message_that_no_buffer_holds_ends_its_connection_by_a_typed_error() -> None:
     async def scene() -> None:
-        peer = Peer()
+        peer = SocketPeer()
         made = Connection(peer.ours, lambda buffer, start, end: start, 16_384, 1 << 20)
         task = asyncio.get_running_loop().create_task(made.run())
         while not made.is_closed:
@@ -204,7 +202,7 @@
         assert isinstance(error, MessageTooLongError) and error.max_bytes == 16_384
         assert made.ended_inside_message
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_socket_that_is_not_connected_in_time_is_closed() -> None:
@@ -223,4 +221,4 @@
             for sock in waiting:
                 sock.close()
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_distribution_delivery.py
+++ b/tests/test_distribution_delivery.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from hoistplank.cli.distribution import in_force_words
-from tests.distribution_rig import Relay, Rig, asked, at, run
+from tests.distribution_rig import Relay, Rig, asked, at
 from tests.helpers import until
+from tests.scene_runner import run_scene
 
 
 def test_a_purge_a_host_change_and_a_configuration_are_in_force_everywhere() -> None:
@@ -28,7 +29,7 @@
                 assert (status.change.in_force, status.change.total, status.change.missing) == (3, 3, [])
                 assert status.configuration.version() == at(4) == status.version.version()
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_change_that_one_dispatcher_refuses_is_missing_there_alone_with_its_reason() -> None:
@@ -54,7 +55,7 @@
                 assert row.dispatcher == "d2" and row.version.version() == at(2)
                 assert row.refused.startswith("configuration 7/3:1:1: the form 'bad'")
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_of_a_burst_of_changes_the_newest_is_in_force_everywhere_and_none_goes_back() -> None:
@@ -77,7 +78,7 @@
                 status = await asked(replica.address)
                 assert (status.configurations.in_force, status.configurations.missing) == (5, [])
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_single_change_that_is_large_waits_for_its_turn_and_comes_whole() -> None:
@@ -94,7 +95,7 @@
             await until(lambda: one.in_force == at(2))
             assert [len(text) for _, text in one.configurations] == [1_000_000]
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_configuration_of_wrong_types_is_handed_on_to_nobody_and_its_status_says_why() -> None:
@@ -117,4 +118,4 @@
                 assert (status.change.in_force, status.change.total) == (0, 1)
                 assert in_force_words(status.change).endswith(wrong)
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
--- a/tests/test_distribution_failover.py
+++ b/tests/test_distribution_failover.py
@@ -13,8 +13,9 @@
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Event, Fleet, Snapshot, Target
 from hoistplank.routing.events import Checkpoint, EndpointWatchFailed
-from tests.distribution_rig import EPOCH, Relay, Rig, asked, at, run
+from tests.distribution_rig import EPOCH, Relay, Rig, asked, at
 from tests.helpers import until
+from tests.scene_runner import run_scene
 
 
 def test_a_replica_killed_in_the_middle_of_a_change_loses_nothing() -> None:
@@ -52,7 +53,7 @@
             assert status.events.version.version() == at(4)
             assert status.events.in_force == 3 == status.connected and status.load.dispatchers == 3
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_dispatcher_that_moves_to_an_older_replica_keeps_what_it_has() -> None:
@@ -90,7 +91,7 @@
             await until(lambda: one.in_force == at(5))
             assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "new")]
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_region_that_was_cut_off_catches_up_from_what_is_still_valid() -> None:
@@ -127,7 +128,7 @@
             assert came < 110 * len(objects) + 25_000, (seed, came, len(objects))
             assert came < sum(len(json.dumps(event)) for event in rig.log.log) / 4, (seed, came)
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_with_all_replicas_down_dispatchers_that_restart_serve_and_agree_again() -> None:
@@ -163,7 +164,7 @@
             for replica in rig.replicas[2:]:
                 await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_lost_replicas_dispatchers_spread_and_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -193,4 +194,4 @@
             rig.purge(3, "cd")
             await until(lambda: all(one.in_force == at(3) for one in each), patience_s=20)
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
--- a/tests/test_distribution_in_force.py
+++ b/tests/test_distribution_in_force.py
@@ -8,8 +8,9 @@
 from hoistplank.distribution.dispatcher_session import MOST_WAITING
 from hoistplank.distribution.messages import Follow, InForce, RequestLine, VersionFields, encode
 from hoistplank.distribution.versions import NOTHING, Version
-from tests.distribution_rig import EPOCH, Rig, asked, at, run
+from tests.distribution_rig import EPOCH, Rig, asked, at
 from tests.helpers import until
+from tests.scene_runner import run_scene
 
 
 def test_acknowledgements_lost_doubled_or_of_an_earlier_life_count_for_nothing_that_was_not_applied() -> None:
@@ -52,7 +53,7 @@
             for writer in (earlier, later, again):
                 writer.close()
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_lost_acknowledgement_is_made_up_for_by_the_next() -> None:
@@ -71,7 +72,7 @@
             connection.send = send  # type: ignore[method-assign]
             await until(lambda: rig.replicas[0].table.in_force(0, at(2)).in_force == 1)
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_nothing_is_acknowledged_before_the_owners_turn() -> None:
@@ -91,7 +92,7 @@
             one.owner.turn()
             await until(lambda: table.in_force(0, at(3)).in_force == 1)
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_follower_that_reads_nothing_is_cut_off_and_costs_no_other() -> None:
@@ -119,4 +120,4 @@
             assert not status.events.missing[0].connected
             deaf.close()
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
--- a/tests/test_distribution_log.py
+++ b/tests/test_distribution_log.py
@@ -11,8 +11,9 @@
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.errors import ProtocolError
-from tests.distribution_rig import EPOCH, Relay, Rig, at, run
+from tests.distribution_rig import EPOCH, Relay, Rig, at
 from tests.helpers import until
+from tests.scene_runner import run_scene
 
 
 def test_a_log_that_counts_anew_in_a_new_epoch_replaces_all_that_was() -> None:
@@ -38,7 +39,7 @@
             await until(lambda: len(one.configurations) == 2)
             assert one.configurations[-1] == (Version(EPOCH + 1, 6), "new")
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_log_that_counts_anew_without_an_epoch_leaves_nobody_sure() -> None:
@@ -63,7 +64,7 @@
             assert not replica.is_log_heard() and replica.state.version == Version(0, 3)
             assert [text for _, text in one.configurations] == ["one"]
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_while_the_log_is_silent_a_replica_hands_on_what_it_holds_and_says_that_nobody_knows_more(
@@ -92,7 +93,7 @@
             await until(lambda: not one.owner.is_blind)
             assert one.owner.purges == ["ab"]
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_replica_that_stood_still_trusts_no_line_that_waited() -> None:
@@ -109,7 +110,7 @@
             assert not replica.is_log_heard(), "what waited in the buffer says nothing of now"
             await until(replica.is_log_heard)
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_line_that_breaks_off_is_asked_for_again_and_never_half_applied() -> None:
@@ -146,7 +147,7 @@
             assert one.configurations == [(at(40), "new")] and not one.owner.is_blind
             assert set(one.owner.purges) == {f"{number:04x}" for number in range(2, 40)}
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 @pytest.mark.parametrize("cut", range(18))
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -8,13 +8,12 @@
 import signal
 import socket
 import sys
-from collections.abc import AsyncIterator, Callable, Coroutine
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
 import msgspec
-import uvloop
 
 from hoistplank.distribution.status import StatusAnswer
 from hoistplank.distribution.versions import Version
@@ -23,16 +22,12 @@
 from hoistplank.fakes.wire import CacheHost, Client, serve
 from tests.distribution_rig import EPOCH, asked
 from tests.helpers import configuration
+from tests.scene_runner import run_scene
 
 LEVELS = "(levels (retries {}))"
 PATIENCE_S = 30.0
 
 
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(scene, 60))
-
-
 def at(number: int) -> Version:
     return Version(EPOCH, number)
 
@@ -256,7 +251,7 @@
             answers = [json.loads(line) for line in out.splitlines()]
             assert code == 1 and [answer["replica"] for answer in answers] == ["c1", "c2"]
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_commands_name_what_can_t_be_used(tmp_path: Path) -> None:
@@ -274,7 +269,7 @@
         code, _, wrong = await command("status", "--replica", "127.0.0.1:9")
         assert code == 1 and "127.0.0.1:9: no answer" in wrong
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_dispatcher_frozen_and_thawed_is_not_sure_of_what_it_holds(tmp_path: Path) -> None:
@@ -307,7 +302,7 @@
                 lambda line: line.get("event") == "configuration taken up" and line["version"] == "7/4"
             )
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
 
 
 def test_a_change_that_arrives_with_a_sigterm_is_in_force_whole_or_not_at_all(tmp_path: Path) -> None:
@@ -332,4 +327,4 @@
             await again.logged(lambda line: line.get("event") == "configuration taken up")
             await made.in_force(0, at(2), 2)
 
-    run(scene())
+    run_scene(scene(), limit_s=60)
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -7,13 +7,12 @@
 import json
 import os
 import signal
-from collections.abc import AsyncIterator, Coroutine
+from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
 import pytest
-import uvloop
 
 from hoistplank.degradation.service import DegradationService
 from hoistplank.distribution.follower import ReplicaFollower
@@ -24,15 +23,11 @@
 from hoistplank.program.phase import Phase
 from tests.distribution_rig import EPOCH, Rig, asked
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 LEVELS = "(levels (retries {}))"
 
 
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(scene, 40))
-
-
 def served(id: str, fields: dict[str, str], body: bytes) -> bytes:
     return f"{id} served detail=hit,digest=aa,dated=1 4\r\nwell\r\n".encode()
 
@@ -126,7 +121,7 @@
             await until(lambda: bool(reloaded))
             assert made.retries == 0.25 and made.configured == at(3)
 
-    run(scene())
+    run_scene(scene(), limit_s=40)
 
 
 REFUSED = {
@@ -163,7 +158,7 @@
             await until(lambda: made.configured == at(4))
             assert made.retries == 0.75
 
-    run(scene())
+    run_scene(scene(), limit_s=40)
 
 
 def test_a_dispatcher_that_hears_nobody_says_so_and_asks_for_no_old_copy(tmp_path: Path) -> None:
@@ -184,7 +179,7 @@
             await until(lambda: not owner.router.placement.purges_unknown)
             assert "ab" in owner.router.parts.purges.by_key and (await made.health())[1] == b""
 
-    run(scene())
+    run_scene(scene(), limit_s=40)
 
 
 def test_the_first_turn_after_a_standstill_finds_the_list_stale(tmp_path: Path) -> None:
@@ -199,7 +194,7 @@
             assert owner.router.placement.purges_unknown and set(owner.endpoints.by_host) == {"a", "o"}
             await until(lambda: not owner.router.placement.purges_unknown)
 
-    run(scene())
+    run_scene(scene(), limit_s=40)
 
 
 def test_a_configuration_of_a_megabyte_is_taken_up_or_refused_whole(tmp_path: Path) -> None:
@@ -221,7 +216,7 @@
             assert refused is not None and f"{line}:1: 'levels' a second time" in refused.reason
             assert made.retries == 0.25 and len(json.dumps(good)) > 1_040_000
 
-    run(scene())
+    run_scene(scene(), limit_s=40)
 
 
 def test_with_all_replicas_down_a_restart_serves_from_its_kept_list_and_agrees_again(tmp_path: Path) -> None:
@@ -258,4 +253,4 @@
                     and "ab" in router.parts.purges.by_key
                 )
 
-    run(scene())
+    run_scene(scene(), limit_s=40)
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -20,11 +20,12 @@
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.events import EndpointsUpdated, PurgeReceived
-from tests.dispatcher_scene import run, served, silent, spied
+from tests.dispatcher_scene import recorded_call, served, silent
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 
-class Told:
+class EventRecorder:
     """Hears what the change log says."""
 
     def __init__(self) -> None:
@@ -34,21 +35,26 @@
         self.events.append(event)
 
 
-def row(seq: int, whole: bool = False, state: str = "ready") -> bytes:
+def endpoint_event(seq: int, whole: bool = False, state: str = "ready") -> bytes:
     return json.dumps(listing(seq, [target("a", "box", 9, state)], whole=whole)).encode() + b"\n"
 
 
-QUIET: dict[str, list[bytes]] = {
+def snapshot(seq: int, *events: bytes) -> Snapshot:
+    """The list that a configuration knows, up to `seq`."""
+    return msgspec.json.decode(b'{"seq":%d,"results":[%s]}' % (seq, b",".join(events)), type=Snapshot)
+
+
+QUIET_WATCHES: dict[str, list[bytes]] = {
     "silent from its first second": [],
-    "silent after half a line": [row(2)[:20]],
-    "a dribble of bytes": [bytes([byte]) for byte in row(2)[:-1]],
+    "silent after half a line": [endpoint_event(2)[:20]],
+    "a dribble of bytes": [bytes([byte]) for byte in endpoint_event(2)[:-1]],
     "a number behind ours": [b"0\n"] * 1_000,
     "a number behind ours, as an object": [b'{"seq":0}\n'] * 1_000,
-    "the same event again": [row(1, whole=True)] * 1_000,
+    "the same event again": [endpoint_event(1, whole=True)] * 1_000,
 }
 
 
-@pytest.mark.parametrize("how", QUIET)
+@pytest.mark.parametrize("how", QUIET_WATCHES)
 def test_a_watch_on_which_nothing_moves_on_is_taken_up_again(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -60,15 +66,21 @@
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append(int((await reader.readline()).split()[1]))
             if len(asked) == 1:
-                for piece in QUIET[how]:
+                for piece in QUIET_WATCHES[how]:
                     writer.write(piece)
                     await asyncio.sleep(0.02)
             else:
-                writer.write(row(1, whole=True) * (asked[-1] == 0) + row(2, state="draining") + b"2\n")
+                writer.write(
+                    endpoint_event(1, whole=True) * (asked[-1] == 0)
+                    + endpoint_event(2, state="draining")
+                    + b"2\n"
+                )
             await reader.read()
 
-        told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
+        told = EventRecorder()
+        known = msgspec.json.decode(
+            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
+        )
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 2)
@@ -78,7 +90,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_log_that_counts_anew_takes_no_drain_back(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -89,17 +101,21 @@
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append(int((await reader.readline()).split()[1]))
-            writer.write(b"1\n" if asked[-1] else row(1, whole=True) + b"1\n")  # from before the drain
+            writer.write(
+                b"1\n" if asked[-1] else endpoint_event(1, whole=True) + b"1\n"
+            )  # from before the drain
             await reader.read()
 
-        told = Told()
-        lines = [row(1, whole=True), row(2, state="draining")]
-        known = msgspec.json.decode(b'{"seq":2,"results":[' + b",".join(lines) + b"]}", type=Snapshot)
+        told = EventRecorder()
+        lines = [endpoint_event(1, whole=True), endpoint_event(2, state="draining")]
+        known = snapshot(2, *lines)
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 1)
         assert asked == [2, 0] and told.events[-1].targets[0].state == "draining"
-        log._apply(msgspec.json.decode(row(2), type=Event))  # the same process: only a new one is ready again
+        log._apply(
+            msgspec.json.decode(endpoint_event(2), type=Event)
+        )  # the same process: only a new one is ready again
         assert told.events[-1].targets[0].state == "draining"
         new = msgspec.structs.replace(told.events[-1].targets[0], state="ready", boot_ms=5.0)
         log._apply(Event(3, Fleet(3, False, [new])))
@@ -107,7 +123,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 @pytest.mark.parametrize("number", [b"%d\n", b'{"seq":%d}\n'])
@@ -125,15 +141,17 @@
                 writer.write(number % 1)
                 await asyncio.sleep(0.05)
 
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
-        log = EndpointWatcher(Told(), ("127.0.0.1", await serve(talk)), known, Random(1))
+        known = msgspec.json.decode(
+            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
+        )
+        log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.progress_count > 20)
         assert asked == [1]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_line_of_the_log_that_breaks_off_is_asked_for_again_at_once() -> None:
@@ -146,13 +164,15 @@
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append(int((await reader.readline()).split()[1]))
-            line = row(2, state="draining")
+            line = endpoint_event(2, state="draining")
             writer.write(line[: len(line) // 2] if len(asked) == 1 else line)
             broke.append(loop.time())
             await reader.read()
 
-        told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
+        told = EventRecorder()
+        known = msgspec.json.decode(
+            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
+        )
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 2)
@@ -161,7 +181,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 @pytest.mark.parametrize("number", [b"2\n", b'{"seq":2}\n'])
@@ -173,11 +193,13 @@
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append(int((await reader.readline()).split()[1]))
-            writer.write(number if len(asked) == 1 else row(2, state="draining") + number)
+            writer.write(number if len(asked) == 1 else endpoint_event(2, state="draining") + number)
             await reader.read()
 
-        told = Told()
-        known = msgspec.json.decode(b'{"seq":1,"results":[' + row(1, whole=True) + b"]}", type=Snapshot)
+        told = EventRecorder()
+        known = msgspec.json.decode(
+            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
+        )
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 2)
@@ -185,7 +207,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_log_that_is_back_is_heard_within_a_drains_grace() -> None:
@@ -195,7 +217,7 @@
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             port = listener.getsockname()[1]
-        told, failed, loop = Told(), list[float](), asyncio.get_running_loop()
+        told, failed, loop = EventRecorder(), list[float](), asyncio.get_running_loop()
         plain = told.submit
 
         def tell(event: Any) -> None:
@@ -210,7 +232,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_standstill_of_our_own_is_not_taken_for_the_logs_silence(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -226,7 +248,7 @@
                 speaks.set()
                 await asyncio.sleep(0.02)
 
-        log = EndpointWatcher(Told(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
+        log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.progress_count > 0)
         for _ in range(3):
@@ -239,7 +261,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_no_descriptor_for_the_watch_ends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -251,7 +273,7 @@
             writer.write(b"0\n")
             await reader.read()
 
-        log = EndpointWatcher(Told(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
+        log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
 
         def none(*words: Any) -> Any:
             if len(failed) < 2:
@@ -266,7 +288,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_configuration_in_the_log_does_no_harm_to_a_dispatcher_that_follows_it_directly() -> None:
@@ -274,7 +296,7 @@
 
     async def scene() -> None:
         log = ChangeLog(epoch=7)
-        told = Told()
+        told = EventRecorder()
         listing_ = EndpointWatcher(told, ("127.0.0.1", await serve(log.talk)), Snapshot(0, []), Random(1))
         task = asyncio.create_task(listing_.run())
         log.tell(listing(1, [target("a", "box", 9)], whole=True))
@@ -288,7 +310,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_change_log_is_taken_up_from_the_last_event_without_gaps(
@@ -298,7 +320,7 @@
         async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
             told: list[Any] = []
             owner = dispatcher.service.router_task
-            monkeypatch.setattr(owner, "submit", spied(owner.submit, told))
+            monkeypatch.setattr(owner, "submit", recorded_call(owner.submit, told))
             dispatcher.tell({"seq": 2, "invalidate": {"object": "ab", "time": 1}})
             dispatcher.tell({"seq": 4, "invalidate": {"bucket": 9, "time": 2}})  # 3 is missing
             await until(lambda: len(dispatcher.since) > 1)
@@ -310,7 +332,7 @@
             ]
             assert purges == [("ab", 0), ("", 8), ("", 9)]
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_silent_change_log_and_silent_host(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -334,4 +356,4 @@
                 )
             assert dispatcher.hosts["o"].connections == 2
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_exactly_once.py
+++ b/tests/test_exactly_once.py
@@ -17,13 +17,13 @@
 from hoistplank.transport.pooled_request import RequestFailure
 from tests.dispatcher_scene import (
     KEY,
-    Calm,
-    run,
+    SteadyDispatcher,
     served,
 )
+from tests.scene_runner import run_scene
 
 
-def table() -> list[tuple[str, str, str]]:
+def rows_of_the_page() -> list[tuple[str, str, str]]:
     """How an attempt ended, the effect of its class, and what follows, as the page has it."""
     page = (Path(__file__).parent.parent / "docs" / "design.md").read_text()
     part = page.split("## Exactly once")[1].split("\n## ")[0]
@@ -34,7 +34,7 @@
     ]
 
 
-class Breaking:
+class FailingHost:
     """A host that takes its first connection's attempt as far as it is told, and serves all later ones."""
 
     def __init__(self, how: str) -> None:
@@ -70,19 +70,19 @@
 
 def test_the_table_has_every_ending_and_every_effect() -> None:
     endings = {"refused", "not up", "unwritten", "partly written", "written", "answer begun", "answer whole"}
-    assert {(ending, effect) for ending, effect, _ in table()} == {
+    assert {(ending, effect) for ending, effect, _ in rows_of_the_page()} == {
         (ending, effect) for ending in endings for effect in ("idempotent", "keyed", "non-idempotent")
     }
 
 
-@pytest.mark.parametrize("ending, effect, follows", table())
+@pytest.mark.parametrize("ending, effect, follows", rows_of_the_page())
 def test_exactly_once(
     tmp_path: Path, ending: str, effect: str, follows: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Uncached classes go straight to the origin, whose first connection ends as the row says."""
 
     async def scene() -> None:
-        host = Breaking(ending)
+        host = FailingHost(ending)
         words = {"idempotent": "idempotent", "keyed": "deduplicated", "non-idempotent": "at_most_once"}
         classes = [
             {
@@ -133,7 +133,7 @@
             monkeypatch.setattr(Connection, "_flush", flush)
         hosts: Any = {"o": host}
         changes: dict[str, Any] = {"settings.classes": classes, "settings.family_info.uncached": [True]}
-        async with Calm(tmp_path, hosts, **changes) as dispatcher:
+        async with SteadyDispatcher(tmp_path, hosts, **changes) as dispatcher:
             owner, number, status = dispatcher.service.router_task, 0, 503
             # Where the machine holds this process up, new requests are rejected before any attempt: a client
             # comes again then, and nothing of what the row is about has begun.
@@ -149,4 +149,4 @@
                 "failed": (502, 1),
             }[follows], (status, host.keys)
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -11,35 +11,38 @@
 from hoistplank.fakes.wire import CacheHost
 from hoistplank.protocol import fastcgi
 from tests.dispatcher_scene import (
-    run,
     served,
     silent,
 )
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 
-def begun(number: int, params: bytes = b"") -> bytes:
+def request_begin(number: int, params: bytes = b"") -> bytes:
     first = fastcgi.encode_record(fastcgi.BEGIN_REQUEST, number, struct.pack(">HB5x", 1, 1))
     return first + (fastcgi.encode_record(fastcgi.PARAMS, number, params) if params else b"")
 
 
-RUDE: dict[str, list[bytes]] = {
+MALFORMED: dict[str, list[bytes]] = {
     "nothing": [],
-    "half a record": [begun(1)[:11]],
-    "never whole": [begun(1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page"))],
-    "endless parameters": [begun(1), *[fastcgi.encode_record(fastcgi.PARAMS, 1, bytes(60_000))] * 200],
+    "half a record": [request_begin(1)[:11]],
+    "never whole": [request_begin(1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page"))],
+    "endless parameters": [
+        request_begin(1),
+        *[fastcgi.encode_record(fastcgi.PARAMS, 1, bytes(60_000))] * 200,
+    ],
     "huge body": [
-        begun(1),
+        request_begin(1),
         fastcgi.encode_record(fastcgi.PARAMS, 1),
         *[fastcgi.encode_record(5, 1, bytes(60_000))] * 200,
     ],
-    "one number twice": [begun(1), begun(1)],
+    "one number twice": [request_begin(1), request_begin(1)],
     "strays": [fastcgi.encode_record(fastcgi.STDIN, 9, b"x")] * 5_000,
-    "other version": [b"\x07" + begun(1)[1:]],
+    "other version": [b"\x07" + request_begin(1)[1:]],
 }
 
 
-@pytest.mark.parametrize("kind", RUDE)
+@pytest.mark.parametrize("kind", MALFORMED)
 def test_rude_client_is_answered_or_closed_and_costs_only_itself(
     tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -51,7 +54,7 @@
             rude, mixed = await dispatcher.connect(), await dispatcher.connect()
             mixed.send(5, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "2400"})
             await until(lambda: len(box.seen) == 2)
-            for piece in RUDE[kind]:
+            for piece in MALFORMED[kind]:
                 rude.writer.write(piece)
             rest = asyncio.create_task(rude.reader.read())
             # A clock that runs from the start: what still trickles in does not hold it up.
@@ -76,7 +79,7 @@
             )
             assert frontend.held_bytes == 0
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_bytes_that_are_no_fastcgi_end_their_connection_alone(tmp_path: Path) -> None:
@@ -87,4 +90,4 @@
             assert await other.reader.read() == b""
             assert (await dispatcher.ask(1, "page"))[0] == 200
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,12 +6,9 @@
 import asyncio
 import contextlib
 import time
-from collections.abc import Coroutine
 from pathlib import Path
 from random import Random
-from typing import Any
 
-import uvloop
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -27,6 +24,7 @@
 from hoistplank.store.folder import StateFolder
 from hoistplank.store.schemas import PersistedHost, PersistedList, RemovalHistory
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 S = 1_000_000
 KEPT_REVISION = 9  # of the list kept at the start: no list that the log tells has it
@@ -184,11 +182,6 @@
     assert [row.uid for row in registry.next_probes(3 * S)] == ["a"] and registry.next_probes(3 * S) == []
 
 
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(scene, 20))
-
-
 def served(id: str, fields: dict[str, str], body: bytes) -> bytes:
     return f"{id} served detail=hit,digest=aa,dated=1 4\r\nwell\r\n".encode()
 
@@ -199,7 +192,7 @@
     return watch
 
 
-class Without:
+class DispatcherWithoutLog:
     """A dispatcher whose log is down, beside a kept list of hosts that answer in several ways."""
 
     def __init__(self, folder: Path, age_s: float = 60, **hosts: CacheHost) -> None:
@@ -233,7 +226,7 @@
         a, o, red, new = CacheHost(served), CacheHost(served), CacheHost(served), CacheHost(served)
         red.ping = "red"
         quiet = await serve(lambda reader, writer: asyncio.sleep(60))
-        place = Without(tmp_path, a=a, o=o, red=red)
+        place = DispatcherWithoutLog(tmp_path, a=a, o=o, red=red)
 
         async def nonsense(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"220 mail\r\n")
@@ -289,13 +282,13 @@
                 state = StateFolder(tmp_path / "state").load(repair=False).state
             assert {row.uid for row in state.hosts} == {"a", "n"}
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_host_that_vanishes_is_no_longer_told(tmp_path: Path) -> None:
     async def scene() -> None:
         a, b, o = CacheHost(served), CacheHost(served), CacheHost(served)
-        async with Without(tmp_path, a=a, b=b, o=o) as running:
+        async with DispatcherWithoutLog(tmp_path, a=a, b=b, o=o) as running:
             await until(lambda: len(running.service.router_task.endpoints.by_host) == 3)
             a.ping = "red"  # it drains, and no log tells
             await until(lambda: set(running.service.router_task.endpoints.by_host) == {"b", "o"})
@@ -307,7 +300,7 @@
             a.ping = "green"
             await until(lambda: set(running.service.router_task.endpoints.by_host) == {"a", "b", "o"})
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_without_a_state_seeds_begin_and_the_list_is_kept(tmp_path: Path) -> None:
@@ -325,7 +318,7 @@
             await until(lambda: running.service.phase is Phase.PROVISIONAL)
             assert (await running.ask(1, "page"))[0] == 200
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_what_can_t_be_kept_costs_no_request(tmp_path: Path) -> None:
@@ -339,4 +332,4 @@
             with contextlib.suppress(FileNotFoundError, NotADirectoryError):
                 assert not list((tmp_path / "state").glob("*"))
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -6,17 +6,15 @@
 import os
 import socket
 import sys
-from collections.abc import Coroutine
 from pathlib import Path
-from typing import Any
 
 import pytest
-import uvloop
 
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
 from hoistplank.fakes.wire import Client, serve
 from tests.helpers import configuration
+from tests.scene_runner import run_scene
 
 # Nine in ten are to be ready within 10 s, and a tenth of a core is the least part of one that we reckon with.
 MOST_CPU_S = 1.0
@@ -63,9 +61,4 @@
                 program.kill()
                 await program.wait()
 
-    run(scene())
-
-
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(scene, 20))
+    run_scene(scene())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,11 +18,11 @@
 from hoistplank.fakes.wire import CacheHost, Client, serve
 from hoistplank.program.phase import Phase
 from tests.dispatcher_scene import (
-    run,
     served,
     silent,
 )
 from tests.helpers import Running, configuration, until
+from tests.scene_runner import run_scene
 
 
 @pytest.mark.parametrize("times", [1, 3])
@@ -59,7 +59,7 @@
             assert (await dispatcher.ask(2, "page"))[0] == 200
             assert (await dispatcher.client.answer())[:2] == (1, 503)
 
-    run(scene())
+    run_scene(scene())
 
 
 class StatusReader:
@@ -143,4 +143,4 @@
         await answers.stop()
         assert b"configuration read again" in await program.stdout.read()
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -15,11 +15,11 @@
 from tests.dispatcher_scene import (
     BODY,
     KEY,
-    run,
     served,
     silent,
 )
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 
 def test_request_is_served_whole_and_its_fields_go_on(tmp_path: Path) -> None:
@@ -53,7 +53,7 @@
             # A client's own clock may say some ms more than the deadline.
             assert (await dispatcher.ask(10, "page", fields={"HTTP_X_DEADLINE_MS": "2505"}))[0] == 200
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_full_core_rejects_as_a_request_begins_or_by_its_class(tmp_path: Path) -> None:
@@ -96,7 +96,7 @@
             owner.requests.open_count = 0
             assert b"Status: 503" in came and came.endswith(fastcgi.encode_end_request(1))
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_more_than_a_turn_holds_is_turned_back_at_once(tmp_path: Path) -> None:
@@ -119,7 +119,7 @@
             # What earns three times as much is still worth an attempt.
             assert (await dispatcher.ask(2, "booking", fields=KEY))[0] == 200
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_unchanged_copy_is_told_as_valid(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
             status, head, body = await dispatcher.ask(1, "page", fields={"HTTP_X_KNOWN": "ab" * 8})
             assert (status, body) == (200, b"") and b"X-Valid: 1" in head
 
-    run(scene())
+    run_scene(scene())
 
 
 @pytest.mark.parametrize(
@@ -165,7 +165,7 @@
             status, _, _ = await dispatcher.ask(3, class_name, fields=fields, script=script)
             assert status == 400 and not box.seen
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_id_that_comes_again_is_refused_while_its_request_or_its_attempts_are_out(tmp_path: Path) -> None:
@@ -190,4 +190,4 @@
             other.send(3, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
             assert (await other.answer())[1] == 200
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,11 +14,12 @@
 from hoistplank.decision.events import ClientDisconnected, Event
 from hoistplank.fakes.wire import CacheHost, Client
 from hoistplank.program.phase import Phase
-from tests.dispatcher_scene import BODY, Calm, request_bytes, run, served, silent
+from tests.dispatcher_scene import BODY, SteadyDispatcher, request_bytes, served, silent
 from tests.helpers import Running, until
+from tests.scene_runner import run_scene
 
 
-def crossing(dispatcher: Running, step: Callable[[], object]) -> None:
+def at_the_drains_end(dispatcher: Running, step: Callable[[], object]) -> None:
     """`step` is taken in the very turn in which the drain finds nothing open, once its windows are over."""
     shutdown = dispatcher.service.shutdown
     plain, done = shutdown.is_empty, list[bool]()
@@ -33,11 +34,11 @@
     shutdown.is_empty = is_empty  # type: ignore[method-assign]
 
 
-def raw_of(client: Client) -> socket.socket:
+def raw_socket(client: Client) -> socket.socket:
     return socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno()))
 
 
-async def up(sock: socket.socket) -> socket.socket:
+async def connected_socket(sock: socket.socket) -> socket.socket:
     """Waits until a socket that another step connects is connected."""
 
     def connected() -> bool:
@@ -54,36 +55,36 @@
 def test_a_request_that_has_come_in_the_instant_of_the_end_is_answered(tmp_path: Path) -> None:
     async def scene() -> None:
         box = CacheHost(served)
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
-            with raw_of(dispatcher.client) as raw:
-                crossing(dispatcher, lambda: raw.send(request_bytes(2)))
+            with raw_socket(dispatcher.client) as raw:
+                at_the_drains_end(dispatcher, lambda: raw.send(request_bytes(2)))
                 dispatcher.service.terminated.set()
                 number, status, _, body = await asyncio.wait_for(dispatcher.client.answer(), 5)
             assert (number, status, body) == (2, 200, BODY)
             assert await dispatcher.client.reader.read() == b""  # its end, and no reset
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_a_request_after_the_write_side_was_shut_is_not_sent_on(tmp_path: Path) -> None:
     async def scene() -> None:
         box = CacheHost(served)
-        async with Calm(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, {"a": box, "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             dispatcher.service.terminated.set()
             assert await dispatcher.client.reader.read() == b""
-            with raw_of(dispatcher.client) as raw:
+            with raw_socket(dispatcher.client) as raw:
                 raw.send(request_bytes(2))
             await asyncio.wait_for(asyncio.shield(dispatcher.task), 5)
             assert [id for id, _, _ in box.seen] == [f"{1:016x}"]
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_one_that_stands_in_the_backlog_at_the_end_is_answered(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             late = socket.socket()
 
@@ -91,19 +92,19 @@
                 late.connect(dispatcher.service.listener.sock.getsockname())
                 late.send(request_bytes(2))
 
-            crossing(dispatcher, step)
+            at_the_drains_end(dispatcher, step)
             dispatcher.service.terminated.set()
-            reader, writer = await asyncio.open_connection(sock=await up(late))
+            reader, writer = await asyncio.open_connection(sock=await connected_socket(late))
             number, status, _, _ = await asyncio.wait_for(Client(reader, writer).answer(), 5)
             assert (number, status) == (2, 200)
             writer.close()
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_half_a_record_holds_up_no_end_and_a_second_sigterm_changes_nothing(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             half = await dispatcher.connect()
             half.writer.write(request_bytes(1)[:50])
@@ -115,12 +116,12 @@
             assert await asyncio.wait_for(asyncio.shield(dispatcher.task), 4) == 0
             assert await dispatcher.client.reader.read() == b""
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_an_answer_larger_than_the_buffers_is_read_whole_while_the_program_ends(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Calm(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, {"a": CacheHost(served), "o": CacheHost(silent)}) as dispatcher:
             reader, writer = await asyncio.open_connection(
                 *dispatcher.service.listener.sock.getsockname(), limit=4_096
             )
@@ -136,7 +137,7 @@
                 got.add(number)
             assert await reader.read() == b""
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_drain_answers_what_comes_and_what_is_open_then_ends(tmp_path: Path) -> None:
@@ -155,7 +156,7 @@
             assert await asyncio.wait_for(dispatcher.task, 3) == 0
             assert dispatcher.service.phase is Phase.STOPPED
 
-    run(scene())
+    run_scene(scene())
 
 
 def test_broken_module_fails_what_is_open_and_ends(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -179,4 +180,4 @@
             assert (await dispatcher.client.answer())[:2] == (1, 502)
             assert await asyncio.wait_for(dispatcher.task, 3) == 1
 
-    run(scene())
+    run_scene(scene())
--- a/tests/test_xds_ranking.py
+++ b/tests/test_xds_ranking.py
@@ -13,7 +13,7 @@
 from hoistplank.fakes.first_choice import first_choice
 from hoistplank.xds.ranking_cache import Firsts, key_of, order
 from tests.helpers import configuration
-from tests.xds_rig import ABOVE, S
+from tests.xds_rig import PARENT_AND_ORIGIN, S
 
 
 def test_the_order_is_the_modules_own(tmp_path: Path) -> None:
@@ -21,7 +21,7 @@
     weights = {f"box-{n}": 100.0 for n in range(30)}
     router, now = Router(site, 1), 100 * S
     entries = [Endpoint(uid, "z1", "box", 0, units, 0, "up") for uid, units in weights.items()]
-    router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*entries, *ABOVE]))
+    router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*entries, *PARENT_AND_ORIGIN]))
     for n in range(300):
         object_key, part = f"{chance.getrandbits(64):016x}", chance.randrange(4)
         assert (
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -25,23 +25,23 @@
 )
 from hoistplank.xds.service import Limits
 from tests.helpers import configuration
-from tests.xds_rig import ABOVE, THINGS, Place, S, run, until
+from tests.xds_rig import OBJECTS, PARENT_AND_ORIGIN, ControlRig, S, run, until
 
 
 def test_both_proxies_land_where_the_dispatcher_does_through_a_drain_and_back(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
             plain, extension = place.proxy("n1", False), place.proxy("n2", True)
             await until(lambda: len(plain.hosts) == len(extension.hosts) == 6)
-            for object_key, part in THINGS:
+            for object_key, part in OBJECTS:
                 plain.want(object_key, part)
-            await until(lambda: len(plain.vhosts) == len(THINGS))
+            await until(lambda: len(plain.vhosts) == len(OBJECTS))
             router, now = Router(place.control.site, 1), 100 * S
             names = [f"box-{n}" for n in range(6)]
 
             def told(states: dict[str, str]) -> None:
                 rows = [Endpoint(uid, "z1", "box", 0, 100.0, 0, states.get(uid, "up")) for uid in names]
-                router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, *ABOVE]))
+                router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, *PARENT_AND_ORIGIN]))
 
             two = {"box-2": "draining", "box-4": "draining"}
             for step, states in enumerate(({}, {"box-2": "draining"}, two, {})):
@@ -62,7 +62,7 @@
                     )
                 )
                 told(states)
-                for n, (object_key, part) in enumerate(THINGS):
+                for n, (object_key, part) in enumerate(OBJECTS):
                     at = first_choice(router, now, step * 100 + n, "page", object_key, part)
                     assert (
                         extension.choose(object_key, part) == at and plain.choose(object_key, part) == at
@@ -73,7 +73,7 @@
 
 def test_a_purge_and_a_drain_in_one_tick_reach_a_stalled_streams_neighbours_in_time(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
             quick, hung = place.proxy("quick", True), place.proxy("hung", True)
             await until(lambda: len(quick.hosts) == len(hung.hosts) == 6)
             hung.stalled.clear()
@@ -93,7 +93,7 @@
 
 def test_a_follower_that_is_cut_off_stops_using_what_it_has(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, hosts=2) as place:
+        async with ControlRig(tmp_path, hosts=2) as place:
             proxy = place.proxy("n", True)
             await until(lambda: len(proxy.hosts) == 2)
             first = proxy.fresh_until
@@ -107,7 +107,7 @@
 
 def test_refusals_are_shown_and_cost_nobody_else(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
 
             def too_large(kind: str, response: Any) -> str:
                 return (
@@ -132,11 +132,11 @@
 
 def test_a_stream_cut_half_way_goes_on_at_another_control_process(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
             second = await place.another()
             proxy = place.proxy("n", False)
             await until(lambda: len(proxy.hosts) == 6)
-            for object_key, part in THINGS[:20]:
+            for object_key, part in OBJECTS[:20]:
                 proxy.want(object_key, part)
             await until(lambda: len(proxy.vhosts) == 20)
             before = proxy.counts["bytes"]
@@ -154,7 +154,7 @@
 
 def test_bad_requests_and_too_many_streams_cost_their_sender_only(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, limits=Limits(streams=2)) as place:
+        async with ControlRig(tmp_path, limits=Limits(streams=2)) as place:
             proxy = place.proxy("good", True)
             await until(lambda: len(proxy.hosts) == 6)
 
@@ -184,7 +184,7 @@
 
 def test_silent_streams_hold_nobodys_place_and_one_that_reads_nothing_is_cut_once(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, hosts=2_500, limits=Limits(starting=2)) as place:
+        async with ControlRig(tmp_path, hosts=2_500, limits=Limits(starting=2)) as place:
             address = f"127.0.0.1:{place.control.port}"
             ended = asyncio.Event()
 
@@ -225,7 +225,7 @@
 
 def test_the_commands_serve_and_tell(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, hosts=3) as place:
+        async with ControlRig(tmp_path, hosts=3) as place:
             known = {"seq": 1, "results": [listing(1, place.targets, whole=True)]}
             configuration(tmp_path, changelog=f"127.0.0.1:{place.log_port}", known=known)
             port = free_port()
--- a/tests/xds_rig.py
+++ b/tests/xds_rig.py
@@ -23,17 +23,17 @@
 S = 1_000_000
 
 
-ABOVE = [Endpoint(kind[0], "hub", kind, 0, 100.0, 0, "up") for kind in ("parent", "origin")]
+PARENT_AND_ORIGIN = [Endpoint(kind[0], "hub", kind, 0, 100.0, 0, "up") for kind in ("parent", "origin")]
 
 
 def host(uid: str, up: bool = True, zone: str = "z1", weight: float = 1.0, share: float = 1.0) -> Host:
     return Host(uid, "127.0.0.1", 8080, "caches", zone, 0, weight, 0, up, share)
 
 
-THINGS = [(f"{Random(n).getrandbits(64):016x}", n % 3) for n in range(60)]
+OBJECTS = [(f"{Random(n).getrandbits(64):016x}", n % 3) for n in range(60)]
 
 
-class Place:
+class ControlRig:
     """A control process that follows a stand-in change log, and proxies."""
 
     def __init__(self, folder: Path, hosts: int = 6, limits: Limits | None = None) -> None:
@@ -42,7 +42,7 @@
         self.targets += [target("p", "parent", 9_100), target("o", "origin", 9_101)]
         self.seq, self.tasks = 1, list[asyncio.Task[Any]]()
 
-    async def __aenter__(self) -> Place:
+    async def __aenter__(self) -> ControlRig:
         self.log_port = await serve(self.log.talk)
         self.control = await self.another()
         return self
