--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -20,7 +20,7 @@
     import grpc
 
     from hoistplank.program.configuration import Configuration
-    from hoistplank.xds.control import Control
+    from hoistplank.xds.control import ControlService
 
 LOOPBACK = ("127.", "localhost:", "[::1]:")
 
@@ -89,9 +89,9 @@
 async def _serve(configuration: Configuration, listen: str, look_every_s: float) -> None:
     import structlog
 
-    from hoistplank.xds.control import Control
+    from hoistplank.xds.control import ControlService
 
-    service, ended = Control(configuration), asyncio.Event()
+    service, ended = ControlService(configuration), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
     port = await service.serve(listen)
@@ -108,14 +108,14 @@
     await service.close()
 
 
-def _log_followers(service: Control) -> None:
+def _log_followers(service: ControlService) -> None:
     import structlog
 
-    rows = service.hub.look()
+    rows = service.broadcaster.status()
     structlog.get_logger().info(
         "followers",
         count=len(rows),
-        behind=sum(kind["behind"] for row in rows for kind in row["types"].values()),
-        refused=sum(row["refused"] for row in rows),
-        **service.hub.counts,
+        behind=sum(subscription.behind for row in rows for subscription in row.types.values()),
+        refused=sum(row.refused for row in rows),
+        **service.broadcaster.counts.log_fields(),
     )
--- a/tests/distribution_mirror.py
+++ b/tests/distribution_mirror.py
@@ -32,7 +32,7 @@
         self.configuration: str | None = None
 
     def take(self, now: int, event: ReplicatedEvent) -> Verdict:
-        verdict = self.follower.judge(now, event)
+        verdict = self.follower.receive(now, event)
         if verdict is Verdict.APPLY:
             self.apply(event)
         return verdict
@@ -50,16 +50,16 @@
         if event.invalidate is not None:
             key = event.invalidate.object or event.invalidate.bucket
             self.purges[key] = max(event.invalidate.time, self.purges.get(key, 0.0))
-        if self.follower.takes_configuration(event) and event.configuration is not None:
+        if self.follower.is_new_configuration(event) and event.configuration is not None:
             self.configuration = event.configuration.text
-            self.follower.configuration_applied(event.version)
+            self.follower.mark_configuration_applied(event.version)
 
     def floor(self, key: str | int) -> float:
         return max(self.purges.get(key, 0.0), self.purges.get(ALL_OBJECTS_BUCKET, 0.0))
 
     def follow(self, now: int, replica: ReplicatedState, lines: int | None = None) -> list[Verdict]:
         """A new connection to a replica; it breaks off after so many lines, if any number is given."""
-        self.follower.connection_began(now)
+        self.follower.connection_opened(now)
         sent = replica.lines_since(self.follower.resume_at)[:lines]
         return [self.hear(now, line) for line in sent]
 
@@ -67,7 +67,7 @@
         event = read_replica_line(line.strip())
         assert isinstance(event, ReplicatedEvent)
         verdict = self.take(now, event)
-        self.follower.applied(self.follower.told)
+        self.follower.mark_applied(self.follower.received)
         return verdict
 
 
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -8,12 +8,13 @@
 
 import msgspec
 
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
-from hoistplank.distribution.configuration_taker import ConfigurationRefused, TakeUp
+from hoistplank.distribution.assignment import ReplicaAddress
+from hoistplank.distribution.configuration_applier import ApplyConfiguration
+from hoistplank.distribution.errors import ConfigurationRefusedError
 from hoistplank.distribution.follower import FollowerSettings, ReplicaFollower
 from hoistplank.distribution.messages import RequestLine, StatusRequest, VersionFields, encode
-from hoistplank.distribution.replica import Replica, ReplicaSettings
-from hoistplank.distribution.status import StatusAnswer
+from hoistplank.distribution.replica import ControlReplica, ReplicaSettings
+from hoistplank.distribution.status import StatusResponse
 from hoistplank.distribution.versions import Version
 from hoistplank.fakes.change_log import ChangeLog
 from hoistplank.fakes.settings import listing, target
@@ -84,14 +85,16 @@
             asyncio.create_task(self.follower.configurations.run()),
         ]
 
-    async def _prepare(self, version: Version, text: str) -> TakeUp:
+    async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
         if self.refuses in text:
-            raise ConfigurationRefused(f"configuration {version}:1:1: the form 'bad', expected a good one")
+            raise ConfigurationRefusedError(
+                f"configuration {version}:1:1: the form 'bad', expected a good one"
+            )
         return lambda: self.configurations.append((version, text))
 
     @property
     def in_force(self) -> Version:
-        return self.follower.state.in_force().version.version()
+        return self.follower.state.acknowledgement().version.to_version()
 
     async def stop(self) -> None:
         for task in self.tasks:
@@ -150,7 +153,7 @@
         self.log = ChangeLog(epoch)
         self.log_port = 0
         self.wanted = replicas
-        self.replicas: list[Replica] = []
+        self.replicas: list[ControlReplica] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.dispatchers: list[Dispatcher] = []
         self.addresses: list[ReplicaAddress] = []
@@ -162,7 +165,9 @@
         self.connect_peers()
         return self
 
-    def start_replica(self, name: str, port: int = 0, changelog: int | None = None, **more: Any) -> Replica:
+    def start_replica(
+        self, name: str, port: int = 0, changelog: int | None = None, **more: Any
+    ) -> ControlReplica:
         settings = ReplicaSettings(
             name=name,
             listen=("127.0.0.1", port),
@@ -171,7 +176,7 @@
             region="east",
             **more,
         )
-        replica = Replica(settings)
+        replica = ControlReplica(settings)
         self.replicas.append(replica)
         self.addresses = [known for known in self.addresses if known.name != name]
         self.addresses.append(ReplicaAddress(name, "east", replica.address))
@@ -227,13 +232,13 @@
         self.log.tell({"seq": number, "invalidate": {"object": object_key, "time": 1.0}})
 
 
-async def asked(address: tuple[str, int], version: Version | None = None) -> StatusAnswer:
+async def asked(address: tuple[str, int], version: Version | None = None) -> StatusResponse:
     """A replica's status, over its socket."""
     reader, writer = await asyncio.open_connection(*address, limit=1 << 24)
     wanted = VersionFields(*version) if version is not None else None
     writer.write(encode(RequestLine(status=StatusRequest(wanted))))
     try:
-        return msgspec.json.decode(await reader.readline(), type=StatusAnswer)
+        return msgspec.json.decode(await reader.readline(), type=StatusResponse)
     finally:
         writer.close()
 
--- a/tests/test_compatibility_distribution.py
+++ b/tests/test_compatibility_distribution.py
@@ -9,13 +9,13 @@
 
 from hoistplank.distribution.follower_state import FollowerState, Verdict
 from hoistplank.distribution.messages import (
+    Acknowledgement,
     AcknowledgementRow,
-    Follow,
-    InForce,
+    FollowRequest,
+    PeerSubscription,
     Redirect,
     ReplicaLine,
     ReplicatedEvent,
-    Report,
     RequestLine,
     StatusRequest,
     encode,
@@ -23,7 +23,7 @@
     read_request,
 )
 from hoistplank.distribution.state import ReplicatedState
-from hoistplank.distribution.status import StatusAnswer
+from hoistplank.distribution.status import StatusResponse
 from hoistplank.distribution.versions import NOTHING, Version
 from tests.fixture_files import fixture_json
 
@@ -41,19 +41,19 @@
     return encode(message).decode().removesuffix("\n")
 
 
-def request_line(request: Follow | InForce | Report | StatusRequest) -> RequestLine:
-    if isinstance(request, Follow):
+def request_line(request: FollowRequest | Acknowledgement | PeerSubscription | StatusRequest) -> RequestLine:
+    if isinstance(request, FollowRequest):
         return RequestLine(follow=request)
-    if isinstance(request, InForce):
-        return RequestLine(in_force=request)
-    if isinstance(request, Report):
-        return RequestLine(report=request)
+    if isinstance(request, Acknowledgement):
+        return RequestLine(acknowledgement=request)
+    if isinstance(request, PeerSubscription):
+        return RequestLine(peer_subscription=request)
     return RequestLine(status=request)
 
 
 def test_the_recording_holds_every_kind_of_request() -> None:
     kinds = {type(read_request(line.encode())) for line in lines("asked", "dispatcher", "peer", "operator")}
-    assert kinds == {Follow, InForce, Report, StatusRequest}
+    assert kinds == {FollowRequest, Acknowledgement, PeerSubscription, StatusRequest}
 
 
 @pytest.mark.parametrize("line", lines("asked", "dispatcher", "peer", "operator"))
@@ -74,13 +74,13 @@
 
 @pytest.mark.parametrize("line", lines("answered", "operator"))
 def test_a_status_is_read_and_written_alike(line: str) -> None:
-    assert text(msgspec.json.decode(line, type=StatusAnswer)) == line
+    assert text(msgspec.json.decode(line, type=StatusResponse)) == line
 
 
 @pytest.mark.parametrize("number", range(len(DISPATCHERS)))
 def test_a_dispatcher_makes_the_same_of_a_replicas_lines(number: int) -> None:
     state, now = FollowerState(), 1_000_000
-    state.connection_began(now)
+    state.connection_opened(now)
     found: list[object] = []
     for line in DISPATCHERS[number]["answered"]:
         now += 700_000
@@ -88,14 +88,14 @@
         if not isinstance(event, ReplicatedEvent):
             found.append("redirect")
             continue
-        verdict = state.judge(now, event)
+        verdict = state.receive(now, event)
         if verdict is Verdict.APPLY and event.configuration is not None:
             if "bad" in event.configuration.text:
-                state.configuration_refused(event.version, "the form 'bad'")
+                state.mark_configuration_refused(event.version, "the form 'bad'")
             else:
-                state.configuration_applied(event.version)
-        state.applied(state.told)
-        found.append([verdict.value, text(state.in_force()), state.unheard(now)])
+                state.mark_configuration_applied(event.version)
+        state.mark_applied(state.received)
+        found.append([verdict.value, text(state.acknowledgement()), state.is_silent(now)])
     assert found == fixture_json("distribution/judged.json")[number]
 
 
--- a/tests/test_distribution_delivery.py
+++ b/tests/test_distribution_delivery.py
@@ -23,11 +23,11 @@
                 assert one.configurations == [(at(4), "(log)")] and not one.owner.is_blind
             for replica in rig.replicas:
                 # A peer hears within a tenth of a second what the dispatchers of the other have in force.
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 3)  # type: ignore[misc]
                 status = await asked(replica.address, at(4))
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total, status.change.missing) == (3, 3, [])
-                assert status.configuration.version() == at(4) == status.version.version()
+                assert status.configuration.to_version() == at(4) == status.version.to_version()
 
     run_scene(scene(), limit_s=60)
 
@@ -47,12 +47,12 @@
                 "wide" if one is each[2] else "narrow" for one in each
             ]
             for replica in rig.replicas:
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 4)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 4)  # type: ignore[misc]
                 status = await asked(replica.address, at(3))
                 assert status.change is not None
                 assert (status.change.in_force, status.change.total) == (3, 4)
                 (row,) = status.change.missing
-                assert row.dispatcher == "d2" and row.version.version() == at(2)
+                assert row.dispatcher == "d2" and row.version.to_version() == at(2)
                 assert row.refused.startswith("configuration 7/3:1:1: the form 'bad'")
 
     run_scene(scene(), limit_s=60)
@@ -72,9 +72,9 @@
                 taken = [version for version, _ in one.configurations]
                 assert taken[-1] == at(61) and taken == sorted(set(taken))
                 assert one.owner.purges == ["ab"]
-                assert one.follower.state.in_force().refused is None
+                assert one.follower.state.acknowledgement().refusal is None
             for replica in rig.replicas:
-                await until(lambda replica=replica: replica.table.in_force(0, at(62)).in_force == 5)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(62)).in_force == 5)  # type: ignore[misc]
                 status = await asked(replica.address)
                 assert (status.configurations.in_force, status.configurations.missing) == (5, [])
 
@@ -107,7 +107,7 @@
             rig.log.tell({"seq": 3, "configuration": {"text": 5}})
             rig.log.tell({"seq": 4, "configuration": "x" * 1_100_000})
             rig.purge(5, "ab")
-            await until(lambda: rig.replicas[0].table.in_force(0, at(5)).in_force == 1)
+            await until(lambda: rig.replicas[0].table.change_status(at(5)).in_force == 1)
             assert one.configurations == [(at(2), "good")] and one.owner.purges == ["ab"]
             for number, wrong in (
                 (3, "Expected `str`, got `int` - at `$.text`"),
--- a/tests/test_distribution_failover.py
+++ b/tests/test_distribution_failover.py
@@ -48,9 +48,9 @@
                 assert not one.owner.is_blind
             # A dispatcher acknowledges at most each `ACKNOWLEDGE_S`: the replica hears it after it is so.
             table = rig.replicas[1].table
-            await until(lambda: table.in_force(0, at(4)).in_force == 3)
+            await until(lambda: table.change_status(at(4)).in_force == 3)
             status = await asked(rig.replicas[1].address)
-            assert status.events.version.version() == at(4)
+            assert status.events.version.to_version() == at(4)
             assert status.events.in_force == 3 == status.connected and status.load.dispatchers == 3
 
     run_scene(scene(), limit_s=60)
@@ -71,8 +71,8 @@
             rig.log.configure(4, "new")
             new, old = rig.addresses
             one = rig.dispatcher("d1", [new, old])
-            one.follower.order = (new, old)
-            one.follower.place = 0
+            one.follower.selection.order = (new, old)
+            one.follower.selection.position = 0
             await until(lambda: one.in_force == at(4))
             told = len(one.owner.events)
             await rig.stop_replica(0)
@@ -83,7 +83,7 @@
             later = [event for event in one.owner.events[told:] if not isinstance(event, Checkpoint)]
             assert all(event == EndpointWatchFailed() for event in later)
             # A replica that lags says nothing of the present: in the end the list counts as stale.
-            assert one.follower.state.unheard(one.owner.clock.now() + 7_000_000)
+            assert one.follower.state.is_silent(one.owner.clock.now() + 7_000_000)
             # The old one hears the rest, and goes on from what the dispatcher holds.
             old_log.tell(listing(3, [target("b", "box", 9, "draining")]))
             old_log.configure(4, "new")
@@ -150,7 +150,7 @@
             ]
             rig.purge(3, "ab")
             rig.log.configure(4, "two")
-            await until(lambda: all(one.follower._is_warned for one in again))
+            await until(lambda: all(one.follower._is_silence_logged for one in again))
             for one in again:
                 assert one.owner.hosts == {"a": "ready"} and one.owner.is_blind
                 assert one.follower.detail() == "no control replica heard; in force: 0/0"
@@ -162,7 +162,7 @@
                 assert one.owner.purges == ["ab"] and one.configurations == [(at(4), "two")]
                 await until(lambda one=one: not one.owner.is_blind)  # type: ignore[misc]
             for replica in rig.replicas[2:]:
-                await until(lambda replica=replica: replica.table.in_force(0, at(4)).in_force == 3)  # type: ignore[misc]
+                await until(lambda replica=replica: replica.table.change_status(at(4)).in_force == 3)  # type: ignore[misc]
 
     run_scene(scene(), limit_s=60)
 
@@ -172,10 +172,10 @@
 
     async def scene() -> None:
         monkeypatch.setattr("hoistplank.distribution.follower.return_delay_us", lambda chance: 200_000)
-        monkeypatch.setattr("hoistplank.distribution.follower.REDIRECTED_S", 0.5)
+        monkeypatch.setattr("hoistplank.distribution.replica_selection.REDIRECT_HOLD_S", 0.5)
         async with Rig(replicas) as rig:
             rig.hosts(1, whole=True, a="ready")
-            await until(lambda: all(replica.log_follower.is_read() for replica in rig.replicas))
+            await until(lambda: all(replica.log_follower.is_caught_up() for replica in rig.replicas))
             each = [rig.dispatcher(f"d{number}") for number in range(count)]
             await until(lambda: all(one.in_force == at(1) for one in each), patience_s=20)
             assert all(len(replica.sessions) <= load_bound(count, replicas) for replica in rig.replicas)
--- a/tests/test_distribution_histories.py
+++ b/tests/test_distribution_histories.py
@@ -107,7 +107,7 @@
 
 def check_in_force(mirror: Mirror, known: list[Truth]) -> None:
     """All that is acknowledged is applied: nothing held is of before the version in force."""
-    version = mirror.follower.in_force().version.version()
+    version = mirror.follower.acknowledgement().version.to_version()
     since = [truth for truth in known if truth.version >= version]
     for uid in UIDS:
         as_of = mirror.as_of.get(uid, NOTHING)
@@ -136,14 +136,14 @@
 @given(histories, moves, st.integers(0, 3), st.integers(1, 5))
 @settings(max_examples=400, deadline=None)
 def test_catch_up_from_any_version_ends_as_hearing_every_event(
-    history: list[Told], walk: list[Move], tombstones: int, most_purges: int
+    history: list[Told], walk: list[Move], tombstones: int, max_purges: int
 ) -> None:
     events = numbered(history)
     known = truths(events)
-    replicas = [ReplicatedState(HORIZON, tombstones, most_purges) for _ in range(3)]
+    replicas = [ReplicatedState(HORIZON, tombstones, max_purges) for _ in range(3)]
     heard = [0, 0, 0]
     mirror, followed, sent, is_current = Mirror(), -1, NOTHING, False
-    now, before = 0, mirror.follower.in_force()
+    now, before = 0, mirror.follower.acknowledgement()
     for move in walk:
         now += 100_000
         replica = replicas[move.replica]
@@ -165,20 +165,20 @@
             followed = -1 if move.lines is not None or Verdict.GAP in verdicts else followed
         sent = replica.version
         check_in_force(mirror, known)
-        said = mirror.follower.in_force()
-        assert said.version.version() >= before.version.version(), "in force went back"
-        assert said.configuration.version() >= before.configuration.version()
+        said = mirror.follower.acknowledgement()
+        assert said.version.to_version() >= before.version.to_version(), "in force went back"
+        assert said.configuration.to_version() >= before.configuration.to_version()
         before = said
     for event in events[heard[0] :]:
         replicas[0].apply(now, event)
     assert Verdict.GAP not in mirror.follow(now, replicas[0])
-    assert mirror.follower.told == known[-1].version
-    assert mirror.follower.in_force().version.version() == known[-1].version
+    assert mirror.follower.received == known[-1].version
+    assert mirror.follower.acknowledgement().version.to_version() == known[-1].version
     assert mirror.hosts == known[-1].hosts
     assert mirror.configuration == known[-1].configuration
     assert all(mirror.floor(key) >= time for key, time in known[-1].purges.items())
     made = known[-1].purges
-    if len(made) <= most_purges:
+    if len(made) <= max_purges:
         assert mirror.purges == made
     assert all(time <= max(made.values()) for time in mirror.purges.values()), "made up"
 
@@ -194,7 +194,7 @@
 def test_purges_last_for_the_horizon_and_are_bounded_at_any_order(
     told: list[tuple[int, str, int]], most: int
 ) -> None:
-    state, now, fits = ReplicatedState(HORIZON, most_purges=most), 0, True
+    state, now, fits = ReplicatedState(HORIZON, max_purges=most), 0, True
     state.apply(0, ReplicatedEvent(1, 1, fleet=listed("a")))
     heard = list[tuple[int, str, float]]()
     model = OrderedDict[str, tuple[float, int]]()  # the newest of each, until the horizon after its last
@@ -239,20 +239,20 @@
     follower, now = FollowerState(), 0
     for step in walk:
         now += S
-        before, told = follower.in_force(), follower.told
+        before, told = follower.acknowledgement(), follower.received
         if isinstance(step, ReplicatedEvent):
-            verdict = follower.judge(now, step)
+            verdict = follower.receive(now, step)
             assert verdict is not Verdict.APPLY or step.catch_up is CatchUp.PART or step.version > told
-            assert verdict is Verdict.HEARTBEAT or verdict is Verdict.APPLY or follower.told == told
+            assert verdict is Verdict.HEARTBEAT or verdict is Verdict.APPLY or follower.received == told
         elif isinstance(step, Version):
-            follower.applied(step)
+            follower.mark_applied(step)
         elif step == "connects":
-            follower.connection_began(now)
+            follower.connection_opened(now)
         elif step == "refuses":
-            follower.configuration_refused(Version(2, now // S), "no")
+            follower.mark_configuration_refused(Version(2, now // S), "no")
         else:
-            follower.configuration_applied(Version(1, now // S))
-        said = follower.in_force()
-        assert before.version.version() <= said.version.version() <= follower.told
-        assert before.configuration.version() <= said.configuration.version()
-        assert follower.told >= told, "what is held went back"
+            follower.mark_configuration_applied(Version(1, now // S))
+        said = follower.acknowledgement()
+        assert before.version.to_version() <= said.version.to_version() <= follower.received
+        assert before.configuration.to_version() <= said.configuration.to_version()
+        assert follower.received >= told, "what is held went back"
--- a/tests/test_distribution_log.py
+++ b/tests/test_distribution_log.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hoistplank.distribution.assignment import Replica as ReplicaAddress
+from hoistplank.distribution.assignment import ReplicaAddress
 from hoistplank.distribution.lines import LineReader
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.fakes.wire import serve
@@ -71,14 +71,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scene() -> None:
-        monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENT_US", 300_000)
+        monkeypatch.setattr("hoistplank.distribution.replica.LOG_SILENCE_US", 300_000)
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             rig.log.configure(2, "one")
             relay = await Relay(ReplicaAddress("log", "", ("127.0.0.1", rig.log_port))).start()
             replica = rig.start_replica("c2", changelog=relay.address.address[1])
             rig.connect_peers()
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             relay.cut()
             await until(lambda: not replica.is_log_heard())
             rig.purge(3, "ab")
@@ -101,7 +101,7 @@
         async with Rig(replicas=1) as rig:
             rig.hosts(1, whole=True, a="ready")
             replica = rig.replicas[0]
-            await until(replica.log_follower.is_read)
+            await until(replica.log_follower.is_caught_up)
             assert replica.is_log_heard()
             replica.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
             rig.purge(2, "ab")
@@ -138,7 +138,7 @@
                 finally:
                     far_writer.close()
 
-            await until(rig.replicas[0].log_follower.is_read)
+            await until(rig.replicas[0].log_follower.is_caught_up)
             relay = ReplicaAddress("c1", "east", ("127.0.0.1", await serve(cutting)))
             one = rig.dispatcher("d1", [relay])
             await until(lambda: len(lines) == 6)
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -60,11 +60,11 @@
 
     @property
     def in_force(self) -> Version:
-        return self.follower.state.in_force().version.version()
+        return self.follower.state.acknowledgement().version.to_version()
 
     @property
     def configured(self) -> Version:
-        return self.follower.state.in_force().configuration.version()
+        return self.follower.state.acknowledgement().configuration.to_version()
 
     @property
     def retries(self) -> float:
@@ -147,7 +147,7 @@
             made.rig.log.configure(3, text)
             await until(lambda: made.in_force == at(3))
             assert made.retries == 0.25 and made.configured == at(2)
-            await until(lambda: made.rig.replicas[0].table.in_force(0, at(3)).missing[0].refused != "")
+            await until(lambda: made.rig.replicas[0].table.change_status(at(3)).missing[0].refused != "")
             status = await asked(made.rig.replicas[0].address, at(3))
             assert status.change is not None and (status.change.in_force, status.change.total) == (0, 1)
             (row,) = status.change.missing
@@ -211,7 +211,7 @@
             )
             made.rig.log.configure(4, good + LEVELS.format("often"))
             await until(lambda: made.in_force == at(4))
-            refused = made.follower.state.in_force().refused
+            refused = made.follower.state.acknowledgement().refusal
             line = 1 + good.count("\n")
             assert refused is not None and f"{line}:1: 'levels' a second time" in refused.reason
             assert made.retries == 0.25 and len(json.dumps(good)) > 1_040_000
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -56,7 +56,7 @@
     assert set(mirror.hosts) == {"a", "b"}
     missed.apply(0, ReplicatedEvent(2, 2, fleet=listed("a")))
     mirror.follow(0, missed)
-    assert set(mirror.hosts) == {"a"} and mirror.follower.told == Version(2, 2)
+    assert set(mirror.hosts) == {"a"} and mirror.follower.received == Version(2, 2)
 
 
 def test_a_part_of_a_catch_up_is_not_in_force_before_its_end() -> None:
@@ -64,7 +64,7 @@
     state, mirror = ReplicatedState(HORIZON), Mirror()
     state.apply(0, ReplicatedEvent(1, 7, fleet=listed("a")))
     mirror.follow(0, state)
-    assert mirror.follower.in_force().version.version() == Version(7, 1)
+    assert mirror.follower.acknowledgement().version.to_version() == Version(7, 1)
     state.apply(0, ReplicatedEvent(2, 7, fleet=Fleet(targets=[target("a", "draining")])))
     state.apply(0, ReplicatedEvent(3, 7, invalidate=Purge(1.0, "o")))
     behind = ReplicatedState(HORIZON)
@@ -72,11 +72,11 @@
     behind.apply(0, ReplicatedEvent(2, 7, fleet=Fleet(targets=[target("a", "draining")])))
     state.apply(0, ReplicatedEvent(4, 7, fleet=Fleet(targets=[target("a", hint=2.0)])))
     assert mirror.follow(0, state, lines=2) == [Verdict.HEARTBEAT, Verdict.APPLY]
-    mirror.follower.applied(Version(7, 3))
-    assert mirror.follower.in_force().version.version() == Version(7, 1)
+    mirror.follower.mark_applied(Version(7, 3))
+    assert mirror.follower.acknowledgement().version.to_version() == Version(7, 1)
     assert set(mirror.follow(0, behind)) <= {Verdict.BEHIND}, "a replica at 2, and 3 was heard"
     mirror.follow(0, state)
-    assert mirror.follower.in_force().version.version() == Version(7, 4)
+    assert mirror.follower.acknowledgement().version.to_version() == Version(7, 4)
     assert mirror.hosts["a"].capacity_hint == 2.0
 
 
@@ -88,11 +88,11 @@
     early = ReplicatedEvent(1, 7, invalidate=purge), ReplicatedEvent(1, 7, 1, invalidate=purge)
     part = ReplicatedEvent(3, 7, invalidate=purge, catch_up=CatchUp.PART)
     for event in (*early, ReplicatedEvent(3, 7), part, ReplicatedEvent(3, 7, catch_up=CatchUp.END)):
-        assert follower.judge(0, event) is Verdict.GAP, "nothing is held"
+        assert follower.receive(0, event) is Verdict.GAP, "nothing is held"
     begin, *parts, end = state.events_since(NOTHING)
-    assert [follower.judge(0, event) for event in (begin, *parts)][0] is Verdict.HEARTBEAT
-    assert follower.judge(0, state.heartbeat()) is Verdict.HEARTBEAT and follower.told == NOTHING
-    assert follower.judge(0, end) is Verdict.HEARTBEAT and follower.told == Version(7, 3)
+    assert [follower.receive(0, event) for event in (begin, *parts)][0] is Verdict.HEARTBEAT
+    assert follower.receive(0, state.heartbeat()) is Verdict.HEARTBEAT and follower.received == NOTHING
+    assert follower.receive(0, end) is Verdict.HEARTBEAT and follower.received == Version(7, 3)
     for event in (
         ReplicatedEvent(5, 7, 4, invalidate=purge),
         ReplicatedEvent(5, 7, 4),
@@ -101,13 +101,15 @@
         ReplicatedEvent(1, 8, 1, invalidate=purge),
         ReplicatedEvent(9, 8, 3, catch_up=CatchUp.BEGIN),
     ):
-        assert follower.judge(0, event) is Verdict.GAP
-    assert follower.told == Version(7, 3)
-    assert follower.judge(0, ReplicatedEvent(5, 7, 3, invalidate=purge)) is Verdict.APPLY
-    assert follower.judge(0, ReplicatedEvent(7, 7, 4)) is Verdict.HEARTBEAT and follower.told == Version(7, 7)
-    assert follower.judge(0, ReplicatedEvent(6, 7, 5, invalidate=purge)) is Verdict.BEHIND
+        assert follower.receive(0, event) is Verdict.GAP
+    assert follower.received == Version(7, 3)
+    assert follower.receive(0, ReplicatedEvent(5, 7, 3, invalidate=purge)) is Verdict.APPLY
+    assert follower.receive(
+        0, ReplicatedEvent(7, 7, 4)
+    ) is Verdict.HEARTBEAT and follower.received == Version(7, 7)
+    assert follower.receive(0, ReplicatedEvent(6, 7, 5, invalidate=purge)) is Verdict.BEHIND
     assert (
-        follower.judge(0, ReplicatedEvent(900, 6, 3, invalidate=purge)) is Verdict.BEHIND
+        follower.receive(0, ReplicatedEvent(900, 6, 3, invalidate=purge)) is Verdict.BEHIND
     ), "of an earlier epoch"
 
 
@@ -140,61 +142,63 @@
     mirror.follow(0, state)
     for second in range(1, 4):
         mirror.hear(second * S, encode(state.heartbeat()))
-    assert not mirror.follower.unheard(4 * S)
-    assert mirror.follower.unheard(64 * S), "before anything is read"
+    assert not mirror.follower.is_silent(4 * S)
+    assert mirror.follower.is_silent(64 * S), "before anything is read"
     mirror.hear(64 * S, encode(state.heartbeat()))
     mirror.hear(64 * S + 1_000, encode(state.heartbeat()))
-    assert mirror.follower.unheard(64 * S + 2_000), "what waited in the buffer says nothing of now"
+    assert mirror.follower.is_silent(64 * S + 2_000), "what waited in the buffer says nothing of now"
     mirror.hear(65 * S, encode(state.heartbeat()))
-    assert not mirror.follower.unheard(65 * S)
+    assert not mirror.follower.is_silent(65 * S)
 
 
 def test_only_a_heartbeat_of_a_replica_that_is_not_behind_ends_the_silence() -> None:
     state, follower = ReplicatedState(HORIZON), FollowerState()
     state.apply(0, ReplicatedEvent(1, 7, fleet=listed("a"), invalidate=Purge(1.0, "o")))
-    assert follower.unheard(0), "nobody was heard yet"
+    assert follower.is_silent(0), "nobody was heard yet"
     begin, *parts, end = state.events_since(NOTHING)
-    follower.connection_began(0)
+    follower.connection_opened(0)
     for second in range(20):
-        follower.judge(second * S, begin)
+        follower.receive(second * S, begin)
     for event in parts:
-        follower.judge(20 * S, event)
-    assert follower.unheard(20 * S), "in its turn, and not at its end"
-    follower.judge(20 * S, end)
-    assert follower.unheard(20 * S), "a replica that does not hear the change log tells what it holds, too"
-    follower.judge(20 * S, state.heartbeat())
-    assert not follower.unheard(20 * S)
+        follower.receive(20 * S, event)
+    assert follower.is_silent(20 * S), "in its turn, and not at its end"
+    follower.receive(20 * S, end)
+    assert follower.is_silent(20 * S), "a replica that does not hear the change log tells what it holds, too"
+    follower.receive(20 * S, state.heartbeat())
+    assert not follower.is_silent(20 * S)
     for second in range(21, 30):
-        assert follower.judge(second * S, ReplicatedEvent(900, 6)) is Verdict.BEHIND
-    assert follower.unheard(29 * S)
-    follower.connection_began(29 * S)
-    follower.judge(29 * S + 1, state.heartbeat())
-    assert not follower.unheard(35 * S) and follower.unheard(37 * S)
+        assert follower.receive(second * S, ReplicatedEvent(900, 6)) is Verdict.BEHIND
+    assert follower.is_silent(29 * S)
+    follower.connection_opened(29 * S)
+    follower.receive(29 * S + 1, state.heartbeat())
+    assert not follower.is_silent(35 * S) and follower.is_silent(37 * S)
 
 
 def test_a_change_of_a_refused_configuration_is_not_in_force() -> None:
     state, follower = ReplicatedState(HORIZON), FollowerState()
     state.apply(0, ReplicatedEvent(1, 7, fleet=listed("a"), configuration=Configuration("(a)")))
     for event in state.events_since(NOTHING):
-        follower.judge(0, event)
-    follower.applied(follower.told)
-    assert follower.in_force().version.version() == NOTHING, "not before the configuration is decided"
-    follower.configuration_applied(Version(7, 1))
+        follower.receive(0, event)
+    follower.mark_applied(follower.received)
+    assert (
+        follower.acknowledgement().version.to_version() == NOTHING
+    ), "not before the configuration is decided"
+    follower.mark_configuration_applied(Version(7, 1))
     state.apply(0, ReplicatedEvent(2, 7, configuration=Configuration("(b")))
     [event] = state.events_since(Version(7, 1))
-    assert follower.judge(0, event) is Verdict.APPLY and follower.takes_configuration(event)
-    follower.configuration_refused(event.version, "line 1: ( is not closed")
-    assert not follower.takes_configuration(event), "told again, it is not tried again"
-    follower.applied(follower.told)
-    said = follower.in_force()
-    assert said.version.version() == Version(7, 2) and said.configuration.version() == Version(7, 1)
-    assert said.refused is not None and said.refused.reason == "line 1: ( is not closed"
-    follower.configuration_applied(Version(7, 1))
-    assert follower.in_force() == said, "an older one replaces nothing"
+    assert follower.receive(0, event) is Verdict.APPLY and follower.is_new_configuration(event)
+    follower.mark_configuration_refused(event.version, "line 1: ( is not closed")
+    assert not follower.is_new_configuration(event), "told again, it is not tried again"
+    follower.mark_applied(follower.received)
+    said = follower.acknowledgement()
+    assert said.version.to_version() == Version(7, 2) and said.configuration.to_version() == Version(7, 1)
+    assert said.refusal is not None and said.refusal.reason == "line 1: ( is not closed"
+    follower.mark_configuration_applied(Version(7, 1))
+    assert follower.acknowledgement() == said, "an older one replaces nothing"
 
 
 def test_the_state_is_bounded_by_what_there_is_and_not_by_its_history() -> None:
-    state = ReplicatedState(HORIZON, tombstones=50, most_purges=100)
+    state = ReplicatedState(HORIZON, max_tombstones=50, max_purges=100)
     state.apply(0, ReplicatedEvent(1, 1, fleet=listed("a")))
     for number in range(2, 5_000):
         fleet = Fleet(targets=[target(f"h{number}"), target(f"h{number - 1}", "gone")])
