--- a/hoistplank/cli/demo.py
+++ b/hoistplank/cli/demo.py
@@ -16,9 +16,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from hoistplank.fakes.cache_host import Server
+from hoistplank.fakes.cache_host import FakeCacheServer
 from hoistplank.fakes.deployment import Deployment
-from hoistplank.fakes.wire import Client
+from hoistplank.fakes.wire import FastCgiClient
 
 RATE = 120.0  # requests a second: a small part of what a core carries
 OBJECTS = 300
@@ -57,7 +57,7 @@
         self.latencies_us = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.statuses = Counter[int]()
         self.sent_at_s: dict[int, float] = {}  # by request number, of those without an answer
-        self.drained: Server = deployment.caches[0]
+        self.drained: FakeCacheServer = deployment.caches[0]
         self.drained_at = 0.0  # Unix time
         self.all_answered = asyncio.Event()
 
@@ -78,16 +78,16 @@
                 client.writer.close()
         return self._result(sent)
 
-    async def _read(self, client: Client) -> None:
+    async def _read(self, client: FastCgiClient) -> None:
         while True:
-            number, status, _, _ = await client.answer()
+            number, status, _, _ = await client.read_answer()
             elapsed_us = int((time.monotonic() - self.sent_at_s.pop(number)) * 1e6)
             self.latencies_us.record_value(max(1, elapsed_us))
             self.statuses[status] += 1
             if not self.sent_at_s:
                 self.all_answered.set()
 
-    async def _send_all(self, clients: list[Client]) -> int:
+    async def _send_all(self, clients: list[FastCgiClient]) -> int:
         """Sends at an even pace; returns how many."""
         began, sent = time.monotonic(), 0
         while (elapsed := time.monotonic() - began) < self.seconds:
@@ -99,7 +99,7 @@
             await asyncio.sleep(max(0.0, sent / RATE - (time.monotonic() - began)))
         return sent
 
-    def _send(self, client: Client, index: int) -> None:
+    def _send(self, client: FastCgiClient, index: int) -> None:
         # Few objects are wanted often, most seldom.
         object_key = f"{int(OBJECTS * self.random.random() ** 3):016x}"
         fields = {"HTTP_X_SUBJECT": object_key, "HTTP_X_CORRELATION_ID": f"{index:016x}"}
@@ -119,11 +119,11 @@
             sent=sent,
             answered=sum(self.statuses.values()),
             served=self.statuses[OK],
-            by_server={server.uid: len(server.seen) for server in servers},
-            by_cache_status=dict(Counter(note for server in servers for _, _, note in server.seen)),
+            by_server={server.uid: len(server.answers) for server in servers},
+            by_cache_status=dict(Counter(note for server in servers for _, _, note in server.answers)),
             latency_ms={name: round(value / 1e3, 1) for name, value in percentiles.items()},
             drained=self.drained.uid,
-            after_drain=sum(at > deadline for at, _, _ in self.drained.seen),
+            after_drain=sum(at > deadline for at, _, _ in self.drained.answers),
         )
 
 
--- a/hoistplank/fakes/first_choice.py
+++ b/hoistplank/fakes/first_choice.py
@@ -6,7 +6,7 @@
 from hoistplank.decision.events import AttemptEnded, CacheStatus, ClientDisconnected, Outcome, RequestArrived
 from hoistplank.decision.router import Router
 
-OUTER_US = 2_000_000
+DEADLINE_US = 2_000_000
 
 
 def first_choice(router: Router, now: int, number: int, class_name: str, object_key: str, part: int) -> str:
@@ -15,14 +15,17 @@
     The request is taken back at once: attempts that never end would fill a host's room, and the module would
     turn to the next.
     """
-    id, found, attempt = f"first-{number}", "", -1
-    router.handle(now, RequestArrived(id, class_name, object_key, part, 0, 0.0, now + OUTER_US, False))
+    request_id, found, attempt = f"first-{number}", "", -1
+    deadline = now + DEADLINE_US
+    arrival = RequestArrived(request_id, class_name, object_key, part, 0, 0.0, deadline, False)
+    router.handle(now, arrival)
     while (action := router.next_action(now)) is not None:
-        if isinstance(action, SendAttempt) and action.request_id == id:
+        if isinstance(action, SendAttempt) and action.request_id == request_id:
             found, attempt = action.host, action.attempt
-    router.handle(now, ClientDisconnected(id))
+    router.handle(now, ClientDisconnected(request_id))
     if attempt >= 0:
-        router.handle(now, AttemptEnded(id, attempt, Outcome.NOT_SENT, False, 0, CacheStatus.UNKNOWN, []))
+        outcome = AttemptEnded(request_id, attempt, Outcome.NOT_SENT, False, 0, CacheStatus.UNKNOWN, [])
+        router.handle(now, outcome)
     while router.next_action(now) is not None:
         pass
     return found
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -8,8 +8,9 @@
 
 import msgspec
 
-from hoistplank.lab.model.faults import DAYS, checked, drawn, events, script
-from hoistplank.lab.model.world_settings import Shape, sized
+from hoistplank.lab.model.days import DAYS, draw_day
+from hoistplank.lab.model.faults import read_faults, script, unsupported
+from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
 from hoistplank.lab.policies import names
 from hoistplank.operator_configuration import schema
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
@@ -55,11 +56,12 @@
     drive: str = "virtual"
     warm: float = 6.0
 
-    def shape(self) -> Shape:
+    def world_settings(self) -> WorldSettings:
+        """The settings of the cell's world."""
         zones = max(1, round(self.size / self.location))
         many, rate = zones * self.dispatchers, self.rate * self.size
-        made = sized(self.size, many, zones, rate, self.load, seconds=self.seconds)
-        return msgspec.structs.replace(made, warm=self.warm)
+        made = scaled_settings(self.size, many, zones, rate, self.load, seconds=self.seconds)
+        return msgspec.structs.replace(made, warm_up_s=self.warm)
 
     def key(self) -> str:
         """The same for the same day, whatever experiment it stands in."""
@@ -68,6 +70,8 @@
 
 
 class Experiment(msgspec.Struct, frozen=True):
+    """An experiment file, as its cells."""
+
     name: str
     cells: tuple[Cell, ...]
 
@@ -136,7 +140,9 @@
         if title is None or isinstance(title, Form):
             faults.append(Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'"))
             continue
-        found[title.text] = "\n".join(row.written() for row in events(form.items[2:], form.location, faults))
+        found[title.text] = "\n".join(
+            row.written() for row in read_faults(form.items[2:], form.location, faults)
+        )
     return found
 
 
@@ -145,7 +151,7 @@
     for size in section["sizes"]:
         for day in [*days, *own]:
             for seed in section["seeds"]:
-                text = own[day] if day in own else drawn(day, seed, section["seconds"])
+                text = own[day] if day in own else draw_day(day, seed, section["seconds"])
                 for policy in section["policies"]:
                     cells.append(
                         Cell(
@@ -165,7 +171,7 @@
                     )
                 wrong += [
                     Diagnostic(place, problem, f"what a world of {size} cache hosts has")
-                    for problem in checked(script(text), cells[-1].shape())
+                    for problem in unsupported(script(text), cells[-1].world_settings())
                 ]
     if wrong:
         raise ConfigurationError(wrong)
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -10,15 +10,10 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
-from hoistplank.lab.model.objects import Hot
-from hoistplank.lab.model.servers import HUNG, SILENT, UP, Keeper, Server
-from hoistplank.lab.model.streams import Stream, Streams
-from hoistplank.lab.model.world import Seat, World
-from hoistplank.lab.model.world_settings import HUB, Shape
+from hoistplank.lab.model.world_settings import HUB, WorldSettings
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
 from hoistplank.operator_configuration.parser import parse
 from hoistplank.operator_configuration.schema import suggestion
@@ -86,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class ScheduledFault:
     """One fault: when (us from the day's first second), which, its values in order, and how it was
     written.
     """
@@ -101,10 +96,10 @@
         return f"(at {self.at}us ({self.text}))" if self.at else f"(at 0s ({self.text}))"
 
 
-Kinds = dict[str, tuple[str | ValueType, ...]]
+FaultWords = dict[str, tuple[str | ValueType, ...]]
 
 
-def _event(at: int, form: Form, faults: list[Diagnostic], kinds: Kinds) -> Event | None:
+def _event(at: int, form: Form, faults: list[Diagnostic], kinds: FaultWords) -> ScheduledFault | None:
     words = kinds.get(form.name)
     if words is None:
         faults.append(
@@ -135,16 +130,16 @@
                 faults.append(Diagnostic(item.location, str(item), word.expected))
     atoms = [item for item in form.items if isinstance(item, Atom)]
     text = " ".join(quote(atom.text) if atom.quoted else atom.text for atom in atoms)
-    return Event(at, form.name, tuple(values), text)
+    return ScheduledFault(at, form.name, tuple(values), text)
 
 
-def events(
-    forms: tuple[Atom | Form, ...], place: SourceLocation, faults: list[Diagnostic], kinds: Kinds = KINDS
-) -> list[Event]:
+def read_faults(
+    forms: tuple[Atom | Form, ...], place: SourceLocation, faults: list[Diagnostic], kinds: FaultWords = KINDS
+) -> list[ScheduledFault]:
     """The `(at …)` forms of a script, in the order of their times; what is wrong is added to `faults`.
     `kinds`: the faults that it may hold, and their words.
     """
-    found: list[Event] = []
+    found: list[ScheduledFault] = []
     for form in forms:
         if not isinstance(form, Form) or form.name != "at":
             faults.append(Diagnostic(form.location, str(form), "'(at TIME (FAULT …))'"))
@@ -175,235 +170,20 @@
     return sorted(found, key=lambda event: event.at)
 
 
-def script(text: str, file: str = "script") -> list[Event]:
+def script(text: str, file: str = "script") -> list[ScheduledFault]:
     """A script by itself. Raises `ConfigurationError` with all that is wrong."""
     forms = parse(text.encode(), file).forms
     faults: list[Diagnostic] = []
-    found = events(forms, SourceLocation(file, 1, 1), faults)
+    found = read_faults(forms, SourceLocation(file, 1, 1), faults)
     if faults:
         raise ConfigurationError(faults)
     return found
 
 
-class Troubles:
-    """Carries a script out on a world. `chance` chooses who is struck: the same for every policy."""
-
-    kinds: Kinds = KINDS
-
-    def __init__(self, world: World, rows: list[Event]) -> None:
-        self.world, self.agenda, self.rows = world, world.agenda, rows
-        self.chance = world.stream("faults")
-        self.classes = {row.name: n for n, row in enumerate(world.shape.classes)}
-
-    def begin(self) -> None:
-        start = self.world.shape.start_us()
-        for row in self.rows:
-            # Chosen now, before anything has happened, so that no policy can change the choice.
-            kinds = [word for word in self.kinds[row.kind] if not isinstance(word, str)]
-            pairs = zip(kinds, row.values, strict=True)
-            struck = tuple(self._struck(kind, value) for kind, value in pairs)
-            self.agenda.at(start + row.at, self._strike, row, struck)
-
-    def _struck(self, kind: ValueType, value: Any) -> Any:
-        """What a word of a fault stands for in this world."""
-        return self._targets(value) if kind is TARGET else value
-
-    def _strike(self, row: Event, values: tuple[Any, ...]) -> None:
-        self.world.note(row.text)
-        getattr(self, f"_{row.kind}")(*values)
-
-    def _later(self, wait: int, call: Callable[..., None], *args: Any) -> None:
-        self.agenda.at(self.agenda.now + wait, call, *args)
-
-    def _targets(self, text: str) -> list[Server]:
-        name, _, share = text.partition(":")
-        world = self.world
-        many: list[Server]
-        if name in ("caches", "parents"):
-            many = [*(world.caches if name == "caches" else world.parents)]
-        elif name.startswith("z"):
-            many = [one for one in world.caches if one.zone == name]
-        elif name.startswith("cell-"):
-            many = [one for one in world.caches if one.cell == int(name[5:])]
-        else:
-            many = [world.servers[name]] if name in world.servers else []
-        if share:
-            order = self.chance.shuffled(len(many))
-            many = [many[n] for n in sorted(order[: max(1, round(float(share) * len(many)))])]
-        return many
-
-    def _seats(self, share: float) -> list[Seat]:
-        seats = self.world.seats
-        order = self.chance.shuffled(len(seats))
-        return [seats[n] for n in sorted(order[: max(1, round(share * len(seats)))])]
-
-    # Hosts.
-
-    def _drain(self, hosts: list[Server], length: int) -> None:
-        self.world.list_as(hosts, "draining")
-        self._later(length, self.world.list_as, hosts, "up")
-
-    def _deploy(self, hosts: list[Server], batch: float, drain: int) -> None:
-        size = max(1, round(batch * len(hosts)))
-        step = drain + self.world.shape.down_us
-        for n, at in enumerate(range(0, len(hosts), size)):
-            self._later(n * step, self._renew, hosts[at : at + size], drain)
-
-    def _renew(self, hosts: list[Server], drain: int) -> None:
-        self.world.list_as(hosts, "draining")
-        for host in hosts:
-            self._later(drain, self.world.crash, host, self.world.shape.down_us)
-
-    def _vanish(self, hosts: list[Server], length: int, noticed: int) -> None:
-        for host in hosts:
-            self.world.vanish(host, length, noticed)
-
-    def _crash(self, hosts: list[Server], length: int) -> None:
-        for host in hosts:
-            self.world.crash(host, length)
-
-    def _stall(self, hosts: list[Server], length: int, phase: str = HUNG) -> None:
-        for host in hosts:
-            if host.phase == UP:
-                host.phase = phase
-                self._later(length, self._woken, host, host.life)
-
-    def _woken(self, host: Server, life: int) -> None:
-        if host.life == life:
-            host.phase = UP
-            # What it took meanwhile is worked off now, late.
-            for ask in list(host.open):
-                if not ask.flows and not ask.halves:
-                    host.work(ask)
-
-    def _halfopen(self, hosts: list[Server], length: int) -> None:
-        self._stall(hosts, length, SILENT)
-
-    def _pause(self, hosts: list[Server], pause: int, every: int, length: int) -> None:
-        until = self.agenda.now + length
-
-        def once(host: Server) -> None:
-            host.paused_until = self.agenda.now + pause
-            if self.agenda.now + every < until:
-                self._later(every, once, host)
-
-        for host in hosts:
-            self._later(int(every * self.chance.uniform()), once, host)
-
-    def _slow(self, hosts: list[Server], times: float, length: int) -> None:
-        for host in hosts:
-            host.slowed(times)
-            self._later(length, host.slowed, 1.0)
-
-    def _age(self, hosts: list[Server], times: float, over: int, length: int) -> None:
-        steps = 10
-        for host in hosts:
-            for n in range(1, steps + 1):
-                self._later(over * n // steps, host.slowed, 1 + (times - 1) * n / steps)
-            self._later(max(length, over) + 1, host.slowed, 1.0)
-
-    def _link(self, hosts: list[Server], times: float, length: int) -> None:
-        for host in hosts:
-            self._widen(host, times)
-            self._later(length, self._widen, host, 1 / times)
-
-    def _widen(self, host: Server, times: float) -> None:
-        host.link.turned(room=host.link.room * times)
-
-    def _shrink(self, hosts: list[Server], times: float, length: int) -> None:
-        for host in hosts:
-            if isinstance(host, Keeper):
-                whole, host.keep.most_kb = host.keep.most_kb, host.keep.most_kb * times
-                self._later(length, setattr, host.keep, "most_kb", whole)
-
-    def _share(self, name: str, hosts: list[Server], share: float, length: int) -> None:
-        for host in hosts:
-            setattr(host, name, share)
-            self._later(length, setattr, host, name, 0.0)
-
-    def _reset(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("resets", hosts, share, length)
-
-    def _spoil(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("spoils", hosts, share, length)
-
-    def _lose(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("lossy", hosts, share, length)
-
-    def _refuse(self, hosts: list[Server], share: float, length: int) -> None:
-        self._share("turns_away", hosts, share, length)
-
-    # Paths, log, purges.
-
-    def _cut(self, one: str, other: str, length: int) -> None:
-        pair = frozenset((one, other))
-        self.world.cuts.add(pair)
-        self._later(length, self.world.cuts.discard, pair)
-
-    def _loglate(self, times: float, length: int) -> None:
-        self.world.log.late = times
-        self._later(length, setattr, self.world.log, "late", 1.0)
-
-    def _logstop(self, length: int) -> None:
-        self.world.log.stop()
-        self._later(length, self.world.log.start)
-
-    def _loggap(self, length: int) -> None:
-        self.world.log.stop()
-        self._later(length, self.world.log.start, True)
-
-    def _purge(self, group: int) -> None:
-        self.world.purge("", group % self.world.shape.groups + 1)
-
-    def _flush(self, share: float) -> None:
-        groups = self.world.shape.groups
-        for n in self.chance.shuffled(groups)[: max(1, round(share * groups))]:
-            self.world.purge("", n + 1)
-
-    # Clients and dispatchers.
-
-    def _herd(self, class_name: str, share: float, objects: int, length: int) -> None:
-        hot = self.world.library.heat(self.classes.get(class_name, 0), share, max(1, objects))
-        self._later(length, self._cool, hot)
-
-    def _cool(self, hot: Hot) -> None:
-        self.world.library.hot.remove(hot)
-
-    def _scan(self, share: float, length: int) -> None:
-        self.world.library.scan = share
-        self._later(length, setattr, self.world.library, "scan", 0.0)
-
-    def _surge(self, zone: str, times: float, length: int) -> None:
-        number = int(zone[1:]) if zone[1:].isdecimal() else 0
-        surge = self.world.clients.surge
-        if zone[0] == "z" and number < len(surge):
-            surge[number] = times
-            self._later(length, self._calm, number)
-
-    def _calm(self, zone: int) -> None:
-        self.world.clients.surge[zone] = 1.0
-
-    def _tail(self, class_name: str, share: float, times: float, length: int) -> None:
-        number = self.classes.get(class_name, 0)
-        self.world.library.heavy[number] = (share, times)
-        self._later(length, self._light, number)
-
-    def _light(self, number: int) -> None:
-        self.world.library.heavy.pop(number, None)
-
-    def _kill(self, share: float, length: int) -> None:
-        for seat in self._seats(share):
-            self.world.crash_seat(seat, length)
-
-    def _clock(self, share: float, step: int) -> None:
-        for seat in self._seats(share):
-            seat.step_clock(step)
-
-
-def checked(rows: list[Event], shape: Shape) -> list[str]:
+def unsupported(rows: list[ScheduledFault], settings: WorldSettings) -> list[str]:
     """What a script asks for that this world does not have, a sentence each."""
-    classes = {row.name for row in shape.classes}
-    zones = {HUB, *(f"z{n}" for n in range(shape.zones))}
+    classes = {row.name for row in settings.classes}
+    zones = {HUB, *(f"z{n}" for n in range(settings.zones))}
     wrong = []
     for row in rows:
         if row.kind in ("herd", "tail") and row.values[0] not in classes:
@@ -413,63 +193,3 @@
         places = {"cut": row.values[:2], "surge": row.values[:1]}.get(row.kind, ())
         wrong += [f"'{row.text}': no zone '{zone}'" for zone in places if zone not in zones]
     return wrong
-
-
-# Days by name: `[low,high]` is drawn anew for each seed; spans are cut to three fifths of the day.
-DAYS = {
-    "age": "(age caches:[0.1,0.4] [4,10]x over [8,15]s for [15,20]s)",
-    "crash": "(crash caches:[0.1,0.5] for [1,5]s)",
-    "cut": "(cut z0 hub for [2,8]s)",
-    "deploy": "(deploy caches batch [0.1,0.25] drain [2,4]s)",
-    "drain": "(drain caches:[0.1,0.4] for [2,8]s)",
-    "flush": "(flush [0.3,1])",
-    "halfopen": "(halfopen caches:[0.1,0.3] for [3,12]s)",
-    "herd": "(herd video [0.2,0.5] objects 2 for [5,25]s)",
-    "kill": "(kill [0.2,0.5] for [1,6]s)",
-    "loggap": "(loggap for [4,10]s) (crash caches:0.2 for 1s)",
-    "loglate": "(loglate [4,15]x for [8,20]s) (deploy caches batch 0.2 drain 2s)",
-    "lose": "(lose caches:[0.1,0.4] [0.02,0.2] for [5,20]s)",
-    "origin-slow": "(slow origin [3,8]x for [5,20]s)",
-    "parent-gone": "(vanish p0 for [6,20]s noticed [4,8]s)",
-    "parent-slow": "(slow p0 [4,12]x for [6,20]s)",
-    "pauses": "(pause caches:[0.2,0.5] [0.1,0.6]s every [0.8,3]s for [10,35]s)",
-    "reset": "(reset caches:[0.2,0.6] [0.05,0.4] for [5,20]s)",
-    "scan": "(scan [0.08,0.25] for [8,25]s)",
-    "shrink": "(shrink caches [0.05,0.3]x for [8,20]s)",
-    "slow": "(slow caches:[0.1,0.25] [3,10]x for [10,35]s)",
-    "spoil": "(spoil caches:[0.2,0.6] [0.05,0.4] for [5,20]s)",
-    "stall": "(stall caches:[0.08,0.2] for [5,25]s)",
-    "surge": "(surge z0 [1.5,2.5]x for [4,12]s)",
-    "tail": "(tail page [0.01,0.04] [8,30]x for [10,30]s)",
-    "thin-link": "(link caches:[0.2,0.5] [0.15,0.5]x for [5,20]s)",
-    "vanish": "(vanish caches:[0.05,0.2] for [8,30]s noticed [4,8]s)",
-}
-RANGE = re.compile(r"\[([0-9.]+),([0-9.]+)\](s?)")
-
-
-def _filled(template: str, chance: Stream, seconds: float) -> str:
-    def value(found: re.Match[str]) -> str:
-        drawn = chance.between(float(found[1]), float(found[2]))
-        return f"{int(min(drawn, 0.6 * seconds) * 1000)}ms" if found[3] else f"{drawn:.2f}"
-
-    return RANGE.sub(value, template)
-
-
-def drawn(day: str, seed: int, seconds: float) -> str:
-    """The script of a day by name: `calm`, one of `DAYS`, several joined by '+', or `any` (one to three of
-    them).
-    """
-    chance = Streams(seed).of(f"day {day}")
-    if day == "calm":
-        return ""
-    names = day.split("+")
-    if day == "any":
-        order, every = chance.shuffled(len(DAYS)), sorted(DAYS)
-        names = [every[n] for n in order[: 1 + chance.below(3)]]
-    rows = []
-    for name in names:
-        if name not in DAYS:
-            raise ValueError(f"no day '{name}'; there are calm, any, {', '.join(sorted(DAYS))}")
-        at = int(chance.between(0.1, 0.3) * seconds * 1000)
-        rows.append(f"(at {at}ms {_filled(DAYS[name], chance, seconds)})")
-    return "\n".join(rows)
--- a/hoistplank/lab/policies.py
+++ b/hoistplank/lab/policies.py
@@ -302,9 +302,9 @@
 def _serves(world: World, host: Host) -> bool:
     """Whether a host is up and quick, as the world knows it."""
     server: Server | None = world.servers.get(host.name)
-    if server is None or server.phase != UP or server.paused_until > world.agenda.now:
+    if server is None or server.phase != UP or server.paused_until > world.events.now:
         return False
-    return server.slow < 2 and server.link.room > 0.5 * server.room and server.lossy < 0.3
+    return server.slowdown < 2 and server.link.capacity > 0.5 * server.capacity and server.loss_share < 0.3
 
 
 class TrueHealth(NoEjection):
--- a/tests/authorization_rig.py
+++ b/tests/authorization_rig.py
@@ -8,15 +8,20 @@
 from pathlib import Path
 from typing import Any
 
-from hoistplank.fakes.certificate_authority import Authority, Signer, operator_text, write_keys
+from hoistplank.fakes.certificate_authority import (
+    FakeCertificateAuthority,
+    TokenSigner,
+    operator_text,
+    write_key_set,
+)
 from hoistplank.fakes.deployment import free_port
-from hoistplank.fakes.wire import CacheHost, Client, connected
+from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, connect
 from hoistplank.program.phase import Phase
 from hoistplank.routing.client_session import ClientSession
 from tests.dispatcher_scene import SteadyDispatcher
 from tests.helpers import until
 
-OLD, NEW = Signer("k1"), Signer("k2", "ES256")
+OLD, NEW = TokenSigner("k1"), TokenSigner("k2", "ES256")
 
 
 def served(id: str, fields: dict[str, str], body: bytes) -> bytes:
@@ -32,14 +37,14 @@
         answer: Callable[[str, dict[str, str], bytes], bytes | Awaitable[bytes] | None] = served,
         **words: Any,
     ) -> None:
-        self.folder, self.authority = folder, Authority(folder)
+        self.folder, self.authority = folder, FakeCertificateAuthority(folder)
         self.tls, self.control = free_port(), free_port()
         (folder / "revoked.jsonl").touch()
-        write_keys(folder / "ring.json", OLD.jwk())
+        write_key_set(folder / "ring.json", OLD.jwk())
         self.operator(**words)
-        self.box = CacheHost(answer)
+        self.box = ScriptedCacheHost(answer)
         # Danger: what a dispatcher rejects for its own load has taken one of its caller's rate tokens.
-        self.running = SteadyDispatcher(folder, {"a": self.box, "o": CacheHost(answer)})
+        self.running = SteadyDispatcher(folder, {"a": self.box, "o": ScriptedCacheHost(answer)})
         self.running.operator = True
         self.asked = 0
 
@@ -59,7 +64,7 @@
     async def ask(
         self,
         token: str = "",
-        client: Client | None = None,
+        client: FastCgiClient | None = None,
         group: int = 1,
         class_name: str = "page",
         **fields: str,
@@ -71,7 +76,7 @@
         given = {"HTTP_AUTHORIZATION": f"Bearer {token}"} if token else {}
         client = client or self.running.client
         client.send(self.asked, class_name, given | {"HTTP_X_TAG": str(group)} | fields)
-        _, status, head, _ = await asyncio.wait_for(client.answer(), 5)
+        _, status, head, _ = await asyncio.wait_for(client.read_answer(), 5)
         told = dict(line.split(": ", 1) for line in head.decode().splitlines() if ": " in line)
         return status, told.get("X-Refusal", "")
 
@@ -80,16 +85,19 @@
         assert self.callers.tls_listener is not None
         return self.callers.tls_listener.pending
 
-    async def secure(self, certificate: Path | None = None, **words: Any) -> Client:
-        context = self.authority.context(certificate)
+    async def secure(self, certificate: Path | None = None, **words: Any) -> FastCgiClient:
+        context = self.authority.client_context(certificate)
         for name, value in words.items():
             setattr(context, name, value)
-        return await connected(("127.0.0.1", self.tls), context)
+        return await connect(("127.0.0.1", self.tls), context)
 
     async def http(self, certificate: Path, method: str, path: str, body: object = None) -> Any:
         data = json.dumps(body).encode() if body is not None else b""
         reader, writer = await asyncio.open_connection(
-            "127.0.0.1", self.control, ssl=self.authority.context(certificate), server_hostname="localhost"
+            "127.0.0.1",
+            self.control,
+            ssl=self.authority.client_context(certificate),
+            server_hostname="localhost",
         )
         writer.write(
             f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n"
--- a/tests/dispatcher_scene.py
+++ b/tests/dispatcher_scene.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from hoistplank.fakes.wire import Client
+from hoistplank.fakes.wire import FastCgiClient
 from hoistplank.program.phase import Phase
 from tests.helpers import Running, until
 
@@ -62,7 +62,7 @@
     class Writer:
         write = staticmethod(sent.append)
 
-    Client(None, Writer()).send(number, name, fields, body)  # type: ignore[arg-type]
+    FastCgiClient(None, Writer()).send(number, name, fields, body)  # type: ignore[arg-type]
     return sent[0]
 
 
--- a/tests/test_authorization_control.py
+++ b/tests/test_authorization_control.py
@@ -51,9 +51,9 @@
 def test_the_control_front_purges_revokes_and_tells(tmp_path: Path) -> None:
     async def scene() -> None:
         async with AuthorizingDispatcher(tmp_path) as place:
-            coast, _ = place.authority.leaf("coast.pem", ["uri:hoistplank:coast"])
-            inland, _ = place.authority.leaf("inland.pem", ["uri:hoistplank:inland"])
-            staff, _ = place.authority.leaf("staff.pem", ["uri:hoistplank:operations"])
+            coast, _ = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
+            inland, _ = place.authority.issue("inland.pem", ["uri:hoistplank:inland"])
+            staff, _ = place.authority.issue("staff.pem", ["uri:hoistplank:operations"])
             purges, object_key = list[Any](), "7f3a9c21e0b4d655"
             owner, plain = place.running.service.router_task, place.running.service.router_task.submit
 
--- a/tests/test_distribution_in_force.py
+++ b/tests/test_distribution_in_force.py
@@ -92,7 +92,7 @@
             await until(lambda: table.change_status(at(1)).in_force == 1)
             one.owner.is_halted = True
             rig.purge(2, "ab")
-            rig.log.configure(3, "new")
+            rig.log.publish_configuration(3, "new")
             await until(lambda: one.owner.purges == ["ab"] and one.configurations != [])
             rows = table.revision
             await until(lambda: table.revision > rows + 1)  # two more heartbeats of the dispatcher
@@ -120,7 +120,7 @@
             number, most = 1, 0
             while "deaf" in replica.sessions:
                 number += 1
-                rig.log.configure(number, "x" * 200_000)
+                rig.log.publish_configuration(number, "x" * 200_000)
                 await until(lambda: replica.table.change_status(at(number)).in_force >= 1)  # noqa: B023
                 most = max(most, *(session.connection.unsent_bytes for session in replica.sessions.values()))
                 assert number < 200
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -12,9 +12,9 @@
 import msgspec
 import pytest
 
-from hoistplank.fakes.change_log import ChangeLog
-from hoistplank.fakes.settings import listing, target
-from hoistplank.fakes.wire import CacheHost, serve
+from hoistplank.fakes.change_log import FakeChangeLog
+from hoistplank.fakes.settings import endpoint_entry, fleet_event
+from hoistplank.fakes.wire import ScriptedCacheHost, serve
 from hoistplank.protocol.changelog import Event, Fleet, Snapshot
 from hoistplank.routing import endpoint_watcher as watching
 from hoistplank.routing.clock import Clock
@@ -36,7 +36,7 @@
 
 
 def endpoint_event(seq: int, whole: bool = False, state: str = "ready") -> bytes:
-    return json.dumps(listing(seq, [target("a", "box", 9, state)], whole=whole)).encode() + b"\n"
+    return json.dumps(fleet_event(seq, [endpoint_entry("a", "box", 9, state)], whole=whole)).encode() + b"\n"
 
 
 def snapshot(seq: int, *events: bytes) -> Snapshot:
@@ -70,17 +70,12 @@
                     writer.write(piece)
                     await asyncio.sleep(0.02)
             else:
-                writer.write(
-                    endpoint_event(1, whole=True) * (asked[-1] == 0)
-                    + endpoint_event(2, state="draining")
-                    + b"2\n"
-                )
+                first = endpoint_event(1, whole=True) * (asked[-1] == 0)
+                writer.write(first + endpoint_event(2, state="draining") + b"2\n")
             await reader.read()
 
         told = EventRecorder()
-        known = msgspec.json.decode(
-            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
-        )
+        known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 2)
@@ -101,9 +96,8 @@
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append(int((await reader.readline()).split()[1]))
-            writer.write(
-                b"1\n" if asked[-1] else endpoint_event(1, whole=True) + b"1\n"
-            )  # from before the drain
+            # From before the drain.
+            writer.write(b"1\n" if asked[-1] else endpoint_event(1, whole=True) + b"1\n")
             await reader.read()
 
         told = EventRecorder()
@@ -113,9 +107,8 @@
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 1)
         assert asked == [2, 0] and told.events[-1].targets[0].state == "draining"
-        log._apply(
-            msgspec.json.decode(endpoint_event(2), type=Event)
-        )  # the same process: only a new one is ready again
+        # The same process: only a new one is ready again.
+        log._apply(msgspec.json.decode(endpoint_event(2), type=Event))
         assert told.events[-1].targets[0].state == "draining"
         new = msgspec.structs.replace(told.events[-1].targets[0], state="ready", boot_ms=5.0)
         log._apply(Event(3, Fleet(3, False, [new])))
@@ -141,9 +134,7 @@
                 writer.write(number % 1)
                 await asyncio.sleep(0.05)
 
-        known = msgspec.json.decode(
-            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
-        )
+        known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.progress_count > 20)
@@ -170,9 +161,7 @@
             await reader.read()
 
         told = EventRecorder()
-        known = msgspec.json.decode(
-            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
-        )
+        known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 2)
@@ -197,9 +186,7 @@
             await reader.read()
 
         told = EventRecorder()
-        known = msgspec.json.decode(
-            b'{"seq":1,"results":[' + endpoint_event(1, whole=True) + b"]}", type=Snapshot
-        )
+        known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
         task = asyncio.create_task(log.run())
         await until(lambda: log.last_seq == 2)
@@ -295,18 +282,21 @@
     """It has no use for one; taken for a bare number ahead of its event, it would end the watch for good."""
 
     async def scene() -> None:
-        log = ChangeLog(epoch=7)
+        log = FakeChangeLog(epoch=7)
         told = EventRecorder()
-        listing_ = EndpointWatcher(told, ("127.0.0.1", await serve(log.talk)), Snapshot(0, []), Random(1))
+        listing_ = EndpointWatcher(
+            told, ("127.0.0.1", await serve(log.serve_connection)), Snapshot(0, []), Random(1)
+        )
         task = asyncio.create_task(listing_.run())
-        log.tell(listing(1, [target("a", "box", 9)], whole=True))
-        log.configure(2, "x" * 1_000_000)
-        log.tell({"seq": 3, "configuration": {"text": ["wrong"]}})
-        log.tell({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
+        log.publish(fleet_event(1, [endpoint_entry("a", "box", 9)], whole=True))
+        log.publish_configuration(2, "x" * 1_000_000)
+        log.publish({"seq": 3, "configuration": {"text": ["wrong"]}})
+        log.publish({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
         await until(lambda: listing_.last_seq == 4)
-        assert [type(event) for event in told.events] == [EndpointsUpdated, PurgeReceived] and log.since == [
-            0
-        ]
+        assert [type(event) for event in told.events] == [
+            EndpointsUpdated,
+            PurgeReceived,
+        ] and log.requested_positions == [0]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -317,7 +307,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        async with Running(tmp_path, {"a": CacheHost(served), "o": CacheHost(served)}) as dispatcher:
+        async with Running(
+            tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
+        ) as dispatcher:
             told: list[Any] = []
             owner = dispatcher.service.router_task
             monkeypatch.setattr(owner, "submit", recorded_call(owner.submit, told))
@@ -346,9 +338,9 @@
             asked.append(int((await reader.readline()).split()[1]))
             await reader.read()
 
-        box = CacheHost(silent)
+        box = ScriptedCacheHost(silent)
         log = f"127.0.0.1:{await serve(quiet)}"
-        async with Running(tmp_path, {"a": box, "o": CacheHost(silent)}, changelog=log) as dispatcher:
+        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, changelog=log) as dispatcher:
             await until(lambda: len(asked) >= 2)
             for number in (1, 2, 3):  # the first brings the connection up, the second finds it silent
                 await dispatcher.ask(
--- a/tests/test_exactly_once.py
+++ b/tests/test_exactly_once.py
@@ -40,7 +40,7 @@
     def __init__(self, how: str) -> None:
         self.how, self.connections, self.keys = how, 0, list[str]()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         first = self.connections == 1
         if first and self.how in ("unwritten", "partly written"):
@@ -140,7 +140,7 @@
             while status == 503 and owner.counts.attempts == 0 and number < 20:
                 number += 1
                 dispatcher.client.send(number, "order", KEY, b"x" * 100)
-                _, status, _, _ = await asyncio.wait_for(dispatcher.client.answer(), 5)
+                _, status, _, _ = await asyncio.wait_for(dispatcher.client.read_answer(), 5)
             assert (status, len(host.keys)) == {
                 "served": (200, 1),
                 "again, served": (200, 1),
--- a/tests/test_fleet_paths.py
+++ b/tests/test_fleet_paths.py
@@ -13,7 +13,7 @@
     StreamDirection,
     chance,
 )
-from hoistplank.lab.model.world_settings import S
+from hoistplank.lab.model.world_settings import SECOND_US
 
 SPANS = st.integers(0, 300_000)
 
@@ -61,7 +61,9 @@
 
     assert len(played(PathConditions(loss=0.4))) == pytest.approx(1_200, abs=80)
     assert len(played(PathConditions(double=0.3))) == pytest.approx(2_600, abs=80)
-    late = [at for at, data in played(PathConditions(tardy=0.2, tardy_us=2 * S)) if at >= 2 * S]
+    late = [
+        at for at, data in played(PathConditions(tardy=0.2, tardy_us=2 * SECOND_US)) if at >= 2 * SECOND_US
+    ]
     assert len(late) == pytest.approx(400, abs=60)
     changed = [
         data for n, (_, data) in enumerate(played(PathConditions(flip=0.5))) if data != n.to_bytes(4, "big")
--- a/tests/test_scale_replay.py
+++ b/tests/test_scale_replay.py
@@ -8,8 +8,9 @@
 import msgspec
 import uvloop
 
-from hoistplank.fakes.change_log import ChangeLog
+from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.fakes.wire import serve
+from hoistplank.lab.fleet.relay_messages import PathAction
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.lab.scale.replay import CHANGE, HOST, PURGE, RENEWAL, Teller
 from hoistplank.lab.scale.run_paths import Cut, LogPaths, ReplicaPaths
@@ -54,14 +55,14 @@
 
 def test_a_follower_ahead_of_a_log_hears_its_number_while_it_tells_events() -> None:
     async def scene() -> None:
-        log = ChangeLog()
-        port = await serve(log.talk)
+        log = FakeChangeLog()
+        port = await serve(log.serve_connection)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"since 100\n")
 
         async def telling() -> None:
             for number in itertools.count(1):
-                log.tell({"seq": number, "invalidate": {"time": 1, "object": "ab"}})
+                log.publish({"seq": number, "invalidate": {"time": 1, "object": "ab"}})
                 await asyncio.sleep(0.05)
 
         told = asyncio.create_task(telling())
@@ -85,8 +86,8 @@
         if not back:
             self.done.append((f"silent {silent}", set(names)))
 
-    def tell(self, names: list[str], do: str) -> None:
-        self.done.append((do, set(names)))
+    def apply(self, names: list[str], action: PathAction) -> None:
+        self.done.append((action.value, set(names)))
 
 
 def test_a_cut_of_sites_closes_their_paths_and_no_others() -> None:
--- a/tests/test_scale_verdicts.py
+++ b/tests/test_scale_verdicts.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from hoistplank.lab.fleet.relay_messages import RelayStatistics
 from hoistplank.lab.scale import measurements
 from hoistplank.lab.scale.faults import Strike
 from hoistplank.lab.scale.hollow_messages import DoorUsage
@@ -60,7 +61,9 @@
     for second in (0, 1):
         usage.hollow.append(HollowSample(second * S, 0, 0.0, 100, 2, [late_us], audited=2))
     status = ReplicaStatus(2_000, "c0", 0, 1, in_force, 2)
-    return Played(made, 0, 10 * S, told, usage, [], [], {0: 100}, {"late_us": {"99": 0}}, [status])
+    return Played(
+        made, 0, 10 * S, told, usage, [], [], {0: 100}, RelayStatistics(late_us={"99": 0}), [status]
+    )
 
 
 def test_a_late_purge_fails_and_is_void_where_the_rig_was_late() -> None:
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoistplank.fakes.proxy import name_of
+from hoistplank.fakes.proxy import virtual_host_name
 from hoistplank.protocol.changelog import Target
 from hoistplank.routing.events import EndpointListForm, EndpointsUpdated, EndpointWatchFailed, PurgeReceived
 from hoistplank.xds.control import ControlService
@@ -85,12 +85,12 @@
 def test_names_on_demand_are_parsed_or_refused(text: str) -> None:
     assert ResourceCache().follow(text) is (parse_virtual_host_name(text) is not None)
     found = parse_virtual_host_name(f"{ROUTES_NAME}/{text}")
-    assert found is None or parse_virtual_host_name(name_of(*found)) == found
+    assert found is None or parse_virtual_host_name(virtual_host_name(*found)) == found
 
 
 def test_the_name_of_a_virtual_host_on_the_wire_stays() -> None:
     """Proxies are configured with it (docs/operations/xds.md)."""
-    assert name_of("00aa", 3, "z1") == "visits/00aa.3@z1"
+    assert virtual_host_name("00aa", 3, "z1") == "visits/00aa.3@z1"
     assert (
         parse_virtual_host_name("visits/00aa.3@z1") == ("00aa", 3, "z1")
         and parse_virtual_host_name("requests/00aa.3@z1") is None
@@ -101,7 +101,7 @@
     resources = ResourceCache()
     for n in range(5):
         resources.put_host(host(f"h{n}"))
-    names = [name_of(f"{n:016x}", 0, "z1") for n in range(40)]
+    names = [virtual_host_name(f"{n:016x}", 0, "z1") for n in range(40)]
     assert all(resources.follow(name) for name in names)
     first = {name: resources.rankings["caches-z1"].first_hosts[name].uid for name in names}
     moved = resources.put_host(host("h2", up=False))
