--- a/hoistplank/lab/scale/hollow_process.py
+++ b/hoistplank/lab/scale/hollow_process.py
@@ -27,8 +27,8 @@
     Command,
     Expect,
     FalseAcknowledgement,
+    HollowDispatcherPlan,
     HollowPlan,
-    HollowSeat,
     Ready,
     Report,
     Start,
@@ -37,7 +37,8 @@
 )
 from hoistplank.lab.scale.run_lateness import Lateness
 from hoistplank.protocol.changelog import Snapshot
-from hoistplank.settings_reader import Fields, flat, site
+from hoistplank.settings_reader import read_settings
+from hoistplank.wire_fields import Fields, flatten
 
 FLUSH_S = 0.1  # how often acknowledgements are handed on
 MOST_LINE = 1 << 26
@@ -61,8 +62,8 @@
 
 def site_of(settings: dict[str, object]) -> RouterSettings:
     facts = Fields([])
-    facts.pairs = flat(settings)
-    return site(facts)
+    facts.pairs = flatten(settings)
+    return read_settings(facts)
 
 
 class HollowHost:
@@ -80,7 +81,7 @@
         # Acknowledgements of events that are not known here yet.
         self.early: list[tuple[HollowDispatcher, Position, Position]] = []
 
-    def _dispatcher(self, seat: HollowSeat) -> HollowDispatcher:
+    def _dispatcher(self, seat: HollowDispatcherPlan) -> HollowDispatcher:
         broken = self.plan.broken and seat.number in self.plan.broken_numbers
         kind = HOLLOW[self.plan.broken] if broken else HollowDispatcher
         return kind(seat.number, seat.name, site_of(seat.settings), self.acknowledged)
@@ -146,7 +147,7 @@
                 self.flush()
                 self.report(self._usage())
 
-    def _start(self, seat: HollowSeat, epoch: int) -> None:
+    def _start(self, seat: HollowDispatcherPlan, epoch: int) -> None:
         dispatcher = self.dispatchers[seat.number]
         dispatcher.lives += 1
         chance = Random(f"{self.plan.seed}/{seat.number}/{dispatcher.lives}")
