--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -20,23 +20,23 @@
 from hoistplank.xds.broadcaster import StreamLimits
 from hoistplank.xds.resource_types import ENDPOINT_TYPE, RUNTIME_TYPE, VIRTUAL_HOST_TYPE
 from tests.helpers import configuration
-from tests.xds_rig import ABOVE, THINGS, Place, S, run, until
+from tests.xds_rig import OBJECTS, PARENT_AND_ORIGIN, ControlRig, S, run, until
 
 
 def test_both_proxies_land_where_the_dispatcher_does_through_a_drain_and_back(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
             plain, extension = place.proxy("n1", False), place.proxy("n2", True)
             await until(lambda: len(plain.hosts) == len(extension.hosts) == 6)
-            for object_key, part in THINGS:
+            for object_key, part in OBJECTS:
                 plain.request_virtual_host(object_key, part)
-            await until(lambda: len(plain.virtual_hosts) == len(THINGS))
+            await until(lambda: len(plain.virtual_hosts) == len(OBJECTS))
             router, now = Router(place.control.settings, 1), 100 * S
             names = [f"box-{n}" for n in range(6)]
 
             def told(states: dict[str, str]) -> None:
                 rows = [Endpoint(uid, "z1", "box", 0, 100.0, 0, states.get(uid, "up")) for uid in names]
-                router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, *ABOVE]))
+                router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, *PARENT_AND_ORIGIN]))
 
             two = {"box-2": "draining", "box-4": "draining"}
             for step, states in enumerate(({}, {"box-2": "draining"}, two, {})):
@@ -57,7 +57,7 @@
                     )
                 )
                 told(states)
-                for n, (object_key, part) in enumerate(THINGS):
+                for n, (object_key, part) in enumerate(OBJECTS):
                     at = first_choice(router, now, step * 100 + n, "page", object_key, part)
                     assert (
                         extension.choose(object_key, part) == at and plain.choose(object_key, part) == at
@@ -68,7 +68,7 @@
 
 def test_a_purge_and_a_drain_in_one_tick_reach_a_stalled_streams_neighbours_in_time(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
             quick, hung = place.proxy("quick", True), place.proxy("hung", True)
             await until(lambda: len(quick.hosts) == len(hung.hosts) == 6)
             hung.may_read.clear()
@@ -88,7 +88,7 @@
 
 def test_a_follower_that_is_cut_off_stops_using_what_it_has(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, hosts=2) as place:
+        async with ControlRig(tmp_path, hosts=2) as place:
             proxy = place.proxy("n", True)
             await until(lambda: len(proxy.hosts) == 2)
             first = proxy.fresh_until
@@ -102,7 +102,7 @@
 
 def test_refusals_are_shown_and_cost_nobody_else(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
 
             def too_large(kind: str, response: Any) -> str:
                 return (
@@ -127,11 +127,11 @@
 
 def test_a_stream_cut_half_way_goes_on_at_another_control_process(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path) as place:
+        async with ControlRig(tmp_path) as place:
             second = await place.another()
             proxy = place.proxy("n", False)
             await until(lambda: len(proxy.hosts) == 6)
-            for object_key, part in THINGS[:20]:
+            for object_key, part in OBJECTS[:20]:
                 proxy.request_virtual_host(object_key, part)
             await until(lambda: len(proxy.virtual_hosts) == 20)
             before = proxy.counts.bytes
@@ -149,7 +149,7 @@
 
 def test_bad_requests_and_too_many_streams_cost_their_sender_only(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, limits=StreamLimits(streams=2)) as place:
+        async with ControlRig(tmp_path, limits=StreamLimits(streams=2)) as place:
             proxy = place.proxy("good", True)
             await until(lambda: len(proxy.hosts) == 6)
 
@@ -182,7 +182,7 @@
 
 def test_silent_streams_hold_nobodys_place_and_one_that_reads_nothing_is_cut_once(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, hosts=2_500, limits=StreamLimits(starting=2)) as place:
+        async with ControlRig(tmp_path, hosts=2_500, limits=StreamLimits(starting=2)) as place:
             address = f"127.0.0.1:{place.control.port}"
             ended = asyncio.Event()
 
@@ -229,7 +229,7 @@
 
 def test_the_commands_serve_and_tell(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Place(tmp_path, hosts=3) as place:
+        async with ControlRig(tmp_path, hosts=3) as place:
             known = {"seq": 1, "results": [fleet_event(1, place.endpoint_entries, whole=True)]}
             configuration(tmp_path, changelog=f"127.0.0.1:{place.log_port}", known=known)
             port = free_port()
