--- a/hoistplank/lab/scale/hollow_pairing.py
+++ b/hoistplank/lab/scale/hollow_pairing.py
@@ -9,25 +9,14 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import json
-import os
-import signal
-import sys
 import time
-from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
-from typing import Any
 
 import msgspec
 import numpy as np
 
-from hoistplank.fakes.deployment import free_port
 from hoistplank.fakes.settings import fleet_event
-from hoistplank.fakes.wire import connect
-from hoistplank.lab.backends.orphans import with_parent
-from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.scale.fleet import DispatcherSite, Fleet
 from hoistplank.lab.scale.hollow_messages import (
     BeginAnew,
@@ -39,15 +28,13 @@
     Report,
     Start,
 )
+from hoistplank.lab.scale.pairing_sides import KINDS, LogSide, ReplicaSide
+from hoistplank.lab.scale.real_dispatcher import LIFETIME_S, RealDispatcher
 from hoistplank.lab.scale.run_children import HollowChild, LogChild
-from hoistplank.lab.scale.run_paths import LOG, REPLICAS, ReplicaPaths
-from hoistplank.lab.scale.run_replicas import Replicas, processor_s
+from hoistplank.lab.scale.run_paths import LOG, REPLICAS
 
-READY_S = 30.0
 SETTLE_S = 0.5
 HOST_CHANGE_EVERY = 20  # of the events, one is a change of a host; the rest are purges
-LIFETIME_S = 300.0
-KINDS = ("real", "alone", "shared")  # and a door of the log for each
 
 
 class PairingPlan(msgspec.Struct, frozen=True):
@@ -123,134 +110,6 @@
     return float(slope), 1.96 * spread, float(start)
 
 
-@dataclass(slots=True)
-class RealDispatcher:
-    """A `hoistplank run` process that follows a door of the log."""
-
-    number: int
-    folder: Path
-    process: asyncio.subprocess.Process | None = None
-    address: tuple[str, int] = field(default=("127.0.0.1", 0))
-
-    async def start(
-        self, fleet: Fleet, seat: DispatcherSite, port: int, known: dict[str, Any], through: str
-    ) -> None:
-        """`port`: of the log, or of a control replica. Raises RuntimeError where it does not come up."""
-        self.address = ("127.0.0.1", free_port())
-        configuration = self.folder / f"real-{self.number}.json"
-        written = {
-            "name": f"real-{self.number}",
-            "listen": f"127.0.0.1:{self.address[1]}",
-            "changelog": f"127.0.0.1:{port}",
-            "seed": f"{self.number:x}",
-            "limits": {"sockets": 256, "memory_mb": 192},
-            "settings": fleet.settings(seat, LIFETIME_S),
-            "known": known,
-        }
-        configuration.write_text(json.dumps(written))
-        own = ("EDGE_", "HOISTPLANK_")
-        environment = {name: value for name, value in os.environ.items() if not name.startswith(own)}
-        environment["EDGE_CONFIG"] = str(configuration)
-        if through == REPLICAS:
-            operator = self.folder / f"real-{self.number}.sexp"
-            operator.write_text(f"(distribution (region r0) (replica c0 (endpoint 127.0.0.1:{port})))")
-            environment["HOISTPLANK_OPERATOR"] = str(operator)
-        with (self.folder / f"real-{self.number}.log").open("ab") as log:
-            self.process = await asyncio.create_subprocess_exec(
-                *(sys.executable, "-m", "hoistplank.cli.main", "run"),
-                env=environment,
-                stdout=log,
-                stderr=log,
-                preexec_fn=with_parent(),
-                start_new_session=True,
-            )
-        await self._serves()
-
-    async def _serves(self) -> None:
-        assert self.process is not None
-        until = time.monotonic() + READY_S
-        while time.monotonic() < until and self.process.returncode is None:
-            with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-                async with asyncio.timeout(1):
-                    client = await connect(self.address)
-                    client.send(1, "", script="/-/healthy")
-                    status = (await client.read_answer())[1]
-                client.writer.close()
-                if status == 200:
-                    return
-            await asyncio.sleep(0.05)
-        raise RuntimeError(f"real dispatcher {self.number} did not come up")
-
-    def cpu_s(self) -> float:
-        """Processor time of the process, in seconds."""
-        assert self.process is not None
-        return processor_s(self.process.pid)
-
-    async def stop(self) -> None:
-        """End the process."""
-        process = self.process
-        if process is None or process.returncode is not None:
-            return
-        process.send_signal(signal.SIGTERM)
-        try:
-            await asyncio.wait_for(process.wait(), 8)
-        except TimeoutError:
-            process.kill()
-            await process.wait()
-
-
-class LogSide:
-    """All kinds follow the change log, each through a door of its own."""
-
-    def __init__(self, log: LogChild) -> None:
-        self.log = log
-
-    async def open(self) -> dict[str, int]:
-        """The port for each kind of dispatcher."""
-        return await self.log.doors(list(KINDS))
-
-    async def taken(self) -> dict[str, DoorUsage]:
-        """What each kind has sent and received so far."""
-        return (await self.log.usage()).doors
-
-    async def close(self) -> None:
-        """Nothing is held beside the log."""
-
-
-class ReplicaSide:
-    """All kinds follow one control replica, each through a relay of its own."""
-
-    def __init__(self, log: LogChild, fleet: Fleet) -> None:
-        self.log, self.fleet = log, fleet
-        self.replicas = Replicas(fleet)
-        self.relays = {kind: RelayPool() for kind in KINDS}
-
-    async def open(self) -> dict[str, int]:
-        """Raises ReplicaLostError and RelayError."""
-        paths = ReplicaPaths(self.fleet)
-        paths.log_ports = list((await self.log.doors(paths.doors())).values())
-        await self.replicas.start(paths, LIFETIME_S)
-        ports = {}
-        for kind, relays in self.relays.items():
-            await relays.start(1, 1)
-            ports[kind] = await relays.open_stream_path(f"{kind}>c0", self.replicas.ports[0], 0)
-        return ports
-
-    async def taken(self) -> dict[str, DoorUsage]:
-        """Both directions together; pieces as they went through, in place of lines."""
-        found = {}
-        for kind, relays in self.relays.items():
-            carried = await relays.statistics()
-            found[kind] = DoorUsage(bytes_out=carried.bytes, lines_out=carried.chunks)
-        return found
-
-    async def close(self) -> None:
-        """End the replica and the relays."""
-        await self.replicas.stop()
-        for relays in self.relays.values():
-            await relays.stop()
-
-
 class PairedRun:
     """All kinds side by side, from their start to their end."""
 
--- a/hoistplank/lab/scale/tables.py
+++ b/hoistplank/lab/scale/tables.py
@@ -214,7 +214,7 @@
 
 
 def rewritten(page: str, measurements: Sequence[Measurement]) -> str:
-    """The page with all its tables made anew. Raises PageError, and ValueError where no slope can be drawn."""
+    """The page with its tables made anew. Raises PageError, and ValueError where no slope can be drawn."""
     tables = generated(measurements)
     begins, places = page.count("<!-- table: "), PLACE.findall(page)
     if begins != len(places) or begins != page.count("<!-- end of table -->"):
