--- a/hoistplank/lab/backends/server_port.py
+++ b/hoistplank/lab/backends/server_port.py
@@ -100,7 +100,7 @@
 
     def _get(
         self,
-        id: str,
+        request_id: str,
         fields: dict[str, str],
         writer: asyncio.StreamWriter,
         open_requests: dict[str, ServerRequest],
@@ -118,8 +118,8 @@
         made: ServerRequest
 
         def end(result: int, note: int, created: int) -> None:
-            open_requests.pop(id, None)
-            self._end(id, made, now, writer, result, note, created)
+            open_requests.pop(request_id, None)
+            self._end(request_id, made, now, writer, result, note, created)
 
         size = world.catalog.size_kb(class_index, number) / world.settings.transfer_kb_s * 1e6
         place = (object_key, int(fields.get("blk", "0")))
@@ -132,7 +132,10 @@
             size,
             end,
         )
-        server_request.source, server_request.idempotency_key = source, fields.get("uniq", "") or id[:12]
+        server_request.source, server_request.idempotency_key = (
+            source,
+            fields.get("uniq", "") or request_id[:12],
+        )
         server_request.cache_rank, server_request.max_age_us = (
             int(fields.get("shelf", "0")),
             int(fields.get("accept", "0")) * 1_000,
@@ -142,12 +145,12 @@
         server_request.return_delay_us = world.settings.hub_delay_us if self.server.zone == "hub" else 0
         if self.server.zone == "hub":
             server_request.extra_links = [world.zone_links[self.dispatcher.zone]]
-        open_requests[id] = server_request
+        open_requests[request_id] = server_request
         world.events.schedule(now + server_request.return_delay_us, self.server.arrive, server_request)
 
     def _end(
         self,
-        id: str,
+        request_id: str,
         server_request: ServerRequest,
         sent: int,
         writer: asyncio.StreamWriter,
@@ -163,23 +166,22 @@
             return
         detail = f"detail={WIRE_DETAIL[note]}" if note in WIRE_DETAIL else "-"
         if result == Outcome.CONNECTION_SPOILT:
-            writer.write(f"{id} served detail= {len(BODY)}\r\n".encode() + BODY)
+            writer.write(f"{request_id} served detail= {len(BODY)}\r\n".encode() + BODY)
         elif result == Outcome.SUCCEEDED:
             if not world.settings.classes[server_request.class_index].uncached:
                 world.rules.purges.served(
                     world.events.now,
                     self.dispatcher.number,
-                    id,
+                    request_id,
                     server_request.cache_key[0],
                     server_request.group,
                     sent,
                     created,
                 )
-            self.dispatcher.notes[id] = note
+            self.dispatcher.notes[request_id] = note
             dated = self.day.unix_ms(created - self.dispatcher.skew_us)
-            head = (
-                f"{id} served {detail},digest={server_request.cache_key[0][:8]},dated={dated} {len(BODY)}\r\n"
-            )
+            digest = server_request.cache_key[0][:8]
+            head = f"{request_id} served {detail},digest={digest},dated={dated} {len(BODY)}\r\n"
             writer.write(head.encode() + BODY + b"\r\n")
         else:
-            writer.write(f"{id} {WIRE_STATUS.get(result, 'crashed')} {detail} 0\r\n\r\n".encode())
+            writer.write(f"{request_id} {WIRE_STATUS.get(result, 'crashed')} {detail} 0\r\n\r\n".encode())
--- a/hoistplank/lab/backends/socket_dispatcher.py
+++ b/hoistplank/lab/backends/socket_dispatcher.py
@@ -285,15 +285,15 @@
                 request = self.open.pop(key)
                 self.day.world.clients.answered(request.id, UNREACHABLE)
 
-    def _answered(self, request: Request, id: str, status: int, head: bytes) -> None:
+    def _answered(self, request: Request, request_id: str, status: int, head: bytes) -> None:
         world = self.day.world
-        world.rules.answers.answered(world.events.now, id)
+        world.rules.answers.answered(world.events.now, request_id)
         if status == 200:
-            world.clients.answered(id, SERVED, note=self.notes.pop(id, 0))
+            world.clients.answered(request_id, SERVED, note=self.notes.pop(request_id, 0))
             return
         told = dict(line.split(": ", 1) for line in head.decode().split("\r\n") if ": " in line)
         wait_us = int(told.get("X-Pushback-Ms", 0)) * 1_000
-        world.clients.answered(id, REJECTED if status == 503 else FAILED, wait_us)
+        world.clients.answered(request_id, REJECTED if status == 503 else FAILED, wait_us)
 
     async def stop(self) -> None:
         """Ends the process and all that was opened for it."""
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -238,26 +238,28 @@
     def _degraded(self, now: int, degradation: Degradation) -> None:
         self.policy.handle(now, DegradationChanged(degradation))
 
-    def _answer(self, now: int, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
-        request = self.requests.get(id)
+    def _answer(self, now: int, request_id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
+        request = self.requests.get(request_id)
         if self.degradation is not None and request is not None:
             row = self.world.settings.classes[request.class_index]
             target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
             in_target = how == SERVED and now - request.asked_at <= target
             self.degradation.observer.record_response(now, row.name, in_target=in_target)
-        self.ended_requests.add(id)
-        self.world.rules.answers.answered(now, id)
+        self.ended_requests.add(request_id)
+        self.world.rules.answers.answered(now, request_id)
         if self.world.paths is None:
-            self.world.clients.answered(id, how, wait_us, note)
+            self.world.clients.answered(request_id, how, wait_us, note)
         else:
             answered = self.world.clients.answered
-            self.world.paths.send(f"clients>d{self.number}", True, now, answered, id, how, wait_us, note)
-        self._forget(id)
+            self.world.paths.send(
+                f"clients>d{self.number}", True, now, answered, request_id, how, wait_us, note
+            )
+        self._forget(request_id)
 
-    def _forget(self, id: str) -> None:
-        if id in self.ended_requests and not any((id, n) in self.attempts for n in range(8)):
-            self.requests.pop(id, None)
-            self.ended_requests.discard(id)
+    def _forget(self, request_id: str) -> None:
+        if request_id in self.ended_requests and not any((request_id, n) in self.attempts for n in range(8)):
+            self.requests.pop(request_id, None)
+            self.ended_requests.discard(request_id)
 
     def _timer_fired(self, token: int, runs: int) -> None:
         if self.alive and runs == self.runs:
@@ -280,12 +282,12 @@
         age_us = max(0, heard - self.clock.to_local_us(heard, made))
         self.policy.handle(now, PurgeReceived(object_key, group, age_us))
 
-    def _notify_arrival(self, now: int, request: Request, id: str) -> None:
-        self.requests[id] = request
+    def _notify_arrival(self, now: int, request: Request, request_id: str) -> None:
+        self.requests[request_id] = request
         row = self.world.settings.classes[request.class_index]
         until = request.asked_at + row.deadline_us
         arrived = RequestArrived(
-            request_id=id,
+            request_id=request_id,
             class_name=row.name,
             object_key=request.object_key,
             part=request.part,
@@ -296,11 +298,11 @@
         )
         self.policy.handle(now, arrived)
 
-    def _notify_client_left(self, now: int, id: str) -> None:
-        if id in self.requests and id not in self.ended_requests:
-            self.ended_requests.add(id)
-            self.policy.handle(now, ClientDisconnected(id))
-            self._forget(id)
+    def _notify_client_left(self, now: int, request_id: str) -> None:
+        if request_id in self.requests and request_id not in self.ended_requests:
+            self.ended_requests.add(request_id)
+            self.policy.handle(now, ClientDisconnected(request_id))
+            self._forget(request_id)
 
     # Attempts.
 
@@ -350,15 +352,15 @@
         self, now: int, attempt: Attempt, result: int, note: int, created: int, at: int
     ) -> None:
         """Pass an attempt's outcome on to the policy, the client and the checkers."""
-        id = attempt.action.request_id
-        self.attempts.pop((id, attempt.action.attempt), None)
+        request_id = attempt.action.request_id
+        self.attempts.pop((request_id, attempt.action.attempt), None)
         request = attempt.request
-        if result == Outcome.SUCCEEDED and id not in self.ended_requests:
+        if result == Outcome.SUCCEEDED and request_id not in self.ended_requests:
             if not self.world.settings.classes[request.class_index].uncached:
                 self.world.rules.purges.served(
-                    now, self.number, id, request.object_key, request.group, attempt.sent_at, created
+                    now, self.number, request_id, request.object_key, request.group, attempt.sent_at, created
                 )
-            self._answer(now, id, SERVED, note=note)
+            self._answer(now, request_id, SERVED, note=note)
         took = at - attempt.sent_at
         action, degradation = attempt.action, self.degradation
         filled = note in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN) and action.source != action.host
@@ -369,9 +371,9 @@
             degradation.observer.record_fill(
                 now, CompletedFill(action.source, request.object_key, request.group, took <= target, slowed)
             )
-        closed = id in self.ended_requests or id not in self.requests
-        self.policy.handle(now, AttemptEnded(id, action.attempt, result, closed, took, note, []))
-        self._forget(id)
+        closed = request_id in self.ended_requests or request_id not in self.requests
+        self.policy.handle(now, AttemptEnded(request_id, action.attempt, result, closed, took, note, []))
+        self._forget(request_id)
 
 
 def build_world(
--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -254,17 +254,17 @@
             return
         self.events.schedule(self.events.now + RECONNECT_DELAY_US, self._send, request)
 
-    def connection_refused(self, id: str) -> None:
+    def connection_refused(self, request_id: str) -> None:
         """A try whose connection was refused after all: no dispatcher has seen it."""
-        request = self.open.pop(id, None)
+        request = self.open.pop(request_id, None)
         if request is not None and not request.done:
             if self.observer is not None:
                 self.observer.answered(self.events.now, request, UNREACHABLE)
             self._retry_elsewhere(request)
 
-    def answered(self, id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
+    def answered(self, request_id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
         """A dispatcher's answer to a try, or its connection's end."""
-        request = self.open.pop(id, None)
+        request = self.open.pop(request_id, None)
         if request is None or request.done:
             return
         now, settings = self.events.now, self.settings
