--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,11 +18,11 @@
 from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
 from hoistplank.program.phase import Phase
 from tests.dispatcher_scene import (
-    run,
     served,
     silent,
 )
 from tests.helpers import Running, configuration, until
+from tests.scene_runner import run_scene
 
 
 @pytest.mark.parametrize("times", [1, 3])
@@ -61,7 +61,7 @@
             assert (await dispatcher.ask(2, "page"))[0] == 200
             assert (await dispatcher.client.read_answer())[:2] == (1, 503)
 
-    run(scene())
+    run_scene(scene())
 
 
 class StatusReader:
@@ -150,4 +150,4 @@
         await answers.stop()
         assert b"configuration read again" in await program.stdout.read()
 
-    run(scene())
+    run_scene(scene())
