--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -27,8 +27,9 @@
 from hoistplank.lab.backends.virtual import build_world, digest
 from hoistplank.lab.experiment import Cell, Experiment, read
 from hoistplank.lab.faulty_dispatchers import BROKEN
-from hoistplank.lab.load.crew import LATE_MS, load
-from hoistplank.lab.load.plan import mixes, plan
+from hoistplank.lab.load.coordinator import MAX_LATENESS_MS, run_load
+from hoistplank.lab.load.schedule import parse_schedule
+from hoistplank.lab.load.traffic_mix import parse_mix
 from hoistplank.lab.model.clients import REJECTED, SERVED, Request
 from hoistplank.lab.model.days import draw_day
 from hoistplank.lab.model.faults import script
@@ -167,13 +168,15 @@
         for one in echoes:
             assert one.stdout is not None
             one.stdout.readline()
-        steps, mix = plan(f"{3 if QUICK else 15}s:{wanted}"), mixes("page=9 booking=1!")
-        found = await load(("127.0.0.1", port), steps, mix, processes=max(2, min(4, CORES // 2)))
+        steps = parse_schedule(f"{3 if QUICK else 15}s:{wanted}")
+        mix = parse_mix("page=9 booking=1!")
+        result = await run_load(("127.0.0.1", port), steps, mix, processes=max(2, min(4, CORES // 2)))
     finally:
         for one in echoes:
             assert one.stdin is not None
             one.stdin.close()
             one.wait(10)
+    found = msgspec.to_builtins(result)
     return {name: found[name] for name in ("rate", "counts", "late_ms", "processes", "cpu_share", "void")}
 
 
@@ -273,7 +276,7 @@
         "big_day_keeps_the_rules": out["big_day"]["rules_broken"] == 0,
         "load_8000_a_second": out["load"]["rate"] >= 8_000,
         "load_all_answered": counts.get("answered", 0) >= 0.999 * counts["sent"],
-        "load_late_5_ms_at_most": out["load"]["late_ms"]["p99"] <= LATE_MS,
+        "load_late_5_ms_at_most": out["load"]["late_ms"]["p99"] <= MAX_LATENESS_MS,
         "drives_agree": not busy and abs(drives["mean_apart"]) <= apart,
         "checkers_fire": all(out["checkers"].values()),
     }
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -27,8 +27,10 @@
 from hoistplank.fakes.deployment import Deployment
 from hoistplank.lab.backends.degradation_controller import DegradationPlan, parse_plan
 from hoistplank.lab.backends.virtual import build_world
-from hoistplank.lab.load.crew import load
-from hoistplank.lab.load.plan import Step, mixes
+from hoistplank.lab.load.coordinator import run_load
+from hoistplank.lab.load.messages import LoadSettings
+from hoistplank.lab.load.schedule import Step
+from hoistplank.lab.load.traffic_mix import parse_mix
 from hoistplank.lab.model.core import Core, Costs
 from hoistplank.lab.model.days import draw_day
 from hoistplank.lab.model.faults import script
@@ -206,23 +208,22 @@
         assert place.process is not None
         with shared_core(place.process.pid, 0):
             before = cpu_s(place.process.pid)
-            found = await load(
+            found = await run_load(
                 place.address,
                 (Step(seconds, rate, rate),),
-                mixes("page=9 booking=1!"),
+                parse_mix("page=9 booking=1!"),
                 4,
-                connections=8,
-                target_ms=300,
+                LoadSettings(connections=8, target_ms=300),
             )
             cpu = cpu_s(place.process.pid) - before
-    counts = found["counts"]
+    counts = found.counts
     return {
         "rate": round(rate),
         "in_target_a_second": round(counts.get("in target", 0) / seconds, 1),
         "sent": counts["sent"],
         "never_answered": counts.get("never answered", 0),
         "cpu_s": round(cpu, 2),
-        "void": found["void"],
+        "void": found.is_void,
     }
 
 
--- a/hoistplank/cli/lab_load.py
+++ b/hoistplank/cli/lab_load.py
@@ -6,16 +6,20 @@
 import json
 import sys
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, TextIO, TypedDict, Unpack
+from typing import TYPE_CHECKING, TextIO, TypedDict, Unpack
 
 import click
+import msgspec
 from rich.table import Table
 
 from hoistplank.cli.failure import fail
 from hoistplank.cli.lab_output import ROUNDED_COUNT, Row, progress_bar, table_console
 
 if TYPE_CHECKING:
-    from hoistplank.lab.load.plan import Mix, Step
+    from hoistplank.lab.load.messages import LoadSettings, Progress
+    from hoistplank.lab.load.result import LoadResult
+    from hoistplank.lab.load.schedule import Step
+    from hoistplank.lab.load.traffic_mix import ClassShare
 
 VOID = 3  # exit code
 QUANTILES = (50, 90, 99, 99.9, 100)
@@ -80,16 +84,19 @@
     Plan: steps and ramps, SECONDS:RATE or SECONDS:RATE-RATE. Traffic classes: weights, '!' for an operation
     key each. Exit code 1: not all were answered; 3: void, the tool itself was late.
     """
-    from hoistplank.lab.load.plan import LoadPlanError, mixes, plan
+    from hoistplank.lab.load.errors import LoadPlanError
+    from hoistplank.lab.load.schedule import parse_schedule
+    from hoistplank.lab.load.traffic_mix import parse_mix
 
     host, _, port = address.rpartition(":")
     if not host.startswith("127.") or not port.isdecimal():
         fail(f"'{address}', expected an address of this machine with a port, as 127.0.0.1:9000")
     try:
-        steps, mix = plan(options["steps"]), mixes(options["classes"])
+        steps, mix = parse_schedule(options["steps"]), parse_mix(options["classes"])
     except LoadPlanError as error:
         fail(str(error))
-    result = _play((host, int(port)), steps, mix, options)
+    load_result = _run((host, int(port)), steps, mix, options)
+    result: Row = msgspec.to_builtins(load_result)
     if options["out"]:
         Path(options["out"]).write_text(json.dumps(result))
     shown = {name: value for name, value in result.items() if name != "histograms"}
@@ -97,50 +104,54 @@
         click.echo(json.dumps(shown))
     else:
         _print_result(shown)
-    if result["void"]:
-        click.echo(f"void: the tool itself was late ({result['late_ms']['p99']} ms at p99)", err=True)
+    if load_result.is_void:
+        lateness_ms = load_result.lateness_ms["p99"]
+        click.echo(f"void: the tool itself was late ({lateness_ms} ms at p99)", err=True)
         sys.exit(VOID)
-    sys.exit(0 if result["counts"].get("answered") == result["counts"]["sent"] else 1)
+    counts = load_result.counts
+    sys.exit(0 if counts.get("answered") == counts["sent"] else 1)
 
 
-def _play(
-    address: tuple[str, int], steps: tuple[Step, ...], mix: tuple[Mix, ...], options: LoadOptions
-) -> Row:
+def _run(
+    address: tuple[str, int], steps: tuple[Step, ...], mix: tuple[ClassShare, ...], options: LoadOptions
+) -> LoadResult:
     """Runs the load and shows its progress."""
-    from hoistplank.lab.load import crew
+    from hoistplank.lab.load.coordinator import run_load
+    from hoistplank.lab.load.errors import LoadError
 
     processes = options["processes"]
     sent = [0] * processes
     with progress_bar(ROUNDED_COUNT) as progress:
         task = progress.add_task("visits", total=sum(step.requests() for step in steps))
 
-        def report_part(part: int, row: Row) -> None:
-            sent[part] = row["sent"]
+        def report_part(part: int, row: Progress) -> None:
+            sent[part] = row.sent
             progress.update(task, completed=sum(sent))
 
-        job = _job_fields(options)
-        work = crew.load(address, steps, mix, processes, report_part, late_ms=options["late_ms"], **job)
+        settings, max_lateness_ms = _load_settings(options), options["late_ms"]
+        work = run_load(address, steps, mix, processes, settings, report_part, max_lateness_ms)
         try:
             return asyncio.run(work)
-        except crew.LoadError as error:
+        except LoadError as error:
             raise click.ClickException(str(error)) from None
 
 
-def _job_fields(options: LoadOptions) -> dict[str, Any]:
-    """Those fields of the tool's job that are the same in all its processes."""
+def _load_settings(options: LoadOptions) -> LoadSettings:
+    from hoistplank.lab.load.messages import LoadSettings
+
     tokens = options["tokens"]
-    return {
-        "connections": options["connections"],
-        "fresh_share": options["fresh"],
-        "objects": options["objects"],
-        "zipf": options["zipf"],
-        "groups": options["groups"],
-        "deadline_ms": options["deadline_ms"],
-        "tokens": tokens.read().split() if tokens else [],
-        "ca": options["ca"] or "",
-        "certificate": options["cert"] or "",
-        "seed": options["seed"],
-    }
+    return LoadSettings(
+        connections=options["connections"],
+        fresh_share=options["fresh"],
+        objects=options["objects"],
+        zipf=options["zipf"],
+        groups=options["groups"],
+        deadline_ms=options["deadline_ms"],
+        tokens=tuple(tokens.read().split()) if tokens else (),
+        ca=options["ca"] or "",
+        certificate=options["cert"] or "",
+        seed=options["seed"],
+    )
 
 
 def _print_result(result: Row) -> None:
--- a/hoistplank/cli/lab_profile.py
+++ b/hoistplank/cli/lab_profile.py
@@ -16,7 +16,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def profile(rate: float, seconds: float, fresh: float, as_json: bool) -> None:
     """Where a request's CPU goes by layer, of a dispatcher that is started for it with small stand-ins."""
-    from hoistplank.lab.load.crew import LoadError
+    from hoistplank.lab.load.errors import LoadError
     from hoistplank.lab.profile import run as profiled
 
     try:
--- a/hoistplank/lab/load/__init__.py
+++ b/hoistplank/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: an open loop on a schedule over several processes, which measures its own lateness too."""
+"""The load tool: an open loop on a schedule over several processes that also measures its own lateness."""
--- a/hoistplank/lab/load/echo.py
+++ b/hoistplank/lab/load/echo.py
@@ -1,6 +1,4 @@
-"""A FastCGI responder that answers at once with the same bytes: what the load tool itself can do is
-measured on it.
-"""
+"""A FastCGI responder that answers at once with the same bytes, for measuring the load tool itself."""
 
 from __future__ import annotations
 
@@ -12,54 +10,61 @@
 
 from hoistplank.protocol import fastcgi
 
-ANSWER = fastcgi.encode_response(1, 200, (), b"ok")
+RESPONSE = fastcgi.encode_response(1, 200, (), b"ok")
+STREAM_ID_OFFSET = 2  # of the request number within a record's header
 
 
-def _patched() -> tuple[bytes, tuple[int, ...]]:
-    places, at = [], 0
-    while at < len(ANSWER):
-        places.append(at + 2)
-        _, _, _, length, padding = fastcgi.HEADER.unpack_from(ANSWER, at)
-        at += 8 + length + padding
-    return ANSWER, tuple(places)
+def _stream_id_offsets(response: bytes) -> tuple[int, ...]:
+    offsets, start = [], 0
+    while start < len(response):
+        offsets.append(start + STREAM_ID_OFFSET)
+        _, _, _, length, padding = fastcgi.HEADER.unpack_from(response, start)
+        start += fastcgi.HEADER.size + length + padding
+    return tuple(offsets)
 
 
-class Echo(asyncio.Protocol):
-    """Answers each FastCGI request at once with an empty body."""
+STREAM_ID_OFFSETS = _stream_id_offsets(RESPONSE)
+
+
+def _response(stream_id: int) -> bytes:
+    response = bytearray(RESPONSE)
+    for offset in STREAM_ID_OFFSETS:
+        response[offset : offset + 2] = stream_id.to_bytes(2, "big")
+    return bytes(response)
+
+
+class EchoResponder(asyncio.Protocol):
+    """Answers each FastCGI request at once with the same short body."""
 
     def __init__(self) -> None:
-        self.rest = b""
-        self.transport: asyncio.Transport | None = None
-        self.data, self.places = _patched()
+        self._incomplete = b""
+        self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
         # uvloop's transports are not of asyncio's class, but do all that it does.
-        self.transport = cast(asyncio.Transport, transport)
+        self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
         """Answer the requests that are whole."""
-        data = self.rest + data if self.rest else data
-        at, size, out = 0, len(data), []
-        while size - at >= 8:
-            _, kind, number, length, padding = fastcgi.HEADER.unpack_from(data, at)
-            stop = at + 8 + length + padding
-            if stop > size:
+        data = self._incomplete + data if self._incomplete else data
+        start, responses = 0, []
+        while len(data) - start >= fastcgi.HEADER.size:
+            _, kind, stream_id, length, padding = fastcgi.HEADER.unpack_from(data, start)
+            end = start + fastcgi.HEADER.size + length + padding
+            if end > len(data):
                 break
             if kind == fastcgi.STDIN and not length:
-                answer = bytearray(self.data)
-                for place in self.places:
-                    answer[place : place + 2] = number.to_bytes(2, "big")
-                out.append(bytes(answer))
-            at = stop
-        self.rest = data[at:]
-        if out and self.transport is not None:
-            self.transport.write(b"".join(out))
+                responses.append(_response(stream_id))
+            start = end
+        self._incomplete = data[start:]
+        if responses and self._transport is not None:
+            self._transport.write(b"".join(responses))
 
 
 async def serve(port: int) -> None:
     """Listen until standard input ends."""
-    server = await asyncio.get_running_loop().create_server(Echo, "127.0.0.1", port, reuse_port=True)
+    server = await asyncio.get_running_loop().create_server(EchoResponder, "127.0.0.1", port, reuse_port=True)
     print(server.sockets[0].getsockname()[1], flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)  # ends with its parent
 
--- a/hoistplank/lab/profile.py
+++ b/hoistplank/lab/profile.py
@@ -15,8 +15,11 @@
 from typing import Any
 
 from hoistplank.fakes.deployment import Deployment
-from hoistplank.lab.load.crew import load
-from hoistplank.lab.load.plan import Step, mixes
+from hoistplank.lab.load.coordinator import run_load
+from hoistplank.lab.load.messages import LoadSettings
+from hoistplank.lab.load.result import LoadResult
+from hoistplank.lab.load.schedule import Step
+from hoistplank.lab.load.traffic_mix import parse_mix
 
 # The first that a file's path holds; what none does is Python's own and the libraries'.
 LAYERS = (
@@ -36,6 +39,7 @@
     ("asyncio/runners", "event loop (uvloop) and system calls"),
     ("asyncio", "asyncio"),
 )
+MIX = "page=9 booking=1!"
 PROFILED = """
 import cProfile, time
 from hoistplank.__main__ import main
@@ -72,14 +76,15 @@
 
 async def _run(
     rate: float, seconds: float, fresh: float, command: tuple[str, ...]
-) -> tuple[dict[str, Any], float]:
+) -> tuple[LoadResult, float]:
     with tempfile.TemporaryDirectory() as folder:
         async with Deployment(Path(folder), command=command) as place:
             assert place.process is not None
             before = cpu_s(place.process.pid)
             steps = (Step(seconds, rate, rate),)
-            found = await load(place.address, steps, mixes("page=9 booking=1!"), 2, fresh_share=fresh)
-            return found, cpu_s(place.process.pid) - before
+            settings = LoadSettings(fresh_share=fresh)
+            result = await run_load(place.address, steps, parse_mix(MIX), 2, settings)
+            return result, cpu_s(place.process.pid) - before
 
 
 async def profiled(rate: float, seconds: float, fresh: float = 0.0) -> dict[str, Any]:
@@ -93,10 +98,10 @@
     return {
         "rate": rate,
         "new_connections": fresh,
-        "cpu_us_a_visit": round(cpu_s / plain["counts"]["sent"] * 1e6, 1),
-        "answered": plain["counts"].get("answered", 0) / plain["counts"]["sent"],
-        "late_ms": plain["late_ms"],
-        "profiled_visits": slow["counts"]["sent"],
+        "cpu_us_a_visit": round(cpu_s / plain.counts["sent"] * 1e6, 1),
+        "answered": plain.counts.get("answered", 0) / plain.counts["sent"],
+        "late_ms": plain.lateness_ms,
+        "profiled_visits": slow.counts["sent"],
         "shares": {name: round(value / whole, 3) for name, value in layers.items()},
     }
 
--- a/hoistplank/lab/scale/role_data_path.py
+++ b/hoistplank/lab/scale/role_data_path.py
@@ -6,9 +6,10 @@
 from pathlib import Path
 
 from hoistplank.fakes.deployment import Deployment
-from hoistplank.lab.load.crew import load
-from hoistplank.lab.load.plan import Step as LoadStep
-from hoistplank.lab.load.plan import mixes
+from hoistplank.lab.load.coordinator import run_load
+from hoistplank.lab.load.messages import LoadSettings
+from hoistplank.lab.load.schedule import Step as LoadStep
+from hoistplank.lab.load.traffic_mix import parse_mix
 from hoistplank.lab.profile import cpu_s
 from hoistplank.lab.scale.measurements import Measurement
 from hoistplank.lab.scale.metering import MICROSECONDS, Effort, Quantity, Step, awaited, series
@@ -18,8 +19,8 @@
 RATE = 120.0
 SECONDS = 4.0
 REPEATS = 2
-CLASSES = "page=1"
-OBJECTS = 200
+MIX = parse_mix("page=1")
+LOAD_SETTINGS = LoadSettings(objects=200)
 LATE_MS = 50.0
 
 
@@ -29,13 +30,12 @@
         async with Deployment(Path(folder), copy_bytes=size) as place:
             assert place.process is not None
             warming = (LoadStep(1.0, RATE, RATE),)
-            await load(place.address, warming, mixes(CLASSES), 1, objects=OBJECTS, late_ms=LATE_MS)
+            await run_load(place.address, warming, MIX, 1, LOAD_SETTINGS, max_lateness_ms=LATE_MS)
             before = cpu_s(place.process.pid)
             steps = (LoadStep(SECONDS, RATE, RATE),)
-            found = await load(place.address, steps, mixes(CLASSES), 1, objects=OBJECTS, late_ms=LATE_MS)
+            result = await run_load(place.address, steps, MIX, 1, LOAD_SETTINGS, max_lateness_ms=LATE_MS)
             spent = cpu_s(place.process.pid) - before
-    answered = int(found["counts"]["answered"])
-    return spent * MICROSECONDS / answered
+    return spent * MICROSECONDS / result.counts["answered"]
 
 
 def _answers(effort: Effort) -> list[Measurement]:
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -27,9 +27,13 @@
 from hoistplank.lab import report, results, runner
 from hoistplank.lab.backends import sockets
 from hoistplank.lab.experiment import Cell, Experiment, read
-from hoistplank.lab.load import crew
-from hoistplank.lab.load.plan import LoadPlanError, Step, mixes, plan, times
-from hoistplank.lab.load.wire import Answers, Template
+from hoistplank.lab.load.coordinator import run_load
+from hoistplank.lab.load.errors import LoadError, LoadPlanError
+from hoistplank.lab.load.fastcgi_codec import RequestTemplate, ResponseScanner
+from hoistplank.lab.load.messages import LoadSettings
+from hoistplank.lab.load.result import LoadResult
+from hoistplank.lab.load.schedule import Step, parse_schedule, send_times
+from hoistplank.lab.load.traffic_mix import parse_mix
 from hoistplank.lab.statistics import difference, of_way, ranks, spearman
 from hoistplank.lab.worker import Job, play
 from hoistplank.operator_configuration.errors import ConfigurationError
@@ -52,31 +56,35 @@
     rows: list[tuple[float, float, float]], parts: int
 ) -> None:
     steps = tuple(Step(*row) for row in rows)
-    whole = list(times(steps))
+    whole = list(send_times(steps))
     assert abs(len(whole) - sum(step.requests() for step in steps)) <= 1
     assert whole == sorted(whole) and (not whole or whole[-1] <= sum(step.seconds for step in steps) + 1e-6)
-    assert whole == pytest.approx(sorted(at for part in range(parts) for at in times(steps, part, parts)))
+    assert whole == pytest.approx(
+        sorted(at for part in range(parts) for at in send_times(steps, part, parts))
+    )
 
 
 def test_a_ramp_sends_more_and_more() -> None:
-    found = list(times(plan("4s:0-100")))
+    found = list(send_times(parse_schedule("4s:0-100")))
     assert len(found) == 200 and sum(at < 2 for at in found) == 50
 
 
 @pytest.mark.parametrize("text", ["10:500", "10s500", "0s:5", "5s:0", "", "99999s:1", "-5s:10", "5s:10 x"])
 def test_a_plan_that_can_not_be_used(text: str) -> None:
     with pytest.raises(LoadPlanError, match="expected"):
-        plan(text)
+        parse_schedule(text)
 
 
 @pytest.mark.parametrize("text", ["", "page=0", "page=x", "pa ge=1=2", "=3", "page=-1"])
 def test_tracks_that_can_not_be_used(text: str) -> None:
     with pytest.raises(LoadPlanError, match="expected"):
-        mixes(text)
+        parse_mix(text)
 
 
 def test_a_request_by_template_is_one_that_the_dispatcher_reads() -> None:
-    data = Template("booking", 900, True, "t0ken", {"HTTP_X_TAG": "3"}).encode(513, 0xABC, 7)
+    data = RequestTemplate("booking", 900, keyed=True, token="t0ken", fields={"HTTP_X_TAG": "3"}).encode(
+        513, 0xABC, 7
+    )
     reader = fastcgi.RequestReader(8)
     buffer = bytearray(data)
     _, found = reader.read(buffer, 0, len(buffer))
@@ -99,46 +107,50 @@
         fastcgi.encode_response(n, status, (), body) for n, status in ((1, 200), (2, 503), (900, 502))
     )
     for seed in range(20):
-        chance, scan, at, found = random.Random(seed), Answers(), 0, list[tuple[int, int]]()
+        chance, scan, at, found = random.Random(seed), ResponseScanner(), 0, list[tuple[int, int]]()
         while at < len(data):
             step = chance.choice((1, 3, 8, 100, 9_000, 80_000))
             found += scan.feed(data[at : at + step])
             at += step
         assert found == [(1, 200), (2, 503), (900, 502)], seed
     with pytest.raises(ValueError, match="version"):
-        Answers().feed(struct.pack(">BBHHBx", 7, 6, 1, 0, 0))
+        ResponseScanner().feed(struct.pack(">BBHHBx", 7, 6, 1, 0, 0))
 
 
 def test_load_against_a_dispatcher(tmp_path: Path) -> None:
-    async def scene() -> dict[str, Any]:
+    async def scene() -> LoadResult:
         async with Deployment(tmp_path) as place:
-            steps, mix = plan("1s:60 1s:60-120"), mixes("page=9 booking=1!")
-            return await crew.load(place.address, steps, mix, 2, fresh_share=0.2, groups=2)
+            steps, mix = parse_schedule("1s:60 1s:60-120"), parse_mix("page=9 booking=1!")
+            return await run_load(place.address, steps, mix, 2, LoadSettings(fresh_share=0.2, groups=2))
 
     found = asyncio.run(scene())
-    counts = found["counts"]
+    counts = found.counts
     assert counts["sent"] == 150 and counts["answered"] == 150, counts
-    assert sum(sum(row["statuses"].values()) for row in found["tracks"].values()) == 150
-    assert sum(sum(row.values()) for row in found["tenants"]) == 150
-    assert found["tracks"]["page"]["ms"]["p50"] > 1, "stand-ins take 10 ms for a fill"
+    assert sum(sum(row.statuses.values()) for row in found.classes.values()) == 150
+    assert sum(sum(row.values()) for row in found.tenants) == 150
+    assert found.classes["page"].latency_ms["p50"] > 1, "stand-ins take 10 ms for a fill"
 
 
 def test_load_with_nobody_there_says_so() -> None:
-    with pytest.raises(crew.LoadError, match="nobody listens"):
-        asyncio.run(crew.load(("127.0.0.1", 1), plan("1s:5"), mixes("page=1"), 1))
+    with pytest.raises(LoadError, match="nobody listens"):
+        asyncio.run(run_load(("127.0.0.1", 1), parse_schedule("1s:5"), parse_mix("page=1"), 1))
 
 
 def test_the_tools_own_lateness_voids_a_run(tmp_path: Path) -> None:
-    async def scene() -> dict[str, Any]:
+    async def scene() -> LoadResult:
         async with Deployment(tmp_path) as place:
             # No process can send a million a second: the tool lies behind at once, and must say so.
-            return await crew.load(
-                place.address, plan("0.02s:1000000"), mixes("page=1"), 1, most_connections=2
+            return await run_load(
+                place.address,
+                parse_schedule("0.02s:1000000"),
+                parse_mix("page=1"),
+                1,
+                LoadSettings(max_connections=2),
             )
 
     found = asyncio.run(scene())
-    assert found["void"] and found["counts"]["no room on connections"] > 0
-    assert found["counts"]["sent"] == 20_000, "an open loop sends what is due, however late it is"
+    assert found.is_void and found.counts["no room on connections"] > 0
+    assert found.counts["sent"] == 20_000, "an open loop sends what is due, however late it is"
 
 
 # Statistics.
@@ -356,19 +368,19 @@
     (tmp_path / "revoked.jsonl").touch()
     (tmp_path / "op.sexp").write_text(operator_text(tls, free_port()))
     certificate, _ = authority.issue("coast.pem", ["uri:hoistplank:coast"])
-    steps, mix = plan("1s:40"), mixes("page=3 booking=1!")
+    steps, mix = parse_schedule("1s:40"), parse_mix("page=3 booking=1!")
 
-    async def scene() -> list[dict[str, Any]]:
+    async def scene() -> list[LoadResult]:
+        with_tokens = LoadSettings(tokens=(signer.token("coast-1"),), groups=2)
         async with Deployment(tmp_path, operator=str(tmp_path / "op.sexp")) as place:
-            good = await crew.load(place.address, steps, mix, 1, tokens=[signer.token("coast-1")], groups=2)
-            none = await crew.load(place.address, steps, mix, 1)
+            good = await run_load(place.address, steps, mix, 1, with_tokens)
+            none = await run_load(place.address, steps, mix, 1)
             ca, own = str(tmp_path / "ca.pem"), str(certificate)
-            whole = await crew.load(
-                ("127.0.0.1", tls), steps, mix, 1, fresh_share=0.3, ca=ca, certificate=own
-            )
+            over_tls = LoadSettings(fresh_share=0.3, ca=ca, certificate=own)
+            whole = await run_load(("127.0.0.1", tls), steps, mix, 1, over_tls)
             return [good, none, whole]
 
     good, none, whole = asyncio.run(scene())
     for found in (good, whole):
-        assert sum(row["statuses"].get("200", 0) for row in found["tracks"].values()) == 40, found
-    assert {status for row in none["tracks"].values() for status in row["statuses"]} == {"401"}
+        assert sum(row.statuses.get("200", 0) for row in found.classes.values()) == 40, found
+    assert {status for row in none.classes.values() for status in row.statuses} == {"401"}
