--- a/hoistplank/lab/load/generator.py
+++ b/hoistplank/lab/load/generator.py
@@ -11,6 +11,7 @@
 import sys
 import time
 from collections import Counter, deque
+from weakref import WeakSet
 
 import msgspec
 import uvloop
@@ -98,6 +99,8 @@
         self._templates = _templates(job)
         self._recorder = LoadRecorder(job)
         self._pool: deque[LoadConnection] = deque()
+        # Weak: one is forgotten once its transport has closed, so that a long run's memory stays bounded.
+        self._single_use: WeakSet[LoadConnection] = WeakSet()
         self._connecting: set[asyncio.Task[None]] = set()
         self._tls = _tls_context(settings.ca, settings.certificate)
 
@@ -154,14 +157,16 @@
         )
         self._recorder.record_due(due)
         if self._settings.fresh_share and self._sampler.chance(self._settings.fresh_share):
-            self._connect_in_background(LoadConnection(self._recorder, only=request), "single request")
+            connection = LoadConnection(self._recorder, only=request)
+            self._single_use.add(connection)
+            self._connect_in_background(connection, "single request")
             return
-        connection = self._connection_with_capacity()
-        if connection is None:
+        pooled = self._connection_with_capacity()
+        if pooled is None:
             # Danger: to wait for capacity would turn the open loop into a closed one. It is counted instead.
             self._recorder.counts["no room on connections"] += 1
             return
-        connection.send(request)
+        pooled.send(request)
 
     def _connection_with_capacity(self) -> LoadConnection | None:
         """The next pooled connection with capacity; where none has any, one more is opened, up to a bound."""
@@ -198,20 +203,29 @@
             connection.is_closed = True
 
     async def _drain(self) -> None:
-        """Wait for the last responses, count those that never came, and close the pool."""
-        waiting = [
+        """Wait for the last responses, count those that never came, and close all connections."""
+        deadline = self._loop.time() + DRAIN_S
+        await self._wait_until(deadline, set(self._connecting))
+        connections = [*self._pool, *self._single_use]
+        waiting = {
             asyncio.create_task(connection.wait_idle(), name="wait for responses")
-            for connection in self._pool
-        ]
-        if waiting:
-            _, unfinished = await asyncio.wait(waiting, timeout=DRAIN_S)
-            for task in unfinished:
-                task.cancel()
-            await asyncio.gather(*unfinished, return_exceptions=True)
-        self._recorder.counts["never answered"] = sum(connection.in_flight for connection in self._pool)
-        for connection in self._pool:
+            for connection in connections
+        }
+        unfinished = await self._wait_until(deadline, waiting)
+        for task in unfinished:
+            task.cancel()
+        await asyncio.gather(*unfinished, return_exceptions=True)
+        self._recorder.counts["never answered"] = sum(connection.in_flight for connection in connections)
+        for connection in connections:
             connection.close()
 
+    async def _wait_until(self, deadline: float, tasks: set[asyncio.Task[None]]) -> set[asyncio.Task[None]]:
+        """Wait for tasks until a time of the loop's clock; returns those that are not done then."""
+        if not tasks:
+            return set()
+        _, unfinished = await asyncio.wait(tasks, timeout=max(0.0, deadline - self._loop.time()))
+        return unfinished
+
 
 def _templates(job: LoadJob) -> list[list[RequestTemplate]]:
     """A template for each traffic class and tenant."""
