--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,7 +25,8 @@
 from hoistplank.lab.fleet import faulty_dispatchers, runner
 from hoistplank.lab.fleet.relay_pool import RelayPool
 from hoistplank.lab.fleet.scene import Scene
-from hoistplank.lab.fleet.scene_reader import read
+from hoistplank.lab.fleet.scene_loader import LoadedScene, load_scenes
+from hoistplank.lab.fleet.scene_reader import read_scene
 from hoistplank.lab.statistics import interval
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -84,14 +85,14 @@
 
 def shown(done: int, many: int, found: dict[str, Any]) -> None:
     """A line a run as it ends: a long measurement that is cut off has told something."""
-    print(f"{done} of {many}: {runner.line(found)}", file=sys.stderr, flush=True)
+    print(f"{done} of {many}: {runner.summarize(found)}", file=sys.stderr, flush=True)
 
 
 def play(
     names: tuple[str, ...], drives: list[str], seeds: list[int], policies: list[str]
 ) -> list[dict[str, Any]]:
-    chosen = [pair for pair in runner.scenes([str(SCENES)]) if not names or pair[0].name in names]
-    return asyncio.run(runner.played(chosen, drives, seeds, AT_ONCE, told=shown, policies=policies))
+    chosen = [pair for pair in load_scenes([str(SCENES)]) if not names or pair[0].name in names]
+    return asyncio.run(runner.run_scenes(chosen, drives, seeds, AT_ONCE, on_result=shown, policies=policies))
 
 
 async def carried() -> dict[str, float]:
@@ -183,17 +184,17 @@
 def _scene(row: str, size: int) -> Scene:
     name = "".join(letter if letter.isalnum() else "-" for letter in row.lower())[:30] + f"-{size}"
     fault = f"(at {BEGIN}s {LOSSES[row]})" if LOSSES[row] else ""
-    return read(f"(scene {name} (seconds {LAST}s) (warm 4s) {SIZES[size]} {fault})".encode(), row)
+    return read_scene(f"(scene {name} (seconds {LAST}s) (warm 4s) {SIZES[size]} {fault})".encode(), row)
 
 
 def losses() -> dict[str, Any]:
     """Every row of the table on both drives, with the module and with full sight."""
     found: dict[str, Any] = {}
     for size, names in ((9, tuple(LOSSES)), (150, LARGE)):
-        chosen = [(_scene(row, size), ROOT) for row in names]
-        rows = asyncio.run(runner.played(chosen, ["processes"], SEEDS, AT_ONCE, told=shown))
+        chosen = [LoadedScene(_scene(row, size), ROOT) for row in names]
+        rows = asyncio.run(runner.run_scenes(chosen, ["processes"], SEEDS, AT_ONCE, on_result=shown))
         rows += asyncio.run(
-            runner.played(chosen, ["virtual"], SEEDS, CORES, told=shown, policies=["module", "seer"])
+            runner.run_scenes(chosen, ["virtual"], SEEDS, CORES, on_result=shown, policies=["module", "seer"])
         )
         calm = {
             (row["drive"], row["policy"], row["seed"]): row
--- a/hoistplank/cli/lab_fleet.py
+++ b/hoistplank/cli/lab_fleet.py
@@ -17,7 +17,7 @@
 from hoistplank.operator_configuration.errors import ConfigurationError
 
 if TYPE_CHECKING:
-    from hoistplank.lab.fleet.scene import Scene
+    from hoistplank.lab.fleet.scene_loader import LoadedScene
 
 FAILED, VOID = 1, 3  # exit codes
 
@@ -62,7 +62,7 @@
 
         names = ["module", *(name for name in policies if name != "module")]
         folder = Path(keep) if keep else None
-        work = runner.played(chosen, drives, seeds or (1,), at_once, folder, report_run, names)
+        work = runner.run_scenes(chosen, drives, seeds or (1,), at_once, folder, report_run, names)
         try:
             rows = asyncio.run(runner.interruptible(work))
         except (KeyboardInterrupt, asyncio.CancelledError):
@@ -70,17 +70,17 @@
     if out is not None:
         click.echo(_write(rows, Path(out)), err=True)
     for row in rows:
-        click.echo(json.dumps(row) if as_json else runner.line(row))
+        click.echo(json.dumps(row) if as_json else runner.summarize(row))
     sys.exit(_exit_code(row["verdict"] for row in rows))
 
 
-def _scenes(paths: tuple[str, ...], only: str, policies: tuple[str, ...]) -> list[tuple[Scene, Path]]:
+def _scenes(paths: tuple[str, ...], only: str, policies: tuple[str, ...]) -> list[LoadedScene]:
     """The scenes to play, with the folder each lies in; ends the command where one can't be met."""
-    from hoistplank.lab.fleet import runner
+    from hoistplank.lab.fleet.scene_loader import load_scenes
     from hoistplank.lab.policies import UnknownPolicy, policy
 
     try:
-        chosen = runner.scenes(paths, only)
+        chosen = load_scenes(paths, only)
         for name in policies:
             policy(name)
     except (ConfigurationError, UnknownPolicy) as error:
--- a/hoistplank/lab/fleet/faulty_dispatchers.py
+++ b/hoistplank/lab/fleet/faulty_dispatchers.py
@@ -9,7 +9,7 @@
 from hoistplank.lab.faulty_dispatchers import all_up
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import Scene
-from hoistplank.lab.fleet.scene_reader import read
+from hoistplank.lab.fleet.scene_reader import read_scene
 from hoistplank.lab.fleet.virtual import build_world
 from hoistplank.lab.model.clients import Request
 from hoistplank.lab.policies import ByHash, Make, Plain, PlainRequest, policy
@@ -49,10 +49,12 @@
 class Grabs(ByHash):
     """What is shared: everything comes from the hub, whatever the location's link carries."""
 
-    def choose(self, object_key: str, part: int, hosts: list[str]) -> str:
+    def choose(self, object_key: str, part: int, hosts: list[str]) -> str:  # noqa: ARG002 (overrides)
+        """The hub's host in place of the location's."""
         return super().source(object_key, part)
 
-    def source(self, object_key: str, part: int) -> str:
+    def source(self, object_key: str, part: int) -> str:  # noqa: ARG002 (overrides)
+        """The origin."""
         return self.origin
 
 
@@ -68,6 +70,7 @@
     """A rig that loses the end of one displaced try in three."""
 
     def answered(self, now: int, request: Request, how: str) -> None:
+        """Drop the end of one displaced try in three."""
         if request.zone != self.zones[request.dispatcher] and request.number % 3 == 0:
             self.out.pop(request.id, None)
             return
@@ -89,7 +92,7 @@
 
 
 def _made(kind: type[Plain]) -> Make:
-    return lambda site, seed, world: kind(site, seed)
+    return lambda site, seed, _world: kind(site, seed)
 
 
 def _holds(scene: Scene, metrics: FleetMetrics) -> bool:
@@ -102,13 +105,13 @@
     """By checker: whether the module's run is let pass, and whether the broken one's is told."""
     found = {}
     for name, (bound, kind) in FLEET.items():
-        scene = read(TEXT.format(name=name, bound=bound).encode(), name)
+        scene = read_scene(TEXT.format(name=name, bound=bound).encode(), name)
         world, metrics = build_world(scene, seed, policy("module"))
         world.run()
         broken, its = build_world(scene, seed, _made(kind))
         broken.run()
         found[name] = _holds(scene, metrics), not _holds(scene, its)
-    scene = read(TEXT.format(name="forgetful", bound="earned above 0").encode(), "forgetful")
+    scene = read_scene(TEXT.format(name="forgetful", bound="earned above 0").encode(), "forgetful")
     world, metrics = build_world(scene, seed, policy("module"))
     world.run()
     lossy, losing = build_world(scene, seed, policy("module"), Forgetful)
--- a/hoistplank/lab/fleet/metrics.py
+++ b/hoistplank/lab/fleet/metrics.py
@@ -56,10 +56,22 @@
         """Of the slowest dispatcher."""
         return max(map(self.first_right_choice_us, self.choices), default=0)
 
+    def figures(self) -> dict[str, Any]:
+        """What a report shows of it."""
+        return {
+            "what": self.text,
+            "attempts": self.attempts,
+            "slowest_s": round(self.slowest_us() / SECOND_US, 3),
+            "by_dispatcher": {
+                str(dispatcher): round(self.first_right_choice_us(dispatcher) / SECOND_US, 3)
+                for dispatcher in sorted(self.choices)
+            },
+        }
+
 
 @dataclass(slots=True)
 class SharedResource:
-    """A thing that all hold parts of: the most they held together, how many samples were over the whole."""
+    """A shared resource: the most that was in use of it, and how many samples were over the whole."""
 
     whole: float
     most: float = 0.0
@@ -68,12 +80,21 @@
     by_time: list[float] = field(default_factory=list)
 
     def sample(self, parts: list[float]) -> None:
-        """Take one sample of the parts that all hold now."""
-        held = sum(parts)
+        """Take one sample of the parts in use."""
+        in_use = sum(parts)
         self.samples += 1
-        self.over += held > self.whole
-        self.most = max(self.most, held / self.whole if self.whole else 0.0)
-        self.by_time.append(round(held / self.whole, 3) if self.whole else 0.0)
+        self.over += in_use > self.whole
+        self.most = max(self.most, in_use / self.whole if self.whole else 0.0)
+        self.by_time.append(round(in_use / self.whole, 3) if self.whole else 0.0)
+
+    def figures(self) -> dict[str, Any]:
+        """What a report shows of it."""
+        return {
+            "most": round(self.most, 3),
+            "over": self.over,
+            "samples": self.samples,
+            "by_time": self.by_time,
+        }
 
 
 class FleetMetrics:
@@ -102,13 +123,13 @@
     def _bin(self, at: int) -> int | None:
         return min((at - self.start) // BIN, len(self.asked_in[0]) - 1) if at >= self.start else None
 
-    # What the clients tell.
+    # Events of the clients.
 
     def asked(self, now: int, zone: int, class_index: int) -> None:
         """Count the utility of a part that a client wants."""
-        spot = self._bin(now)
-        if spot is not None:
-            self.asked_in[zone][spot] += self.settings.classes[class_index].utility
+        bin_index = self._bin(now)
+        if bin_index is not None:
+            self.asked_in[zone][bin_index] += self.settings.classes[class_index].utility
 
     def tried(self, now: int, request: Request) -> None:
         """Count a try that a dispatcher has accepted."""
@@ -131,26 +152,26 @@
         home, zone = way
         if home != zone:
             self.displaced_outcomes[home, zone, how] += 1
-        spot = self._bin(now)
-        if spot is not None:
+        bin_index = self._bin(now)
+        if bin_index is not None:
             self.answers[how] += 1
             self.by_dispatcher[request.dispatcher][1] += how == SERVED
             if how == REJECTED:
-                self.refused_in[request.class_index][spot] += 1
+                self.refused_in[request.class_index][bin_index] += 1
 
     def ended(self, due_at: int, zone: int, class_index: int, share: float, cause: str) -> None:
         """Count the share of a part's utility that was earned, and the cause of the rest."""
-        spot = self._bin(due_at)
-        if spot is None:
+        bin_index = self._bin(due_at)
+        if bin_index is None:
             return
-        worth = self.settings.classes[class_index].utility
-        self.earned_in[zone][spot] += worth * share
+        utility = self.settings.classes[class_index].utility
+        self.earned_in[zone][bin_index] += utility * share
         if share < 1:
-            self.lost[zone][cause] += worth * (1 - share)
+            self.lost[zone][cause] += utility * (1 - share)
         if cause == REJECTED:
-            self.given_up[self.settings.classes[class_index].name] += worth
+            self.given_up[self.settings.classes[class_index].name] += utility
 
-    # What the hosts tell.
+    # Events of the hosts.
 
     def attempt(self, now: int, dispatcher: int, host: str, role: str) -> None:
         """Count an attempt, and whether its host was a wrong choice under each fault."""
@@ -174,7 +195,7 @@
         self.marks.append(FaultMark(now, now + length, frozenset(hosts), whose, text))
 
     def sample(self, name: str, whole: float, parts: list[float]) -> None:
-        """What all together hold now of a thing that is shared."""
+        """Sample the parts in use of a shared resource."""
         row = self.shared[name]
         row.whole = whole
         row.sample(parts)
@@ -243,12 +264,12 @@
         return lost / asked if asked else 0.0
 
     def figures(self) -> dict[str, Any]:
-        """All that a report needs; plain values."""
+        """All that a report needs, as JSON values by the names that results are stored under."""
         return {
-            "asked_in": [[round(value, 3) for value in row] for row in self.asked_in],
-            "earned_in": [[round(value, 3) for value in row] for row in self.earned_in],
+            "asked_in": [_rounded(row) for row in self.asked_in],
+            "earned_in": [_rounded(row) for row in self.earned_in],
             "refused_in": {
-                row.name: many for row, many in zip(self.settings.classes, self.refused_in, strict=True)
+                row.name: counts for row, counts in zip(self.settings.classes, self.refused_in, strict=True)
             },
             "lost_by_place": {
                 f"z{zone}": {cause: round(value, 3) for cause, value in rows.items()}
@@ -256,36 +277,24 @@
             },
             "given_up": {name: round(value, 3) for name, value in self.given_up.items()},
             "answers": dict(self.answers),
-            "displaced": {
-                f"z{home} at z{zone}": {
-                    "tries": many,
-                    **{how: self.displaced_outcomes[home, zone, how] for how in OUTCOMES},
-                }
-                for (home, zone), many in sorted(self.displaced.items())
-            },
+            "displaced": self._displaced_figures(),
             "amplified": round(self.measure("amplified", "", 0, 0), 4),
             "asked_again": round(self.measure("asked-again", "", 0, 0), 4),
             "fair": round(self.fair(), 4),
             "fair_places": round(self.measure("fair-places", "", 0, 0), 4),
-            "shared": {
-                name: {
-                    "most": round(row.most, 3),
-                    "over": row.over,
-                    "samples": row.samples,
-                    "by_time": row.by_time,
-                }
-                for name, row in self.shared.items()
-            },
-            "wrong": [
-                {
-                    "what": mark.text,
-                    "attempts": mark.attempts,
-                    "slowest_s": round(mark.slowest_us() / SECOND_US, 3),
-                    "by_dispatcher": {
-                        str(n): round(mark.first_right_choice_us(n) / SECOND_US, 3)
-                        for n in sorted(mark.choices)
-                    },
-                }
-                for mark in self.marks
-            ],
+            "shared": {name: resource.figures() for name, resource in self.shared.items()},
+            "wrong": [mark.figures() for mark in self.marks],
+        }
+
+    def _displaced_figures(self) -> dict[str, dict[str, int]]:
+        return {
+            f"z{home} at z{zone}": {
+                "tries": tries,
+                **{outcome: self.displaced_outcomes[home, zone, outcome] for outcome in OUTCOMES},
+            }
+            for (home, zone), tries in sorted(self.displaced.items())
         }
+
+
+def _rounded(values: list[float]) -> list[float]:
+    return [round(value, 3) for value in values]
--- a/hoistplank/lab/fleet/pages.py
+++ b/hoistplank/lab/fleet/pages.py
@@ -1,5 +1,6 @@
-"""The page of a fleet's scenes: what was earned where, what was refused, what was held of shared things, with
-the faults marked; two runs side by side. It stands on the laboratory's report.
+"""The HTML page of a fleet's scenes: utility by location, rejections and use of shared resources over time.
+
+Faults are marked, and two runs stand side by side. It uses the plots and styles of the laboratory's report.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 MOST_BESIDE = 4
 
 
-def _marked(axes: Axes, row: dict[str, Any]) -> None:
+def _mark_faults(axes: Axes, row: dict[str, Any]) -> None:
     """Where faults begin and end."""
     for begin, end, _ in row["fleet"]["marks"]:
         axes.axvspan(begin, max(end, begin + 0.02), color="#a40000", alpha=0.10, lw=0)
@@ -30,7 +31,7 @@
     return [sum(values[at : at + SMOOTH]) for at in range(0, len(values) - SMOOTH + 1, SMOOTH)]
 
 
-def _earned(axes: Axes, row: dict[str, Any]) -> None:
+def _draw_earned(axes: Axes, row: dict[str, Any]) -> None:
     for zone, (asked, earned) in enumerate(
         zip(row["fleet"]["asked_in"], row["fleet"]["earned_in"], strict=True)
     ):
@@ -42,7 +43,7 @@
     axes.legend(fontsize=7, ncols=3, loc="lower right")
 
 
-def _refused(axes: Axes, row: dict[str, Any]) -> None:
+def _draw_rejected(axes: Axes, row: dict[str, Any]) -> None:
     for class_name, many in row["fleet"]["refused_in"].items():
         rows = _smooth(many)
         axes.step(
@@ -56,22 +57,31 @@
     axes.legend(fontsize=7, ncols=3, loc="upper right")
 
 
-def _held(axes: Axes, row: dict[str, Any], start: str, bound: str) -> None:
-    shared = {name: found for name, found in row["fleet"]["shared"].items() if name.startswith(start)}
-    for name, found in shared.items():
-        values = found["by_time"]
+def _draw_shared(axes: Axes, row: dict[str, Any], prefix: str, label: str) -> None:
+    shared = {name: resource for name, resource in row["fleet"]["shared"].items() if name.startswith(prefix)}
+    for name, resource in shared.items():
+        values = resource["by_time"]
         axes.plot([n * SAMPLE_US / SECOND_US for n in range(len(values))], values, label=name, lw=0.9)
     axes.axhline(1.0, color="#555", lw=0.8, ls="--")
-    axes.set_ylabel(bound)
+    axes.set_ylabel(label)
     axes.legend(fontsize=7, ncols=3, loc="upper right")
 
 
 PLOTS = (
-    (_earned, "Utility by location; faults shaded"),
-    (_refused, "Tries rejected, by traffic class"),
-    (lambda axes, row: _held(axes, row, "link z", "of its room"), "What all held of each location's link"),
-    (lambda axes, row: _held(axes, row, "link p", "of its room"), "What all held of each parent's link"),
-    (lambda axes, row: _held(axes, row, "cold", "of its budget"), "The fullest cold host, of its budget"),
+    (_draw_earned, "Utility by location; faults shaded"),
+    (_draw_rejected, "Tries rejected, by traffic class"),
+    (
+        lambda axes, row: _draw_shared(axes, row, "link z", "of its room"),
+        "What all held of each location's link",
+    ),
+    (
+        lambda axes, row: _draw_shared(axes, row, "link p", "of its room"),
+        "What all held of each parent's link",
+    ),
+    (
+        lambda axes, row: _draw_shared(axes, row, "cold", "of its budget"),
+        "The fullest cold host, of its budget",
+    ),
 )
 
 
@@ -81,7 +91,7 @@
         figure, many = plt.subplots(1, len(runs), figsize=(4.6 * len(runs) + 0.6, 2.4), squeeze=False)
         for axes, row in zip(many[0], runs, strict=True):
             draw(axes, row)
-            _marked(axes, row)
+            _mark_faults(axes, row)
             axes.set_title(_title(row), fontsize=8)
             axes.set_xlabel("seconds", fontsize=8)
         out.append(svg(figure, words))
@@ -139,13 +149,13 @@
 
 
 def _displaced(row: dict[str, Any]) -> str:
-    found = row["fleet"]["displaced"]
-    if not found:
+    displaced = row["fleet"]["displaced"]
+    if not displaced:
         return ""
-    kinds = list(next(iter(found.values())))
+    kinds = list(next(iter(displaced.values())))
     out = ["<table><caption>Displaced tries, and what became of them</caption>"]
     out.append(cells_of(["clients", *kinds], "th"))
-    for name, many in found.items():
+    for name, many in displaced.items():
         out.append(cells_of([html.escape(name), *(str(many[kind]) for kind in kinds)]))
     return "".join(out) + "</table>"
 
@@ -154,8 +164,8 @@
     """The whole page; of each scene the first runs, and those of `beside`, stand side by side."""
     names = list(dict.fromkeys(row["day"] for row in rows))
     links = "".join(f'<a href="#s{n}">{html.escape(name)}</a>' for n, name in enumerate(names))
-    told = f"<p>{len(rows)} runs. All figures are emulated.</p>"
-    parts = [f"<h1>Scenes of the fleet</h1>{told}<nav>{links}</nav>"]
+    summary = f"<p>{len(rows)} runs. All figures are emulated.</p>"
+    parts = [f"<h1>Scenes of the fleet</h1>{summary}<nav>{links}</nav>"]
     for n, name in enumerate(names):
         runs = [row for row in [*rows, *beside] if row["day"] == name][:MOST_BESIDE]
         parts.append(f'<h2 id="s{n}">{html.escape(name)}</h2>')
--- a/hoistplank/lab/fleet/scene_reader.py
+++ b/hoistplank/lab/fleet/scene_reader.py
@@ -9,6 +9,7 @@
 from hoistplank.lab.fleet.scene_faults import KINDS, OF_PROCESSES
 from hoistplank.lab.model.faults import (
     SPAN,
+    ScheduledFault,
     read_faults,
 )
 from hoistplank.lab.model.world_settings import SECOND_US
@@ -94,24 +95,46 @@
     return Bound(words[0], words[1] if at == 2 else "", words[at] == "above", value, low, high)
 
 
-def read(data: bytes, file: str) -> Scene:
-    """The scene of a file. Raises `ConfigurationError` with all that is wrong, each with its place: what
-    can't be met in the fleet that the scene asks for as well."""
+def read_scene(data: bytes, file: str) -> Scene:
+    """The scene of a file.
+
+    Raises `ConfigurationError` with all that is wrong, each with its place: also with what the scene asks for
+    and its own fleet can't have.
+    """
+    form = _scene_form(data, file)
+    diagnostics: list[Diagnostic] = []
+    scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
+    rest = tuple(item for item in form.items[1:] if item not in scripts)
+    section = schema.read_form(SCENE, rest, form.location, diagnostics)
+    faults = read_faults(scripts, form.location, diagnostics, KINDS)
+    bounds = [_bound(atoms, section.location_of("expect"), diagnostics) for atoms in section["expect"]]
+    if diagnostics:
+        raise ConfigurationError(sorted(diagnostics, key=lambda diagnostic: diagnostic.location))
+    scene = _scene(section, faults, [bound for bound in bounds if bound is not None])
+    unsupported = [
+        Diagnostic(_place(scripts, index, form.location), found, expected)
+        for index, found, expected in unsupported_faults(scene, faults)
+    ]
+    unsupported += _faults_without_virtual_time(scene, faults, section)
+    unsupported += unsupported_bounds(scene, section)
+    if unsupported:
+        raise ConfigurationError(unsupported)
+    if any(fault.kind in OF_PROCESSES for fault in faults):
+        scene = msgspec.structs.replace(scene, drives=("processes",))
+    return scene
+
+
+def _scene_form(data: bytes, file: str) -> Form:
     forms = parse(data, file).forms
     if len(forms) != 1 or forms[0].name != "scene":
         place = forms[0].location if forms else SourceLocation(file, 1, 1)
         found = str(forms[0]) if len(forms) == 1 else f"{len(forms)} forms"
         raise ConfigurationError([Diagnostic(place, found, "one '(scene NAME …)'")])
-    faults: list[Diagnostic] = []
-    form = forms[0]
-    scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
-    rest = tuple(item for item in form.items[1:] if item not in scripts)
-    section = schema.read_form(SCENE, rest, form.location, faults)
-    rows = read_faults(scripts, form.location, faults, KINDS)
-    bounds = [_bound(atoms, section.location_of("expect"), faults) for atoms in section["expect"]]
-    if faults:
-        raise ConfigurationError(sorted(faults, key=lambda fault: fault.location))
-    scene = Scene(
+    return forms[0]
+
+
+def _scene(section: schema.Section, faults: list[ScheduledFault], bounds: list[Bound]) -> Scene:
+    return Scene(
         section.title,
         section["doc"],
         section["locations"],
@@ -124,29 +147,26 @@
         section["warm"] / SECOND_US,
         tuple(section["drives"]),
         section["operator"],
-        "\n".join(row.written() for row in rows),
-        tuple(bound for bound in bounds if bound is not None),
+        "\n".join(fault.written() for fault in faults),
+        tuple(bounds),
     )
-    unmet = [
-        Diagnostic(_place(scripts, n, form.location), found, wants)
-        for n, found, wants in unsupported_faults(scene, rows)
+
+
+def _faults_without_virtual_time(
+    scene: Scene, faults: list[ScheduledFault], section: schema.Section
+) -> list[Diagnostic]:
+    """Faults that only processes have, in a scene that asks for virtual time by name."""
+    if "virtual" not in scene.drives or "drives" not in section.locations:
+        return []
+    return [
+        Diagnostic(
+            section.location_of("drives"),
+            f"'virtual' beside '({fault.text})'",
+            "processes: only they have it",
+        )
+        for fault in faults
+        if fault.kind in OF_PROCESSES
     ]
-    if "virtual" in scene.drives and "drives" in section.locations:
-        unmet += [
-            Diagnostic(
-                section.location_of("drives"),
-                f"'virtual' beside '({row.text})'",
-                "processes: only they have it",
-            )
-            for row in rows
-            if row.kind in OF_PROCESSES
-        ]
-    unmet += unsupported_bounds(scene, section)
-    if unmet:
-        raise ConfigurationError(unmet)
-    if any(row.kind in OF_PROCESSES for row in rows):
-        scene = msgspec.structs.replace(scene, drives=("processes",))
-    return scene
 
 
 def _place(scripts: tuple[Form, ...], n: int, other: SourceLocation) -> SourceLocation:
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -18,7 +18,8 @@
 
 from hoistplank.fakes.deployment import free_port
 from hoistplank.lab.fleet import processes, runner, worker
-from hoistplank.lab.fleet.scene_reader import read
+from hoistplank.lab.fleet.scene_loader import LoadedScene, load_scenes
+from hoistplank.lab.fleet.scene_reader import read_scene
 from hoistplank.lab.fleet.worker import Job
 from hoistplank.operator_configuration.errors import ConfigurationError
 
@@ -28,7 +29,7 @@
 def played(tmp_path: Path, text: str, many: int = 1) -> list[dict[str, Any]]:
     file = tmp_path / "small.sexp"
     file.write_text(text)
-    playing = runner.played(runner.scenes([str(file)]), ["processes"], range(1, many + 1), many)
+    playing = runner.run_scenes(load_scenes([str(file)]), ["processes"], range(1, many + 1), many)
     return asyncio.run(asyncio.wait_for(playing, 150))
 
 
@@ -37,7 +38,7 @@
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path / "runs"))
     (tmp_path / "runs").mkdir()
-    stale = tmp_path / "runs" / f"{runner.PREFIX}999999999-x"
+    stale = tmp_path / "runs" / f"{runner.FOLDER_PREFIX}999999999-x"
     stale.mkdir()
     # The scene ends while one dispatcher is stopped, and after another one was killed.
     text = SMALL.format("(at 1s (down d1 for 400ms)) (at 1500ms (freeze d0 for 60s))")
@@ -49,17 +50,17 @@
 def test_a_dispatcher_comes_back_with_another_operator_s_file_beside_its_scene(tmp_path: Path) -> None:
     (tmp_path / "plain.sexp").write_text("(log (format json))")
     (tmp_path / "small.sexp").write_text(SMALL.format('(at 500ms (older d0 "plain.sexp" down 100ms))'))
-    ((scene, beside),) = runner.scenes([str(tmp_path)])  # the operator's file is no scene of the folder
+    ((scene, beside),) = load_scenes([str(tmp_path)])  # the operator's file is no scene of the folder
     assert scene.files() == ["plain.sexp"] and beside == tmp_path
     kept = tmp_path / "kept"
-    playing = runner.played([(scene, beside)], ["processes"], [1], 1, kept)
+    playing = runner.run_scenes([LoadedScene(scene, beside)], ["processes"], [1], 1, kept)
     (found,) = asyncio.run(asyncio.wait_for(playing, 90))
     assert found["verdict"] in ("held", "void"), found
     log = (kept / "s-1" / "dispatcher-0.log").read_text().splitlines()
     assert not log[0].startswith("{") and log[-1].startswith("{")
     (tmp_path / "plain.sexp").rename(tmp_path / "other.sexp")
     with pytest.raises(ConfigurationError, match="other.sexp"):
-        runner.scenes([str(tmp_path)])
+        load_scenes([str(tmp_path)])
 
 
 def test_a_dispatcher_that_breaks_is_told_and_a_late_rig_is_void(
@@ -69,8 +70,8 @@
     (found,) = played(tmp_path, SMALL.format('(at 500ms (older d0 "bad.sexp" down 100ms))'))
     assert found["verdict"] == "broke" and "nonsense" in found["why"]
     monkeypatch.setattr(processes.FleetDay, "late_us", lambda self: 40_000)
-    scene, folder = read(SMALL.format("").encode(), "s"), str(tmp_path / "run")
-    late = worker.play(Job(scene=scene, drive="processes", seed=1, folder=folder, beside=str(tmp_path)))
+    scene, folder = read_scene(SMALL.format("").encode(), "s"), str(tmp_path / "run")
+    late = worker.play(Job(scene=scene, drive="processes", seed=1, folder=folder, scene_folder=str(tmp_path)))
     assert late["how"] == "void" and "40 ms late" in late["why"]
 
 
@@ -85,7 +86,7 @@
             return asked[-1]
 
         monkeypatch.setattr("hoistplank.lab.backends.socket_dispatcher.free_port", port)
-        scene = read(SMALL.format("").encode(), "s")
+        scene = read_scene(SMALL.format("").encode(), "s")
         day, rig = processes.play(scene, 1, tmp_path, tmp_path)
     assert len(asked) == 3 and rig["chunks"] > 0 and day.metrics.firsts > 0
 
--- a/tests/test_fleet_scenes.py
+++ b/tests/test_fleet_scenes.py
@@ -9,11 +9,12 @@
 from click.testing import CliRunner
 
 from hoistplank.cli.main import main
-from hoistplank.lab.fleet import faulty_dispatchers, runner, virtual
+from hoistplank.lab.fleet import faulty_dispatchers, virtual
 from hoistplank.lab.fleet.metrics import FleetMetrics, SharedResource, jain_index
 from hoistplank.lab.fleet.scene_faults import lasts
-from hoistplank.lab.fleet.scene_reader import read
-from hoistplank.lab.fleet.worker import Job, told
+from hoistplank.lab.fleet.scene_loader import load_scenes
+from hoistplank.lab.fleet.scene_reader import read_scene
+from hoistplank.lab.fleet.worker import Job, run_row
 from hoistplank.lab.model.world_settings import SECOND_US
 from hoistplank.lab.policies import policy
 from hoistplank.operator_configuration.errors import ConfigurationError
@@ -48,7 +49,7 @@
 ) -> None:
     place, found, wants = BROKEN_SCENES[text]
     with pytest.raises(ConfigurationError) as told:
-        read(text.encode(), "s")
+        read_scene(text.encode(), "s")
     first = str(told.value.diagnostics[0])
     assert first.startswith(place) and found in first and wants in first, first
     file = tmp_path / "s.sexp"
@@ -58,27 +59,27 @@
 
 
 def test_the_repository_s_scenes_read_the_same_again_and_know_their_ends() -> None:
-    found = runner.scenes([str(SCENES)])
+    found = load_scenes([str(SCENES)])
     assert len(found) >= 12 and len({scene.name for scene, _ in found}) == len(found)
     for scene, _ in found:
         assert scene.doc and all(
             row.at + lasts(row) <= (scene.seconds + 2) * SECOND_US for row in scene.faults()
         )
     with pytest.raises(ConfigurationError, match="no scene 'none'"):
-        runner.scenes([str(SCENES)], "none")
+        load_scenes([str(SCENES)], "none")
     with pytest.raises(ConfigurationError, match="can't be read"):
-        runner.scenes([str(SCENES / "none.sexp")])
+        load_scenes([str(SCENES / "none.sexp")])
 
 
-PLAYED = [scene.name for scene, _ in runner.scenes([str(SCENES)]) if "virtual" in scene.drives]
+PLAYED = [scene.name for scene, _ in load_scenes([str(SCENES)]) if "virtual" in scene.drives]
 
 
 @pytest.mark.parametrize("name", PLAYED)
 def test_scenes_hold_in_virtual_time(name: str) -> None:
-    job = Job(scene=by_name(name), drive="virtual", seed=1, folder="", beside="")
+    job = Job(scene=by_name(name), drive="virtual", seed=1, folder="", scene_folder="")
     world, metrics = virtual.build_world(job.scene, 1, policy("module"))
     world.run()
-    found = told(job, world, metrics, 0.0, {})
+    found = run_row(job, world, metrics, 0.0, {})
     assert found["failures"] == [] and found["visits"] > 100
 
 
@@ -93,10 +94,14 @@
 
 def test_a_path_s_silence_and_a_stall_act_in_virtual_time_as_they_say() -> None:
     text = "(scene a (seconds 4s) (warm 2s) (at 1s ({})) (expect earned above 0))"
-    calm, usual = virtual.build_world(read(b"(scene a (seconds 4s) (warm 2s))", "a"), 1, policy("module"))
+    calm, usual = virtual.build_world(
+        read_scene(b"(scene a (seconds 4s) (warm 2s))", "a"), 1, policy("module")
+    )
     calm.run()
     for fault in ("hush z0 d0 for 2s", "freeze d0 for 2s", "hush clients d0 for 2s"):
-        world, metrics = virtual.build_world(read(text.format(fault).encode(), "a"), 1, policy("module"))
+        world, metrics = virtual.build_world(
+            read_scene(text.format(fault).encode(), "a"), 1, policy("module")
+        )
         late = [0]
 
         def answered(
