--- a/hoistplank/lab/backends/server_port.py
+++ b/hoistplank/lab/backends/server_port.py
@@ -11,8 +11,9 @@
 from hoistplank.decision.events import CacheStatus, Outcome
 from hoistplank.fakes.deployment import reserve_port
 from hoistplank.lab.model.objects import purge_group_of
-from hoistplank.lab.model.server_request import ServerRequest
+from hoistplank.lab.model.server_request import OnComplete, ServerRequest
 from hoistplank.lab.model.servers import Server
+from hoistplank.lab.model.world_settings import HUB
 
 if TYPE_CHECKING:
     from hoistplank.lab.backends.socket_dispatcher import SocketDispatcher
@@ -106,47 +107,48 @@
         open_requests: dict[str, ServerRequest],
     ) -> None:
         world, now = self.day.world, self.day.world.events.now
-        class_index, object_key = self.day.classes[fields["queue"]], fields["path"]
-        uncached = world.settings.classes[class_index].uncached
-        source = fields.get("parent", "") or ("" if uncached else self.server.uid)
-        number = int(object_key, 16)
+        server_request: ServerRequest
+
+        def end(result: int, note: int, created: int) -> None:
+            open_requests.pop(request_id, None)
+            self._end(request_id, server_request, now, writer, result, note, created)
+
+        server_request = self._server_request(request_id, fields, end)
+        source = server_request.source
         drains = world.rules.drains
         drains.attempt(now, self.dispatcher.number, self.server.uid, "host")
         if source not in ("", self.server.uid):
             drains.attempt(now, self.dispatcher.number, source, "source")
+        open_requests[request_id] = server_request
+        world.events.schedule(now + server_request.return_delay_us, self.server.arrive, server_request)
 
-        made: ServerRequest
-
-        def end(result: int, note: int, created: int) -> None:
-            open_requests.pop(request_id, None)
-            self._end(request_id, made, now, writer, result, note, created)
-
-        size = world.catalog.size_kb(class_index, number) / world.settings.transfer_kb_s * 1e6
-        place = (object_key, int(fields.get("blk", "0")))
-        made = server_request = ServerRequest(
+    def _server_request(self, request_id: str, fields: dict[str, str], end: OnComplete) -> ServerRequest:
+        """The request that a cache wire message's fields describe."""
+        world = self.day.world
+        class_index, object_key = self.day.classes[fields["queue"]], fields["path"]
+        number = int(object_key, 16)
+        size_us = world.catalog.size_kb(class_index, number) / world.settings.transfer_kb_s * 1e6
+        server_request = ServerRequest(
             self.dispatcher.number,
             self.dispatcher.zone,
             class_index,
-            place,
+            (object_key, int(fields.get("blk", "0"))),
             purge_group_of(number, world.settings),
-            size,
+            size_us,
             end,
         )
-        server_request.source, server_request.idempotency_key = (
-            source,
-            fields.get("uniq", "") or request_id[:12],
-        )
-        server_request.cache_rank, server_request.max_age_us = (
-            int(fields.get("shelf", "0")),
-            int(fields.get("accept", "0")) * 1_000,
-        )
+        uncached = world.settings.classes[class_index].uncached
+        server_request.source = fields.get("parent", "") or ("" if uncached else self.server.uid)
+        server_request.idempotency_key = fields.get("uniq", "") or request_id[:12]
+        server_request.cache_rank = int(fields.get("shelf", "0"))
+        server_request.max_age_us = int(fields.get("accept", "0")) * 1_000
         hints = fields.get("hints", "").split("+")
-        server_request.may_join, server_request.may_renew = "wait-for" in hints, "background" in hints
-        server_request.return_delay_us = world.settings.hub_delay_us if self.server.zone == "hub" else 0
-        if self.server.zone == "hub":
+        server_request.may_join = "wait-for" in hints
+        server_request.may_renew = "background" in hints
+        if self.server.zone == HUB:
+            server_request.return_delay_us = world.settings.hub_delay_us
             server_request.extra_links = [world.zone_links[self.dispatcher.zone]]
-        open_requests[request_id] = server_request
-        world.events.schedule(now + server_request.return_delay_us, self.server.arrive, server_request)
+        return server_request
 
     def _end(
         self,
--- a/hoistplank/lab/backends/socket_dispatcher.py
+++ b/hoistplank/lab/backends/socket_dispatcher.py
@@ -23,11 +23,11 @@
 
 
 CONNECTIONS = 8  # connections of the front to each dispatcher
-
-
 READY_S = 15.0
-
-
+HEALTH_CHECK_INTERVAL_S = 0.02
+HEALTH_CHECK_TIMEOUT_S = 1.0
+SHOWN_OUTPUT = 2_000  # characters of a process's output in an error
+OWN_VARIABLES = ("EDGE_", "HOISTPLANK_")  # of the environment: not handed on to a dispatcher
 WIRE_STATE = {"up": "ready", "draining": "draining", "gone": "gone"}
 
 
@@ -52,9 +52,9 @@
         self.skew_us = 0  # how far its clock is ahead of all others'
         self.log_writers: dict[asyncio.StreamWriter, None] = {}
 
-    # What the world tells.
+    # Events of the world.
 
-    def _tell(self, event: dict[str, Any]) -> None:
+    def _publish(self, event: dict[str, Any]) -> None:
         self.seq += 1
         self.log.append({"seq": self.seq, **event})
         for writer in self.log_writers:
@@ -78,12 +78,12 @@
         # a lost log it finds out by itself, what is kept it was started with
         if form not in ("failed", "kept"):
             rows = [self._target(row) for row in entries]
-            self._tell({"fleet": {"rev": self.seq + 1, "all": form == "whole", "targets": rows}})
+            self._publish({"fleet": {"rev": self.seq + 1, "all": form == "whole", "targets": rows}})
 
     def purge(self, object_key: str, group: int, made: int) -> None:
         """Publish a purge, made at `made` (us of the world), in its change log."""
         what: dict[str, Any] = {"object": object_key} if object_key else {"bucket": group}
-        self._tell({"invalidate": {"time": self._unix_ms(made), **what}})
+        self._publish({"invalidate": {"time": self._unix_ms(made), **what}})
 
     def _unix_ms(self, at: int) -> int:
         """A moment of the world by the others' clocks, as this dispatcher is told of it."""
@@ -210,57 +210,65 @@
             writer.close()
 
     async def start(self) -> None:
-        """Starts the dispatcher with the list of now; raises RuntimeError with its last lines if it
-        doesn't serve.
+        """Start the dispatcher with the current endpoint list, and wait until it serves.
+
+        Raises RuntimeError with its last lines of output if it doesn't.
         """
-        day = self.day
         self.port = free_port()
-        rows = [self._target(row) for row in day.world.host_entries()]
-        file = day.folder / f"dispatcher-{self.number}.json"
-        known = {
-            "seq": self.seq,
-            "results": [{"seq": self.seq, "fleet": {"rev": 1, "all": True, "targets": rows}}],
-        }
-        file.write_text(
-            json.dumps(
-                {
-                    "name": f"lab-{self.number}",
-                    "listen": f"127.0.0.1:{self.port}",
-                    "changelog": f"127.0.0.1:{self.log_port}",
-                    "seed": f"{day.world.streams.seed * 100 + self.number * 10 + self.runs:x}",
-                    "limits": {"sockets": 1_024, "memory_mb": 192},
-                    "settings": day.world.settings.dispatcher_settings(self.zone, self.number),
-                    "known": known,
-                }
-            )
-        )
-        own = ("EDGE_", "HOISTPLANK_")
-        environment = {k: v for k, v in os.environ.items() if not k.startswith(own)} | {
-            "EDGE_CONFIG": str(file)
+        file = self.day.folder / f"dispatcher-{self.number}.json"
+        file.write_text(json.dumps(self._configuration()))
+        environment = {
+            name: value for name, value in os.environ.items() if not name.startswith(OWN_VARIABLES)
         }
-        log = day.folder / f"dispatcher-{self.number}.log"
-        with log.open("ab") as out:
-            self.process = await asyncio.create_subprocess_exec(
-                *day.command(self), env=environment, stdout=out, stderr=out, preexec_fn=with_parent()
+        environment["EDGE_CONFIG"] = str(file)
+        log = self.day.folder / f"dispatcher-{self.number}.log"
+        with log.open("ab") as output:
+            process = self.process = await asyncio.create_subprocess_exec(
+                *self.day.command(self),
+                env=environment,
+                stdout=output,
+                stderr=output,
+                preexec_fn=with_parent(),
             )
         until = time.monotonic() + READY_S
-        while time.monotonic() < until and self.process.returncode is None:
-            # Danger: where another took the port meanwhile, who listens there may never answer.
-            with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-                async with asyncio.timeout(1):
-                    client = await connect(("127.0.0.1", self.port))
-                    client.send(1, "", script="/-/healthy")
-                    status = (await client.read_answer())[1]
-                client.writer.close()
-                if status == 200 and await self._stays():
-                    self.entry = await day.entry_port_for(self)
-                    self.alive = True
-                    # Danger: it may have been given up by the front while it started, and clients would never
-                    # come to it again.
-                    day.world.load_balancer.dispatcher_restarted(self)
-                    return
-            await asyncio.sleep(0.02)
-        raise RuntimeError(f"the dispatcher did not come up: {log.read_text()[-2_000:]}")
+        while time.monotonic() < until and process.returncode is None:
+            if await self._is_healthy() and await self._stays():
+                self.entry = await self.day.entry_port_for(self)
+                self.alive = True
+                # Danger: it may have been given up by the front while it started, and clients would never
+                # come to it again.
+                self.day.world.load_balancer.dispatcher_restarted(self)
+                return
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
+        raise RuntimeError(f"the dispatcher did not come up: {log.read_text()[-SHOWN_OUTPUT:]}")
+
+    def _configuration(self) -> dict[str, Any]:
+        """The process's configuration file, by the platform's names."""
+        day = self.day
+        targets = [self._target(row) for row in day.world.host_entries()]
+        return {
+            "name": f"lab-{self.number}",
+            "listen": f"127.0.0.1:{self.port}",
+            "changelog": f"127.0.0.1:{self.log_port}",
+            "seed": f"{day.world.streams.seed * 100 + self.number * 10 + self.runs:x}",
+            "limits": {"sockets": 1_024, "memory_mb": 192},
+            "settings": day.world.settings.dispatcher_settings(self.zone, self.number),
+            "known": {
+                "seq": self.seq,
+                "results": [{"seq": self.seq, "fleet": {"rev": 1, "all": True, "targets": targets}}],
+            },
+        }
+
+    async def _is_healthy(self) -> bool:
+        status = 0
+        # Danger: where another took the port meanwhile, who listens there may never answer.
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
+            async with asyncio.timeout(HEALTH_CHECK_TIMEOUT_S):
+                client = await connect(("127.0.0.1", self.port))
+                client.send(1, "", script="/-/healthy")
+                status = (await client.read_answer())[1]
+            client.writer.close()
+        return status == 200
 
     async def _stays(self) -> bool:
         """Danger: it may be another process that answers on this port, while ours is about to end."""
@@ -275,7 +283,7 @@
                 request = self.open.pop((at, number), None)
                 if request is None:
                     continue
-                self._answered(request, request.id, status, head)
+                self._answered(request.id, status, head)
         except (OSError, asyncio.IncompleteReadError):
             pass
         if self.clients[at] is client and self.alive:
@@ -285,14 +293,14 @@
                 request = self.open.pop(key)
                 self.day.world.clients.answered(request.id, UNREACHABLE)
 
-    def _answered(self, request: Request, request_id: str, status: int, head: bytes) -> None:
+    def _answered(self, request_id: str, status: int, head: bytes) -> None:
         world = self.day.world
         world.rules.answers.answered(world.events.now, request_id)
         if status == 200:
             world.clients.answered(request_id, SERVED, note=self.notes.pop(request_id, 0))
             return
-        told = dict(line.split(": ", 1) for line in head.decode().split("\r\n") if ": " in line)
-        wait_us = int(told.get("X-Pushback-Ms", 0)) * 1_000
+        fields = dict(line.split(": ", 1) for line in head.decode().split("\r\n") if ": " in line)
+        wait_us = int(fields.get("X-Pushback-Ms", 0)) * 1_000
         world.clients.answered(request_id, REJECTED if status == 503 else FAILED, wait_us)
 
     async def stop(self) -> None:
--- a/hoistplank/lab/backends/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -1,7 +1,7 @@
-"""Sockets: the same model as stand-ins on loopback, against real dispatcher processes, in real time.
+"""Sockets: the same model as servers on loopback, against real dispatcher processes, in real time.
 
-One task moves the world's agenda on by the machine's clock; each dispatcher reaches every server at a port
-set aside for it, so that the world knows who asks. What flows between servers stays in the model. What
+One task advances the world's event queue by the machine's clock. Each dispatcher reaches every server at a
+port set aside for it, so that the world knows who asks. What flows between servers stays in the model. What
 loopback can't show: a connection to a silent machine is made at once (the kernel accepts it), so that a
 vanished host shows as silence where virtual time shows a connection that is not up in time.
 """
@@ -48,7 +48,7 @@
         self.world.dispatchers.extend(self.dispatchers)
         self.began_s, self.began_unix_s = 0.0, 0.0
         self.lags: list[int] = []
-        self.backend_report: dict[str, Any] = {}  # what the drive has to say of itself at the end
+        self.backend_report: dict[str, Any] = {}  # what the backend reports of itself at the end
 
     def make_dispatcher(self, number: int, zone: int) -> SocketDispatcher:
         """Make a dispatcher; subclasses make their own kind."""
@@ -60,7 +60,12 @@
 
     # Where a dispatcher and the others find each other: here each at its own port, with nothing between.
 
-    async def port_for(self, dispatcher: SocketDispatcher, party: str, port: int) -> int:
+    async def port_for(
+        self,
+        dispatcher: SocketDispatcher,  # noqa: ARG002 (for subclasses)
+        party: str,  # noqa: ARG002 (for subclasses)
+        port: int,
+    ) -> int:
         """The port at which the dispatcher finds a server, or its change log (`log`)."""
         return port
 
@@ -74,17 +79,20 @@
     def entry_closed(self, dispatcher: SocketDispatcher) -> None:
         """A dispatcher was killed."""
 
-    def command(self, dispatcher: SocketDispatcher) -> list[str]:
+    def command(self, dispatcher: SocketDispatcher) -> list[str]:  # noqa: ARG002 (for subclasses)
         """The command that starts a dispatcher's process."""
         return [sys.executable, "-m", "hoistplank"]
 
     def advance(self) -> None:
-        """Brings the world up to now, before what has just come in is told to it."""
+        """Brings the world up to now, before an event that has just arrived is applied to it."""
         if self.began_s:
             self.world.events.run_until(int((time.monotonic() - self.began_s) * 1e6))
 
     async def play(self) -> float:
-        """The score; raises TooLate where the machine was too slow, RuntimeError where a dispatcher broke."""
+        """Return the score.
+
+        Raises RunTooLateError where the machine was too slow, RuntimeError where a dispatcher broke.
+        """
         self.began_unix_s = time.time()
         try:
             await self.begin()
@@ -116,7 +124,7 @@
         await asyncio.gather(*(dispatcher.start() for dispatcher in self.dispatchers))
 
     async def finish(self) -> dict[str, Any]:
-        """What is to be told of the day while all processes are still there."""
+        """Report on the day while all processes are still there."""
         return {}
 
     async def end(self) -> None:
@@ -139,12 +147,12 @@
         return quiet or world.events.now >= (world.last_end_us() if world.clients.open else world.end_us())
 
     async def _turn(self) -> None:
-        agenda = self.world.events
+        events = self.world.events
         now = int((time.monotonic() - self.began_s) * 1e6)
-        due = agenda.next_time()
+        due = events.next_time()
         if due is not None and due <= now:
             self.lags.append(now - due)
-            agenda.run_until(now)
+            events.run_until(now)
         for dispatcher in self.dispatchers:
             for server_port in dispatcher.server_ports.values():
                 if server_port.server.phase == DOWN and server_port.listening is not None:
@@ -153,7 +161,7 @@
                 elif server_port.server.phase != DOWN and server_port.listening is None:
                     await server_port.open()
                     self.port_changed(dispatcher, server_port.server, True)
-        due = agenda.next_time() or now
+        due = events.next_time() or now
         await asyncio.sleep(min(0.002, max(0.0, (due - now) / SECOND_US)))
 
 
@@ -164,7 +172,7 @@
     folder: Path,
     loop: Callable[[], Any] | None = None,
 ) -> World:
-    """A day on sockets in a loop of its own. Raises TooLate and RuntimeError."""
+    """A day on sockets in a loop of its own. Raises RunTooLateError and RuntimeError."""
     day = SocketDay(settings, seed, rows, folder)
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(asyncio.wait_for(day.play(), day.world.last_end_us() / SECOND_US + 60))
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -25,11 +25,11 @@
 from hoistplank.decision.settings import Degradation
 from hoistplank.degradation.observer import CompletedFill
 from hoistplank.lab.backends.degradation_controller import DegradationController, DegradationPlan
+from hoistplank.lab.backends.virtual_attempt import Attempt
 from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, Request
 from hoistplank.lab.model.fault_injector import FaultInjector
 from hoistplank.lab.model.faults import ScheduledFault
 from hoistplank.lab.model.server_request import ServerRequest
-from hoistplank.lab.model.servers import Server
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB, WorldSettings
 from hoistplank.lab.policies import Make, Plain, Policy
@@ -38,57 +38,8 @@
 CONNECT_US = 400_000
 
 
-class Attempt:
-    """One attempt that is out. `over` once its end was told to the policy, or is on its way to it."""
-
-    __slots__ = ("action", "dispatcher", "is_over", "request", "sent_at", "server", "server_request")
-
-    def __init__(
-        self, dispatcher: VirtualDispatcher, request: Request, action: SendAttempt, sent: int
-    ) -> None:
-        self.dispatcher, self.request, self.action, self.sent_at = dispatcher, request, action, sent
-        self.is_over = False
-        self.server_request: ServerRequest | None = None
-        self.server: Server | None = None
-
-    def answered(self, result: int, note: int, created: int) -> None:
-        """Its end has left the host; how it comes here is for the path between them."""
-        paths, dispatcher = self.dispatcher.world.paths, self.dispatcher
-        if paths is None:
-            self.end(result, note, created)
-            return
-        paths.send(
-            f"d{dispatcher.number}>{self.action.host}",
-            True,
-            dispatcher.events.now,
-            self.end,
-            result,
-            note,
-            created,
-        )
-
-    def end(self, result: int, note: int, created: int) -> None:
-        """Hand the outcome to the dispatcher's queue, once."""
-        if not self.is_over:
-            self.is_over = True
-            self.dispatcher.enqueue(
-                self.dispatcher.attempt_ended, self, result, note, created, self.dispatcher.world.events.now
-            )
-
-    def timed_out(self) -> None:
-        """End an attempt that took longer than it was given."""
-        if not self.is_over:
-            self.cancel()
-            self.end(Outcome.TIMED_OUT, 0, -1)
-
-    def cancel(self) -> None:
-        """Take the request back at its host."""
-        if self.server_request is not None and self.server is not None:
-            self.server.cancel(self.server_request)
-
-
 class VirtualDispatcher:
-    """A dispatcher: the owner's turn over a queue of what came, then all decisions in order."""
+    """A simulated dispatcher process: each turn handles all queued events, then all actions."""
 
     def __init__(
         self, world: World, number: int, zone: int, make: Make, plan: DegradationPlan | None = None
@@ -123,7 +74,7 @@
             )
         return policy
 
-    # What the world tells.
+    # Events of the world.
 
     def enqueue(self, call: Callable[..., None], *args: Any) -> None:
         """Queue a call for the next turn of the dispatcher's event loop."""
@@ -147,7 +98,7 @@
         if degradation is not None and not degradation.admits(
             now, class_name, len(self.requests) - len(self.ended_requests)
         ):
-            # Shed as it begins, before the owner's turn: it costs a share of an event.
+            # Shed before the turn of the router task: it costs a share of an event.
             assert self.plan is not None
             self.debt_us += int(self.world.settings.event_cpu_us * self.plan.shed_cost_share)
             self.world.rules.answers.answered(now, request.id)
@@ -317,12 +268,24 @@
         if action.source and action.source != action.host:
             drains.attempt(now, self.number, action.source, "source")
         server = attempt.server = world.servers[action.host]
-        way = world.settings.hub_delay_us if server.zone == HUB else world.settings.zone_delay_us
+        delay_us = world.settings.hub_delay_us if server.zone == HUB else world.settings.zone_delay_us
         self.events.schedule(now + action.timeout_us, attempt.timed_out)
         if world.is_cut(self.zone_name, server.zone):
             self.events.schedule(now + CONNECT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
             return
-        server_request = attempt.server_request = ServerRequest(
+        server_request = attempt.server_request = self._server_request(attempt, delay_us)
+        if server.zone == HUB:
+            server_request.extra_links = [world.zone_links[self.zone]]
+        if world.paths is None:
+            self.events.schedule(now + delay_us, server.arrive, server_request)
+        else:
+            world.paths.send(
+                f"d{self.number}>{server.uid}", False, now + delay_us, server.arrive, server_request
+            )
+
+    def _server_request(self, attempt: Attempt, return_delay_us: int) -> ServerRequest:
+        request, action = attempt.request, attempt.action
+        server_request = ServerRequest(
             self.number,
             self.zone,
             request.class_index,
@@ -331,22 +294,13 @@
             request.size_us,
             attempt.answered,
         )
-        server_request.source, server_request.cache_rank, server_request.max_age_us = (
-            action.source,
-            action.retention,
-            action.max_age_us,
-        )
-        server_request.may_join, server_request.idempotency_key, server_request.return_delay_us = (
-            action.join_fill,
-            request.key,
-            way,
-        )
-        if server.zone == HUB:
-            server_request.extra_links = [world.zone_links[self.zone]]
-        if world.paths is None:
-            self.events.schedule(now + way, server.arrive, server_request)
-        else:
-            world.paths.send(f"d{self.number}>{server.uid}", False, now + way, server.arrive, server_request)
+        server_request.source = action.source
+        server_request.cache_rank = action.retention
+        server_request.max_age_us = action.max_age_us
+        server_request.may_join = action.join_fill
+        server_request.idempotency_key = request.key
+        server_request.return_delay_us = return_delay_us
+        return server_request
 
     def attempt_ended(
         self, now: int, attempt: Attempt, result: int, note: int, created: int, at: int
--- /dev/null
+++ b/hoistplank/lab/backends/virtual_attempt.py
@@ -0,0 +1,63 @@
+"""One attempt of a dispatcher in virtual time: its way to a simulated server, and its outcome's way back."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hoistplank.decision.actions import SendAttempt
+from hoistplank.decision.events import Outcome
+from hoistplank.lab.model.clients import Request
+from hoistplank.lab.model.server_request import ServerRequest
+from hoistplank.lab.model.servers import Server
+
+if TYPE_CHECKING:
+    from hoistplank.lab.backends.virtual import VirtualDispatcher
+
+
+class Attempt:
+    """One attempt in flight; `is_over` once its outcome was passed to the policy, or is on its way to it."""
+
+    __slots__ = ("action", "dispatcher", "is_over", "request", "sent_at", "server", "server_request")
+
+    def __init__(
+        self, dispatcher: VirtualDispatcher, request: Request, action: SendAttempt, sent: int
+    ) -> None:
+        self.dispatcher, self.request, self.action, self.sent_at = dispatcher, request, action, sent
+        self.is_over = False
+        self.server_request: ServerRequest | None = None
+        self.server: Server | None = None
+
+    def answered(self, result: int, note: int, created: int) -> None:
+        """Its end has left the host; how it comes here is for the path between them."""
+        paths, dispatcher = self.dispatcher.world.paths, self.dispatcher
+        if paths is None:
+            self.end(result, note, created)
+            return
+        paths.send(
+            f"d{dispatcher.number}>{self.action.host}",
+            True,
+            dispatcher.events.now,
+            self.end,
+            result,
+            note,
+            created,
+        )
+
+    def end(self, result: int, note: int, created: int) -> None:
+        """Hand the outcome to the dispatcher's queue, once."""
+        if not self.is_over:
+            self.is_over = True
+            self.dispatcher.enqueue(
+                self.dispatcher.attempt_ended, self, result, note, created, self.dispatcher.world.events.now
+            )
+
+    def timed_out(self) -> None:
+        """End an attempt that took longer than it was given."""
+        if not self.is_over:
+            self.cancel()
+            self.end(Outcome.TIMED_OUT, 0, -1)
+
+    def cancel(self) -> None:
+        """Take the request back at its host."""
+        if self.server_request is not None and self.server is not None:
+            self.server.cancel(self.server_request)
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -140,9 +140,7 @@
         if title is None or isinstance(title, Form):
             faults.append(Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'"))
             continue
-        found[title.text] = "\n".join(
-            row.written() for row in read_faults(form.items[2:], form.location, faults)
-        )
+        found[title.text] = "\n".join(row.written() for row in read_faults(form.items[2:], faults))
     return found
 
 
--- a/hoistplank/lab/fleet/scene.py
+++ b/hoistplank/lab/fleet/scene.py
@@ -21,7 +21,7 @@
     read_faults,
 )
 from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings, scaled_settings
-from hoistplank.operator_configuration.errors import Diagnostic, SourceLocation
+from hoistplank.operator_configuration.errors import Diagnostic
 from hoistplank.operator_configuration.parser import parse
 
 MEASURES = {
@@ -99,9 +99,7 @@
     def faults(self) -> list[ScheduledFault]:
         """The scene's faults, in the order of their times."""
         faults: list[Diagnostic] = []
-        return read_faults(
-            parse(self.script.encode(), self.name).forms, SourceLocation(self.name, 1, 1), faults, KINDS
-        )
+        return read_faults(parse(self.script.encode(), self.name).forms, faults, KINDS)
 
     def files(self) -> list[str]:
         """The operator's files that it names, beside its own."""
--- a/hoistplank/lab/fleet/scene_reader.py
+++ b/hoistplank/lab/fleet/scene_reader.py
@@ -106,7 +106,7 @@
     scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
     rest = tuple(item for item in form.items[1:] if item not in scripts)
     section = schema.read_form(SCENE, rest, form.location, diagnostics)
-    faults = read_faults(scripts, form.location, diagnostics, KINDS)
+    faults = read_faults(scripts, diagnostics, KINDS)
     bounds = [_bound(atoms, section.location_of("expect"), diagnostics) for atoms in section["expect"]]
     if diagnostics:
         raise ConfigurationError(sorted(diagnostics, key=lambda diagnostic: diagnostic.location))
--- a/hoistplank/lab/model/caching_server.py
+++ b/hoistplank/lab/model/caching_server.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from hoistplank.decision.events import CacheStatus, Outcome
 from hoistplank.lab.model.cache_storage import CachedCopy, CacheKey, CacheStorage
 from hoistplank.lab.model.server_request import ServerRequest
@@ -11,6 +13,23 @@
 RENEW_AFTER_SHARE = 0.8  # of its fresh time: from here on a copy may be renewed behind its answer
 
 
+CONNECT_TIMEOUT_US = 400_000
+FILL_CACHE_RANK = 2  # of the copies that fills leave at their source
+# What the requests that waited are answered with; SOURCE_UNREACHABLE for all other results of a fill.
+FAILED_FILL_STATUS = {
+    Outcome.OVERLOADED: CacheStatus.SOURCE_REFUSED,
+    Outcome.MISS: CacheStatus.SOURCE_LACKS,
+}
+
+
+class FillOutcome(NamedTuple):
+    """How a source answered: an `Outcome`, a `CacheStatus`, and when the copy was created (us; -1: none)."""
+
+    result: int
+    note: int
+    created: int
+
+
 class Fill:
     """One transfer from a source, and all that wait for it."""
 
@@ -34,7 +53,7 @@
 
 
 class CachingServer(Server):
-    """A cache host or a parent: answers from its keep, joins fills, fills from a source, renews behind."""
+    """A cache host or a parent: answers from storage, joins fills, fills from a source, renews copies."""
 
     def __init__(
         self,
@@ -111,7 +130,7 @@
         return False
 
     def _fill(self, request: ServerRequest, source: str, newer_than: int = 0) -> None:
-        """A fill that the ask waits for; one that renews a copy of an age has nobody waiting."""
+        """Start or join a fill; `newer_than`: it renews a copy of this age (us), and nothing waits for it."""
         under = self.fills.get(request.cache_key)
         joins = request.may_join or self.kind == PARENT
         # Danger: a fill that began before a purge brings a copy older than the request may get.
@@ -159,12 +178,31 @@
             self._finish(request, Outcome.SUCCEEDED, *request.fill_result)
 
     def _request_from_source(self, fill: Fill) -> None:
-        first, settings = fill.first, self.settings
         fill.attempts += 1
         incarnation = self.incarnation
+        source_request = self._source_request(fill, incarnation)
+        fill.request = source_request
+        source = self.world.servers.get(fill.source)
+        if source is None:
+            source_request.on_complete(Outcome.CONNECT_FAILED, 0, -1)
+            return
+        now = self.events.now
+        if self.world.is_cut(self.zone, source.zone):
+            self.events.schedule(
+                now + CONNECT_TIMEOUT_US, source_request.on_complete, Outcome.CONNECT_FAILED, 0, -1
+            )
+            return
+        self.events.schedule(now + self.settings.hub_delay_us, source.arrive, source_request)
+        self.events.schedule(
+            now + self.settings.fill_timeout_us, self._fill_timed_out, fill, source_request, incarnation
+        )
+
+    def _source_request(self, fill: Fill, incarnation: int) -> ServerRequest:
+        first, settings = fill.first, self.settings
+        source_request: ServerRequest
 
         def ended(result: int, note: int, created: int) -> None:
-            self._fill_ended(fill, source_request, incarnation, result, note, created)
+            self._fill_ended(fill, source_request, incarnation, FillOutcome(result, note, created))
 
         def began() -> None:
             self.events.schedule(
@@ -180,34 +218,15 @@
             first.size_us,
             ended,
         )
-        source_request.source, source_request.max_age_us, source_request.may_join = (
-            self.world.origin.uid,
-            fill.max_age_us,
-            True,
-        )
-        source_request.return_delay_us, source_request.on_first_byte, source_request.cache_rank = (
-            settings.hub_delay_us,
-            began,
-            2,
-        )
+        source_request.source = self.world.origin.uid
+        source_request.max_age_us = fill.max_age_us
+        source_request.may_join = True
+        source_request.return_delay_us = settings.hub_delay_us
+        source_request.on_first_byte = began
+        source_request.cache_rank = FILL_CACHE_RANK
         if self.kind == CACHE_HOST:
             source_request.extra_links = [self.world.zone_links[first.zone]]
-        fill.request = source_request
-        source = self.world.servers.get(fill.source)
-        if source is None:
-            ended(Outcome.CONNECT_FAILED, 0, -1)
-            return
-        if self.world.is_cut(self.zone, source.zone):
-            self.events.schedule(self.events.now + 400_000, ended, Outcome.CONNECT_FAILED, 0, -1)
-            return
-        self.events.schedule(self.events.now + settings.hub_delay_us, source.arrive, source_request)
-        self.events.schedule(
-            self.events.now + settings.fill_timeout_us,
-            self._fill_timed_out,
-            fill,
-            source_request,
-            incarnation,
-        )
+        return source_request
 
     def _source_began(self, fill: Fill, source_request: ServerRequest, incarnation: int) -> None:
         if (
@@ -223,52 +242,48 @@
     def _fill_timed_out(self, fill: Fill, source_request: ServerRequest, incarnation: int) -> None:
         if incarnation == self.incarnation and fill.request is source_request and not fill.streaming:
             source_request.cancel()
-            self._fill_ended(fill, source_request, incarnation, Outcome.TIMED_OUT, 0, -1)
+            self._fill_ended(fill, source_request, incarnation, FillOutcome(Outcome.TIMED_OUT, 0, -1))
 
     def _fill_ended(
-        self,
-        fill: Fill,
-        source_request: ServerRequest,
-        incarnation: int,
-        result: int,
-        note: int,
-        created: int,
+        self, fill: Fill, source_request: ServerRequest, incarnation: int, outcome: FillOutcome
     ) -> None:
         if incarnation != self.incarnation or fill.request is not source_request:
             return
         fill.request = None
         wanted = any(request.active and request in self.open_requests for request, _ in fill.waiting)
-        again = wanted and not fill.streaming and fill.attempts < self.settings.fill_attempts
-        if result != Outcome.SUCCEEDED and again:
+        may_retry = wanted and not fill.streaming and fill.attempts < self.settings.fill_attempts
+        if outcome.result != Outcome.SUCCEEDED and may_retry:
             self._request_from_source(fill)
             return
         self.active_fills -= 1
         if self.fills.get(fill.first.cache_key) is fill:
             del self.fills[fill.first.cache_key]
-        if result == Outcome.SUCCEEDED:
-            self.completed_fills += 1
-            first = fill.first
-            self.storage.put(
-                first.cache_key, created, first.size_us * self.settings.transfer_kb_s / 1e6, first.cache_rank
-            )
-            for request, kind in fill.waiting:
-                request.fill_result = (
-                    note if kind == CacheStatus.FILLED and note == CacheStatus.FROM_ORIGIN else kind,
-                    created,
-                )
-                self._part_done(request, incarnation)
-            return
-        why = {Outcome.OVERLOADED: CacheStatus.SOURCE_REFUSED, Outcome.MISS: CacheStatus.SOURCE_LACKS}.get(
-            result, CacheStatus.SOURCE_UNREACHABLE
-        )
+        if outcome.result == Outcome.SUCCEEDED:
+            self._complete_fill(fill, incarnation, outcome)
+        else:
+            self._fail_fill(fill, outcome.result)
+
+    def _complete_fill(self, fill: Fill, incarnation: int, outcome: FillOutcome) -> None:
+        """Store the copy, and complete the responses that waited for it."""
+        self.completed_fills += 1
+        first = fill.first
+        size_kb = first.size_us * self.settings.transfer_kb_s / 1e6
+        self.storage.put(first.cache_key, outcome.created, size_kb, first.cache_rank)
+        for request, status in fill.waiting:
+            from_origin = status == CacheStatus.FILLED and outcome.note == CacheStatus.FROM_ORIGIN
+            request.fill_result = (outcome.note if from_origin else status, outcome.created)
+            self._part_done(request, incarnation)
+
+    def _fail_fill(self, fill: Fill, result: int) -> None:
+        """End the requests that waited for the fill."""
+        status = FAILED_FILL_STATUS.get(result, CacheStatus.SOURCE_UNREACHABLE)
         if fill.source == self.world.origin.uid:
-            why = CacheStatus.ORIGIN_UNREACHABLE
+            status = CacheStatus.ORIGIN_UNREACHABLE
+        outcome = Outcome.OVERLOADED if status == CacheStatus.SOURCE_REFUSED else Outcome.ERROR
         for request, _ in fill.waiting:
             for link, flow in request.transfers:
                 link.cancel(flow)
-            self._finish(
-                request, Outcome.OVERLOADED if why == CacheStatus.SOURCE_REFUSED else Outcome.ERROR, why, -1
-            )
+            self._finish(request, outcome, status, -1)
 
     def _forward_uncached(self, request: ServerRequest) -> None:
         """A request that is never kept goes on to the origin; an answer that does not come is not asked for
@@ -276,7 +291,7 @@
         """
         origin, incarnation = self.world.origin, self.incarnation
 
-        def ended(result: int, note: int, created: int) -> None:
+        def ended(result: int, _note: int, created: int) -> None:
             if incarnation == self.incarnation:
                 lost = result not in (Outcome.SUCCEEDED, Outcome.OVERLOADED)
                 self._finish(
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from hoistplank.lab.model.world_settings import HUB, WorldSettings
-from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
+from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.parser import parse
 from hoistplank.operator_configuration.schema import suggestion
 from hoistplank.operator_configuration.syntax import Atom, Form, quote
@@ -134,7 +134,7 @@
 
 
 def read_faults(
-    forms: tuple[Atom | Form, ...], place: SourceLocation, faults: list[Diagnostic], kinds: FaultWords = KINDS
+    forms: tuple[Atom | Form, ...], faults: list[Diagnostic], kinds: FaultWords = KINDS
 ) -> list[ScheduledFault]:
     """The `(at …)` forms of a script, in the order of their times; what is wrong is added to `faults`.
     `kinds`: the faults that it may hold, and their words.
@@ -174,7 +174,7 @@
     """A script by itself. Raises `ConfigurationError` with all that is wrong."""
     forms = parse(text.encode(), file).forms
     faults: list[Diagnostic] = []
-    found = read_faults(forms, SourceLocation(file, 1, 1), faults)
+    found = read_faults(forms, faults)
     if faults:
         raise ConfigurationError(faults)
     return found
--- a/hoistplank/lab/model/load_balancer.py
+++ b/hoistplank/lab/model/load_balancer.py
@@ -59,7 +59,7 @@
         # The deadline that a dispatcher is given is the traffic class's, less what earlier tries took.
         until = request.asked_at + self.world.settings.classes[request.class_index].deadline_us
         now, paths = self.world.events.now, self.world.paths
-        self.world.rules.answers.accepted(now, dispatcher.number, request.id, until)
+        self.world.rules.answers.accepted(dispatcher.number, request.id, until)
         if self.world.clients.observer is not None:
             self.world.clients.observer.tried(now, request)
         if paths is None:
--- a/hoistplank/lab/model/rule_checker.py
+++ b/hoistplank/lab/model/rule_checker.py
@@ -48,7 +48,7 @@
             int, int
         ] = {}  # dispatchers not to blame for answers now, by how many causes
 
-    def accepted(self, now: int, dispatcher: int, request: str, until: int) -> None:
+    def accepted(self, dispatcher: int, request: str, until: int) -> None:
         """A dispatcher has accepted a request that is due by `until` (us)."""
         self.open[request] = AcceptedRequest(
             dispatcher, until, excused=dispatcher in self.excused_dispatchers
--- a/hoistplank/lab/model/world_settings.py
+++ b/hoistplank/lab/model/world_settings.py
@@ -165,47 +165,15 @@
         return sum(row.share * sum(row.next_part_chance**n for n in range(row.parts)) for row in self.classes)
 
     def dispatcher_settings(self, zone: int, index: int) -> dict[str, Any]:
-        """What a dispatcher is told at its start, by the platform's names and units."""
-        total = self.zones * self.dispatchers
-        classes = [
-            {
-                "name": row.name,
-                "target": row.target_us / SECOND_US,
-                "aim_stretch": row.target_stretch,
-                "give_up": row.deadline_us / SECOND_US,
-                "semantics": row.semantics,
-                "group": row.group,
-                "dedup_window": row.window_us / SECOND_US,
-                "gain": row.utility,
-                "late_value": row.late_value,
-            }
-            for row in self.classes
-        ]
+        """The settings that a dispatcher is given at its start, by the platform's names and units."""
         return {
             "areas": [HUB, *(f"z{n}" for n in range(self.zones))],
             "models": [CACHE_HOST, PARENT, ORIGIN],
             "zone": f"z{zone}",
-            "group_size": total,
+            "group_size": self.zones * self.dispatchers,
             "index": index,
-            "classes": classes,
-            "family_info": {
-                "second_tier_kind": 1,
-                "master_kind": 2,
-                "uncached": [row.uncached for row in self.classes],
-                "lifetime_by_class": [row.fresh_us / SECOND_US for row in self.classes],
-                "class_grace": [row.stale_us / SECOND_US for row in self.classes],
-                "worth_when_old": [row.stale_value for row in self.classes],
-                "may_pass_by": True,
-                "joins": True,
-                "notes_given": "all",
-                "stream_kb_per_s": self.transfer_kb_s,
-                "zone_link_kb_per_s": [0.0, *([self.zone_link * self.transfer_kb_s] * self.zones)],
-                "instances_by_zone": [0, *([self.dispatchers] * self.zones)],
-                "parent_starts_at": self.cold_start_share,
-                "parent_ramp": self.warm_up_us / SECOND_US,
-                "parent_fall_multiple": self.overload_multiple,
-                "purge_takes": self.purge_delay_us / SECOND_US,
-            },
+            "classes": [_class_settings(row) for row in self.classes],
+            "family_info": self._family_settings(),
             "limits": {
                 "connect_timeout": 0.4,
                 "max_attempts": 4,
@@ -229,6 +197,26 @@
             "round": self.tick_us / SECOND_US,
         }
 
+    def _family_settings(self) -> dict[str, Any]:
+        return {
+            "second_tier_kind": 1,
+            "master_kind": 2,
+            "uncached": [row.uncached for row in self.classes],
+            "lifetime_by_class": [row.fresh_us / SECOND_US for row in self.classes],
+            "class_grace": [row.stale_us / SECOND_US for row in self.classes],
+            "worth_when_old": [row.stale_value for row in self.classes],
+            "may_pass_by": True,
+            "joins": True,
+            "notes_given": "all",
+            "stream_kb_per_s": self.transfer_kb_s,
+            "zone_link_kb_per_s": [0.0, *([self.zone_link * self.transfer_kb_s] * self.zones)],
+            "instances_by_zone": [0, *([self.dispatchers] * self.zones)],
+            "parent_starts_at": self.cold_start_share,
+            "parent_ramp": self.warm_up_us / SECOND_US,
+            "parent_fall_multiple": self.overload_multiple,
+            "purge_takes": self.purge_delay_us / SECOND_US,
+        }
+
     def site(self, zone: int, index: int) -> RouterSettings:
         """The router settings of a dispatcher, read as a dispatcher reads them."""
         facts = Fields([])
@@ -236,6 +224,20 @@
         return read_settings(facts)
 
 
+def _class_settings(row: TrafficClass) -> dict[str, Any]:
+    return {
+        "name": row.name,
+        "target": row.target_us / SECOND_US,
+        "aim_stretch": row.target_stretch,
+        "give_up": row.deadline_us / SECOND_US,
+        "semantics": row.semantics,
+        "group": row.group,
+        "dedup_window": row.window_us / SECOND_US,
+        "gain": row.utility,
+        "late_value": row.late_value,
+    }
+
+
 def scaled_settings(
     caches: int, dispatchers: int, zones: int, rate: float, load: float = 0.6, seconds: float = 20.0
 ) -> WorldSettings:
--- a/hoistplank/lab/scale/scene.py
+++ b/hoistplank/lab/scale/scene.py
@@ -112,7 +112,7 @@
     scripts = tuple(item for item in form.items if isinstance(item, Form) and item.name == "at")
     rest = tuple(item for item in form.items[1:] if item not in scripts)
     section = schema.read_form(SCENE, rest, form.location, faults)
-    rows = read_faults(scripts, form.location, faults, KINDS)
+    rows = read_faults(scripts, faults, KINDS)
     if faults:
         raise ConfigurationError(sorted(faults, key=lambda fault: fault.location))
     scene = _scene(section, rows)
