--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -25,7 +25,7 @@
 from hoistplank.lab import runner
 from hoistplank.lab.backends.sockets import RunTooLateError
 from hoistplank.lab.backends.virtual import build_world, digest
-from hoistplank.lab.experiment import Cell, Experiment, read
+from hoistplank.lab.experiment import Cell, Experiment, read_experiment
 from hoistplank.lab.faulty_dispatchers import BROKEN
 from hoistplank.lab.load.coordinator import MAX_LATENESS_MS, run_load
 from hoistplank.lab.load.schedule import parse_schedule
@@ -36,7 +36,8 @@
 from hoistplank.lab.model.server_request import ServerRequest
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
-from hoistplank.lab.policies import Make, policy
+from hoistplank.lab.policies import policy
+from hoistplank.lab.policy import PolicyFactory
 from hoistplank.lab.results import load as load_results
 from hoistplank.lab.statistics import interval, spearman
 from hoistplank.lab.worker import Job, play
@@ -210,7 +211,7 @@
     }
 
 
-def made_by(kind: Any) -> Make:
+def made_by(kind: Any) -> PolicyFactory:
     return lambda site, seed, world: kind(site, seed)
 
 
@@ -237,8 +238,8 @@
     """Spearman's correlation of five policies' means, lab against bench, for each kind of day."""
     told = json.loads((ROOT / "benchmarks" / "ranking.json").read_text())
     file = ROOT / "deploy" / "lab" / "ranking.sexp"
-    experiment: Experiment = read(file.read_bytes(), file.name)
-    rows = load_results(asyncio.run(runner.Run(experiment, folder, CORES).go(ROOT)))
+    experiment: Experiment = read_experiment(file.read_bytes(), file.name)
+    rows = load_results(asyncio.run(runner.ExperimentRun(experiment, folder, CORES).run(ROOT)))
     found, pooled = {}, list[float]()
     for day, bench in told["g"].items():
         mine = told["lab_day_of"].get(day, day)
--- a/hoistplank/cli/lab_days.py
+++ b/hoistplank/cli/lab_days.py
@@ -22,12 +22,12 @@
     """List the days by name, the policies, and the faults that a script may hold."""
     from hoistplank.lab.model.days import DAYS
     from hoistplank.lab.model.faults import KINDS
-    from hoistplank.lab.policies import names
+    from hoistplank.lab.policies import policy_names
 
     click.echo("days: calm, any, or some of these joined by '+'")
     for name, text in DAYS.items():
         click.echo(f"  {name:<12} {text}")
-    click.echo(f"policies: {', '.join(names())}, text-REVISION")
+    click.echo(f"policies: {', '.join(policy_names())}, text-REVISION")
     click.echo("faults:")
     for name, words in KINDS.items():
         shown = [word if isinstance(word, str) else f"<{word.expected.split(',')[0]}>" for word in words]
@@ -51,7 +51,7 @@
     from hoistplank.lab.experiment import Cell
     from hoistplank.lab.model.days import draw_day
     from hoistplank.lab.model.faults import script
-    from hoistplank.lab.policies import UnknownPolicy
+    from hoistplank.lab.policy import UnknownPolicyError
     from hoistplank.lab.worker import Job, play
 
     try:
@@ -71,7 +71,7 @@
             "sockets" if sockets else "virtual",
         )
         result = play(Job(cell))
-    except (OSError, ValueError, ConfigurationError, UnknownPolicy) as error:
+    except (OSError, ValueError, ConfigurationError, UnknownPolicyError) as error:
         fail(str(error))
     except (RunTooLateError, RuntimeError) as error:
         raise click.ClickException(str(error)) from None
--- a/hoistplank/cli/lab_experiments.py
+++ b/hoistplank/cli/lab_experiments.py
@@ -24,11 +24,11 @@
     """Play the experiment of FILE; one that was cut off goes on where it was. Exit code 1: some cells
     failed.
     """
-    from hoistplank.lab.experiment import Cell, read
-    from hoistplank.lab.runner import Run, RunError
+    from hoistplank.lab.experiment import Cell, read_experiment
+    from hoistplank.lab.runner import ExperimentRun, RunError
 
     try:
-        experiment = read(Path(file).read_bytes(), file)
+        experiment = read_experiment(Path(file).read_bytes(), file)
     except OSError as error:
         fail(f"{file}: can't be read ({error.strerror})")
     except ConfigurationError as error:
@@ -44,11 +44,11 @@
                     f"{cell.day} {cell.size} seed {cell.seed} {cell.policy}: {outcome}", markup=False
                 )
 
-        running = Run(experiment, folder, workers, report_cell)
+        running = ExperimentRun(experiment, folder, workers, report_cell)
         if running.journal.cut:
             progress.console.print(f"{running.journal.cut} bytes of a cell that was cut off were let go")
         try:
-            path = asyncio.run(running.go(ROOT))
+            path = asyncio.run(running.run(ROOT))
         except RunError as error:
             raise click.ClickException(str(error)) from None
     click.echo(f"{path}: {len(experiment.cells) - len(running.failed)} of {len(experiment.cells)} cells")
--- a/hoistplank/cli/lab_fleet.py
+++ b/hoistplank/cli/lab_fleet.py
@@ -77,13 +77,14 @@
 def _scenes(paths: tuple[str, ...], only: str, policies: tuple[str, ...]) -> list[LoadedScene]:
     """The scenes to play, with the folder each lies in; ends the command where one can't be met."""
     from hoistplank.lab.fleet.scene_loader import load_scenes
-    from hoistplank.lab.policies import UnknownPolicy, policy
+    from hoistplank.lab.policies import policy
+    from hoistplank.lab.policy import UnknownPolicyError
 
     try:
         chosen = load_scenes(paths, only)
         for name in policies:
             policy(name)
-    except (ConfigurationError, UnknownPolicy) as error:
+    except (ConfigurationError, UnknownPolicyError) as error:
         fail(str(error))
     return chosen
 
--- a/hoistplank/lab/adapter.py
+++ b/hoistplank/lab/adapter.py
@@ -12,14 +12,16 @@
 from hoistplank.benchlink.hosting import Hosting
 from hoistplank.decision.router import Router
 from hoistplank.decision.settings import RouterSettings
-from hoistplank.lab.policies import UnknownPolicy, policy
+from hoistplank.lab.policies import policy
+from hoistplank.lab.policy import UnknownPolicyError
 
 
 def main() -> int:
+    """Play the policy of the command line on standard input and output."""
     try:
         made: Any = policy(sys.argv[1] if len(sys.argv) > 1 else "module")
-    except UnknownPolicy as wrong:
-        print(f"adapter: {wrong}", file=sys.stderr)
+    except UnknownPolicyError as error:
+        print(f"adapter: {error}", file=sys.stderr)
         return 2
 
     def make(site: RouterSettings, seed: int) -> Router:
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -26,13 +26,14 @@
 from hoistplank.degradation.observer import CompletedFill
 from hoistplank.lab.backends.degradation_controller import DegradationController, DegradationPlan
 from hoistplank.lab.backends.virtual_attempt import Attempt
+from hoistplank.lab.baselines import PlainDispatcher
 from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, Request
 from hoistplank.lab.model.fault_injector import FaultInjector
 from hoistplank.lab.model.faults import ScheduledFault
 from hoistplank.lab.model.server_request import ServerRequest
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import HUB, WorldSettings
-from hoistplank.lab.policies import Make, Plain, Policy
+from hoistplank.lab.policy import Policy, PolicyFactory
 from hoistplank.routing.clock_offset import ClockOffset
 
 CONNECT_US = 400_000
@@ -42,7 +43,7 @@
     """A simulated dispatcher process: each turn handles all queued events, then all actions."""
 
     def __init__(
-        self, world: World, number: int, zone: int, make: Make, plan: DegradationPlan | None = None
+        self, world: World, number: int, zone: int, make: PolicyFactory, plan: DegradationPlan | None = None
     ) -> None:
         self.world, self.number, self.zone, self.make_policy, self.plan = world, number, zone, make, plan
         self.events, self.zone_name = world.events, f"z{zone}"
@@ -67,7 +68,7 @@
             utility = {row.name: row.utility for row in self.world.settings.classes}
             self.degradation = DegradationController(self.plan, utility, self.events.now)
             self.degradation_runs.append(self.degradation)
-            if not isinstance(policy, Plain):
+            if not isinstance(policy, PlainDispatcher):
                 policy.handle(self.events.now, DegradationChanged(self.plan.settings.base))
             self.events.schedule(
                 self.events.now + self.plan.settings.evaluation_interval_us, self._judge, self.runs
@@ -167,7 +168,7 @@
         if not self.alive or runs != self.runs or degradation is None or self.plan is None:
             return
         reduced = degradation.evaluate(now)
-        if reduced is not None and not isinstance(self.policy, Plain):
+        if reduced is not None and not isinstance(self.policy, PlainDispatcher):
             self.enqueue(self._degraded, reduced)
         self.events.schedule(now + self.plan.settings.evaluation_interval_us, self._judge, runs)
 
@@ -333,7 +334,7 @@
 def build_world(
     settings: WorldSettings,
     seed: int,
-    make: Make,
+    make: PolicyFactory,
     rows: list[ScheduledFault] | None = None,
     plan: DegradationPlan | None = None,
 ) -> World:
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -4,18 +4,17 @@
 
 import hashlib
 import json
-from typing import Any
 
 import msgspec
 
 from hoistplank.lab.model.days import DAYS, draw_day
 from hoistplank.lab.model.faults import read_faults, script, unsupported
 from hoistplank.lab.model.world_settings import WorldSettings, scaled_settings
-from hoistplank.lab.policies import names
+from hoistplank.lab.policies import policy_names
 from hoistplank.operator_configuration import schema
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
 from hoistplank.operator_configuration.parser import parse
-from hoistplank.operator_configuration.schema import Field, suggestion
+from hoistplank.operator_configuration.schema import Field, Section, suggestion
 from hoistplank.operator_configuration.syntax import Form
 from hoistplank.operator_configuration.values import integer, matching, number, one_of
 
@@ -80,57 +79,66 @@
         return sorted({cell.policy[5:] for cell in self.cells if cell.policy.startswith("text-")})
 
 
-def read(data: bytes, file: str) -> Experiment:
+def read_experiment(data: bytes, file: str) -> Experiment:
     """The experiment of a file. Raises `ConfigurationError` with all that is wrong, each with its place."""
-    forms = parse(data, file).forms
-    faults: list[Diagnostic] = []
-    if len(forms) != 1 or forms[0].name != "experiment":
-        place = forms[0].location if forms else SourceLocation(file, 1, 1)
-        raise ConfigurationError(
-            [
-                Diagnostic(
-                    place,
-                    f"{len(forms)} forms" if len(forms) != 1 else str(forms[0]),
-                    "one '(experiment NAME …)'",
-                )
-            ]
-        )
-    form = forms[0]
-    scripts = [item for item in form.items if isinstance(item, Form) and item.name == "script"]
-    rest = tuple(item for item in form.items[1:] if item not in scripts)
-    section = schema.read_form(EXPERIMENT, rest, form.location, faults)
-    own = _scripts(scripts, faults)
+    form = _experiment_form(data, file)
+    diagnostics: list[Diagnostic] = []
+    script_forms = [item for item in form.items if isinstance(item, Form) and item.name == "script"]
+    rest = tuple(item for item in form.items[1:] if item not in script_forms)
+    section = schema.read_form(EXPERIMENT, rest, form.location, diagnostics)
+    scripts = _scripts(script_forms, diagnostics)
     days = [day for day in section["days"] or [] if day is not None]
-    for day in days:
-        for name in day.split("+"):
-            if name not in DAYS and day not in ("calm", "any"):
-                faults.append(
-                    Diagnostic(
-                        section.location_of("days"),
-                        f"the unknown day '{name}'",
-                        suggestion(name, [*DAYS, "calm", "any"]),
-                    )
-                )
-    for name in section["policies"] or []:
-        if name is not None and not name.startswith("text-") and name not in names():
-            faults.append(
-                Diagnostic(
-                    section.location_of("policies"), f"the unknown policy '{name}'", suggestion(name, names())
-                )
-            )
+    diagnostics += _unknown_days(section, days)
+    diagnostics += _unknown_policies(section)
     if section["drive"] == "sockets" and section["policies"] != ["module"]:
-        faults.append(
+        diagnostics.append(
             Diagnostic(
                 section.location_of("policies"),
                 "other policies than 'module' on sockets",
                 "'(policies module)'",
             )
         )
-    if not days and not own:
-        faults.append(Diagnostic(form.location, "neither 'days' nor a 'script'", "at least one day to play"))
-    if faults:
-        raise ConfigurationError(faults)
-    return Experiment(section.title, tuple(_cells(section, days, own, form.location)))
+    if not days and not scripts:
+        diagnostics.append(
+            Diagnostic(form.location, "neither 'days' nor a 'script'", "at least one day to play")
+        )
+    if diagnostics:
+        raise ConfigurationError(diagnostics)
+    return Experiment(section.title, tuple(_cells(section, days, scripts, form.location)))
+
+
+def _experiment_form(data: bytes, file: str) -> Form:
+    forms = parse(data, file).forms
+    if len(forms) != 1 or forms[0].name != "experiment":
+        place = forms[0].location if forms else SourceLocation(file, 1, 1)
+        found = str(forms[0]) if len(forms) == 1 else f"{len(forms)} forms"
+        raise ConfigurationError([Diagnostic(place, found, "one '(experiment NAME …)'")])
+    return forms[0]
+
+
+def _unknown_days(section: Section, days: list[str]) -> list[Diagnostic]:
+    return [
+        Diagnostic(
+            section.location_of("days"),
+            f"the unknown day '{name}'",
+            suggestion(name, [*DAYS, "calm", "any"]),
+        )
+        for day in days
+        for name in day.split("+")
+        if name not in DAYS and day not in ("calm", "any")
+    ]
+
+
+def _unknown_policies(section: Section) -> list[Diagnostic]:
+    return [
+        Diagnostic(
+            section.location_of("policies"),
+            f"the unknown policy '{name}'",
+            suggestion(name, policy_names()),
+        )
+        for name in section["policies"] or []
+        if name is not None and not name.startswith("text-") and name not in policy_names()
+    ]
 
 
 def _scripts(forms: list[Form], faults: list[Diagnostic]) -> dict[str, str]:
@@ -144,33 +152,34 @@
     return found
 
 
-def _cells(section: Any, days: list[str], own: dict[str, str], place: SourceLocation) -> list[Cell]:
-    cells, wrong = [], list[Diagnostic]()
+def _cells(section: Section, days: list[str], scripts: dict[str, str], place: SourceLocation) -> list[Cell]:
+    cells: list[Cell] = []
+    diagnostics: list[Diagnostic] = []
     for size in section["sizes"]:
-        for day in [*days, *own]:
+        for day in [*days, *scripts]:
             for seed in section["seeds"]:
-                text = own[day] if day in own else draw_day(day, seed, section["seconds"])
-                for policy in section["policies"]:
-                    cells.append(
-                        Cell(
-                            day,
-                            text,
-                            size,
-                            seed,
-                            policy,
-                            section["seconds"],
-                            section["rate-per-host"],
-                            section["load"],
-                            section["location"],
-                            section["dispatchers"],
-                            section["drive"],
-                            section["warm"],
-                        )
+                text = scripts[day] if day in scripts else draw_day(day, seed, section["seconds"])
+                cells += [
+                    Cell(
+                        day=day,
+                        text=text,
+                        size=size,
+                        seed=seed,
+                        policy=policy,
+                        seconds=section["seconds"],
+                        rate=section["rate-per-host"],
+                        load=section["load"],
+                        location=section["location"],
+                        dispatchers=section["dispatchers"],
+                        drive=section["drive"],
+                        warm=section["warm"],
                     )
-                wrong += [
+                    for policy in section["policies"]
+                ]
+                diagnostics += [
                     Diagnostic(place, problem, f"what a world of {size} cache hosts has")
                     for problem in unsupported(script(text), cells[-1].world_settings())
                 ]
-    if wrong:
-        raise ConfigurationError(wrong)
+    if diagnostics:
+        raise ConfigurationError(diagnostics)
     return cells
--- a/hoistplank/lab/faulty_dispatchers.py
+++ b/hoistplank/lab/faulty_dispatchers.py
@@ -8,10 +8,10 @@
 from hoistplank.decision.events import Endpoint, EndpointState, EndpointsUpdated, Event, PurgeReceived
 from hoistplank.decision.router import Router
 from hoistplank.decision.settings import RouterSettings
-from hoistplank.lab.policies import ByHash, PlainRequest
+from hoistplank.lab.baselines import PlainRequest, RendezvousHash
 
 
-class Forgets(ByHash):
+class Forgets(RendezvousHash):
     """Rule one: one request in forty is never answered."""
 
     def next_action(self, now_us: int) -> Action | None:
@@ -23,7 +23,7 @@
         return action
 
 
-class SaysTwice(ByHash):
+class SaysTwice(RendezvousHash):
     """Rule one: each request that is rejected is rejected again."""
 
     def __init__(self, site: RouterSettings, seed: int) -> None:
@@ -41,10 +41,10 @@
         return action
 
 
-class RunsAgain(ByHash):
+class RunsAgain(RendezvousHash):
     """Rule two: what may have run is sent again, whatever its traffic class says."""
 
-    def may_repeat(self, request: PlainRequest) -> bool:
+    def may_repeat(self, request: PlainRequest) -> bool:  # noqa: ARG002 (overrides)
         """Always."""
         return True
 
@@ -65,10 +65,10 @@
         super().handle(now_us, all_up(event) if isinstance(event, EndpointsUpdated) else event)
 
 
-class LovesNew(ByHash):
+class LovesNew(RendezvousHash):
     """Rule four: whatever started last gets everything."""
 
-    def choose(self, object_key: str, part: int, hosts: list[str]) -> str:
+    def choose(self, object_key: str, part: int, hosts: list[str]) -> str:  # noqa: ARG002 (overrides)
         """The host that started last."""
         return max(hosts, key=lambda host: self.hosts[host].started_us)
 
--- a/hoistplank/lab/fleet/faulty_dispatchers.py
+++ b/hoistplank/lab/fleet/faulty_dispatchers.py
@@ -6,18 +6,20 @@
 
 from hoistplank.decision.actions import SendAttempt
 from hoistplank.decision.events import AttemptEnded, EndpointsUpdated
+from hoistplank.lab.baselines import PlainDispatcher, PlainRequest, RendezvousHash
 from hoistplank.lab.faulty_dispatchers import all_up
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import Scene
 from hoistplank.lab.fleet.scene_reader import read_scene
 from hoistplank.lab.fleet.virtual import build_world
 from hoistplank.lab.model.clients import Request
-from hoistplank.lab.policies import ByHash, Make, Plain, PlainRequest, policy
+from hoistplank.lab.policies import policy
+from hoistplank.lab.policy import PolicyFactory
 
 EXTRA = (5, 6, 7)  # the numbers of attempts that nobody waits for
 
 
-class Stingy(ByHash):
+class Stingy(RendezvousHash):
     """Fairness: the first dispatcher of each location turns most of its clients away."""
 
     def place(self, now_us: int, request: PlainRequest) -> None:
@@ -28,7 +30,7 @@
         return super().place(now_us, request)
 
 
-class Eager(ByHash):
+class Eager(RendezvousHash):
     """Amplification: every request of a kept traffic class is sent to four hosts at once."""
 
     def place(self, now_us: int, request: PlainRequest) -> None:
@@ -46,7 +48,7 @@
             super().attempt_ended(now_us, event)
 
 
-class Grabs(ByHash):
+class Grabs(RendezvousHash):
     """What is shared: everything comes from the hub, whatever the location's link carries."""
 
     def choose(self, object_key: str, part: int, hosts: list[str]) -> str:  # noqa: ARG002 (overrides)
@@ -58,7 +60,7 @@
         return self.origin
 
 
-class Stays(ByHash):
+class Stays(RendezvousHash):
     """Wrong choices: a host that the log told to be gone is asked all the same."""
 
     def endpoints_updated(self, event: EndpointsUpdated) -> None:
@@ -83,7 +85,7 @@
   (expect {bound}))
 """
 # The bound that the module keeps on this scene and the broken dispatcher does not.
-FLEET: dict[str, tuple[str, type[Plain]]] = {
+FLEET: dict[str, tuple[str, type[PlainDispatcher]]] = {
     "stingy": ("fair above 0.93", Stingy),
     "eager": ("amplified below 2.2", Eager),
     "grabs": ("link below 3.0", Grabs),
@@ -91,7 +93,7 @@
 }
 
 
-def _made(kind: type[Plain]) -> Make:
+def _made(kind: type[PlainDispatcher]) -> PolicyFactory:
     return lambda site, seed, _world: kind(site, seed)
 
 
--- a/hoistplank/lab/fleet/virtual.py
+++ b/hoistplank/lab/fleet/virtual.py
@@ -13,7 +13,7 @@
 from hoistplank.lab.fleet.scene import Scene
 from hoistplank.lab.model.dispatcher import Dispatcher
 from hoistplank.lab.model.world import World
-from hoistplank.lab.policies import Make
+from hoistplank.lab.policy import PolicyFactory
 
 SAMPLE_US = 50_000  # between two samples of what is shared
 
@@ -113,7 +113,7 @@
 
 
 def build_world(
-    scene: Scene, seed: int, make: Make, metrics_type: type[FleetMetrics] = FleetMetrics
+    scene: Scene, seed: int, make: PolicyFactory, metrics_type: type[FleetMetrics] = FleetMetrics
 ) -> tuple[World, FleetMetrics]:
     """A scene's world and metrics, ready for `World.run`. Raises NeedsProcessesError."""
     if "virtual" not in scene.drives:
--- a/hoistplank/lab/fleet/worker.py
+++ b/hoistplank/lab/fleet/worker.py
@@ -28,7 +28,8 @@
 from hoistplank.lab.fleet.scene_faults import lasts
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import SECOND_US
-from hoistplank.lab.policies import UnknownPolicy, policy
+from hoistplank.lab.policies import policy
+from hoistplank.lab.policy import UnknownPolicyError
 from hoistplank.lab.worker import result
 
 EXIT_TIMEOUT_S = 10.0  # for a worker whose runner is gone to end in order
@@ -138,7 +139,7 @@
 
 
 def play(job: Job) -> Row:
-    """The row of a job, also of a void or broken run. Raises UnknownPolicy, NeedsProcessesError."""
+    """The row of a job, also of a void or broken run. Raises UnknownPolicyError, NeedsProcessesError."""
     if job.drive == "virtual":
         return _play_virtual(job)
     started = time.perf_counter()
@@ -193,7 +194,7 @@
     ends.start()
     try:
         row = play(job)
-    except (UnknownPolicy, virtual.NeedsProcessesError) as error:
+    except (UnknownPolicyError, virtual.NeedsProcessesError) as error:
         row = unfinished_row(job, RunStatus.BROKE, str(error))
     sys.stdout.buffer.write(msgspec.json.encode(row) + b"\n")
     sys.stdout.buffer.flush()
--- /dev/null
+++ b/hoistplank/lab/older_revisions.py
@@ -0,0 +1,45 @@
+"""Loads the Router of an older revision of this project from a checkout."""
+
+from __future__ import annotations
+
+import importlib
+import importlib.util
+import sys
+from pathlib import Path
+from typing import Any
+
+import hoistplank
+from hoistplank.lab.policy import UnknownPolicyError
+
+# What passes between a dispatcher and its Router: an older revision is played under today's.
+INTERFACE = ("actions", "events", "settings")
+LOADED_ROUTERS: dict[str, type[Any]] = {}
+
+
+def load_router(folder: Path, revision: str) -> type[Any]:
+    """The Router of a checkout of this project's own history; its events and actions must be today's."""
+    if revision in LOADED_ROUTERS:
+        return LOADED_ROUTERS[revision]
+    package = "hoistplank.decision"
+    file = folder / "hoistplank" / "decision" / "__init__.py"
+    if not file.exists():
+        raise UnknownPolicyError(f"revision {revision} has no hoistplank/decision")
+    today = {
+        name: module for name, module in sys.modules.items() if name.split(".")[:2] == package.split(".")
+    }
+    kept = {f"{package}.{name}" for name in INTERFACE}
+    spec = importlib.util.spec_from_file_location(
+        package, file, submodule_search_locations=[str(file.parent)]
+    )
+    assert spec is not None and spec.loader is not None
+    try:
+        for name in set(today) - kept:
+            del sys.modules[name]
+        sys.modules[package] = importlib.util.module_from_spec(spec)
+        LOADED_ROUTERS[revision] = importlib.import_module(f"{package}.router").Router
+    finally:
+        for name in [name for name in sys.modules if name.startswith(f"{package}.")]:
+            del sys.modules[name]
+        sys.modules.update(today)
+        hoistplank.decision = today[package]
+    return LOADED_ROUTERS[revision]
--- a/hoistplank/lab/report.py
+++ b/hoistplank/lab/report.py
@@ -14,12 +14,12 @@
 
 matplotlib.use("svg")
 
-import matplotlib.pyplot as plt  # noqa: E402
-from matplotlib.axes import Axes  # noqa: E402
-from matplotlib.figure import Figure  # noqa: E402
+import matplotlib.pyplot as plt
+from matplotlib.axes import Axes
+from matplotlib.figure import Figure
 
-from hoistplank.lab.statistics import difference, interval, of_way  # noqa: E402
-from hoistplank.lab.worker import BINS  # noqa: E402
+from hoistplank.lab.statistics import difference, interval, of_way
+from hoistplank.lab.worker import BINS
 
 FLOOR, TOP = "random", "seer"
 MOST_DAYS = 12  # with plots of their own; all days stand in the tables
--- a/hoistplank/lab/runner.py
+++ b/hoistplank/lab/runner.py
@@ -15,8 +15,12 @@
 from hoistplank.lab.experiment import Cell, Experiment
 from hoistplank.lab.worker import Job
 
-TRIES = 2  # of a cell whose worker died, or whose day was void
-TIME_S = 1_800.0
+MAX_ATTEMPTS = 2  # of a cell whose worker died, or whose day was void
+CELL_TIMEOUT_S = 1_800.0
+
+
+# How many cells are done, of how many, the last one, and "done" or why it could not be played.
+CellCallback = Callable[[int, int, Cell, str], None]
 
 
 class RunError(Exception):
@@ -24,11 +28,9 @@
 
 
 def revision(root: Path) -> str:
-    """The text that plays: its commit, with '+' where files differ from it, or nothing outside a
-    repository.
-    """
+    """The commit that plays, with '+' where files differ from it; empty outside a repository."""
     try:
-        told = subprocess.run(
+        described = subprocess.run(
             ["git", "describe", "--always", "--dirty=+", "--abbrev=10"],
             cwd=root,
             capture_output=True,
@@ -37,11 +39,11 @@
         )
     except (OSError, subprocess.CalledProcessError):
         return ""
-    return told.stdout.strip()
+    return described.stdout.strip()
 
 
 def checkouts(root: Path, folder: Path, revisions: list[str]) -> dict[str, str]:
-    """A worktree of this project's own history for each older text."""
+    """A worktree of this project's own history for each older revision."""
     found = {}
     for name in revisions:
         place = folder / "texts" / name
@@ -58,8 +60,8 @@
     return found
 
 
-def forget(root: Path, texts: dict[str, str]) -> None:
-    """Takes the worktrees away again."""
+def remove_checkouts(root: Path, texts: dict[str, str]) -> None:
+    """Remove the worktrees again."""
     for place in texts.values():
         subprocess.run(
             ["git", "worktree", "remove", "--force", str(Path(place).resolve())],
@@ -68,20 +70,18 @@
         )
 
 
-class Run:
-    """One run of an experiment into a folder. `told` hears of each cell: done, all, the cell, what
-    became of it.
-    """
+class ExperimentRun:
+    """One run of an experiment into a folder."""
 
     def __init__(
         self,
         experiment: Experiment,
         folder: Path,
         workers: int,
-        told: Callable[[int, int, Cell, str], None] = lambda done, many, cell, how: None,
+        on_cell: CellCallback | None = None,
         command: tuple[str, ...] = (sys.executable, "-m", "hoistplank.lab.worker"),
     ) -> None:
-        self.experiment, self.folder, self.workers, self.told = experiment, folder, workers, told
+        self.experiment, self.folder, self.workers, self.on_cell = experiment, folder, workers, on_cell
         self.command, self.journal = command, results.Journal(folder)
         self.failed: list[tuple[Cell, str]] = []
         self.done = 0
@@ -92,9 +92,9 @@
         )
         try:
             job = msgspec.json.encode(Job(cell, texts))
-            out, err = await asyncio.wait_for(process.communicate(job), TIME_S)
+            out, err = await asyncio.wait_for(process.communicate(job), CELL_TIMEOUT_S)
         except TimeoutError:
-            return None, f"not done in {TIME_S:g} s"
+            return None, f"not done in {CELL_TIMEOUT_S:g} s"
         finally:
             if process.returncode is None:
                 process.kill()
@@ -108,10 +108,9 @@
         return row, ""
 
     async def _worker(self, cells: list[Cell], texts: dict[str, str], text: str) -> None:
-        many = len(self.experiment.cells)
         while cells:
             cell, why = cells.pop(0), ""
-            for _ in range(TRIES):
+            for _ in range(MAX_ATTEMPTS):
                 row, why = await self._play(cell, texts)
                 if row is not None:
                     self.journal.add(row | {"revision": text})
@@ -119,14 +118,15 @@
             self.done += 1
             if why:
                 self.failed.append((cell, why))
-            self.told(self.done, many, cell, why or "done")
+            if self.on_cell is not None:
+                self.on_cell(self.done, len(self.experiment.cells), cell, why or "done")
 
-    async def go(self, root: Path) -> Path:
-        """Plays what is not done yet, and writes the Parquet file of all that is."""
+    async def run(self, root: Path) -> Path:
+        """Play the cells that are not done yet, and write the Parquet file of all that are."""
         text = revision(root)
         # What another text of the program has played proves nothing for this one.
-        held = {key for key, row in self.journal.rows.items() if row["revision"] == text}
-        cells = [cell for cell in self.experiment.cells if cell.key() not in held]
+        completed = {key for key, row in self.journal.rows.items() if row["revision"] == text}
+        cells = [cell for cell in self.experiment.cells if cell.key() not in completed]
         self.done = len(self.experiment.cells) - len(cells)
         # The largest first: a long one at the end would leave the other workers without anything to do.
         cells.sort(key=lambda cell: -cell.size * cell.seconds)
@@ -143,7 +143,7 @@
                     task.cancel()
                 await asyncio.gather(*tasks, return_exceptions=True)
         finally:
-            forget(root, texts)
+            remove_checkouts(root, texts)
             self.journal.close()
         played = [self.journal.rows.get(cell.key()) for cell in self.experiment.cells]
         rows = [row for row in played if row is not None and row["revision"] == text]
--- a/hoistplank/lab/worker.py
+++ b/hoistplank/lab/worker.py
@@ -22,7 +22,8 @@
 from hoistplank.lab.model.faults import script
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import SECOND_US
-from hoistplank.lab.policies import UnknownPolicy, policy
+from hoistplank.lab.policies import policy
+from hoistplank.lab.policy import UnknownPolicyError
 
 # ms, upper ends
 BINS = [1, 2, 5, 10, 20, 50, 100, 150, 200, 300, 500, 700, 1_000, 1_500, 2_000, 3_000, 5_000]
@@ -72,7 +73,7 @@
 
 
 def play(job: Job) -> dict[str, Any]:
-    """Raises UnknownPolicy, TooLate and RuntimeError."""
+    """The row of a cell. Raises UnknownPolicyError, RunTooLateError and RuntimeError."""
     cell, began = job.cell, time.perf_counter()
     rows = script(cell.text)
     if cell.drive == "sockets":
@@ -92,7 +93,7 @@
         found = play(job)
     except sockets.RunTooLateError as wrong:
         found = {"void": str(wrong)}
-    except (UnknownPolicy, RuntimeError) as wrong:
+    except (UnknownPolicyError, RuntimeError) as wrong:
         found = {"wrong": str(wrong)}
     sys.stdout.buffer.write(msgspec.json.encode(found) + b"\n")
     return 0
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -26,14 +26,16 @@
 from hoistplank.lab.model.streams import RandomStreams
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings, scaled_settings
-from hoistplank.lab.policies import Make, UnknownPolicy, policy, text_of
+from hoistplank.lab.older_revisions import load_router
+from hoistplank.lab.policies import policy
+from hoistplank.lab.policy import PolicyFactory, UnknownPolicyError
 from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.routing.clock_offset import ClockOffset
 
 SMALL = scaled_settings(6, 2, 1, 60.0, seconds=6.0)
 
 
-def broken(kind: Any) -> Make:
+def broken(kind: Any) -> PolicyFactory:
     return lambda site, seed, world: kind(site, seed)
 
 
@@ -151,14 +153,14 @@
     text = draw_day("crash+herd", 4, 6.0)
     world = build_world(SMALL, 4, policy("text-0000", {"0000": root}), script(text))
     world.run()
-    assert text_of(root, "0000") is not Router and sys.modules["hoistplank.decision.router"] is now
+    assert load_router(root, "0000") is not Router and sys.modules["hoistplank.decision.router"] is now
     assert digest(world) == digest(played("module", text, 4))
-    with pytest.raises(UnknownPolicy, match="no hoistplank/decision"):
-        text_of(root / "tests", "0001")
+    with pytest.raises(UnknownPolicyError, match="no hoistplank/decision"):
+        load_router(root / "tests", "0001")
 
 
 def test_an_unknown_policy_or_day_names_what_there_is() -> None:
-    with pytest.raises(UnknownPolicy, match="without-silence"):
+    with pytest.raises(UnknownPolicyError, match="without-silence"):
         policy("modul")
     with pytest.raises(ValueError, match="origin-slow"):
         draw_day("origin-slwo", 1, 6.0)
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -26,7 +26,7 @@
 from hoistplank.fakes.deployment import Deployment, free_port
 from hoistplank.lab import report, results, runner
 from hoistplank.lab.backends import sockets
-from hoistplank.lab.experiment import Cell, Experiment, read
+from hoistplank.lab.experiment import Cell, Experiment, read_experiment
 from hoistplank.lab.load.coordinator import run_load
 from hoistplank.lab.load.errors import LoadError, LoadPlanError
 from hoistplank.lab.load.fastcgi_codec import RequestTemplate, ResponseScanner
@@ -185,7 +185,7 @@
 
 
 def test_cells_of_one_world_differ_in_policy_alone() -> None:
-    cells = read(TEXT, "small.sexp").cells
+    cells = read_experiment(TEXT, "small.sexp").cells
     assert len(cells) == 2 * 3 * 2 and len({cell.key() for cell in cells}) == 12
     for pair in {(cell.day, cell.seed) for cell in cells}:
         mine = [cell for cell in cells if (cell.day, cell.seed) == pair]
@@ -214,7 +214,7 @@
 )
 def test_an_experiment_says_what_is_wrong_and_where(text: str, line: int, found: str, expected: str) -> None:
     with pytest.raises(ConfigurationError) as wrong:
-        read(text.encode(), "x.sexp")
+        read_experiment(text.encode(), "x.sexp")
     said = str(wrong.value).splitlines()[0]
     assert said.startswith(f"x.sexp:{line}:") and found in said and expected in said.split("expected")[1]
 
@@ -232,18 +232,18 @@
 
 
 def test_a_run_goes_on_where_it_was_cut_off(tmp_path: Path) -> None:
-    first = runner.Run(small(), tmp_path, 4)
-    path = asyncio.run(first.go(ROOT))
+    first = runner.ExperimentRun(small(), tmp_path, 4)
+    path = asyncio.run(first.run(ROOT))
     rows = results.load(path)
     assert len(rows) == 6 and not first.failed and all(0 < row["score"] <= 1 for row in rows)
     lines = (tmp_path / results.LINES).read_bytes().splitlines(keepends=True)
     # Cut off in the middle of the third line.
     (tmp_path / results.LINES).write_bytes(b"".join(lines[:2]) + lines[2][:100])
-    again = runner.Run(small(), tmp_path, 4)
+    again = runner.ExperimentRun(small(), tmp_path, 4)
     assert again.journal.cut == 100 and len(again.journal.rows) == 2
     played: list[str] = []
-    again.told = lambda done, many, cell, how: played.append(cell.key())
-    asyncio.run(again.go(ROOT))
+    again.on_cell = lambda done, many, cell, how: played.append(cell.key())
+    asyncio.run(again.run(ROOT))
     assert len(played) == 4
     assert {row["digest"] for row in results.load(path)} == {row["digest"] for row in rows}
 
@@ -252,8 +252,8 @@
     code = "import sys, os; from hoistplank.lab import worker; data = sys.stdin.buffer.read(); "
     code += "os.abort() if b'\"hash\"' in data else None; import io; "
     code += "sys.stdin = io.TextIOWrapper(io.BytesIO(data)); worker.main()"
-    run = runner.Run(small(), tmp_path, 2, command=(sys.executable, "-c", code))
-    path = asyncio.run(run.go(ROOT))
+    run = runner.ExperimentRun(small(), tmp_path, 2, command=(sys.executable, "-c", code))
+    path = asyncio.run(run.run(ROOT))
     assert len(results.load(path)) == 3
     assert [cell.policy for cell, _ in run.failed] == ["hash"] * 3
     assert all("ended with -6" in why for _, why in run.failed)
@@ -262,13 +262,13 @@
 def test_an_older_text_is_played_from_its_own_checkout(tmp_path: Path) -> None:
     # The last commit: a clone without older history has it too.
     text = runner.revision(ROOT).rstrip("+")
-    run = runner.Run(small(("module", f"text-{text}"), 1), tmp_path, 2)
-    path = asyncio.run(run.go(ROOT))
+    run = runner.ExperimentRun(small(("module", f"text-{text}"), 1), tmp_path, 2)
+    path = asyncio.run(run.run(ROOT))
     assert {row["policy"] for row in results.load(path)} == {"module", f"text-{text}"}, run.failed
     assert not (tmp_path / "texts" / text).exists()
-    bad = runner.Run(small(("text-0000000",), 1), tmp_path, 1)
+    bad = runner.ExperimentRun(small(("text-0000000",), 1), tmp_path, 1)
     with pytest.raises(runner.RunError, match="no checkout of revision 0000000"):
-        asyncio.run(bad.go(ROOT))
+        asyncio.run(bad.run(ROOT))
 
 
 def test_results_of_another_layout_are_not_mixed_in(tmp_path: Path) -> None:
