--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -7,6 +7,11 @@
 
 import signal
 import sys
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from hoistplank.program.configuration import Configuration
+    from hoistplank.program.extension_protocol import Extensions
 
 
 def main() -> int:
@@ -16,20 +21,10 @@
     early: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
 
-    import asyncio
     import os
 
-    import structlog
-    import uvloop
-
-    from hoistplank.program.configuration import (
-        DispatcherConfigurationError,
-        read_configuration,
-        reread_configuration,
-    )
-    from hoistplank.program.extension_protocol import Extensions
+    from hoistplank.program.configuration import DispatcherConfigurationError, read_configuration
     from hoistplank.program.logging_setup import configure_logging
-    from hoistplank.program.service import Service
 
     extensions: Extensions | None = None
     form = os.environ.get("HOISTPLANK_LOG", "lines")
@@ -46,13 +41,26 @@
         print(f"hoistplank: {error}", file=sys.stderr)
         return 2
     configure_logging(configuration.name, form)
+    return _serve(configuration, early, extensions)
+
+
+def _serve(configuration: Configuration, early_signals: list[int], extensions: Extensions | None) -> int:
+    import asyncio
+    import os
+
+    import structlog
+    import uvloop
+
+    from hoistplank.program.configuration import reread_configuration
+    from hoistplank.program.service import Service
 
-    async def serve() -> int:
-        return await Service(configuration, lambda: reread_configuration(os.environ), early, extensions).run()
+    async def run_service() -> int:
+        service = Service(configuration, lambda: reread_configuration(os.environ), early_signals, extensions)
+        return await service.run()
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            return runner.run(serve())
+            return runner.run(run_service())
     except OSError as error:
         structlog.get_logger().error("can't listen", address=configuration.listen, wrong=str(error))
         return 1
--- a/hoistplank/cli/scale.py
+++ b/hoistplank/cli/scale.py
@@ -17,6 +17,7 @@
 
 if TYPE_CHECKING:
     from hoistplank.lab.scale.measurements import Measurement
+    from hoistplank.lab.scale.role_control_service import ControlParts
 
 ROOT = Path(__file__).resolve().parents[2]
 RESULTS = ROOT / "docs" / "capacity"
@@ -34,18 +35,8 @@
     """
 
 
-@scale.command()
-@click.option("--quick", is_flag=True, help="Fewer repeats, and no load on a real dispatcher.")
-@click.option("--out", type=click.Path(dir_okay=False), required=True, help="The Parquet file to write.")
-@click.option("--only", default="", help="Only the steps whose title holds this text.")
-def slopes(quick: bool, out: str, only: str) -> None:
-    """Measure every role at four sizes or more: some minutes, the quick form some 20 s."""
-    from hoistplank.lab.runner import revision
-    from hoistplank.lab.scale.children import ChildFailedError
-    from hoistplank.lab.scale.measure import carried_out, steps, titled
-    from hoistplank.lab.scale.measurements import RunInfo, write
-    from hoistplank.lab.scale.metering import QUICK, WHOLE, Step
-
+def _control_parts() -> ControlParts:
+    """The parts of the control service that are measured; its libraries are an extra."""
     try:
         from hoistplank.xds import (
             follower,
@@ -59,7 +50,7 @@
         raise click.ClickException(f"the control service needs '{error.name}': {CONTROL_EXTRA}") from None
     from hoistplank.lab.scale.role_control_service import ControlParts
 
-    parts = ControlParts(
+    return ControlParts(
         cache=resources.ResourceCache,
         host=resource_messages.Host,
         follower=follower.Follower,
@@ -69,8 +60,22 @@
         runtime_type=resource_types.RUNTIME_TYPE,
         purges_name=resource_types.PURGES_NAME,
     )
+
+
+@scale.command()
+@click.option("--quick", is_flag=True, help="Fewer repeats, and no load on a real dispatcher.")
+@click.option("--out", type=click.Path(dir_okay=False), required=True, help="The Parquet file to write.")
+@click.option("--only", default="", help="Only the steps whose title holds this text.")
+def slopes(quick: bool, out: str, only: str) -> None:
+    """Measure every role at four sizes or more: some minutes, the quick form some 20 s."""
+    from hoistplank.lab.runner import revision
+    from hoistplank.lab.scale.children import ChildFailedError
+    from hoistplank.lab.scale.measure import carried_out, steps, titled
+    from hoistplank.lab.scale.measurements import RunInfo, write
+    from hoistplank.lab.scale.metering import QUICK, WHOLE, Step
+
     effort = QUICK if quick else WHOLE
-    chosen = titled(steps(parts, effort), only)
+    chosen = titled(steps(_control_parts(), effort), only)
     if not chosen:
         fail(f"no step's title holds '{only}'")
     began_at = datetime.now(UTC).strftime("%Y-%m-%dT%H:%MZ")
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -68,30 +68,37 @@
             configuration.load_report_fields,
         )
         self.router_task.pool = self._make_pool()
-        self.frontend = Frontend(
+        self.frontend = self._make_frontend()
+        self.endpoint_watcher = self._make_endpoint_watcher()
+        self.listener = Listener(configuration.listen, self.descriptors, self.frontend.serve)
+        self.shutdown = GracefulShutdown(
+            self.router_task, self.frontend, self.listener, self._longest_deadline_s()
+        )
+        # Set by SIGTERM or SIGINT, and by SIGHUP.
+        self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
+
+    def _longest_deadline_s(self) -> float:
+        return max(row.deadline_us for row in self.configuration.router_settings.traffic_classes) / 1e6
+
+    def _make_frontend(self) -> Frontend:
+        return Frontend(
             self.router_task,
-            configuration.router_settings,
+            self.configuration.router_settings,
             self.descriptors,
-            configuration.memory_mb,
+            self.configuration.memory_mb,
             lambda: self.phase.is_ready,
-            extensions.authorizer if extensions is not None else None,
+            self.extensions.authorizer if self.extensions is not None else None,
         )
-        self.endpoint_watcher = EndpointWatcher(
+
+    def _make_endpoint_watcher(self) -> EndpointWatcher:
+        configuration = self.configuration
+        return EndpointWatcher(
             self.router_task,
             configuration.changelog,
             configuration.known,
             Random(configuration.seed),
             configuration.router_settings.rules.drain_grace_us / 1e6,
         )
-        self.listener = Listener(configuration.listen, self.descriptors, self.frontend.serve)
-        self.shutdown = GracefulShutdown(
-            self.router_task, self.frontend, self.listener, self._longest_deadline_s()
-        )
-        # Set by SIGTERM or SIGINT, and by SIGHUP.
-        self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
-
-    def _longest_deadline_s(self) -> float:
-        return max(row.deadline_us for row in self.configuration.router_settings.traffic_classes) / 1e6
 
     def _make_pool(self) -> Pool:
         configuration = self.configuration
