--- a/hoistplank/decision/events.py
+++ b/hoistplank/decision/events.py
@@ -21,7 +21,7 @@
     CANCELLED = 6
     NOT_SENT = 7
     MISS = 8  # the cache host holds no copy and was to fill none
-    CONNECTION_SPOILT = 9  # it may have run, and says nothing of the host
+    CONNECTION_SPOILED = 9  # it may have run, and says nothing of the host
 
 
 class CacheStatus:
--- a/hoistplank/lab/backends/server_port.py
+++ b/hoistplank/lab/backends/server_port.py
@@ -165,7 +165,7 @@
             self._reset(writer)
             return
         detail = f"detail={WIRE_DETAIL[note]}" if note in WIRE_DETAIL else "-"
-        if result == Outcome.CONNECTION_SPOILT:
+        if result == Outcome.CONNECTION_SPOILED:
             writer.write(f"{request_id} served detail= {len(BODY)}\r\n".encode() + BODY)
         elif result == Outcome.SUCCEEDED:
             if not world.settings.classes[server_request.class_index].uncached:
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -207,7 +207,7 @@
         if self.loss_share and self.random.uniform() < self.loss_share:
             return
         if result == Outcome.SUCCEEDED and self.corrupt_share and self.random.uniform() < self.corrupt_share:
-            self._complete(request, Outcome.CONNECTION_SPOILT, 0, -1)
+            self._complete(request, Outcome.CONNECTION_SPOILED, 0, -1)
             return
         self._complete(request, result, note, created)
 
--- a/hoistplank/routing/attempt_ending.py
+++ b/hoistplank/routing/attempt_ending.py
@@ -40,7 +40,7 @@
     AttemptEnding.NOT_WRITTEN: Outcome.NOT_SENT,
     AttemptEnding.NOT_STARTED: Outcome.NOT_SENT,
     AttemptEnding.CONNECTION_LOST: Outcome.CONNECTION_LOST,
-    AttemptEnding.ANSWER_SPOILED: Outcome.CONNECTION_SPOILT,
+    AttemptEnding.ANSWER_SPOILED: Outcome.CONNECTION_SPOILED,
     AttemptEnding.TIMED_OUT: Outcome.TIMED_OUT,
     AttemptEnding.CANCELLED: Outcome.CANCELLED,
     AttemptEnding.SERVED: Outcome.SUCCEEDED,
--- a/tests/test_degradation.py
+++ b/tests/test_degradation.py
@@ -343,7 +343,7 @@
         assert [type(action) for action in stage.pending] == [SendAttempt], stage.pending
         stage.pending.clear()
         # Each attempt may have run, and each request is worth another try.
-        stage.play(f"{at + 5} end v{n} 0 connection_spoilt".split(), "storm")
+        stage.play(f"{at + 5} end v{n} 0 connection_spoiled".split(), "storm")
         for action in stage.pending:
             turned += isinstance(action, Reject)
             again += isinstance(action, SendAttempt)
