--- a/hoistplank/lab/profile.py
+++ b/hoistplank/lab/profile.py
@@ -23,14 +23,14 @@
 
 # The first that a file's path holds; what none does is Python's own and the libraries'.
 LAYERS = (
-    ("hoistplank/choice", "the module"),
-    ("hoistplank/routing/router_task", "owner's turn"),
+    ("hoistplank/decision", "decision logic"),
+    ("hoistplank/routing/router_task", "router task"),
     ("hoistplank/routing/attempt", "attempts"),
-    ("hoistplank/routing/frontend", "front"),
-    ("hoistplank/routing/client_session", "front"),
-    ("hoistplank/routing/request_intake", "front"),
-    ("hoistplank/routing/request_parsing", "front"),
-    ("hoistplank/routing/response", "front"),
+    ("hoistplank/routing/frontend", "frontend"),
+    ("hoistplank/routing/client_session", "frontend"),
+    ("hoistplank/routing/request_intake", "frontend"),
+    ("hoistplank/routing/request_parsing", "frontend"),
+    ("hoistplank/routing/response", "frontend"),
     ("hoistplank/routing", "routing, other"),
     ("hoistplank/protocol/fastcgi", "FastCGI"),
     ("hoistplank/protocol", "cache wire and log"),
