--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -58,9 +58,9 @@
     def world_settings(self) -> WorldSettings:
         """The settings of the cell's world."""
         zones = max(1, round(self.size / self.location))
-        many, rate = zones * self.dispatchers, self.rate * self.size
-        made = scaled_settings(self.size, many, zones, rate, self.load, seconds=self.seconds)
-        return msgspec.structs.replace(made, warm_up_s=self.warm)
+        dispatchers, rate = zones * self.dispatchers, self.rate * self.size
+        settings = scaled_settings(self.size, dispatchers, zones, rate, self.load, seconds=self.seconds)
+        return msgspec.structs.replace(settings, warm_up_s=self.warm)
 
     def key(self) -> str:
         """The same for the same day, whatever experiment it stands in."""
@@ -142,14 +142,14 @@
 
 
 def _scripts(forms: list[Form], faults: list[Diagnostic]) -> dict[str, str]:
-    found = {}
+    texts = {}
     for form in forms:
         title = form.items[1] if len(form.items) > 1 else None
         if title is None or isinstance(title, Form):
             faults.append(Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'"))
             continue
-        found[title.text] = "\n".join(row.written() for row in read_faults(form.items[2:], faults))
-    return found
+        texts[title.text] = "\n".join(row.written() for row in read_faults(form.items[2:], faults))
+    return texts
 
 
 def _cells(section: Section, days: list[str], scripts: dict[str, str], place: SourceLocation) -> list[Cell]:
--- a/hoistplank/lab/profile.py
+++ b/hoistplank/lab/profile.py
@@ -55,17 +55,19 @@
     """Which layer a function belongs to; built-in ones by what they do."""
     if file == "~":
         return "event loop (uvloop) and system calls" if "uvloop" in name else "built-in functions"
-    return next((told for part, told in LAYERS if part in file.replace("\\", "/")), "Python and libraries")
+    return next(
+        (layer_name for part, layer_name in LAYERS if part in file.replace("\\", "/")), "Python and libraries"
+    )
 
 
 def shares(path: Path) -> dict[str, float]:
     """Seconds of each layer in a profile, the dearest first."""
-    found: dict[str, float] = {}
+    seconds_by_layer: dict[str, float] = {}
     stats: Any = pstats.Stats(str(path))
     for (file, _, name), row in stats.stats.items():
-        told = layer(file, name)
-        found[told] = found.get(told, 0.0) + row[2]
-    return dict(sorted(found.items(), key=lambda pair: -pair[1]))
+        layer_name = layer(file, name)
+        seconds_by_layer[layer_name] = seconds_by_layer.get(layer_name, 0.0) + row[2]
+    return dict(sorted(seconds_by_layer.items(), key=lambda pair: -pair[1]))
 
 
 def cpu_s(pid: int) -> float:
--- a/hoistplank/lab/report.py
+++ b/hoistplank/lab/report.py
@@ -60,8 +60,8 @@
 
 
 def _mean(rows: Rows, **fits: Any) -> float:
-    found = [row["score"] for row in rows if all(row[name] == value for name, value in fits.items())]
-    return fmean(found) if found else float("nan")
+    scores = [row["score"] for row in rows if all(row[name] == value for name, value in fits.items())]
+    return fmean(scores) if scores else float("nan")
 
 
 def _broken(rows: Rows, **fits: Any) -> int:
@@ -94,37 +94,39 @@
 
 def paired(rows: Rows, base: str) -> list[tuple[str, int, Any]]:
     """For each other policy and size: its paired difference from `base` over days and seeds."""
-    found = []
+    differences = []
     by = {(row["policy"], row["day"], row["size"], row["seed"]): row["score"] for row in rows}
     for policy in _policies(rows):
         for size in dict.fromkeys(row["size"] for row in rows):
             keys = [key[1:] for key in by if key[0] == policy and key[2] == size and (base, *key[1:]) in by]
             if policy != base and keys:
                 first, second = [by[base, *key] for key in keys], [by[policy, *key] for key in keys]
-                found.append((policy, size, difference(first, second)))
-    return found
+                differences.append((policy, size, difference(first, second)))
+    return differences
 
 
 def _differences(rows: Rows, base: str) -> str:
-    found = paired(rows, base)
-    if not found:
+    differences = paired(rows, base)
+    if not differences:
         return ""
     out = [f"<h2>Against {html.escape(base)}</h2><table>"]
     out.append("<caption>Paired by day and seed, 95 % bootstrap interval</caption>")
     out.append(cells_of(["policy", "cache hosts", "pairs", "difference", "interval", "verdict"], "th"))
-    for policy, size, row in found:
+    for policy, size, row in differences:
         verdict = f"<span class={row.verdict.split(',')[0]}>{row.verdict}</span>"
         bounds = f"{row.low:+.4f} to {row.high:+.4f}"
         out.append(
             cells_of([html.escape(policy), str(size), str(row.pairs), f"{row.mean:+.4f}", bounds, verdict])
         )
-    figure, axes = plt.subplots(figsize=(7, 0.6 + 0.32 * len(found)))
-    for n, (_, _, row) in enumerate(found):
+    figure, axes = plt.subplots(figsize=(7, 0.6 + 0.32 * len(differences)))
+    for n, (_, _, row) in enumerate(differences):
         low, high = (row.low, row.high) if row.pairs > 2 else (row.mean, row.mean)
         axes.plot([low, high], [n, n], color="#333", lw=2)
         axes.plot([row.mean], [n], "o", color="#1f5fa8")
     axes.axvline(0, color="#999", lw=0.8)
-    axes.set_yticks(range(len(found)), [f"{policy}, {size}" for policy, size, _ in found], fontsize=8)
+    axes.set_yticks(
+        range(len(differences)), [f"{policy}, {size}" for policy, size, _ in differences], fontsize=8
+    )
     axes.invert_yaxis()
     axes.set_xlabel(f"share of all utility, less that of {base}")
     words = f"Difference of each policy and size from {base}, with its 95 % interval"
@@ -174,10 +176,10 @@
             if (row["day"], row["size"], row["policy"]) == (day, size, policy):
                 for counts in row["times"].values():
                     total = [a + b for a, b in zip(total, counts, strict=True)]
-        many, below, shares = sum(total), 0, []
+        count, below, shares = sum(total), 0, []
         for count in total[:-1]:
             below += count
-            shares.append(below / many if many else 0)
+            shares.append(below / count if count else 0)
         axes.step(BINS, shares, where="post", label=policy, lw=1.3)
     axes.set_xscale("log")
     axes.set_xlabel("ms from a client's first try to its answer")
@@ -210,8 +212,10 @@
         for row in rows
         for line in row["breaches"][:3]
     ]
-    told = "<ul>" + "".join(lines[:60]) + "</ul>" if lines else "<p>None, by the world's own judges.</p>"
-    return "<h2>Rules broken</h2>" + told
+    violations = (
+        "<ul>" + "".join(lines[:60]) + "</ul>" if lines else "<p>None, by the world's own judges.</p>"
+    )
+    return "<h2>Rules broken</h2>" + violations
 
 
 def page(rows: Rows, base: str = "module") -> str:
@@ -224,12 +228,12 @@
     low, high = interval([row["score"] for row in rows if row["policy"] == base])
     how = "in virtual time" if first["drive"] == "virtual" else "in real time on sockets"
     text, machine = html.escape(first["revision"] or "not known"), html.escape(first["machine"])
-    told = (
+    summary = (
         f"<p>{len(rows)} days played {how}, {first['seconds']:g} s each, seeds {', '.join(map(str, seeds))}; "
         f"text {text}, {machine}. All figures are emulated. {html.escape(base)}: "
         f"{_mean(rows, policy=base):.3f}, 95 % interval of its days {low:.3f} to {high:.3f}.</p>"
     )
-    parts = [f"<h1>Experiment {html.escape(first['experiment'])}</h1>", told]
+    parts = [f"<h1>Experiment {html.escape(first['experiment'])}</h1>", summary]
     shown_days = list(enumerate(days[:MOST_DAYS]))
     links = "".join(f'<a href="#d{n}">{html.escape(day)} {size}</a>' for n, (day, size) in shown_days)
     parts += [f"<nav>{links}</nav>", "<h2>Utility</h2>", scores(rows), _differences(rows, base)]
--- a/hoistplank/lab/results.py
+++ b/hoistplank/lab/results.py
@@ -132,11 +132,11 @@
     file = path / TABLE if path.is_dir() else path
     try:
         table = pq.read_table(file)
-    except (OSError, pa.ArrowException) as wrong:
-        raise ResultsError(f"{file.name} can't be read: {str(wrong)[:200]}") from None
-    told = (table.schema.metadata or {}).get(VERSION, b"none").decode()
-    if told != str(LAYOUT):
-        raise ResultsError(f"{file.name} has layout {told}, expected {LAYOUT}: run the experiment again")
+    except (OSError, pa.ArrowException) as error:
+        raise ResultsError(f"{file.name} can't be read: {str(error)[:200]}") from None
+    layout = (table.schema.metadata or {}).get(VERSION, b"none").decode()
+    if layout != str(LAYOUT):
+        raise ResultsError(f"{file.name} has layout {layout}, expected {LAYOUT}: run the experiment again")
     rows: list[dict[str, Any]] = table.to_pylist()
     for row in rows:
         for name in MAPS:
--- a/hoistplank/lab/runner.py
+++ b/hoistplank/lab/runner.py
@@ -44,7 +44,7 @@
 
 def checkouts(root: Path, folder: Path, revisions: list[str]) -> dict[str, str]:
     """A worktree of this project's own history for each older revision."""
-    found = {}
+    folders = {}
     for name in revisions:
         place = folder / "texts" / name
         if not place.exists():
@@ -56,8 +56,8 @@
             )
             if made.returncode:
                 raise RunError(f"no checkout of revision {name}: {made.stderr.strip().splitlines()[-1:]}")
-        found[name] = str(place)
-    return found
+        folders[name] = str(place)
+    return folders
 
 
 def remove_checkouts(root: Path, texts: dict[str, str]) -> None:
--- a/hoistplank/lab/statistics.py
+++ b/hoistplank/lab/statistics.py
@@ -58,16 +58,16 @@
 def ranks(values: Sequence[float]) -> list[float]:
     """From 1 for the least; equal ones share the mean of their places."""
     order = sorted(range(len(values)), key=lambda n: values[n])
-    found = [0.0] * len(values)
+    ranks = [0.0] * len(values)
     at = 0
     while at < len(order):
         end = at
         while end + 1 < len(order) and values[order[end + 1]] == values[order[at]]:
             end += 1
         for n in order[at : end + 1]:
-            found[n] = (at + end) / 2 + 1
+            ranks[n] = (at + end) / 2 + 1
         at = end + 1
-    return found
+    return ranks
 
 
 def spearman(first: Sequence[float], second: Sequence[float]) -> float:
--- a/hoistplank/lab/worker.py
+++ b/hoistplank/lab/worker.py
@@ -90,12 +90,12 @@
     """Play the job on standard input, and write its result to standard output."""
     job = msgspec.json.decode(sys.stdin.buffer.read(), type=Job)
     try:
-        found = play(job)
-    except sockets.RunTooLateError as wrong:
-        found = {"void": str(wrong)}
-    except (UnknownPolicyError, RuntimeError) as wrong:
-        found = {"wrong": str(wrong)}
-    sys.stdout.buffer.write(msgspec.json.encode(found) + b"\n")
+        row = play(job)
+    except sockets.RunTooLateError as error:
+        row = {"void": str(error)}
+    except (UnknownPolicyError, RuntimeError) as error:
+        row = {"wrong": str(error)}
+    sys.stdout.buffer.write(msgspec.json.encode(row) + b"\n")
     return 0
 
 
