--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -137,7 +137,7 @@
         "replica_answers": len(played.statuses),
         "reconnects": sum({row.process: row.reconnects for row in played.usage.hollow}.values()),
         "hollow_rss_mb": round(rss_kb / 1_024),
-        "relays": played.relays,
+        "relays": msgspec.to_builtins(played.relays),
         "broken_builds_found": fired,
     }
 
