--- a/hoistplank/cli/demo.py
+++ b/hoistplank/cli/demo.py
@@ -69,7 +69,8 @@
             sent = await self._send_all(clients)
             if self.sent_at_s:
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self.all_answered.wait(), LAST_ANSWERS_S)
+                    async with asyncio.timeout(LAST_ANSWERS_S):
+                        await self.all_answered.wait()
         finally:
             for reader in readers:
                 reader.cancel()
--- a/hoistplank/cli/request.py
+++ b/hoistplank/cli/request.py
@@ -74,5 +74,6 @@
     host, _, port = address.rpartition(":")
     client = await connect((host, int(port)), context)
     client.send(1, class_name, fields)
-    _, status, head, body = await asyncio.wait_for(client.read_answer(), TIMEOUT_S)
+    async with asyncio.timeout(TIMEOUT_S):
+        _, status, head, body = await client.read_answer()
     return status, head, body
--- a/hoistplank/fakes/deployment.py
+++ b/hoistplank/fakes/deployment.py
@@ -188,7 +188,8 @@
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
             try:
-                await asyncio.wait_for(self.process.wait(), STOP_S)
+                async with asyncio.timeout(STOP_S):
+                    await self.process.wait()
             except TimeoutError:
                 self.process.kill()
                 await self.process.wait()
--- a/hoistplank/lab/backends/socket_dispatcher.py
+++ b/hoistplank/lab/backends/socket_dispatcher.py
@@ -311,7 +311,8 @@
             self.process.send_signal(signal.SIGCONT)
             self.process.send_signal(signal.SIGTERM)
             try:
-                await asyncio.wait_for(self.process.wait(), 8)
+                async with asyncio.timeout(8):
+                    await self.process.wait()
             except TimeoutError:
                 self.process.kill()
                 await self.process.wait()
--- a/hoistplank/lab/fleet/relay_pool.py
+++ b/hoistplank/lab/fleet/relay_pool.py
@@ -54,7 +54,8 @@
         async with self._answer_lock:
             self.send(command)
             try:
-                line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_TIMEOUT_S)
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                    line = await self.process.stdout.readline()
             except TimeoutError as error:
                 raise RelayError("a relay process answers no more") from error
         if not line:
@@ -68,7 +69,8 @@
     async def wait_stopped(self) -> None:
         """Await the end of a process whose standard input was closed; kill it if it takes too long."""
         try:
-            await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
+            async with asyncio.timeout(STOP_TIMEOUT_S):
+                await self.process.wait()
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
--- a/hoistplank/lab/fleet/runner.py
+++ b/hoistplank/lab/fleet/runner.py
@@ -124,7 +124,8 @@
         # Its input ends: it stops its own processes and removes its folder, which takes a moment.
         stdin.close()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(process.wait(), EXIT_TIMEOUT_S)
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
+                await process.wait()
     if process.returncode is None:
         process.kill()
         await process.wait()
--- a/hoistplank/lab/load/coordinator.py
+++ b/hoistplank/lab/load/coordinator.py
@@ -98,7 +98,8 @@
 async def _end_process(process: asyncio.subprocess.Process) -> None:
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError, TimeoutError):
-            await asyncio.wait_for(process.wait(), EXIT_TIMEOUT_S)
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
+                await process.wait()
     if process.returncode is None:
         process.kill()
         await process.wait()
--- a/hoistplank/lab/runner.py
+++ b/hoistplank/lab/runner.py
@@ -92,7 +92,8 @@
         )
         try:
             job = msgspec.json.encode(Job(cell, texts))
-            out, err = await asyncio.wait_for(process.communicate(job), CELL_TIMEOUT_S)
+            async with asyncio.timeout(CELL_TIMEOUT_S):
+                out, err = await process.communicate(job)
         except TimeoutError:
             return None, f"not done in {CELL_TIMEOUT_S:g} s"
         finally:
--- a/hoistplank/lab/scale/real_dispatcher.py
+++ b/hoistplank/lab/scale/real_dispatcher.py
@@ -96,7 +96,8 @@
             return
         process.send_signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(process.wait(), 8)
+            async with asyncio.timeout(8):
+                await process.wait()
         except TimeoutError:
             process.kill()
             await process.wait()
--- a/hoistplank/lab/scale/run_children.py
+++ b/hoistplank/lab/scale/run_children.py
@@ -93,7 +93,8 @@
     async def answered(self, waiting: asyncio.Future[Any]) -> Any:
         """Raises ChildLostError."""
         try:
-            return await asyncio.wait_for(waiting, ANSWER_S)
+            async with asyncio.timeout(ANSWER_S):
+                return await waiting
         except TimeoutError:
             raise ChildLostError(f"a process of {self.module} answers no more") from None
 
@@ -117,7 +118,8 @@
         if process.stdin is not None:
             process.stdin.close()
         try:
-            await asyncio.wait_for(process.wait(), END_S)
+            async with asyncio.timeout(END_S):
+                await process.wait()
         except TimeoutError:
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
--- a/hoistplank/lab/scale/run_replicas.py
+++ b/hoistplank/lab/scale/run_replicas.py
@@ -121,7 +121,8 @@
             assert self.process is not None
             self.process.terminate()
             try:
-                await asyncio.wait_for(self.process.wait(), END_S)
+                async with asyncio.timeout(END_S):
+                    await self.process.wait()
             except TimeoutError:
                 await self.kill()
 
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -172,7 +172,8 @@
             )
             self.receiver.submit(EndpointWatchFailed())
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._address_changed.wait(), backoff_s * (0.5 + self.chance() / 2))
+                async with asyncio.timeout(backoff_s * (0.5 + self.chance() / 2)):
+                    await self._address_changed.wait()
             backoff_s = min(self.max_backoff_s, backoff_s * 2)
 
     async def _follow_until_moved(self) -> BaseException | str | None:
