--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import socket
+from collections.abc import AsyncIterator
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -44,6 +46,24 @@
     return msgspec.json.decode(b'{"seq":%d,"results":[%s]}' % (seq, b",".join(events)), type=Snapshot)
 
 
+@contextlib.asynccontextmanager
+async def running(watcher: EndpointWatcher) -> AsyncIterator[None]:
+    """Runs a watcher, and ends it with the block."""
+    task = asyncio.create_task(watcher.run(), name="endpoint watcher")
+    try:
+        yield
+    finally:
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+
+@pytest.fixture
+def short_silence(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A log counts as silent after 0.2 s."""
+    monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
+
+
 QUIET_WATCHES: dict[str, list[bytes]] = {
     "silent from its first second": [],
     "silent after half a line": [endpoint_event(2)[:20]],
@@ -54,13 +74,10 @@
 }
 
 
+@pytest.mark.usefixtures("short_silence")
 @pytest.mark.parametrize("how", QUIET_WATCHES)
-def test_a_watch_on_which_nothing_moves_on_is_taken_up_again(
-    how: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_watch_on_which_nothing_moves_on_is_taken_up_again(how: str) -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
-        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked = list[int]()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -77,21 +94,18 @@
         told = EventRecorder()
         known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
-        task = asyncio.create_task(log.run())
-        await until(lambda: log.last_seq == 2)
-        # A log that counts anew is asked for all it has; any other goes on from where we are.
-        assert asked == [1, 0 if how.startswith("a number behind ours") else 1]
-        assert told.events[-1].targets[0].state == "draining"
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: log.last_seq == 2)
+            # A log that counts anew is asked for all it has; any other goes on from where we are.
+            assert asked == [1, 0 if how.startswith("a number behind ours") else 1]
+            assert told.events[-1].targets[0].state == "draining"
 
     run_scene(scene())
 
 
-def test_a_log_that_counts_anew_takes_no_drain_back(monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.usefixtures("short_silence")
+def test_a_log_that_counts_anew_takes_no_drain_back() -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
-        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked = list[int]()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,28 +118,23 @@
         lines = [endpoint_event(1, whole=True), endpoint_event(2, state="draining")]
         known = snapshot(2, *lines)
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
-        task = asyncio.create_task(log.run())
-        await until(lambda: log.last_seq == 1)
-        assert asked == [2, 0] and told.events[-1].targets[0].state == "draining"
-        # The same process: only a new one is ready again.
-        log._apply(msgspec.json.decode(endpoint_event(2), type=Event))
-        assert told.events[-1].targets[0].state == "draining"
-        new = msgspec.structs.replace(told.events[-1].targets[0], state="ready", boot_ms=5.0)
-        log._apply(Event(3, Fleet(3, False, [new])))
-        assert told.events[-1].targets[0].state == "ready"
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: log.last_seq == 1)
+            assert asked == [2, 0] and told.events[-1].targets[0].state == "draining"
+            # The same process: only a new one is ready again.
+            log._apply(msgspec.json.decode(endpoint_event(2), type=Event))
+            assert told.events[-1].targets[0].state == "draining"
+            new = msgspec.structs.replace(told.events[-1].targets[0], state="ready", boot_ms=5.0)
+            log._apply(Event(3, Fleet(3, False, [new])))
+            assert told.events[-1].targets[0].state == "ready"
 
     run_scene(scene())
 
 
+@pytest.mark.usefixtures("short_silence")
 @pytest.mark.parametrize("number", [b"%d\n", b'{"seq":%d}\n'])
-def test_a_watch_that_tells_its_number_each_second_stays(
-    number: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_watch_that_tells_its_number_each_second_stays(number: bytes) -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
-        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked = list[int]()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -136,11 +145,9 @@
 
         known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), known, Random(1))
-        task = asyncio.create_task(log.run())
-        await until(lambda: log.progress_count > 20)
-        assert asked == [1]
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: log.progress_count > 20)
+            assert asked == [1]
 
     run_scene(scene())
 
@@ -163,12 +170,10 @@
         told = EventRecorder()
         known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
-        task = asyncio.create_task(log.run())
-        await until(lambda: log.last_seq == 2)
-        assert asked == [1, 1] and loop.time() - broke[0] < 1.0
-        assert told.events[-1].targets[0].state == "draining"
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: log.last_seq == 2)
+            assert asked == [1, 1] and loop.time() - broke[0] < 1.0
+            assert told.events[-1].targets[0].state == "draining"
 
     run_scene(scene())
 
@@ -188,11 +193,9 @@
         told = EventRecorder()
         known = snapshot(1, endpoint_event(1, whole=True))
         log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
-        task = asyncio.create_task(log.run())
-        await until(lambda: log.last_seq == 2)
-        assert asked == [1, 1] and told.events[-1].targets[0].state == "draining"
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: log.last_seq == 2)
+            assert asked == [1, 1] and told.events[-1].targets[0].state == "draining"
 
     run_scene(scene())
 
@@ -213,19 +216,16 @@
 
         told.submit = tell  # type: ignore[method-assign]
         log = EndpointWatcher(told, ("127.0.0.1", port), Snapshot(0, []), Random(1), grace_s=0.25)
-        task = asyncio.create_task(log.run())
-        await until(lambda: len(failed) > 12)
-        assert max(later - first for first, later in zip(failed[5:], failed[6:], strict=False)) < 0.25
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: len(failed) > 12)
+            assert max(later - first for first, later in zip(failed[5:], failed[6:], strict=False)) < 0.25
 
     run_scene(scene())
 
 
-def test_a_standstill_of_our_own_is_not_taken_for_the_logs_silence(monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.usefixtures("short_silence")
+def test_a_standstill_of_our_own_is_not_taken_for_the_logs_silence() -> None:
     async def scene() -> None:
-        monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
-        monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
         asked, speaks = list[int](), asyncio.Event()
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -236,17 +236,15 @@
                 await asyncio.sleep(0.02)
 
         log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
-        task = asyncio.create_task(log.run())
-        await until(lambda: log.progress_count > 0)
-        for _ in range(3):
-            stop = asyncio.get_running_loop().time() + 0.3
-            while asyncio.get_running_loop().time() < stop:
-                pass  # the loop stands still for longer than a log may be silent
-            moves = log.progress_count
-            await until(lambda moves=moves: log.progress_count > moves)  # type: ignore[misc]
-        assert asked == [0]
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: log.progress_count > 0)
+            for _ in range(3):
+                stop = asyncio.get_running_loop().time() + 0.3
+                while asyncio.get_running_loop().time() < stop:
+                    pass  # the loop stands still for longer than a log may be silent
+                moves = log.progress_count
+                await until(lambda moves=moves: log.progress_count > moves)  # type: ignore[misc]
+            assert asked == [0]
 
     run_scene(scene())
 
@@ -269,11 +267,9 @@
             return plain(*words)
 
         monkeypatch.setattr("hoistplank.transport.connecting.socket.socket", none)
-        task = asyncio.create_task(log.run())
-        await until(lambda: log.is_current)
-        assert asked == [0] and len(failed) == 2
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(log):
+            await until(lambda: log.is_current)
+            assert asked == [0] and len(failed) == 2
 
     run_scene(scene())
 
@@ -287,18 +283,16 @@
         listing_ = EndpointWatcher(
             told, ("127.0.0.1", await serve(log.serve_connection)), Snapshot(0, []), Random(1)
         )
-        task = asyncio.create_task(listing_.run())
-        log.publish(fleet_event(1, [endpoint_entry("a", "box", 9)], whole=True))
-        log.publish_configuration(2, "x" * 1_000_000)
-        log.publish({"seq": 3, "configuration": {"text": ["wrong"]}})
-        log.publish({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
-        await until(lambda: listing_.last_seq == 4)
-        assert [type(event) for event in told.events] == [
-            EndpointsUpdated,
-            PurgeReceived,
-        ] and log.requested_positions == [0]
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
+        async with running(listing_):
+            log.publish(fleet_event(1, [endpoint_entry("a", "box", 9)], whole=True))
+            log.publish_configuration(2, "x" * 1_000_000)
+            log.publish({"seq": 3, "configuration": {"text": ["wrong"]}})
+            log.publish({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
+            await until(lambda: listing_.last_seq == 4)
+            assert [type(event) for event in told.events] == [
+                EndpointsUpdated,
+                PurgeReceived,
+            ] and log.requested_positions == [0]
 
     run_scene(scene())
 
