--- a/hoistplank/transport/__init__.py
+++ b/hoistplank/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: what listens, connects, reads and writes, and how many there may be. Knows no message."""
+"""Sockets: listening, connecting, reading, writing and the descriptor budget, independent of any protocol."""
--- a/hoistplank/transport/connecting.py
+++ b/hoistplank/transport/connecting.py
@@ -1,4 +1,4 @@
-"""Connecting to another process, within a time."""
+"""TCP connections to other processes, established within a timeout."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 def open_tcp_socket() -> socket.socket:
-    """A TCP socket (IPv4) that does not block; raises OSError where no descriptor is left."""
+    """Returns a non-blocking TCP socket (IPv4); raises OSError if no file descriptor is left."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     return sock
 
 
 async def connect_socket(sock: socket.socket, address: tuple[str, int], timeout_s: float) -> None:
-    """Connects `sock`, and closes it where that fails.
+    """Connects `sock`, or closes it on failure.
 
-    Raises OSError, of which a time-out is one, or ValueError for a name that can't be one.
+    Raises OSError (TimeoutError is one), or ValueError for a malformed host name.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -27,7 +27,7 @@
 
 
 async def connect(address: tuple[str, int], timeout_s: float) -> socket.socket:
-    """A socket connected to `address`; raises as `open_tcp_socket` and `connect_socket` do."""
+    """Returns a socket connected to `address`; raises like `open_tcp_socket` and `connect_socket`."""
     sock = open_tcp_socket()
     await connect_socket(sock, address, timeout_s)
     return sock
--- a/hoistplank/transport/connection.py
+++ b/hoistplank/transport/connection.py
@@ -1,4 +1,4 @@
-"""One connection: a buffer for what comes in, a writer for what goes out, and the one place where it ends."""
+"""A connection over a stream socket: a read buffer, a message writer, and an orderly or immediate close."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from hoistplank.transport.errors import MessageTooLongError
 from hoistplank.transport.message_writer import ConnectionState, MessageWriter
 
-# Of `struct tcp_info`: eight single bytes, and eleven numbers before `tcpi_last_data_recv` (ms).
-LAST_DATA_RECEIVED_AT = 8 + 11 * 4
-TCP_INFO_BYTES = LAST_DATA_RECEIVED_AT + 4
-INITIAL_BUFFER_BYTES = 8_192  # most requests and answer lines fit
-# How long a connection whose write side is shut waits for the other side's end: what crosses the close is on
-# its way for 50 ms at most, and the other side's own close comes a way there and back later.
+# Offset of `tcpi_last_data_recv` (ms) in `struct tcp_info`: eight single bytes and eleven 32-bit fields
+# precede it.
+LAST_DATA_RECEIVED_OFFSET = 8 + 11 * 4
+TCP_INFO_BYTES = LAST_DATA_RECEIVED_OFFSET + 4
+INITIAL_BUFFER_BYTES = 8_192  # fits most requests and answer lines
+# How long a connection whose write side is shut waits for the peer to close. Data that crosses the close is
+# in transit for 50 ms at most, and the peer's own close arrives a round trip later.
 LINGER_S = 0.3
-MAX_DISCARDED_BYTES = 262_144  # that are read out meanwhile: one that floods costs no more
-DISCARD_BUFFER = bytearray(16_384)  # where they go; one for all, as nobody looks at them
+# Read and discarded while lingering; bounds the cost of a peer that keeps sending.
+MAX_DISCARDED_BYTES = 262_144
+DISCARD_BUFFER = bytearray(16_384)  # shared by all connections: its content is never used
 
-# Called with the buffer, and where unread bytes begin and end in it; returns where they begin now.
+# Called with the buffer and the start and end of its unread bytes; returns the new start.
 Consume = Callable[[bytearray, int, int], int]
 
 
-def _consume_all(buffer: bytearray, start: int, end: int) -> int:  # noqa: ARG001  the form of a Consume
+def _consume_all(buffer: bytearray, start: int, end: int) -> int:  # noqa: ARG001  has the signature of Consume
     return end
 
 
 class Connection(MessageWriter):
-    """Reads into one buffer, which grows as it needs and is compacted in place; writes as MessageWriter does.
+    """Reads into one buffer, which grows on demand and is compacted in place; writes as MessageWriter does.
 
-    `consume` gets the buffer after each read and returns how far it has been used; what it raises ends this
-    connection and no other. `max_buffer_bytes` bounds the buffer; while more than `max_unsent_bytes` wait to
-    be written, nothing is read.
+    `consume` is called with the buffer after each read and returns how far it has consumed it; an exception
+    that it raises ends this connection and no other. `max_buffer_bytes` bounds the buffer; while more than
+    `max_unsent_bytes` wait to be written, nothing is read.
 
-    It ends in one place: `close_gracefully` writes what waits, shuts the write side, reads out what was still
-    coming and closes (a lingering close); `close` is for what is beyond that, and what a broken or ended peer
-    leaves.
+    `close_gracefully` is a lingering close: it writes the pending messages, shuts the write side, reads and
+    discards what still arrives, and closes the socket. `close` ends the connection at once, for cases where
+    that is no longer possible and for peers that broke or ended the connection.
 
-    sock_recv_into and sock_sendall cost 29 us a pair on loopback, a standing reader with recv_into and send
-    16 us.
+    Uses a persistent reader callback with recv_into and send, which takes 16 us a pair on loopback; the event
+    loop's sock_recv_into and sock_sendall take 29 us.
     """
 
     def __init__(
@@ -52,31 +54,31 @@
         self.max_buffer_bytes, self.max_unsent_bytes = max_buffer_bytes, max_unsent_bytes
         self.buffer, self.start, self.end = bytearray(), 0, 0
         self.last_read_at = self.loop.time()
-        self.max_reads_at_once = 1  # more, where what comes must be known before anything else is done
+        # Per readable event; more than 1 where input must be processed before all other work.
+        self.max_reads_at_once = 1
         self.read_count = 0
-        self.drained_at = 0.0  # when the system last said that nothing more had come; 0: never
-        self.is_closing = False  # `close_gracefully` has been called
+        self.drained_at = 0.0  # loop time at which the socket was last found empty; 0: never
+        self.is_closing = False  # True once `close_gracefully` has been called
         self.discarded_bytes = 0
-        self.ended_inside_message = False  # once it has ended: whether that was inside a message
-        self.on_all_written: Callable[[], None] | None = (
-            None  # called each time nothing is left to be written
-        )
+        self.ended_inside_message = False  # set at the end: True if the buffer held a partial message
+        # Called each time that all messages have been written.
+        self.on_all_written: Callable[[], None] | None = None
         self._ended: asyncio.Future[BaseException | None] = self.loop.create_future()
         self._close_timer: asyncio.TimerHandle | None = None
         self._reading_paused, self._reading_stopped = False, False
 
     @property
     def is_closed(self) -> bool:
-        """Whether it has ended; `run` returns within the loop's next turn."""
+        """True if the connection has ended; `run` returns in the next iteration of the event loop."""
         return self.state is ConnectionState.CLOSED
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message of the other side has begun to come and is not whole."""
+        """True if the buffer holds the beginning of a message that is not complete."""
         return self.start < self.end
 
     async def run(self) -> BaseException | None:
-        """Serves until either side ends; returns what ended it, or None for an orderly end."""
+        """Serves until either side ends the connection; returns the error that ended it, or None."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
@@ -85,25 +87,24 @@
         finally:
             self._end(None)
             self.sock.close()
-            self._forget_unsent()
+            self._discard_unsent()
             self.ended_inside_message = self.has_partial_message
-            # Danger: cycles of objects wait for the collector, and on a long day of new connections memory
-            # grows until it comes: what refers back is cut here.
+            # Breaks reference cycles: otherwise ended connections would be freed only by the cyclic garbage
+            # collector, and with many new connections memory would grow until it runs.
             self.consume, self.on_all_written = _consume_all, None
             self._clear_buffer()
 
     # Reading.
 
     def release_buffer(self) -> None:
-        """Gives back the memory that the buffer grew to, once nothing is left in it."""
+        """Frees the buffer if it is empty."""
         if self.start == self.end and self.buffer:
             self._clear_buffer()
 
     def read_now(self) -> None:
-        """Reads what has come, as far as one read goes, also while reading is paused or has not begun.
+        """Handles one readable event now, even while reading is paused or has not begun.
 
-        Danger: a connection that is closed while it is paused may have a request unread, which would be
-        lost."""
+        Without it, a request that is still unread when a paused connection is closed would be lost."""
         if (
             self.state is ConnectionState.OPEN
             and not self._reading_stopped
@@ -112,7 +113,7 @@
             self._on_readable()
 
     def read_pending(self, max_reads: int) -> None:
-        """Reads until nothing more has come, by `max_reads` reads at most."""
+        """Reads until the socket is empty, with at most `max_reads` calls of `read_now`."""
         for _ in range(max_reads):
             read_count = self.read_count
             self.read_now()
@@ -120,18 +121,18 @@
                 return
 
     def last_arrival_age_us(self) -> int:
-        """How long ago the system received the last bytes of the other side, read or not; 0 where it does not
-        tell (`struct tcp_info` of tcp(7))."""
+        """Returns the time since the kernel received the peer's last bytes, read or not, or 0 if the kernel
+        does not report it (`struct tcp_info` of tcp(7))."""
         try:
             info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         except OSError:
             return 0
         if len(info) < TCP_INFO_BYTES:
             return 0
-        return int.from_bytes(info[LAST_DATA_RECEIVED_AT:TCP_INFO_BYTES], sys.byteorder) * 1_000
+        return int.from_bytes(info[LAST_DATA_RECEIVED_OFFSET:TCP_INFO_BYTES], sys.byteorder) * 1_000
 
     def pause_reading(self, seconds: float) -> None:
-        """Reads nothing for a while: what comes meanwhile is read in one go, and answered in one write."""
+        """Pauses reading, so that what arrives meanwhile is read at once and answered in one write."""
         if not self._reading_paused and not self.is_closed:
             self._reading_paused = True
             self._update_reading()
@@ -142,15 +143,16 @@
         self._update_reading()
 
     def stop_reading(self) -> None:
-        """Reads no more: what still comes is neither stored nor parsed."""
+        """Stops reading for good: further input is neither stored nor parsed."""
         self._reading_stopped = True
         self._update_reading()
 
     def _update_reading(self) -> None:
         if self.state is ConnectionState.OPEN:
-            # A slow reader is asked for nothing more until it has taken half of what waits for it.
-            most = self.max_unsent_bytes if self._is_reading else self.max_unsent_bytes // 2
-            wanted = not (self._reading_stopped or self._reading_paused) and self.unsent_bytes <= most
+            # Once paused, reading resumes when the peer has taken half of the bytes that may wait to be
+            # written.
+            max_unsent = self.max_unsent_bytes if self._is_reading else self.max_unsent_bytes // 2
+            wanted = not (self._reading_stopped or self._reading_paused) and self.unsent_bytes <= max_unsent
         else:
             wanted = self.state is ConnectionState.WRITE_SHUT and self.discarded_bytes <= MAX_DISCARDED_BYTES
         if wanted and not self._is_reading:
@@ -169,8 +171,8 @@
                 if self.state is not ConnectionState.OPEN or self._reading_stopped:
                     break
         except (BlockingIOError, InterruptedError):
-            self.drained_at = self.loop.time()  # what had come is read
-        except Exception as error:  # bad bytes, a reset, or a bug in a reader: this connection ends, no other
+            self.drained_at = self.loop.time()  # the socket is empty
+        except Exception as error:  # malformed input, a reset or a bug in `consume` ends only this connection
             self._end(error)
             return
         if self.start == self.end:
@@ -179,15 +181,16 @@
             self._update_reading()
 
     def _read_from_socket(self) -> None:
-        """One read from the socket into the buffer."""
+        """Reads once from the socket into the buffer."""
         if self.end == len(self.buffer):
-            self._make_room()
+            self._ensure_free_space()
         with memoryview(self.buffer) as view, view[self.end :] as free:
             received = self.sock.recv_into(free)
         self._consume_received(received)
 
     def _consume_received(self, received: int) -> None:
-        """`received` bytes more stand in the buffer; 0: the other side has ended."""
+        """Handles `received` new bytes at the end of the buffer; 0 means that the peer has ended its
+        stream."""
         if received == 0:
             self._end(None)
             return
@@ -198,30 +201,30 @@
         if self._reading_stopped or self.state is not ConnectionState.OPEN:
             self.start = self.end = 0
 
-    def _make_room(self) -> None:
-        """Moves what is left to the front; grows only when that frees less than half."""
-        left = self.end - self.start
+    def _ensure_free_space(self) -> None:
+        """Moves the unread bytes to the front of the buffer, and enlarges it if they fill more than half of
+        it."""
+        unread = self.end - self.start
         if not self.buffer:
             self.buffer = bytearray(INITIAL_BUFFER_BYTES)
-        if left > len(self.buffer) // 2:
+        if unread > len(self.buffer) // 2:
             if len(self.buffer) >= self.max_buffer_bytes:
                 raise MessageTooLongError(self.max_buffer_bytes)
             self.buffer.extend(bytes(min(len(self.buffer), self.max_buffer_bytes - len(self.buffer))))
-        self.buffer[:left] = self.buffer[self.start : self.end]
-        self.start, self.end = 0, left
+        self.buffer[:unread] = self.buffer[self.start : self.end]
+        self.start, self.end = 0, unread
 
     def _clear_buffer(self) -> None:
         self.buffer, self.start, self.end = bytearray(), 0, 0
 
-    # How it ends.
+    # Closing.
 
     def close_gracefully(self, write_timeout_s: float = LINGER_S) -> None:
-        """Ends the connection in order: what waits is written, `write_timeout_s` being given to it, the write
-        side is shut, what was still coming is read out and discarded until the other side ends too or a short
-        time is over; then it is closed.
+        """Closes with lingering: writes the pending messages, within `write_timeout_s`, and shuts the write
+        side; then discards input until the peer closes too or LINGER_S is over, and closes the socket.
 
-        Danger: a close over unread bytes resets the connection, and the last answer is lost with it; what is
-        read once the write side is shut can't be answered any more, so it must not be taken either.
+        Closing a socket that has unread input resets the connection, and the last answer would be lost.
+        Input that arrives after the write side is shut can't be answered, so it is not passed to `consume`.
         """
         if not self.is_closing and self.state is ConnectionState.OPEN:
             self.is_closing = True
@@ -229,7 +232,7 @@
             self._after_write()
 
     def close(self) -> None:
-        """Ends the connection now, whatever waits or is coming."""
+        """Ends the connection at once; pending messages and unread input are dropped."""
         self._end(None)
 
     def _after_write(self) -> None:
@@ -245,7 +248,7 @@
         self._clear_buffer()
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:  # the other side has reset it: nothing is left to wait for
+        except OSError:  # the peer has reset the connection: there is nothing to wait for
             self.close()
             return
         if self._close_timer is not None:
@@ -254,7 +257,7 @@
         self._update_reading()
 
     def _discard_input(self) -> None:
-        """Reads out what was still coming, as far as that costs little."""
+        """Reads and discards input, up to MAX_DISCARDED_BYTES."""
         try:
             received = self.sock.recv_into(DISCARD_BUFFER)
         except (BlockingIOError, InterruptedError):
@@ -280,5 +283,5 @@
             self._close_timer.cancel()
             self._close_timer = None
         if not self._ended.done():
-            # Without its traceback, whose frames would hold all this in a cycle.
+            # Without the traceback, whose frames would keep this connection in a reference cycle.
             self._ended.set_result(error.with_traceback(None) if error is not None else None)
--- a/hoistplank/transport/tls.py
+++ b/hoistplank/transport/tls.py
@@ -1,4 +1,5 @@
-"""A connection with TLS (RFC 8446) over the same socket, buffer and writer: records through memory BIOs."""
+"""A connection with TLS (RFC 8446): the socket, buffer and writer of a plain one, with memory BIOs
+between."""
 
 from __future__ import annotations
 
@@ -12,21 +13,24 @@
 from hoistplank.transport.errors import TlsError
 from hoistplank.transport.message_writer import ConnectionState
 
-# What is read from a socket before it is decrypted; one for all, as it is used up within the call. A record
-# holds 16 KB (RFC 8446 section 5.1).
+# Encrypted input from the socket; shared by all connections, as it is consumed within the call that reads it.
+# A record holds up to 16 KB (RFC 8446 section 5.1).
 _encrypted_input = bytearray(32_768)
 
 
 class TlsPhase(enum.Enum):
-    """Whether application data may be read and written."""
+    """The phases of a TLS connection; application data is exchanged once it is established."""
 
     HANDSHAKE = "handshake"
     ESTABLISHED = "established"
 
 
 class TlsConnection(Connection):
-    """The server's side. `on_handshake` is called once, with the client's certificate (DER) or None; what it
-    raises ends this connection."""
+    """The server side of a TLS connection.
+
+    `on_handshake` is called once, with the client's certificate (DER) or None; an exception that it raises
+    ends this connection.
+    """
 
     def __init__(
         self,
@@ -44,11 +48,11 @@
         self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side=True)
 
     async def run(self) -> BaseException | None:
-        """Serves until either side ends; returns what ended it, or None for an orderly end."""
+        """Serves until either side ends the connection; returns the error that ended it, or None."""
         try:
             return await super().run()
         finally:
-            self.on_handshake = lambda _certificate: None  # it refers back to whoever holds this connection
+            self.on_handshake = lambda _certificate: None  # breaks a reference cycle
 
     def _read_from_socket(self) -> None:
         received = self.sock.recv_into(_encrypted_input)
@@ -62,16 +66,16 @@
                 return
             self._decrypt_input()
         except ssl.SSLError as error:
-            # The alert that says why goes out if it can: the other side would see a bare end else.
+            # Sends the alert if possible: otherwise the peer would see the connection end without a reason.
             with contextlib.suppress(OSError):
                 self.sock.send(self._outgoing.read())
             raise TlsError(error.reason or type(error).__name__) from error
         finally:
             if self._outgoing.pending:
-                self.send(b"")  # an empty message carries what the library itself has to say
+                self.send(b"")  # an empty message carries the pending output of the TLS library
 
     def _continue_handshake(self) -> bool:
-        """Whether the handshake is done and the connection still open."""
+        """Returns True once the handshake is done, if the connection is still open."""
         try:
             self._tls.do_handshake()
         except ssl.SSLWantReadError:
@@ -83,10 +87,10 @@
     def _decrypt_input(self) -> None:
         while self.state is ConnectionState.OPEN:
             if self.end == len(self.buffer):
-                self._make_room()
+                self._ensure_free_space()
             with memoryview(self.buffer) as view, view[self.end :] as free:
                 try:
-                    # The stub asks for a bytearray; any writable buffer will do.
+                    # The type stub demands a bytearray; any writable buffer is accepted.
                     received: int = self._tls.read(len(free), free)  # type: ignore[arg-type, assignment]
                 except ssl.SSLWantReadError:
                     return
@@ -97,7 +101,7 @@
             if self.start == self.end:
                 self.start = self.end = 0
             if not self._incoming.pending and not self._tls.pending():
-                return  # what a further read would say with an exception
+                return  # a further read would raise SSLWantReadError
 
     def _encode(self, data: bytes) -> bytes:
         with memoryview(data) as view:
@@ -107,7 +111,8 @@
         return self._outgoing.read()
 
     def _shut_write_side(self) -> None:
-        # close_notify: without it the other side can't tell an end from a cut (RFC 8446 section 6.1).
+        # Sends close_notify, without which the peer can't tell an orderly end from a truncation (RFC 8446
+        # section 6.1).
         if self.phase is TlsPhase.ESTABLISHED and not self.is_closed:
             with contextlib.suppress(ssl.SSLError, OSError):
                 try:
