--- a/hoistplank/transport/errors.py
+++ b/hoistplank/transport/errors.py
@@ -1,12 +1,12 @@
-"""The errors of this package: what ends a connection beside an OSError of its socket."""
+"""Errors other than OSError that end a connection."""
 
 
 class TransportError(Exception):
-    """What the other side sent can't be taken by the transport, whatever its protocol."""
+    """The peer sent data that the transport can't accept, independent of the protocol."""
 
 
 class MessageTooLongError(TransportError):
-    """A message does not fit into the most that a connection buffers."""
+    """A message does not fit into the buffer of its connection."""
 
     def __init__(self, max_bytes: int) -> None:
         super().__init__(f"a message is longer than {max_bytes} bytes")
@@ -14,4 +14,4 @@
 
 
 class TlsError(TransportError):
-    """A handshake or record that can't be used; its text is the TLS library's reason."""
+    """A TLS handshake or record is invalid; the text is the TLS library's reason."""
--- a/hoistplank/transport/listener.py
+++ b/hoistplank/transport/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepts a client only when there is a descriptor for it."""
+"""The listening socket, which accepts clients within the descriptor budget."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 
 from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
-BACKLOG = 1_024  # clients that wait while the budget is used up stand here, connected and not yet accepted
-ACCEPT_RETRY_S = 0.05  # after the system itself was out of descriptors or memory
-ACCEPTS_AT_ONCE = 64  # before other things of the loop have their turn
-# At the end, for descriptors to be released and for the system to have some again.
-LAST_ACCEPTS_S = 0.25
-LAST_ACCEPTS_RETRY_S = 0.01
-# What `accept` says of one connection that has ended by itself (accept(2)): those behind it are as they were.
-CONNECTION_GONE = frozenset(
+# Length of the queue in which clients wait, connected but not accepted, while the budget is exhausted.
+BACKLOG = 1_024
+ACCEPT_RETRY_S = 0.05  # after the operating system ran out of descriptors or memory
+MAX_ACCEPTS_PER_BATCH = 64  # before the event loop runs other callbacks
+# When the listener stops: how long, and how often, it retries to accept the rest of the backlog while no
+# descriptor is available.
+FINAL_ACCEPT_TIMEOUT_S = 0.25
+FINAL_ACCEPT_RETRY_S = 0.01
+# Errors of `accept` that concern only the connection it would have returned (accept(2)), not those behind it.
+ABORTED_CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -33,16 +35,16 @@
 )
 
 
-class BacklogState(enum.Enum):
-    """Why a round of accepts has ended."""
+class BatchEnd(enum.Enum):
+    """The reason why a batch of accepts has ended."""
 
     EMPTY = "empty"
-    MORE = "more"  # other things have their turn now
-    BLOCKED = "blocked"  # the budget or the system has no descriptor left
+    MORE = "more"  # the batch is full; the event loop runs other callbacks now
+    BLOCKED = "blocked"  # the budget or the operating system has no descriptor left
 
 
 class AcceptedClient(NamedTuple):
-    """A client's connection that was accepted."""
+    """The socket of an accepted client and its IP address."""
 
     sock: socket.socket
     peer: str
@@ -51,8 +53,8 @@
 class Listener:
     """Accepts connections at one address and hands each to `on_accept`, with the peer's IP address.
 
-    What `accept` returns is handed over in the same turn, or held until a descriptor is there: no
-    cancellation comes between. Danger: a connection that was accepted and is closed unread loses a request.
+    An accepted connection is handed over in the same step, or held until a descriptor is available, so that a
+    cancellation can't come between: a connection that is accepted and closed unread would lose a request.
     """
 
     def __init__(
@@ -63,10 +65,10 @@
     ) -> None:
         self.descriptors, self.on_accept = descriptors, on_accept
         self.failed_accepts = 0
-        self._held: AcceptedClient | None = None  # accepted beyond the budget, until a descriptor is there
+        self._held: AcceptedClient | None = None  # accepted beyond the budget; waits for a descriptor
         self._accepting: asyncio.Task[None] | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        # A restart takes its address at once, whatever the last run's connections are still waiting for.
+        # Lets a restarted process bind the address while connections of the last run are in TIME_WAIT.
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         try:
@@ -77,7 +79,7 @@
             raise
 
     async def run(self) -> None:
-        """Accepts until `stop` is called, and stays until it is cancelled."""
+        """Accepts until `stop` is called; returns only by being cancelled."""
         self._accepting = asyncio.create_task(self._accept(), name="listener")
         try:
             await asyncio.wait((self._accepting,))
@@ -89,15 +91,16 @@
             self._close()
 
     async def stop(self) -> None:
-        """Accepts no more; who has connected by now is accepted all the same.
+        """Stops accepting, after the clients that have connected so far have been accepted.
 
-        Danger: the end of a listening socket resets what stands in its backlog, requests and all.
+        Closing a listening socket resets the connections in its backlog, and their requests would be lost.
         """
         await self._cancel_accepting()
         loop = asyncio.get_running_loop()
-        until = loop.time() + LAST_ACCEPTS_S
-        while self._take_round() is not BacklogState.EMPTY and loop.time() < until:  # noqa: ASYNC110
-            await asyncio.sleep(LAST_ACCEPTS_RETRY_S)  # no event tells that the system has descriptors again
+        deadline = loop.time() + FINAL_ACCEPT_TIMEOUT_S
+        while self._accept_batch() is not BatchEnd.EMPTY and loop.time() < deadline:  # noqa: ASYNC110
+            # Polls, because no event reports that the operating system has descriptors again.
+            await asyncio.sleep(FINAL_ACCEPT_RETRY_S)
         self._close()
 
     def _close(self) -> None:
@@ -114,7 +117,7 @@
     async def _accept(self) -> None:
         while True:
             await self._wait_readable()
-            if self._take_round() is not BacklogState.BLOCKED:
+            if self._accept_batch() is not BatchEnd.BLOCKED:
                 continue
             if self._held is not None:
                 await self.descriptors.wait_released()
@@ -122,7 +125,7 @@
                 await asyncio.sleep(ACCEPT_RETRY_S)
 
     async def _wait_readable(self) -> None:
-        """Returns once somebody stands in the backlog, or one is held."""
+        """Waits until the backlog holds a connection; returns at once if an accepted client is held."""
         if self._held is not None:
             return
         loop = asyncio.get_running_loop()
@@ -133,27 +136,28 @@
         finally:
             loop.remove_reader(self.sock)
 
-    def _take_round(self) -> BacklogState:
-        """Takes those who stand in the backlog, as many as one turn allows."""
-        for _ in range(ACCEPTS_AT_ONCE):
-            if not self._take_held():
-                return BacklogState.BLOCKED
+    def _accept_batch(self) -> BatchEnd:
+        """Accepts clients from the backlog, MAX_ACCEPTS_PER_BATCH at most."""
+        for _ in range(MAX_ACCEPTS_PER_BATCH):
+            if not self._hand_over_held():
+                return BatchEnd.BLOCKED
             try:
                 sock, peer = self.sock.accept()
             except BlockingIOError:
-                return BacklogState.EMPTY
+                return BatchEnd.EMPTY
             except OSError as error:
                 self.failed_accepts += 1
-                if error.errno in CONNECTION_GONE:
+                if error.errno in ABORTED_CONNECTION_ERRORS:
                     continue
-                return BacklogState.BLOCKED
+                return BatchEnd.BLOCKED
             sock.setblocking(False)
-            # One client that was accepted is held beyond the budget: none is reclaimed before one is there.
+            # One client may be accepted beyond the budget, so that no connection is reclaimed before a client
+            # needs it.
             self._held = AcceptedClient(sock, peer[0])
-        return BacklogState.MORE if self._take_held() else BacklogState.BLOCKED
+        return BatchEnd.MORE if self._hand_over_held() else BatchEnd.BLOCKED
 
-    def _take_held(self) -> bool:
-        """Hands the client that is held over; False where it has to wait for a descriptor."""
+    def _hand_over_held(self) -> bool:
+        """Hands over the held client, if any; returns False if it has to wait for a descriptor."""
         held = self._held
         if held is None:
             return True
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -11,7 +11,7 @@
 import pytest
 
 from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
-from hoistplank.transport.listener import ACCEPTS_AT_ONCE, Listener
+from hoistplank.transport.listener import MAX_ACCEPTS_PER_BATCH, Listener
 from tests.helpers import until
 from tests.scene_runner import run_scene
 
@@ -68,7 +68,7 @@
 
 
 async def many_stand_in_the_backlog(scene: ListenerScene) -> list[socket.socket]:
-    clients = [scene.connect() for _ in range(ACCEPTS_AT_ONCE + 10)]
+    clients = [scene.connect() for _ in range(MAX_ACCEPTS_PER_BATCH + 10)]
     await scene.listener.stop()
     return clients
 
