--- a/hoistplank/transport/pool.py
+++ b/hoistplank/transport/pool.py
@@ -1,4 +1,4 @@
-"""Connections to cache hosts, shared by requests: opened on demand, closed when idle."""
+"""The pool of connections to cache hosts: shared by requests, opened on demand, closed when idle."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 from hoistplank.transport.pooled_connection import ANSWER_STALL_S, PooledConnection
 from hoistplank.transport.pooled_request import PooledRequest
 
-# Connections to one cache host: few at first, since a new one may come up late or never, and a request that
-# waits for it is late; up to many, where descriptors allow, once connections end with requests on them.
+# Connections to one cache host: few at first, because a new connection may be established late or never,
+# which delays the request that waits for it. Where descriptors allow, the limit rises to the maximum as
+# connections are lost with requests on them.
 MIN_CONNECTIONS_PER_HOST, MAX_CONNECTIONS_PER_HOST = 2, 32
-CALM_S = 10.0  # without such an end, before half as many are opened again
-# Closed well before the cache host does it: a request that crosses its close would be lost.
-IDLE_SHARE = 0.6
+CONNECTION_LIMIT_DECAY_S = 10.0  # the limit is halved after this time without such a loss
+# Connections are closed after this share of the cache host's idle timeout: a request that crosses the cache
+# host's own close would be lost.
+IDLE_TIMEOUT_SHARE = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """What the settings say of connections to cache hosts."""
+    """Settings of the connections to cache hosts."""
 
     max_requests_per_connection: int
     idle_s: float  # after which a cache host closes an idle connection
     connect_timeout_s: float
-    remember_ids_s: float  # in which an id does not go over one connection twice
+    remember_ids_s: float  # for which a request id is not used again on the same connection
 
 
 class Pool:
@@ -42,7 +44,7 @@
         self.loop = asyncio.get_running_loop()
         self.descriptors, self.make_reader, self.report_error = descriptors, make_reader, report_error
         self.max_requests = max(1, settings.max_requests_per_connection)
-        self.idle_s = settings.idle_s * IDLE_SHARE
+        self.idle_s = settings.idle_s * IDLE_TIMEOUT_SHARE
         self.connect_timeout_s = settings.connect_timeout_s
         self.remember_ids_s = settings.remember_ids_s
         self.connections: dict[str, list[PooledConnection]] = {}
@@ -51,21 +53,21 @@
         descriptors.reclaimers[ConnectionKind.CACHE_HOST] = self.reclaim
 
     def send(self, host: str, address: tuple[str, int], request: PooledRequest) -> PooledConnection | None:
-        """Sends a request on a free connection, else on a new one, else on the one with the fewest in flight.
+        """Sends a request on an idle connection, else on a new one, else on the one with the fewest requests.
 
-        Danger: an answer that is spoiled or stalls ends all that shares its connection. Where connections end
-        so, more are opened till none is shared; each host may have its even share of descriptors. None where
-        no connection can be had.
+        Returns the connection, or None if none is available. A malformed or stalled answer ends all requests
+        that share its connection. Where that happens, more connections are opened until none is shared, up to
+        an equal share of the descriptors for each host.
         """
         connections = self.connections.setdefault(host, [])
         best = _least_loaded(connections, request.id)
         if best is None or best.in_flight:
             share = self.descriptors.limits[ConnectionKind.CACHE_HOST] // (len(self.connections) + 1)
-            most = max(1, min(MAX_CONNECTIONS_PER_HOST, share, self.connections_per_host))
-            # Danger: a request that looks, fills and goes again has its id on several connections. Where none
-            # is left for it, another is opened: else it would use up its attempts with none sent.
+            soft_limit = max(1, min(MAX_CONNECTIONS_PER_HOST, share, self.connections_per_host))
+            # A request with several attempts has used its id on several connections. If no connection is left
+            # for it, another is opened: otherwise it would use up its attempts without sending any.
             is_full = best is None or len(best.in_flight) >= self.max_requests
-            may_open = len(connections) < (max(most, share) if is_full else most)
+            may_open = len(connections) < (max(soft_limit, share) if is_full else soft_limit)
             if may_open and self.descriptors.acquire(ConnectionKind.CACHE_HOST):
                 best = PooledConnection(self, host, address)
                 connections.append(best)
@@ -75,24 +77,25 @@
         return best
 
     def drain(self, host: str) -> None:
-        """No new request goes over the connections that this host has now; each ends with its last."""
+        """Sends no new request on the host's present connections; each is closed after its last request."""
         for pooled in list(self.connections.get(host, ())):
             pooled.is_draining = True
             if not pooled.in_flight:
                 pooled.close_gracefully()
 
     def sweep(self) -> None:
-        """Closes what stalls or has been idle for as long as the settings say; lets go of memory and ids."""
+        """Closes stalled connections and those idle for `idle_s`; frees buffers and old request ids."""
         now = self.loop.time()
-        # Danger: after a standstill of this process what came meanwhile is still unread, and looks stalled.
-        is_punctual = now - self._swept_at < ANSWER_STALL_S
+        # After a pause of this process, input that arrived meanwhile is still unread: its answer is not
+        # stalled.
+        is_on_schedule = now - self._swept_at < ANSWER_STALL_S
         self._swept_at = now
-        is_calm = now - self.connections_per_host_set_at > CALM_S
-        if is_calm and self.connections_per_host > MIN_CONNECTIONS_PER_HOST:
+        is_decay_due = now - self.connections_per_host_set_at > CONNECTION_LIMIT_DECAY_S
+        if is_decay_due and self.connections_per_host > MIN_CONNECTIONS_PER_HOST:
             self.connections_per_host //= 2
             self.connections_per_host_set_at = now
-        for pooled in self._all():
-            if pooled.is_write_stalled() or (is_punctual and pooled.is_answer_stalled()):
+        for pooled in self._all_connections():
+            if pooled.is_write_stalled() or (is_on_schedule and pooled.is_answer_stalled()):
                 pooled.close()
             elif not pooled.in_flight and pooled.idle_since < now - self.idle_s:
                 pooled.close_gracefully()
@@ -100,41 +103,46 @@
                 pooled.release_memory(now)
 
     def reclaim(self) -> None:
-        """Closes the connection that has been idle longest."""
-        idle = [pooled for pooled in self._all() if not pooled.in_flight and pooled.connection is not None]
+        """Closes the connection that has been idle the longest."""
+        idle = [
+            pooled
+            for pooled in self._all_connections()
+            if not pooled.in_flight and pooled.connection is not None
+        ]
         if idle:
             min(idle, key=lambda pooled: pooled.idle_since).close_gracefully()
 
     def close(self) -> None:
-        """Ends all connections at once."""
-        for pooled in self._all():
+        """Closes all connections at once."""
+        for pooled in self._all_connections():
             pooled.close()
 
-    # What a connection tells its pool.
+    # Called by the connections.
 
     def connection_lost(self) -> None:
-        """A connection ended with written requests on it: from now on fewer share one."""
+        """Doubles the limit of connections to a host, after one has ended with written requests on it."""
         self.connections_per_host = min(MAX_CONNECTIONS_PER_HOST, self.connections_per_host * 2)
         self.connections_per_host_set_at = self.loop.time()
 
     def connection_ended(self) -> None:
-        """The descriptor of a connection is free."""
+        """Releases the descriptor of a connection that has ended."""
         self.descriptors.release(ConnectionKind.CACHE_HOST)
 
-    def forget(self, pooled: PooledConnection) -> None:
-        """Takes a connection out, if it is still in."""
+    def discard(self, pooled: PooledConnection) -> None:
+        """Removes a connection, if it is still in the pool."""
         connections = self.connections.get(pooled.host, [])
         if pooled in connections:
             connections.remove(pooled)
             if not connections:
                 del self.connections[pooled.host]
 
-    def _all(self) -> list[PooledConnection]:
+    def _all_connections(self) -> list[PooledConnection]:
         return [pooled for connections in self.connections.values() for pooled in connections]
 
 
 def _least_loaded(connections: list[PooledConnection], request_id: str) -> PooledConnection | None:
-    """The connection with the fewest requests in flight, of those that may take one of this id."""
+    """Returns the connection with the fewest requests in flight, of those that may take a request with this
+    id."""
     best: PooledConnection | None = None
     for pooled in connections:
         if (
--- a/hoistplank/transport/pooled_connection.py
+++ b/hoistplank/transport/pooled_connection.py
@@ -1,4 +1,4 @@
-"""One connection to one cache host, from before it is established until it has ended, with its requests."""
+"""A connection to a cache host and the requests on it, from connecting until it has ended."""
 
 from __future__ import annotations
 
@@ -9,57 +9,57 @@
 from hoistplank.transport.connection import Connection, Consume
 from hoistplank.transport.pooled_request import PooledRequest, RequestFailure
 
-MAX_BUFFER_BYTES = 524_288  # an answer of 240,000 bytes with its line, and the start of the next
+MAX_BUFFER_BYTES = 524_288  # an answer of 240,000 bytes with its head line, and the start of the next
 MAX_UNSENT_BYTES = 4_194_304
-# Part of an answer has come and nothing more for so long: pauses of hosts that stand still are shorter.
+# Without input for this long, a partial answer counts as stalled; pauses of cache hosts are shorter.
 ANSWER_STALL_S = 0.3
 
 
 class ConnectionOwner(Protocol):
-    """What a connection uses of the pool that opened it."""
+    """The interface of the pool to its connections."""
 
     loop: asyncio.AbstractEventLoop
     connect_timeout_s: float
     remember_ids_s: float
 
     def make_reader(self, pooled: PooledConnection, /) -> Consume:
-        """The reader of its answers."""
+        """Returns the reader of the connection's answers."""
 
     def report_error(self, host: str, error: BaseException, /) -> None:
-        """It ended by bytes that can't be read, or by a fault of ours."""
+        """Reports that a connection ended by malformed input or by an error in this program."""
 
     def connection_lost(self) -> None:
-        """It ended with requests on it that had been written."""
+        """Called if the connection ended with requests on it that had been written."""
 
-    def forget(self, pooled: PooledConnection) -> None:
-        """It takes no new requests; may be called again."""
+    def discard(self, pooled: PooledConnection) -> None:
+        """Removes a connection that takes no new requests; may be called repeatedly."""
 
     def connection_ended(self) -> None:
-        """Its descriptor is free; called once."""
+        """Called once, when the descriptor of the connection is free."""
 
 
 class PooledConnection:
-    """A connection that several requests share, each under its id."""
+    """A connection shared by several requests, which are told apart by their ids."""
 
     def __init__(self, pool: ConnectionOwner, host: str, address: tuple[str, int]) -> None:
         now = pool.loop.time()
         self.pool, self.host, self.address = pool, host, address
         self.in_flight: dict[str, PooledRequest] = {}
-        # Ids that went over this connection lately: an answer that comes twice, or after its request was
-        # cancelled, must not be taken for that of a later request.
+        # Ids used on this connection recently: an answer that is repeated, or arrives after its request was
+        # cancelled, must not be taken for the answer of a later request.
         self.recent_ids, self.older_ids, self._ids_rotated_at = set[str](), set[str](), now
-        self.is_draining = False  # takes no new requests, and ends with its last
+        self.is_draining = False  # takes no new requests, and is closed after its last
         self.idle_since = now
         self.connection: Connection | None = None
-        self._started: set[str] = set()  # in flight, and the system may have a byte of them
-        self._written: set[str] = set()  # in flight, and the system has them whole
-        self._queued: list[PooledRequest] = []  # until the connection is established
-        self._is_over, self._answer_spoiled = False, False
+        self._started: set[str] = set()  # in flight; the kernel may have a byte of them
+        self._written: set[str] = set()  # in flight; the kernel has taken them whole
+        self._queued: list[PooledRequest] = []  # waiting for the connection to be established
+        self._has_ended, self._answer_spoiled = False, False
         self.task = pool.loop.create_task(self._run(), name=f"connection to cache host {host}")
         self.task.add_done_callback(self._on_task_done)
 
     def send(self, request: PooledRequest) -> None:
-        """Writes a request, or keeps it until the connection is established."""
+        """Writes a request, or queues it until the connection is established."""
         self.in_flight[request.id] = request
         self.recent_ids.add(request.id)
         if self.connection is None:
@@ -91,7 +91,8 @@
         connection.send(b"", may_begin, on_written, on_deferred, request.encode)
 
     def finish(self, request_id: str) -> PooledRequest | None:
-        """A request is over, by its answer or without one; a draining connection ends with its last."""
+        """Removes a request that has ended, with or without an answer, and returns it; a draining connection
+        is closed after its last."""
         request = self.in_flight.pop(request_id, None)
         self._started.discard(request_id)
         self._written.discard(request_id)
@@ -102,10 +103,10 @@
         return request
 
     def cancel(self, request_id: str, cancel_message: bytes, started_at: float) -> bool:
-        """Ends a request and sends `cancel_message`; whether the request may have run.
+        """Ends a request and sends `cancel_message`; returns True if the request may have run.
 
-        Danger: one of which the system has a part goes on to be written whole behind our back, and runs.
-        A connection on which nothing has been read since `started_at` may be dead: it gets no new ones.
+        A request of which the kernel has a part will be written whole and may run, so it gets the message.
+        A connection on which nothing has been read since `started_at` may be dead and gets no new requests.
         """
         may_have_run = request_id in self._started
         if self.connection is not None:
@@ -113,12 +114,13 @@
                 self.is_draining = True
             if may_have_run:
                 self.connection.send(cancel_message)
-        # The message goes out before a draining connection closes: closing ends all that is in flight anyway.
+        # After the message, because `finish` may close a draining connection.
         self.finish(request_id)
         return may_have_run
 
     def is_answer_stalled(self) -> bool:
-        """Whether an answer has begun and moves no more: what is in flight here waits for nothing."""
+        """True if a partial answer has got no more input for ANSWER_STALL_S: the requests here wait in
+        vain."""
         connection = self.connection
         return (
             connection is not None
@@ -127,11 +129,11 @@
         )
 
     def is_write_stalled(self) -> bool:
-        """Whether the cache host has taken nothing for too long."""
+        """True if the cache host has taken no data for too long."""
         return self.connection is not None and self.connection.is_write_stalled()
 
     def release_memory(self, now: float) -> None:
-        """Forgets the ids of two spans ago, and gives back a buffer that has grown."""
+        """Drops request ids that are older than `remember_ids_s`, and frees an empty buffer."""
         if now - self._ids_rotated_at > self.pool.remember_ids_s:
             self._ids_rotated_at = now
             self.older_ids, self.recent_ids = self.recent_ids, set(self.in_flight)
@@ -139,24 +141,25 @@
             self.connection.release_buffer()
 
     def close_gracefully(self) -> None:
-        """Ends the connection in order: what was sent last is written, and half an answer that is still
-        coming is read out."""
+        """Closes with lingering: pending messages are written, and an answer that still arrives is read
+        out."""
         connection = self._leave_pool()
         if connection is not None:
             connection.close_gracefully()
 
     def close(self) -> None:
-        """Ends the connection at once, with all that is in flight on it."""
+        """Closes the connection at once; its requests in flight fail."""
         connection = self._leave_pool()
         if connection is not None:
             connection.close()
 
     def _leave_pool(self) -> Connection | None:
-        """The connection that is to be ended; None where that has begun, or it is not established."""
-        if self._is_over:
+        """Removes this from the pool; returns the connection to close, or None if that has begun already or
+        the connection is not established."""
+        if self._has_ended:
             return None
-        self._is_over = True
-        self.pool.forget(self)
+        self._has_ended = True
+        self.pool.discard(self)
         if self.connection is None:
             self.task.cancel()
         return self.connection
@@ -172,7 +175,7 @@
         return failure
 
     async def _connect(self) -> RequestFailure | None:
-        """Establishes the connection and writes what waits for it; None where that succeeded."""
+        """Connects and writes the queued requests; returns None on success."""
         try:
             sock = open_tcp_socket()
             await connect_socket(sock, self.address, self.pool.connect_timeout_s)
@@ -190,13 +193,13 @@
         return None
 
     def _on_task_done(self, task: asyncio.Task[RequestFailure | None]) -> None:
-        """However it ended, even before its first step: frees the descriptor and ends all requests."""
-        self._is_over = True
-        self.pool.forget(self)
+        """Releases the descriptor and fails the remaining requests; also runs if `_run` never started."""
+        self._has_ended = True
+        self.pool.discard(self)
         self.pool.connection_ended()
         failure = self._failure_of_unwritten(task)
-        # One connection that ends is one sign, however many requests were on it; one that ends inside an
-        # answer, or by bytes that can't be read, says nothing of its host, which was there to send them.
+        # The end of a connection counts once against its host, however many requests were on it. An end
+        # inside an answer or by malformed input does not count: the host was there to send it.
         written_failure = (
             RequestFailure.ANSWER_SPOILED if self._answer_spoiled else RequestFailure.CONNECTION_LOST
         )
--- a/hoistplank/transport/pooled_request.py
+++ b/hoistplank/transport/pooled_request.py
@@ -1,4 +1,4 @@
-"""What goes over a pooled connection, and the ways in which it can end without an answer."""
+"""A request on a pooled connection, and the ways in which it can end without an answer."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class RequestFailure(enum.StrEnum):
-    """How a request ended without an answer. All but the last two prove that it never ran."""
+    """The reason why a request ended without an answer. All but the last two prove that it did not run."""
 
-    REFUSED = "refused"  # the cache host's machine turned the connection down
-    CONNECT_TIMED_OUT = "not up"  # no connection in time
-    NOT_WRITTEN = "unwritten"  # the connection ended before the request was written whole
-    WITHHELD = "withheld"  # it was not to begin any more when its turn came
+    REFUSED = "refused"  # the cache host's machine refused the connection
+    CONNECT_TIMED_OUT = "not up"  # the connection was not established in time
+    NOT_WRITTEN = "unwritten"  # the connection ended before the whole request was written
+    WITHHELD = "withheld"  # `may_begin` returned False when it was next to be written
     CONNECTION_LOST = "broken"  # the connection ended after it was written
-    # The connection ended after it was written, and that says nothing of the host: it ended inside an answer
-    # or by bytes that can't be read, or another request on it stands for the loss already.
+    # The connection ended after it was written, without counting against the host: it ended inside an answer
+    # or by malformed input, or the loss is already counted for another request on it.
     ANSWER_SPOILED = "spoilt"
 
 
 class PooledRequest(Protocol):
-    """A request that the pool sends; it hears once how it ended, unless its answer came."""
+    """A request to be sent by the pool; `failed` is called once if it ends without an answer."""
 
     id: str
 
     def may_begin(self) -> bool:
-        """Called just before its first byte is written; False: it is left out, and fails as WITHHELD."""
+        """Called just before its first byte is written; on False it is not sent and fails as WITHHELD."""
 
     def encode(self) -> bytes:
-        """Called once it may begin: its bytes, as they are to be written now."""
+        """Returns the bytes to write; called after `may_begin` has returned True."""
 
     def failed(self, failure: RequestFailure, /) -> None:
-        """It has ended without an answer."""
+        """Called when the request has ended without an answer."""
