--- a/hoistplank/protocol/__init__.py
+++ b/hoistplank/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and encoders of what is spoken on the sockets, without I/O: bytes in, typed messages out."""
+"""Parsers and encoders of the wire protocols, without I/O: bytes in, typed messages out."""
--- a/hoistplank/protocol/cachewire.py
+++ b/hoistplank/protocol/cachewire.py
@@ -1,4 +1,4 @@
-"""The line protocol of cache hosts, without I/O: requests are encoded, answers are read."""
+"""The line protocol of cache hosts, without I/O: encodes requests and decodes answers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from hoistplank.decision.events import CacheStatus
 from hoistplank.protocol.errors import CacheWireError
 
-MAX_HEAD_BYTES = 4_096  # a line of an answer: an id, a status, some short fields and a length
+MAX_HEAD_BYTES = 4_096  # the first line of an answer: an id, a status, some short fields and the body length
 MAX_BODY_BYTES = 240_000
-MAX_LOAD_FIGURE = 1e9  # a figure of a load report beyond it is none
+MAX_LOAD_FIGURE = 1e9  # larger figures make a load report invalid
 LINE_END = b"\r\n"
 
 
 class AnswerStatus(enum.StrEnum):
-    """What an answer says of its request; the values are the wire's words."""
+    """The status of an answer; the values are those on the wire."""
 
     SERVED = "served"
     NOT_MODIFIED = "still_good"
@@ -31,8 +31,8 @@
 
 SUCCESS_STATUSES = (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
 HEALTH_STATUSES = (AnswerStatus.HEALTHY, AnswerStatus.UNHEALTHY)
-_STATUS_OF_WORD = {status.value: status for status in AnswerStatus}
-_CACHE_STATUS_OF_WORD = {
+_STATUS_BY_NAME = {status.value: status for status in AnswerStatus}
+_CACHE_STATUS_BY_NAME = {
     "hit": CacheStatus.HIT,
     "filled": CacheStatus.FILLED,
     "via_origin": CacheStatus.FROM_ORIGIN,
@@ -44,8 +44,8 @@
     "no_slot": CacheStatus.NOT_STORED,
     "origin_failed": CacheStatus.ORIGIN_UNREACHABLE,
 }
-# The wire's names of load figures, by the settings' names, where they differ.
-_LOAD_NAME_ON_WIRE = {
+# Names of load figures on the wire, by their names in the settings, where the two differ.
+_WIRE_LOAD_NAMES = {
     "rif": "inflight",
     "busy": "util",
     "q": "queue",
@@ -53,11 +53,11 @@
     "rate": "qps",
     "fail_rate": "eps",
 }
-_TOKEN = re.compile(r"[!-+\--<>-~]+")  # visible characters but the comma and the equals sign
+_TOKEN = re.compile(r"[!-+\--<>-~]+")  # visible ASCII characters except ',' and '='
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """One whole answer: to the request of that id on its connection."""
+    """A complete answer to the request with this id on the same connection."""
 
     request_id: str
     status: AnswerStatus
@@ -65,31 +65,31 @@
     body: bytes
 
     def cache_status(self) -> int:
-        """How the cache host got the object: one of `CacheStatus`, UNKNOWN where it is not said."""
-        return _CACHE_STATUS_OF_WORD.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
+        """Returns the `CacheStatus` that tells how the cache host got the object, or UNKNOWN."""
+        return _CACHE_STATUS_BY_NAME.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
 
     def load_report(self, names: tuple[str, ...]) -> list[float]:
-        """The figures of the load report in the order of the settings' `names`; empty where none came, one is
-        missing or one can't be read."""
+        """Returns the figures of the load report in the order of `names`, which are those of the settings; an
+        empty list if there is no report, or a figure is missing or invalid."""
         reported = dict(part.partition(":")[::2] for part in self.fields.get("use", "").split(";") if part)
         if not reported:
             return []
         try:
-            figures = [float(reported.get(name) or reported[_LOAD_NAME_ON_WIRE[name]]) for name in names]
+            figures = [float(reported.get(name) or reported[_WIRE_LOAD_NAMES[name]]) for name in names]
         except (KeyError, ValueError):
             return []
-        # Danger: `nan`, `inf` or a huge figure would stay in every mean it enters.
+        # `nan`, `inf` or a huge figure would distort every mean that includes it.
         return figures if all(0 <= figure <= MAX_LOAD_FIGURE for figure in figures) else []
 
 
 def check_answer(answer: Answer, *, client_digest: str, is_copy: bool) -> None:
-    """Raises CacheWireError where a status or its fields don't fit the attempt that was asked for.
+    """Raises CacheWireError if the status or the fields of an answer don't match its attempt.
 
-    `client_digest` is the tag of the client's copy that was passed on, or empty; `is_copy`: the answer is one
-    of an object that is cached, and has its digest and date.
+    `client_digest` is the digest of the client's copy that was sent with the attempt, or empty. `is_copy` is
+    True for an object that is cached: the answer must have a digest and a date.
     """
     if answer.status in HEALTH_STATUSES:
-        raise CacheWireError(f"'{answer.status}' answers a attempt")
+        raise CacheWireError(f"an answer to an attempt has the status '{answer.status}' of a health probe")
     if answer.status not in SUCCESS_STATUSES:
         return
     if answer.status is AnswerStatus.NOT_MODIFIED:
@@ -97,34 +97,34 @@
     if is_copy:
         for name in ("digest", "dated"):
             if not answer.fields.get(name):
-                raise CacheWireError(f"an ok answer lacks the field '{name}'")
+                raise CacheWireError(f"a successful answer lacks the field '{name}'")
     if not answer.fields.get("dated", "0").isdecimal():
-        raise CacheWireError(f"an ok answer is dated '{answer.fields['dated'][:20]}'")
+        raise CacheWireError(f"the field 'dated' is '{answer.fields['dated'][:20]}', expected digits")
 
 
 def _check_not_modified(answer: Answer, client_digest: str) -> None:
     if not client_digest or answer.body:
-        raise CacheWireError("'still_good' without a copy to be good, or with bytes")
+        raise CacheWireError("'still_good' has a body, or answers a request without a client's copy")
     digest = answer.fields.get("digest", "")
     if digest != client_digest:
-        # Danger: the client would be told that its copy is the one, of which nobody has said so.
-        raise CacheWireError(f"'still_good' names '{digest[:20]}', not the client's copy")
+        # Otherwise the client would go on using a copy that the cache host has not confirmed.
+        raise CacheWireError(f"'still_good' has the digest '{digest[:20]}', expected the client's")
 
 
 def is_token(text: str) -> bool:
-    """Whether a value can stand in a line without changing what the line says."""
+    """True if a text can be a value in a line without being taken for a separator."""
     return _TOKEN.fullmatch(text) is not None
 
 
 def encode_get(request_id: str, fields: dict[str, str], body: bytes = b"") -> bytes:
-    """The request for an object; each value of `fields` has to be a token."""
+    """Returns a request for an object; each value in `fields` has to be a token."""
     field_list = ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
     head = f"GET {request_id} {field_list} {len(body)}\r\n".encode("latin-1")
     return b"".join((head, body, LINE_END))
 
 
 def encode_drop(request_id: str) -> bytes:
-    """Takes a request back; the cache host may answer it all the same."""
+    """Returns a message that cancels a request; the cache host may answer it nevertheless."""
     return f"DROP {request_id}\r\n".encode("latin-1")
 
 
@@ -132,24 +132,24 @@
     request_id: str
     status: AnswerStatus
     fields: dict[str, str]
-    body_bytes: int  # NO_BODY: the answer ends with this line
+    body_bytes: int  # NO_BODY: the answer has only its head
 
 
 NO_BODY = -1
 
 
 class AnswerReader:
-    """The answers of one connection; keeps the head of the answer whose body is still to come."""
+    """Decodes the answers on one connection; keeps the head of an answer whose body is incomplete."""
 
     def __init__(self) -> None:
         self._head: _AnswerHead | None = None
-        self._searched = 0  # bytes of an unfinished line that hold no end
+        self._searched_bytes = 0  # bytes of an incomplete line known to hold no line end
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[Answer]]:
-        """Reads at most one answer between `start` and `end`.
+        """Decodes at most one answer between `start` and `end`.
 
-        Returns where it has come to, and the answer, none where the next is not whole; raises CacheWireError
-        on what is no answer.
+        Returns the position up to which the buffer was consumed, and a list with the answer, empty while that
+        is incomplete. Raises CacheWireError if the bytes are not an answer.
         """
         head = self._head
         if head is None:
@@ -166,37 +166,37 @@
         if end < answer_end:
             return start, []
         if buffer[body_end:answer_end] != LINE_END:
-            raise CacheWireError("an answer's bytes are not followed by CR LF")
+            raise CacheWireError("an answer's body is not followed by CR LF")
         with memoryview(buffer) as view:
             body = bytes(view[start:body_end])
         self._head = None
         return answer_end, [Answer(head.request_id, head.status, head.fields, body)]
 
     def _find_line_end(self, buffer: bytearray, start: int, end: int) -> int:
-        """Where the line that begins at `start` ends, or -1 where its end has not come."""
-        line_end = buffer.find(LINE_END, start + self._searched, end)
+        """Returns the end of the line that begins at `start`, or -1 if it is incomplete."""
+        line_end = buffer.find(LINE_END, start + self._searched_bytes, end)
         if (end if line_end < 0 else line_end) - start > MAX_HEAD_BYTES:
-            raise CacheWireError("an answer's line is too long")
-        # The last byte may be the first half of a line's end.
-        self._searched = max(0, end - start - 1) if line_end < 0 else 0
+            raise CacheWireError("an answer's head is too long")
+        # The last byte may be the CR of the line end.
+        self._searched_bytes = max(0, end - start - 1) if line_end < 0 else 0
         return line_end
 
 
 def _decode_head(line: bytearray) -> _AnswerHead:
     words = line.decode("latin-1").split(" ")
     if len(words) not in (2, 3, 4):
-        raise CacheWireError(f"an answer has {len(words)} words")
-    status = _STATUS_OF_WORD.get(words[1])
+        raise CacheWireError(f"an answer's head has {len(words)} words, expected 2 to 4")
+    status = _STATUS_BY_NAME.get(words[1])
     if status is None:
-        raise CacheWireError(f"an answer has the unknown word '{words[1][:20]}'")
+        raise CacheWireError(f"an answer has the unknown status '{words[1][:20]}'")
     fields = _decode_fields(words[2]) if len(words) > 2 else {}
     if len(words) < 4:
         if status in SUCCESS_STATUSES:
-            raise CacheWireError("an answer has no length")
+            raise CacheWireError("a successful answer has no body length")
         return _AnswerHead(words[0], status, fields, NO_BODY)
     length = words[3]
     if not (length.isascii() and length.isdecimal()) or int(length) > MAX_BODY_BYTES:
-        raise CacheWireError(f"an answer has the length '{length[:20]}'")
+        raise CacheWireError(f"an answer has the invalid body length '{length[:20]}'")
     return _AnswerHead(words[0], status, fields, int(length))
 
 
@@ -205,6 +205,6 @@
     for part in text.split(",") if text != "-" else []:
         name, equals, value = part.partition("=")
         if not equals:
-            raise CacheWireError(f"an answer has the field '{part[:20]}' without a value")
+            raise CacheWireError(f"the field '{part[:20]}' of an answer has no value")
         fields[name] = value
     return fields
--- a/hoistplank/protocol/changelog.py
+++ b/hoistplank/protocol/changelog.py
@@ -1,6 +1,6 @@
-"""The change log, without I/O: its events as JSON, a line each, and the line that asks for them.
+"""The protocol of the change log, without I/O: events as lines of JSON, and the line that requests them.
 
-Names and order of the structs' fields are those of the wire.
+The names and the order of the structs' fields are those on the wire.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 from hoistplank.protocol.cachewire import is_token
 from hoistplank.protocol.errors import ChangeLogError
 
-# A configuration of 1 MiB, each byte of which JSON may write as six; a list of some thousand hosts is less.
+# Fits a configuration of 1 MiB, each byte of which JSON may escape as six; a list of some thousand hosts is
+# shorter.
 MAX_LINE_BYTES = 6 * 1_048_576 + 65_536
-_HOST_STATE_OF_WORD = {"ready": "up", "draining": "draining", "gone": "gone"}
+_HOST_STATE_BY_NAME = {"ready": "up", "draining": "draining", "gone": "gone"}
 _MAX_PORT = 65_535
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A cache host as the change log lists it; `boot_ms` is Unix time (ms)."""
+    """A cache host as listed by the change log; `boot_ms` is Unix time (ms)."""
 
     uid: str
     endpoint: str
@@ -30,7 +31,7 @@
     boot_ms: float = 0
 
     def entry(self) -> Endpoint:
-        """The host in the terms of the decision logic, times in microseconds."""
+        """Returns the host as an `Endpoint` of the decision logic, with times in microseconds."""
         return Endpoint(
             self.uid,
             self.az,
@@ -38,16 +39,16 @@
             self.pod_group,
             self.capacity_hint,
             int(self.boot_ms * 1000),
-            _HOST_STATE_OF_WORD[self.state],
+            _HOST_STATE_BY_NAME[self.state],
         )
 
     def address(self) -> tuple[str, int]:
-        """Its host and port; raises ChangeLogError."""
+        """Returns host and port of the endpoint; raises ChangeLogError."""
         return parse_address(self.endpoint)
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """The cache hosts that changed, or `all` of them, as of the list's revision `rev`."""
+    """The cache hosts that have changed, or `all` of them, at revision `rev` of the list."""
 
     rev: int = 0
     all: bool = False
@@ -55,8 +56,8 @@
 
 
 class Purge(msgspec.Struct, frozen=True):
-    """Copies made before `time` (Unix time of the log's clock, ms) are not to be used: those of one object,
-    or of a purge group (`bucket`)."""
+    """Invalidates the copies of one object, or of a purge group (`bucket`), that were made before `time`
+    (Unix time by the log's clock, ms)."""
 
     time: float
     object: str = ""
@@ -67,34 +68,34 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One event. `configuration` is left undecoded: a follower without use for it must not fail on what it
-    holds; who hands it on checks it (`hoistplank.distribution`)."""
+    """An event of the change log. `configuration` is left undecoded, so that a follower that does not use it
+    does not fail on its content; `hoistplank.distribution`, which forwards it, checks it."""
 
     seq: int
     fleet: Fleet | None = None
     invalidate: Purge | None = None
     configuration: msgspec.Raw = NO_CONFIGURATION
-    epoch: int = 0  # rises whenever the log counts anew; 0 of a log that says none
+    epoch: int = 0  # rises whenever the log restarts its numbering; 0 if the log sends none
 
     @property
     def is_position(self) -> bool:
-        """Whether it says nothing but how far the log has come."""
+        """True if the event holds only a position of the log."""
         return self.fleet is None and self.invalidate is None and not self.has_configuration
 
     @property
     def has_configuration(self) -> bool:
-        """Whether it carries a configuration."""
+        """True if the event holds a configuration."""
         return bytes(self.configuration) not in (b"", b"null")
 
 
 class Position(msgspec.Struct, frozen=True):
-    """How far the log has come: there is no event after `seq` yet."""
+    """The present end of the log: there is no event after `seq` yet."""
 
     seq: int
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What the log had said up to `seq`, as given at the start of a process."""
+    """The events of the log up to `seq`, given to a process at its start."""
 
     seq: int = 0
     results: list[Event] = []
@@ -104,7 +105,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`; raises ChangeLogError."""
+    """Returns host and port of `host:port`; raises ChangeLogError."""
     host, colon, port = text.rpartition(":")
     is_port = port.isascii() and port.isdecimal() and int(port) <= _MAX_PORT
     if not colon or not host or not is_port:
@@ -113,43 +114,45 @@
 
 
 def check_event(event: Event) -> Event:
-    """The event itself; raises ChangeLogError where one of its hosts can't be used."""
+    """Returns the event; raises ChangeLogError if one of its hosts has invalid values."""
     for target in event.fleet.targets if event.fleet else []:
         if not is_token(target.uid):
-            # Danger: it goes into the lines to cache hosts as a source's name, and could change their words.
-            raise ChangeLogError(f"a cache host's uid '{target.uid[:40]}' can't stand in a line")
+            # A uid is sent to cache hosts as the name of a source; a separator in it would corrupt the line.
+            raise ChangeLogError(
+                f"cache host uid '{target.uid[:40]}': expected visible ASCII without ',' and '='"
+            )
         parse_address(target.endpoint)
-        if target.state not in _HOST_STATE_OF_WORD:
+        if target.state not in _HOST_STATE_BY_NAME:
             raise ChangeLogError(f"cache host {target.uid[:40]} has the unknown state '{target.state[:20]}'")
     return event
 
 
 def encode_since(sequence_number: int) -> bytes:
-    """Asks for all events after `sequence_number`."""
+    """Returns the line that requests all events after `sequence_number`."""
     return f"since {sequence_number}\n".encode()
 
 
 class ChangeLogReader:
-    """The lines of one connection: events, and positions, each a bare number or an object with nothing else
-    in it but the log's epoch."""
+    """Decodes the lines of one connection: events and positions. A position is a bare number, or an object
+    that holds only the number and perhaps the log's epoch."""
 
     def __init__(self) -> None:
-        self.epoch = 0  # of the last line that was read; 0 where it says none
-        self._searched = 0  # bytes of an unfinished line that hold no end
+        self.epoch = 0  # of the last line; 0 if that had none
+        self._searched_bytes = 0  # bytes of an incomplete line known to hold no newline
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[Event | Position]]:
-        """Reads the whole lines between `start` and `end`.
+        """Decodes the complete lines between `start` and `end`.
 
-        Returns where it has come to, and what each line says; raises ChangeLogError.
+        Returns the position behind them and their messages; raises ChangeLogError.
         """
         found: list[Event | Position] = []
-        while (line_end := buffer.find(b"\n", start + self._searched, end)) >= 0:
+        while (line_end := buffer.find(b"\n", start + self._searched_bytes, end)) >= 0:
             line = bytes(buffer[start:line_end]).strip()
-            start, self._searched = line_end + 1, 0
+            start, self._searched_bytes = line_end + 1, 0
             if line:
                 found.append(self._decode(line))
-        self._searched = end - start
-        if self._searched > MAX_LINE_BYTES:
+        self._searched_bytes = end - start
+        if self._searched_bytes > MAX_LINE_BYTES:
             raise ChangeLogError("a line of the change log is too long")
         return start, found
 
@@ -163,7 +166,7 @@
             return Position(message)
         self.epoch = message.epoch
         if message.is_position:
-            # The number alone, as the platform's log writes it. Danger: taken for an event, one that is ahead
-            # would count as heard what has not come, and a drain would be lost for good.
+            # The platform's log sends positions as bare numbers. If a position ahead of the events were taken
+            # for an event, the events up to it would count as received, and a drain could be lost for good.
             return Position(message.seq)
         return check_event(message)
--- a/hoistplank/protocol/errors.py
+++ b/hoistplank/protocol/errors.py
@@ -1,17 +1,17 @@
-"""The errors of all parsers: one base, and one type a protocol."""
+"""The errors of the parsers: a base class, and a class for each protocol."""
 
 
 class ProtocolError(Exception):
-    """Bytes that can't be read; its text names what is wrong with them."""
+    """Bytes that can't be decoded; the text names the fault."""
 
 
 class FastCgiError(ProtocolError):
-    """Records or parameters of a client that are no FastCGI."""
+    """Records or parameters of a client that violate FastCGI."""
 
 
 class CacheWireError(ProtocolError):
-    """An answer of a cache host that can't be read, or that doesn't fit what was asked."""
+    """An answer of a cache host that can't be decoded, or that doesn't match its request."""
 
 
 class ChangeLogError(ProtocolError):
-    """A line of the change log that can't be read or used."""
+    """A line of the change log that can't be decoded, or that has invalid values."""
