--- a/hoistplank/protocol/fastcgi/__init__.py
+++ b/hoistplank/protocol/fastcgi/__init__.py
@@ -1,7 +1,7 @@
 """FastCGI 1.0 as an application in the role of a responder, without I/O: bytes in, events out.
 
-`RequestReader` turns the records of one connection into events; the `encode_` functions make the bytes of
-answers.
+`RequestReader` turns the records of one connection into events; the `encode_` functions return the bytes of
+responses.
 """
 
 from hoistplank.protocol.fastcgi.events import (
--- a/hoistplank/protocol/fastcgi/events.py
+++ b/hoistplank/protocol/fastcgi/events.py
@@ -1,4 +1,4 @@
-"""What a reader of FastCGI reports: requests as their records come in, and one type an event."""
+"""Events of the FastCGI reader, and the request that collects the content of its records."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from hoistplank.protocol.errors import FastCgiError
 from hoistplank.protocol.fastcgi.records import decode_pairs
 
-_MAX_LENGTH_DIGITS = 9  # of CONTENT_LENGTH: far beyond any body that is taken
+_MAX_LENGTH_DIGITS = 9  # of CONTENT_LENGTH; far more than any accepted body needs
 
 
 @dataclass(slots=True)
 class FastCgiRequest:
-    """One request of a connection; `error` says why it can't be used, as soon as that is known."""
+    """A request on a connection; `error` is the reason why it is invalid, set as soon as that is known."""
 
     number: int
     keep_connection: bool
@@ -26,8 +26,8 @@
     held_bytes: int = 0  # content of its records that counts against the reader's `held_bytes`
 
     def parameters(self) -> dict[str, str]:
-        """The parameters by name; raises FastCgiError where lengths and bytes don't agree, or one is given
-        twice."""
+        """Returns the parameters by name; raises FastCgiError if lengths and content don't match, or a name
+        is given twice."""
         parameters: dict[str, str] = {}
         for name, value in decode_pairs(self.params):
             if name in parameters:
@@ -35,7 +35,7 @@
             parameters[name] = value
         length = parameters.get("CONTENT_LENGTH", "")
         if length and not self._is_body_length(length):
-            raise FastCgiError(f"CONTENT_LENGTH '{length[:40]}' is not the body's {len(self.body)} bytes")
+            raise FastCgiError(f"CONTENT_LENGTH is '{length[:40]}', but the body has {len(self.body)} bytes")
         return parameters
 
     def _is_body_length(self, text: str) -> bool:
@@ -45,20 +45,20 @@
 
 
 class RequestReceived(msgspec.Struct, frozen=True):
-    """A request is complete, or has an `error` that makes the rest of it useless."""
+    """A request is complete, or has an `error` that makes the rest of it irrelevant."""
 
     request: FastCgiRequest
 
 
 class RequestAborted(msgspec.Struct, frozen=True):
-    """The client no longer waits for a request, which may not have been complete."""
+    """The client has aborted a request, complete or not."""
 
     number: int
     was_complete: bool
 
 
 class ProtocolReply(msgspec.Struct, frozen=True):
-    """Bytes that the protocol itself owes the client; to be sent as they are."""
+    """A response of the protocol layer itself, to be sent to the client unchanged."""
 
     data: bytes
 
--- a/hoistplank/protocol/fastcgi/responses.py
+++ b/hoistplank/protocol/fastcgi/responses.py
@@ -1,4 +1,4 @@
-"""CGI responses (RFC 3875 section 6) in the records of FastCGI: STDOUT, its end, END_REQUEST."""
+"""CGI responses (RFC 3875 section 6) as FastCGI records: STDOUT, its end, END_REQUEST."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 def _encode_end(number: int) -> bytes:
-    """The end of a response's stream and of its request."""
+    """Returns the end of the STDOUT stream and the END_REQUEST record."""
     return _END_OF_RESPONSE.pack(
         VERSION, STDOUT, number, 0, 0, VERSION, END_REQUEST, number, _END_BODY_BYTES, 0, 0, REQUEST_COMPLETE
     )
 
 
 def encode_head(status: int, fields: tuple[tuple[str, str], ...], length: int = 0) -> bytes:
-    """The CGI head of a response whose body has `length` bytes; one without a body may be encoded ahead, for
-    `encode_response_without_body`."""
+    """Returns the CGI header of a response with a body of `length` bytes; that of a response without a body
+    may be encoded in advance, for `encode_response_without_body`."""
     text = f"Status: {status}\r\nContent-Type: application/octet-stream\r\nContent-Length: {length}\r\n"
     for name, value in fields:
         text += f"{name}: {value}\r\n"
@@ -35,12 +35,12 @@
 
 
 def encode_response_without_body(number: int, head: bytes) -> bytes:
-    """A whole response without a body, behind a head that `encode_head` made ahead."""
+    """Returns a complete response without a body; `head` comes from `encode_head`."""
     return HEADER.pack(VERSION, STDOUT, number, len(head), 0) + head + _encode_end(number)
 
 
 def encode_response(number: int, status: int, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
-    """A whole response: its STDOUT records, the stream's end, END_REQUEST."""
+    """Returns a complete response: its STDOUT records, the end of the stream, END_REQUEST."""
     head = encode_head(status, fields, len(body))
     size = len(head) + len(body)
     if size <= MAX_CONTENT_BYTES:
--- a/hoistplank/protocol/fastcgi/script_name.py
+++ b/hoistplank/protocol/fastcgi/script_name.py
@@ -1,4 +1,4 @@
-"""Finds SCRIPT_NAME in encoded parameters, for load shedding that decides before it reads."""
+"""Finds SCRIPT_NAME in encoded parameters, for load shedding before a request is decoded."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def find_script_name(buffer: bytearray, start: int, end: int) -> bytes:
-    """The value of SCRIPT_NAME among the parameters between `start` and `end`, found without decoding the
-    others; b"" where it is not found. A text in another value that looks like it misleads only load shedding,
-    on its sender's own request."""
+    """Returns the value of SCRIPT_NAME in the parameters between `start` and `end`, without decoding the
+    others, or b"" if it is not found. Another parameter's value that contains an encoded SCRIPT_NAME can
+    mislead only load shedding, and only for the request of its sender."""
     position = buffer.find(_NAME, start, end)
-    # Before the name stand its length and that of the value.
+    # The name is preceded by its length and the length of its value.
     if position < start + 2 or buffer[position - 2] != _NAME_BYTES:
         return b""
     value_bytes = buffer[position - 1]
--- a/hoistplank/protocol/fastcgi/whole_request.py
+++ b/hoistplank/protocol/fastcgi/whole_request.py
@@ -1,4 +1,4 @@
-"""The layout of a request whose records all stand in the buffer, in the order that web servers send them."""
+"""The layout of a request that is completely in the buffer, with its records in the order of web servers."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from hoistplank.protocol.fastcgi.records import BEGIN_REQUEST, HEADER, PARAMS, RESPONDER, STDIN, VERSION
 
-MAX_PARAMS_BYTES = 32_768  # all parameters of a request; those in use take some 400 bytes
+MAX_PARAMS_BYTES = 32_768  # all parameters of a request; typical ones take some 400 bytes
 MAX_BODY_BYTES = 48_000
 
-# Records that stand together are unpacked in one step, as each request takes this path.
-_BEGIN_AND_HEADER = struct.Struct(">BBHHBxHB5xBBHHBx")  # BEGIN_REQUEST with its role and flags, a header
+# Adjacent records are unpacked in one step for speed, as each request takes this path.
+_BEGIN_AND_HEADER = struct.Struct(">BBHHBxHB5xBBHHBx")  # BEGIN_REQUEST with role and flags, then a header
 _TWO_HEADERS = struct.Struct(">BBHHBxBBHHBx")
 _HEADER_BYTES, _BEGIN_AND_HEADER_BYTES, _TWO_HEADERS_BYTES = (
     HEADER.size,
@@ -19,13 +19,14 @@
 )
 _MIN_BYTES = _BEGIN_AND_HEADER_BYTES + _TWO_HEADERS_BYTES
 # Version, type, length, padding, role; then version and type of the next record.
-_RESPONDER_BEGINS = (VERSION, BEGIN_REQUEST, 8, 0, RESPONDER, VERSION, PARAMS)
+_RESPONDER_START = (VERSION, BEGIN_REQUEST, 8, 0, RESPONDER, VERSION, PARAMS)
 # Version, type, length, padding; then version and type of the next record.
 _PARAMS_END = (VERSION, PARAMS, 0, 0, VERSION, STDIN)
 
 
 class WholeRequestLayout:
-    """Where the parts of one request stand in the buffer; one a reader, filled anew for each request."""
+    """The positions of a request's parts in the buffer; each reader reuses one object for all its
+    requests."""
 
     __slots__ = ("body_end", "body_start", "end", "flags", "number", "params_end", "params_start")
 
@@ -35,11 +36,12 @@
     params_end: int
     body_start: int
     body_end: int
-    end: int  # of its last record
+    end: int  # behind the last record
 
     def find(self, buffer: bytearray, start: int, end: int) -> bool:
-        """Whether a request of this form begins at `start` and stands whole before `end`: BEGIN_REQUEST as a
-        responder, one PARAMS record and its end, at most one STDIN record and its end."""
+        """Returns True if a complete request begins at `start` and ends by `end`, in this form:
+        BEGIN_REQUEST with the role of a responder, one PARAMS record and the end of PARAMS, at most one STDIN
+        record and the end of STDIN."""
         if end - start < _MIN_BYTES:
             return False
         (
@@ -56,8 +58,8 @@
             params_size,
             params_padding,
         ) = _BEGIN_AND_HEADER.unpack_from(buffer, start)
-        begins = (version, kind, size, padding, role, params_version, params_kind)
-        if begins != _RESPONDER_BEGINS or not number or params_number != number:
+        start_fields = (version, kind, size, padding, role, params_version, params_kind)
+        if start_fields != _RESPONDER_START or not number or params_number != number:
             return False
         if not 0 < params_size <= MAX_PARAMS_BYTES:
             return False
@@ -67,7 +69,7 @@
         return self._find_body(buffer, self.params_end + params_padding, end)
 
     def _find_body(self, buffer: bytearray, start: int, end: int) -> bool:
-        """Whether the end of the parameters and a whole body stand from `start` on."""
+        """Returns True if the end of the parameters and a complete body follow at `start`."""
         if end < start + _TWO_HEADERS_BYTES:
             return False
         (
@@ -92,7 +94,7 @@
         return self._find_body_end(buffer, end) if body_size else not body_padding
 
     def _find_body_end(self, buffer: bytearray, end: int) -> bool:
-        """Whether an empty STDIN record stands behind the body."""
+        """Returns True if an empty STDIN record follows the body."""
         if end < self.end + _HEADER_BYTES:
             return False
         if HEADER.unpack_from(buffer, self.end) != (VERSION, STDIN, self.number, 0, 0):
