--- a/hoistplank/operator_configuration/__init__.py
+++ b/hoistplank/operator_configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file: S-expressions with source locations, schemas that check them, and the formatter."""
+"""The operator file: a parser of S-expressions with source locations, schemas, and a formatter."""
--- a/hoistplank/operator_configuration/errors.py
+++ b/hoistplank/operator_configuration/errors.py
@@ -1,4 +1,4 @@
-"""Diagnostics of an operator's file, each with its source location, and the one error that carries them."""
+"""Diagnostics of an operator file, with their source locations, and the error that carries them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Diagnostic(NamedTuple):
-    """What was found at a location and what was expected there; its text is a one-line message."""
+    """A fault at a source location: what was found and what was expected; its text is a one-line message."""
 
     location: SourceLocation
     found: str
@@ -28,8 +28,8 @@
 
 
 class ConfigurationError(Exception):
-    """All that is wrong with one file, in the file's order; its text is one line for each."""
+    """All faults of a file, in the order of the file; the text has a line for each."""
 
     def __init__(self, diagnostics: list[Diagnostic]) -> None:
-        super().__init__("\n".join(str(problem) for problem in diagnostics))
+        super().__init__("\n".join(str(diagnostic) for diagnostic in diagnostics))
         self.diagnostics = diagnostics
--- a/hoistplank/operator_configuration/parser.py
+++ b/hoistplank/operator_configuration/parser.py
@@ -1,7 +1,7 @@
-r"""The parser of S-expressions: bytes to forms that know their source locations, comments kept beside them.
+r"""The parser of S-expressions: turns bytes into forms with source locations, and keeps the comments.
 
 Atoms are words (`250ms`, `127.0.0.1:7443`) or strings in double quotes with the escapes \" \\ \n \t. A
-comment runs from `;` to the end of its line. What a form means is the business of `schema`.
+comment extends from `;` to the end of its line. The meaning of the forms is defined by `schema`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from hoistplank.operator_configuration.syntax import Atom, Comment, Document, Form
 
 MAX_FILE_BYTES = 1_048_576
-# Danger: each level of nesting is a level of recursion in all that walks the forms.
+# All code that walks the forms recurses once for each level: without a limit, a file could exhaust the stack.
 MAX_DEPTH = 16
 MAX_SHOWN_TOKEN = 40  # characters of a token in a message
 
@@ -50,7 +50,7 @@
 
 
 class _TreeBuilder(Transformer[Token, Any]):
-    """Builds the forms while the parser runs: nothing recurses over the depth of what was sent."""
+    """Builds the forms while the parser runs, so that no code recurses over the depth of unchecked input."""
 
     def __init__(self, file: str) -> None:
         super().__init__()
@@ -85,7 +85,7 @@
 
 
 def parse(data: bytes, file: str) -> Document:
-    """The forms of a file; raises ConfigurationError with the first place that can't be read."""
+    """Returns the forms and comments of a file; raises ConfigurationError with the first syntax error."""
     text = _decode(data, file)
     comment_tokens: list[Token] = []
 
@@ -133,7 +133,7 @@
     for token in tokens:
         line, column = token.line or 1, token.column or 1
         before = lines[line - 1][: column - 1]
-        comments.append(Comment(str(token).rstrip(), line, alone=not before.strip()))
+        comments.append(Comment(str(token).rstrip(), line, is_on_own_line=not before.strip()))
     return tuple(comments)
 
 
@@ -142,9 +142,9 @@
     if isinstance(error, UnexpectedCharacters):
         return _unexpected_character(location, text[error.pos_in_stream or 0])
     if not isinstance(error, UnexpectedToken):
-        return Diagnostic(location, "text that can't be read", "a form")
+        return Diagnostic(location, "invalid syntax", "a form")
     if error.token.type == "$END":
-        # The end of the file says nothing: what is missing belongs to the form that was left open.
+        # Reports the form that was left open instead of the end of the file, which does not help to find it.
         unclosed = _last_unclosed(text)
         if unclosed is not None:
             opened_at = SourceLocation(file, unclosed.line or 1, unclosed.column or 1)
@@ -165,7 +165,7 @@
 
 
 def _last_unclosed(text: str) -> Token | None:
-    """The innermost parenthesis that is still open at the end of the text."""
+    """Returns the innermost parenthesis that is not closed at the end of the text."""
     opened: list[Token] = []
     for token in _lexer().lex(text):
         if token.type == "OPEN":
--- a/hoistplank/operator_configuration/schema.py
+++ b/hoistplank/operator_configuration/schema.py
@@ -1,8 +1,7 @@
-"""Schemas of the operator's file: which fields a form may have, with their types and defaults.
+"""Schemas of the operator file: the fields that a form may have, with their types and defaults.
 
-A `FormSchema` is declared once beside the subsystem that reads it and registered in
-`hoistplank.program.sections`. `read_form` checks forms against a schema and collects every problem, so that
-one look shows all that is to be mended.
+A `FormSchema` is declared in the subsystem that reads it and registered in `hoistplank.program.sections`.
+`read_form` checks a form against a schema and collects all faults, so that an operator sees them at once.
 """
 
 from __future__ import annotations
@@ -15,18 +14,18 @@
 from hoistplank.operator_configuration.syntax import MAX_SHOWN_NAME, Atom, Form
 from hoistplank.operator_configuration.values import ValueType
 
-TITLE = ""  # the key under which a section's locations hold its title's
-SIMILARITY_CUTOFF = 0.5  # of difflib: below it a known name is no suggestion for an unknown one
+TITLE = ""  # key of the title's location in `Section.locations`
+SIMILARITY_CUTOFF = 0.5  # difflib ratio below which a known name is not suggested for an unknown one
 
 
 @dataclass(frozen=True, slots=True)
 class Field:
-    """One named value of a form: `(name VALUE)`, or `(name VALUE …)` where `repeated`; a schema in place of
-    a type for a form inside the form.
+    """A named value of a form: `(name VALUE)`, or `(name VALUE …)` if `repeated`. The type is a schema for a
+    form inside the form.
 
-    `default` None and `required` False: it may be absent. `repeated` with a schema: the form may stand
-    several times. `list_per_form` with a type: the form may stand several times, and each gives its list of
-    values.
+    The field is optional if `default` is None and `required` is False. With `repeated` and a schema, the form
+    may occur several times. With `list_per_form` and a value type, the form may occur several times, and each
+    occurrence has its own list of values.
     """
 
     name: str
@@ -39,13 +38,13 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether the form may stand several times."""
+        """True if the form may occur several times."""
         return self.list_per_form or (self.repeated and isinstance(self.type, FormSchema))
 
 
 @dataclass(frozen=True, slots=True)
 class FormSchema:
-    """A form: an optional title behind its name, then its fields in any order."""
+    """The schema of a form: an optional title after its name, then its fields in any order."""
 
     fields: tuple[Field, ...]
     title: ValueType | None = None
@@ -54,7 +53,7 @@
 
 @dataclass(slots=True)
 class Section:
-    """A form that was read: values by field, and the location of each for later diagnostics."""
+    """A form that was read: its values by field name, and their locations for later diagnostics."""
 
     location: SourceLocation
     title: Any = None
@@ -65,12 +64,12 @@
         return self.values[name]
 
     def location_of(self, name: str) -> SourceLocation:
-        """Where a field stands, or the whole form where the field is absent."""
+        """Returns the location of a field, or of the whole form if the field is absent."""
         return self.locations.get(name, self.location)
 
 
 def suggestion(name: str, known: list[str]) -> str:
-    """The known name that a wrong one may stand for, else all of them."""
+    """Returns the known name that is most similar to an unknown one, or else all known names."""
     close = get_close_matches(name, known, 1, SIMILARITY_CUTOFF)
     if close:
         return f"'{close[0]}'"
@@ -83,12 +82,12 @@
     location: SourceLocation,
     diagnostics: list[Diagnostic],
 ) -> Section:
-    """The items of a form behind its name, checked against its schema; diagnostics are added to the list."""
+    """Checks the items after a form's name against its schema; appends faults to `diagnostics`."""
     return _FormReader(schema, location, diagnostics).read(items)
 
 
 class _FormReader:
-    """Reads one form into one section."""
+    """Reads a form into a section."""
 
     def __init__(self, schema: FormSchema, location: SourceLocation, diagnostics: list[Diagnostic]) -> None:
         self.schema, self.diagnostics = schema, diagnostics
@@ -120,43 +119,43 @@
         if isinstance(item, Atom):
             self._report(item.location, str(item), "a form '(name …)'")
             return
-        known = self.fields.get(item.name)
-        if known is None:
+        schema_field = self.fields.get(item.name)
+        if schema_field is None:
             found = f"the unknown form '{item.name[:MAX_SHOWN_NAME]}'"
             self._report(item.location, found, suggestion(item.name, list(self.fields)))
             return
-        if item.name in self.section.locations and not known.may_repeat:
+        if item.name in self.section.locations and not schema_field.may_repeat:
             self._report(item.location, f"'{item.name}' a second time", "it once")
             return
         self.section.locations.setdefault(item.name, item.location)
-        value = self._field_value(known, item)
-        if known.may_repeat:
+        value = self._field_value(schema_field, item)
+        if schema_field.may_repeat:
             self.section.values.setdefault(item.name, []).append(value)
         else:
             self.section.values[item.name] = value
 
-    def _field_value(self, known: Field, form: Form) -> Any:
-        if isinstance(known.type, FormSchema):
-            return read_form(known.type, form.items[1:], form.location, self.diagnostics)
-        return self._typed_values(known, known.type, form)
+    def _field_value(self, schema_field: Field, form: Form) -> Any:
+        if isinstance(schema_field.type, FormSchema):
+            return read_form(schema_field.type, form.items[1:], form.location, self.diagnostics)
+        return self._typed_values(schema_field, schema_field.type, form)
 
-    def _typed_values(self, known: Field, value_type: ValueType, form: Form) -> Any:
+    def _typed_values(self, schema_field: Field, value_type: ValueType, form: Form) -> Any:
         items = form.items[1:]
         atoms = [item for item in items if isinstance(item, Atom)]
         for item in items:
             if not isinstance(item, Atom):
                 self._report(item.location, str(item), value_type.expected)
-        if known.repeated:
+        if schema_field.repeated:
             if not atoms:
-                self._report(form.location, f"'{known.name}' with no value", value_type.expected)
+                self._report(form.location, f"'{schema_field.name}' with no value", value_type.expected)
             return [self._value(value_type, atom) for atom in atoms]
         if len(atoms) != len(items):
-            return known.default
+            return schema_field.default
         if len(atoms) != 1:
             location = atoms[1].location if len(atoms) > 1 else form.location
-            found = f"{len(atoms)} values for '{known.name}'"
+            found = f"{len(atoms)} values for '{schema_field.name}'"
             self._report(location, found, f"one: {value_type.expected}")
-            return known.default
+            return schema_field.default
         return self._value(value_type, atoms[0])
 
     def _value(self, value_type: ValueType, atom: Atom) -> Any:
@@ -172,7 +171,7 @@
             found = f"no '{absent.name}' in this form"
             self._report(location, found, f"'({absent.name} …)': {absent.doc or 'a value'}")
         if isinstance(absent.type, FormSchema) and not absent.repeated and absent.default is not None:
-            # A form whose fields all have defaults is there even where it is not written.
+            # A form whose fields all have defaults gets a section even if the file does not contain it.
             values[absent.name] = read_form(absent.type, (), location, self.diagnostics)
         elif absent.default is None and (absent.repeated or absent.list_per_form):
             values[absent.name] = []
--- a/hoistplank/operator_configuration/syntax.py
+++ b/hoistplank/operator_configuration/syntax.py
@@ -1,4 +1,4 @@
-"""The syntax tree of an operator's file: atoms, forms and comments, with their source locations."""
+"""The syntax tree of an operator file: atoms, forms and comments, with their source locations."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """A list in parentheses. `location` is its opening parenthesis, `end_line` the closing one's line, and
-    `depth` counts the levels of nesting, 1 for a form of atoms."""
+    """A list in parentheses. `location` is that of the opening parenthesis, `end_line` the line of the
+    closing one, and `depth` the number of nested levels, 1 for a form of atoms."""
 
     items: tuple[Atom | Form, ...]
     location: SourceLocation
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Comment:
-    """One comment with its `;`; `alone` where nothing else stands on its line."""
+    """A comment with its `;`; `is_on_own_line` is True if its line holds nothing else."""
 
     text: str
     line: int
-    alone: bool
+    is_on_own_line: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A parsed file: its forms and its comments, each in their order."""
+    """A parsed file: its forms and its comments, each in the order of the file."""
 
     file: str
     forms: tuple[Form, ...]
@@ -61,6 +61,6 @@
 
 
 def quote(text: str) -> str:
-    """A string literal with its escapes, in double quotes."""
+    """Returns a string literal in double quotes, with escapes."""
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\t", "\\t")
     return f'"{escaped}"'
--- a/hoistplank/operator_configuration/values.py
+++ b/hoistplank/operator_configuration/values.py
@@ -1,4 +1,4 @@
-"""The types of values in an operator's file: how an atom becomes a value, with its units and its limits."""
+"""The types of values in an operator file: conversion of atoms to values, with units and limits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hoistplank.operator_configuration.errors import SourceLocation
 from hoistplank.operator_configuration.syntax import Atom
 
-NUMBER = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([A-Za-z/]*)").fullmatch
+match_quantity = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([A-Za-z/]*)").fullmatch
 TIME_UNITS_US = {
     "us": 1,
     "ms": 1_000,
@@ -23,20 +23,20 @@
 MAX_INTEGER_DIGITS = 15
 MAX_TEXT_LENGTH = 1_000
 MAX_PORT = 65_535
-MAX_PORT_DIGITS = 9  # read of a port before it is compared: no length of digits costs more
+MAX_PORT_DIGITS = 9  # digits compared with MAX_PORT; bounds the cost of a long number
 
 
 @dataclass(frozen=True, slots=True)
 class ValueType:
-    """How an atom becomes a value: `parse` raises ValueError where it can't; `expected` says what would
-    do, for messages."""
+    """The conversion of an atom to a value. `parse` raises ValueError for an invalid atom; `expected`
+    describes the valid ones, for messages."""
 
     expected: str
     parse: Callable[[Atom], Any]
 
 
-def _measure(atom: Atom, units: dict[str, int]) -> int:
-    match = None if atom.quoted else NUMBER(atom.text)
+def _parse_quantity(atom: Atom, units: dict[str, int]) -> int:
+    match = None if atom.quoted else match_quantity(atom.text)
     if match is None or match[2] not in units:
         raise ValueError
     value = float(match[1]) * units[match[2]]
@@ -46,13 +46,13 @@
 
 
 def duration(minimum: str = "1ms", maximum: str = "30d") -> ValueType:
-    """A time with its unit, as whole microseconds."""
+    """Returns the type of a time with a unit; its value is in whole microseconds."""
 
     def limit(text: str) -> int:
-        return _measure(Atom(text, quoted=False, location=SourceLocation("", 0, 0)), TIME_UNITS_US)
+        return _parse_quantity(Atom(text, quoted=False, location=SourceLocation("", 0, 0)), TIME_UNITS_US)
 
     def parse(atom: Atom) -> int:
-        value = _measure(atom, TIME_UNITS_US)
+        value = _parse_quantity(atom, TIME_UNITS_US)
         if not limit(minimum) <= value <= limit(maximum):
             raise ValueError
         return value
@@ -63,10 +63,10 @@
 
 
 def size(minimum: int, maximum: int) -> ValueType:
-    """A size with its unit, in bytes."""
+    """Returns the type of a size with a unit; its value is in bytes."""
 
     def parse(atom: Atom) -> int:
-        value = _measure(atom, SIZE_UNITS_BYTES)
+        value = _parse_quantity(atom, SIZE_UNITS_BYTES)
         if not minimum <= value <= maximum:
             raise ValueError
         return value
@@ -75,10 +75,10 @@
 
 
 def rate(maximum: float = 1e6) -> ValueType:
-    """Events a second, as a float above 0."""
+    """Returns the type of a rate above 0; its value is a float of events a second."""
 
     def parse(atom: Atom) -> float:
-        match = None if atom.quoted else NUMBER(atom.text)
+        match = None if atom.quoted else match_quantity(atom.text)
         if match is None or match[2] != "/s" or not 0 < float(match[1]) <= maximum:
             raise ValueError
         return float(match[1])
@@ -87,7 +87,7 @@
 
 
 def integer(minimum: int, maximum: int) -> ValueType:
-    """A whole number without a unit."""
+    """Returns the type of a whole number without a unit."""
 
     def parse(atom: Atom) -> int:
         digits = atom.text.isascii() and atom.text.isdecimal() and len(atom.text) <= MAX_INTEGER_DIGITS
@@ -101,10 +101,10 @@
 
 
 def number(minimum: float, maximum: float) -> ValueType:
-    """A number without a unit, as a float."""
+    """Returns the type of a number without a unit; its value is a float."""
 
     def parse(atom: Atom) -> float:
-        match = None if atom.quoted else NUMBER(atom.text)
+        match = None if atom.quoted else match_quantity(atom.text)
         if match is None or match[2] or not minimum <= float(match[1]) <= maximum:
             raise ValueError
         return float(match[1])
@@ -113,7 +113,7 @@
 
 
 def one_of(*words: str) -> ValueType:
-    """One of some unquoted words."""
+    """Returns the type of a choice between unquoted words."""
 
     def parse(atom: Atom) -> str:
         if atom.quoted or atom.text not in words:
@@ -124,7 +124,7 @@
 
 
 def matching(pattern: str, expected: str) -> ValueType:
-    """A text, quoted or not, that a regular expression matches as a whole."""
+    """Returns the type of a text, quoted or not, that a regular expression matches completely."""
     fullmatch = re.compile(pattern).fullmatch
 
     def parse(atom: Atom) -> str:
