--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: what stands in its backlog is taken, whatever `accept` says meanwhile."""
+"""The listener accepts all clients in its backlog, also when `accept` fails or the listener stops."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 LIMIT = 256
 
 
-class PlannedSocket(socket.socket):
-    """A listening socket whose next calls of `accept` fail, or are followed by something else at once."""
+class FaultySocket(socket.socket):
+    """A listening socket whose next calls of `accept` fail with given errors, or are followed by a
+    callback."""
 
     failures: list[int]
     on_accepted: Callable[[], object] | None
 
     @classmethod
-    def of(cls, sock: socket.socket) -> PlannedSocket:
-        """Takes the place of a socket."""
-        planned = cls(fileno=sock.detach())
-        planned.setblocking(False)
-        planned.failures, planned.on_accepted = [], None
-        return planned
+    def replacing(cls, sock: socket.socket) -> FaultySocket:
+        """Returns a socket that takes over the descriptor of `sock`."""
+        faulty = cls(fileno=sock.detach())
+        faulty.setblocking(False)
+        faulty.failures, faulty.on_accepted = [], None
+        return faulty
 
     def accept(self) -> tuple[socket.socket, tuple[str, int]]:
         if self.failures:
@@ -43,18 +44,18 @@
 
 
 class ListenerScene:
-    """A listener that has not begun to accept, and the clients that it was handed."""
+    """A listener that is not running yet, and the clients that it has accepted."""
 
     def __init__(self) -> None:
         self.descriptors = DescriptorBudget(LIMIT)
-        self.taken: list[socket.socket] = []
+        self.accepted: list[socket.socket] = []
         self.listener = Listener(
-            ("127.0.0.1", 0), self.descriptors, lambda sock, _peer: self.taken.append(sock)
+            ("127.0.0.1", 0), self.descriptors, lambda sock, _peer: self.accepted.append(sock)
         )
-        self.sock = self.listener.sock = PlannedSocket.of(self.listener.sock)
+        self.sock = self.listener.sock = FaultySocket.replacing(self.listener.sock)
 
     def connect(self) -> socket.socket:
-        """A client that has sent something and was not accepted yet."""
+        """Returns a client that has sent a request and is not accepted yet."""
         client = socket.create_connection(self.sock.getsockname())
         client.sendall(b"request")
         return client
@@ -67,13 +68,13 @@
     return clients
 
 
-async def many_stand_in_the_backlog(scene: ListenerScene) -> list[socket.socket]:
+async def backlog_exceeds_a_batch(scene: ListenerScene) -> list[socket.socket]:
     clients = [scene.connect() for _ in range(MAX_ACCEPTS_PER_BATCH + 10)]
     await scene.listener.stop()
     return clients
 
 
-async def end_comes_in_the_instant_of_an_accept(scene: ListenerScene) -> list[socket.socket]:
+async def stop_during_an_accept(scene: ListenerScene) -> list[socket.socket]:
     running, stopping = asyncio.create_task(scene.listener.run()), list[asyncio.Task[None]]()
     scene.sock.on_accepted = lambda: stopping.append(asyncio.create_task(scene.listener.stop()))
     await asyncio.sleep(0)
@@ -85,12 +86,12 @@
     return clients
 
 
-async def no_descriptor_is_left_for_a_moment(scene: ListenerScene) -> list[socket.socket]:
+async def descriptors_are_exhausted_briefly(scene: ListenerScene) -> list[socket.socket]:
     while scene.descriptors.acquire(ConnectionKind.CLIENT):
         pass
     running = asyncio.create_task(scene.listener.run())
     clients = [scene.connect(), scene.connect()]
-    await asyncio.sleep(0.03)  # the first is accepted, and waits
+    await asyncio.sleep(0.03)  # the first is accepted and held
     loop = asyncio.get_running_loop()
     for _ in clients:
         loop.call_later(0.05, scene.descriptors.release, ConnectionKind.CLIENT)
@@ -100,23 +101,23 @@
     return clients
 
 
-MOMENTS = {
+STOP_SCENARIOS = {
     "accept fails": accept_fails,
-    "many stand in the backlog": many_stand_in_the_backlog,
-    "the end comes in the instant of an accept": end_comes_in_the_instant_of_an_accept,
-    "no descriptor is left for a moment": no_descriptor_is_left_for_a_moment,
+    "backlog exceeds a batch": backlog_exceeds_a_batch,
+    "stop during an accept": stop_during_an_accept,
+    "descriptors are exhausted briefly": descriptors_are_exhausted_briefly,
 }
 
 
-@pytest.mark.parametrize("moment", MOMENTS)
-def test_whoever_has_connected_by_the_end_is_taken(moment: str) -> None:
-    """The end of a listening socket resets what stands in its backlog, requests and all."""
+@pytest.mark.parametrize("scenario", STOP_SCENARIOS)
+def test_stop_accepts_all_clients_that_have_connected(scenario: str) -> None:
+    """Closing a listening socket resets the connections in its backlog, and their requests are lost."""
 
     async def scene() -> None:
-        made = ListenerScene()
-        clients = await MOMENTS[moment](made)
-        assert len(made.taken) == len(clients)
-        for accepted, client in zip(made.taken, clients, strict=True):
+        listener_scene = ListenerScene()
+        clients = await STOP_SCENARIOS[scenario](listener_scene)
+        assert len(listener_scene.accepted) == len(clients)
+        for accepted, client in zip(listener_scene.accepted, clients, strict=True):
             accepted.setblocking(True)
             assert accepted.recv(100) == b"request"
             accepted.close()
@@ -125,18 +126,19 @@
     run_scene(scene())
 
 
-def test_a_failing_accept_holds_up_no_other_client() -> None:
-    """A connection that was aborted in the backlog says nothing of those behind it."""
+def test_failed_accept_does_not_delay_other_clients() -> None:
+    """A connection that is aborted in the backlog makes `accept` fail, but those behind it are not
+    affected."""
 
     async def scene() -> None:
-        made = ListenerScene()
-        made.sock.failures = [errno.ECONNABORTED] * 20
-        running = asyncio.create_task(made.listener.run())
-        client = made.connect()
-        await until(lambda: bool(made.taken), 0.5)
+        listener_scene = ListenerScene()
+        listener_scene.sock.failures = [errno.ECONNABORTED] * 20
+        running = asyncio.create_task(listener_scene.listener.run())
+        client = listener_scene.connect()
+        await until(lambda: bool(listener_scene.accepted), 0.5)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
         client.close()
-        made.taken[0].close()
+        listener_scene.accepted[0].close()
 
     run_scene(scene())
