--- a/tests/test_exactly_once.py
+++ b/tests/test_exactly_once.py
@@ -1,4 +1,4 @@
-"""The table of docs/design.md (Exactly once), each row forced over loopback sockets."""
+"""Checks each row of the table in docs/design.md (Exactly once) over loopback sockets."""
 
 from __future__ import annotations
 
@@ -23,28 +23,31 @@
 from tests.scene_runner import run_scene
 
 
-def rows_of_the_page() -> list[tuple[str, str, str]]:
-    """How an attempt ended, the effect of its class, and what follows, as the page has it."""
+def read_design_table() -> list[tuple[str, str, str]]:
+    """Returns the end of an attempt, the effect of its class and the expected result, for each cell of the
+    table."""
     page = (Path(__file__).parent.parent / "docs" / "design.md").read_text()
-    part = page.split("## Exactly once")[1].split("\n## ")[0]
-    lines = [re.split(r"\s*\|\s*", line.strip("| ")) for line in part.splitlines() if line.startswith("|")]
+    section = page.split("## Exactly once")[1].split("\n## ")[0]
+    lines = [re.split(r"\s*\|\s*", line.strip("| ")) for line in section.splitlines() if line.startswith("|")]
     head, _, *rows = lines
     return [
-        (name, effect, cell) for name, *cells in rows for effect, cell in zip(head[1:], cells, strict=True)
+        (ending, effect, result)
+        for ending, *cells in rows
+        for effect, result in zip(head[1:], cells, strict=True)
     ]
 
 
 class FailingHost:
-    """A host that takes its first connection's attempt as far as it is told, and serves all later ones."""
+    """A cache host that fails the attempt on its first connection at a given stage; serves all later ones."""
 
-    def __init__(self, how: str) -> None:
-        self.how, self.connections, self.keys = how, 0, list[str]()
+    def __init__(self, ending: str) -> None:
+        self.ending, self.connections, self.keys = ending, 0, list[str]()
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        first = self.connections == 1
-        if first and self.how in ("unwritten", "partly written"):
-            if self.how == "partly written":
+        is_first = self.connections == 1
+        if is_first and self.ending in ("unwritten", "partly written"):
+            if self.ending == "partly written":
                 await reader.readexactly(10)
             return self.reset(writer)
         while line := (await reader.readline()).decode().split():
@@ -52,15 +55,15 @@
                 continue
             await reader.readexactly(int(line[3]) + 2)
             self.keys.append(line[2])
-            if first and self.how == "written":
+            if is_first and self.ending == "written":
                 return self.reset(writer)
-            whole = served(line[1], {}, b"")
-            if first and self.how == "answer begun":
-                writer.write(whole[: len(whole) // 2])
+            answer = served(line[1], {}, b"")
+            if is_first and self.ending == "answer begun":
+                writer.write(answer[: len(answer) // 2])
                 await writer.drain()
                 writer.close()
                 return
-            writer.write(whole)
+            writer.write(answer)
 
     def reset(self, writer: asyncio.StreamWriter) -> None:
         sock = writer.get_extra_info("socket")
@@ -68,46 +71,47 @@
         writer.transport.abort()
 
 
-def test_the_table_has_every_ending_and_every_effect() -> None:
+def test_design_table_covers_every_ending_and_effect() -> None:
     endings = {"refused", "not up", "unwritten", "partly written", "written", "answer begun", "answer whole"}
-    assert {(ending, effect) for ending, effect, _ in rows_of_the_page()} == {
+    assert {(ending, effect) for ending, effect, _ in read_design_table()} == {
         (ending, effect) for ending in endings for effect in ("idempotent", "keyed", "non-idempotent")
     }
 
 
-@pytest.mark.parametrize("ending, effect, follows", rows_of_the_page())
-def test_exactly_once(
-    tmp_path: Path, ending: str, effect: str, follows: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("ending, effect, result", read_design_table())
+def test_attempt_ending_has_the_documented_result(
+    tmp_path: Path, ending: str, effect: str, result: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Uncached classes go straight to the origin, whose first connection ends as the row says."""
+    """Sends a request of an uncached class, which goes directly to the origin; the origin's first connection
+    ends as the row says."""
 
     async def scene() -> None:
         host = FailingHost(ending)
-        words = {"idempotent": "idempotent", "keyed": "deduplicated", "non-idempotent": "at_most_once"}
+        semantics = {"idempotent": "idempotent", "keyed": "deduplicated", "non-idempotent": "at_most_once"}
         classes = [
             {
                 "name": "order",
                 "target": 0.7,
                 "give_up": 3.0,
-                "semantics": words[effect],
+                "semantics": semantics[effect],
                 "gain": 3.0,
                 "group": "all",
                 "dedup_window": 3.0,
             }
         ]
         if ending in ("refused", "not up"):
-            plain = PooledConnection._connect
+            original_connect = PooledConnection._connect
 
-            async def connect(line: PooledConnection) -> RequestFailure | None:
+            async def connect(pooled: PooledConnection) -> RequestFailure | None:
                 host.connections += 1
-                return RequestFailure(ending) if host.connections == 1 else await plain(line)
+                return RequestFailure(ending) if host.connections == 1 else await original_connect(pooled)
 
             monkeypatch.setattr(PooledConnection, "_connect", connect)
         if ending in ("unwritten", "partly written"):
-            # The system takes nothing, or a part, of what the first connection is given.
-            plain_flush, most = Connection._flush, 0 if ending == "unwritten" else 10
+            # The socket of the first connection takes nothing, or 10 bytes, of what is written.
+            original_flush, max_bytes = Connection._flush, 0 if ending == "unwritten" else 10
 
-            class Small:
+            class LimitedSocket:
                 def __init__(self, sock: socket.socket) -> None:
                     self.sock = sock
 
@@ -115,29 +119,32 @@
                     return getattr(self.sock, name)
 
                 def send(self, data: bytes) -> int:
-                    if not most:
+                    if not max_bytes:
                         raise BlockingIOError
-                    return self.sock.send(data[:most])
-
-            def flush(made: Connection) -> None:
-                first = made.max_buffer_bytes == pooled_connection.MAX_BUFFER_BYTES and host.connections <= 1
-                if first and not isinstance(made.sock, Small):
-                    real = made.sock
-                    made.sock = Small(real)  # type: ignore[assignment]
-                    plain_flush(made)
-                    made.sock = real
-                    made.loop.remove_writer(real)
+                    return self.sock.send(data[:max_bytes])
+
+            def flush(connection: Connection) -> None:
+                is_first = (
+                    connection.max_buffer_bytes == pooled_connection.MAX_BUFFER_BYTES
+                    and host.connections <= 1
+                )
+                if is_first and not isinstance(connection.sock, LimitedSocket):
+                    original_socket = connection.sock
+                    connection.sock = LimitedSocket(original_socket)  # type: ignore[assignment]
+                    original_flush(connection)
+                    connection.sock = original_socket
+                    connection.loop.remove_writer(original_socket)
                 else:
-                    plain_flush(made)
+                    original_flush(connection)
 
             monkeypatch.setattr(Connection, "_flush", flush)
         hosts: Any = {"o": host}
         changes: dict[str, Any] = {"settings.classes": classes, "settings.family_info.uncached": [True]}
         async with SteadyDispatcher(tmp_path, hosts, **changes) as dispatcher:
-            owner, number, status = dispatcher.service.router_task, 0, 503
-            # Where the machine holds this process up, new requests are rejected before any attempt: a client
-            # comes again then, and nothing of what the row is about has begun.
-            while status == 503 and owner.counts.attempts == 0 and number < 20:
+            router_task, number, status = dispatcher.service.router_task, 0, 503
+            # If the machine delays this process, new requests are rejected with 503 before any attempt. The
+            # client then retries: no part of the checked case has begun.
+            while status == 503 and router_task.counts.attempts == 0 and number < 20:
                 number += 1
                 dispatcher.client.send(number, "order", KEY, b"x" * 100)
                 _, status, _, _ = await asyncio.wait_for(dispatcher.client.read_answer(), 5)
@@ -147,6 +154,6 @@
                 "again, may run twice": (200, 2),
                 "again, its repeat is dropped": (200, 2),
                 "failed": (502, 1),
-            }[follows], (status, host.keys)
+            }[result], (status, host.keys)
 
     run_scene(scene())
