--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -124,17 +124,17 @@
 
 @pytest.mark.parametrize("at_once", [True, False])
 def test_load_shedding_rejects_a_request_once_and_skips_its_content(at_once: bool) -> None:
-    asked = list[int]()
+    checked = list[int]()
 
     def shed(number: int, script: bytes) -> bytes | None:
         assert script in (b"/api/v2/page", b"")  # empty while its parameters are not read yet
-        asked.append(number)
+        checked.append(number)
         return b"no" if number != 2 else None
 
     data = encode_request(1) + encode_request(2) + encode_request(3, flags=0)
     reader = fastcgi.RequestReader(32, shed)
     found = read_split(reader, data, len(data) if at_once else 20)
-    assert asked == [1, 2, 3] and reader.shed_count == 2 and reader.close_requested
+    assert checked == [1, 2, 3] and reader.shed_count == 2 and reader.close_requested
     assert [type(event) for event in found] == [
         fastcgi.ProtocolReply,
         fastcgi.RequestReceived,
