--- a/hoistplank/transport/pooled_connection.py
+++ b/hoistplank/transport/pooled_connection.py
@@ -54,7 +54,7 @@
         self._started: set[str] = set()  # in flight; the kernel may have a byte of them
         self._written: set[str] = set()  # in flight; the kernel has taken them whole
         self._queued: list[PooledRequest] = []  # waiting for the connection to be established
-        self._has_ended, self._answer_spoiled = False, False
+        self._has_left_pool, self._answer_spoiled = False, False
         self.task = pool.loop.create_task(self._run(), name=f"connection to cache host {host}")
         self.task.add_done_callback(self._on_task_done)
 
@@ -156,9 +156,9 @@
     def _leave_pool(self) -> Connection | None:
         """Removes this from the pool; returns the connection to close, or None if that has begun already or
         the connection is not established."""
-        if self._has_ended:
+        if self._has_left_pool:
             return None
-        self._has_ended = True
+        self._has_left_pool = True
         self.pool.discard(self)
         if self.connection is None:
             self.task.cancel()
@@ -194,7 +194,7 @@
 
     def _on_task_done(self, task: asyncio.Task[RequestFailure | None]) -> None:
         """Releases the descriptor and fails the remaining requests; also runs if `_run` never started."""
-        self._has_ended = True
+        self._has_left_pool = True
         self.pool.discard(self)
         self.pool.connection_ended()
         failure = self._failure_of_unwritten(task)
