--- a/hoistplank/program/__init__.py
+++ b/hoistplank/program/__init__.py
@@ -1,1 +1,1 @@
-"""The process: its configuration, its log and its phases."""
+"""The dispatcher process: configuration, logging, phases, reload and shutdown."""
--- a/hoistplank/program/phase.py
+++ b/hoistplank/program/phase.py
@@ -1,4 +1,4 @@
-"""The phases of a dispatcher's life."""
+"""The phases of a dispatcher process."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 
 
 class Phase(enum.Enum):
-    """Where the program stands; the values are those of the log."""
+    """The current phase of the process; the values appear in the log."""
 
-    STARTING = "starting"  # configuration read, endpoint list not known yet
-    PROVISIONAL = "provisional"  # on a persisted list, some hosts of which have answered: health says 200
+    STARTING = "starting"  # the configuration is read, the endpoint list is not known yet
+    PROVISIONAL = (
+        "provisional"  # serving from a persisted list, some hosts of which answered probes: health says 200
+    )
     SERVING = "serving"  # the endpoint list is known: health says 200
-    DRAINING = "draining"  # SIGTERM came: still accepting and answering, health says 503
-    STOPPED = "stopped"  # nothing is open, nothing is accepted
+    DRAINING = "draining"  # after SIGTERM, still accepting and answering: health says 503
+    STOPPED = "stopped"  # nothing is open or accepted any more
 
     @property
     def is_ready(self) -> bool:
-        """Whether a health check says that this dispatcher is to get requests."""
+        """True if the health check reports this dispatcher as ready for requests."""
         return self in (Phase.PROVISIONAL, Phase.SERVING)
--- a/hoistplank/program/sections.py
+++ b/hoistplank/program/sections.py
@@ -1,4 +1,4 @@
-"""The whole operator's file: every subsystem's section is registered, read and checked here."""
+"""Reads and checks the whole operator file; the section of every subsystem is registered here."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         Field("distribution", distribution.DISTRIBUTION, doc="control replicas in place of the change log"),
     )
 )
-# What a section's schema can't check; only of a file that is sound so far.
+# Checks beyond a section's schema; they run only while the file has shown no error.
 CHECKS: dict[str, Callable[[Section, list[Diagnostic]], None]] = {
     "callers": callers.check_section,
     "membership": membership.check_section,
@@ -37,7 +37,7 @@
 
 
 def load_file(path: str) -> Section:
-    """Reads and checks a file; raises ConfigurationError with all that is wrong, each with its location."""
+    """Reads and checks a file; raises ConfigurationError with every problem and its location."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -48,7 +48,7 @@
 
 
 def parse_file(data: bytes, path: str) -> Section:
-    """The bytes of a file as one checked section; `path` is what diagnostics name. Raises
+    """Parses and checks the bytes of a file; diagnostics name `path` as the file. Raises
     ConfigurationError."""
     document = parse(data, path)
     diagnostics: list[Diagnostic] = []
