--- a/hoistplank/program/configuration.py
+++ b/hoistplank/program/configuration.py
@@ -1,7 +1,7 @@
 """Reads and checks the configuration of one dispatcher and fills in its defaults.
 
-It is a JSON file named by EDGE_CONFIG; EDGE_NAME and EDGE_LISTEN, where set, must agree with it. A value that
-can't be used is reported by the path of its key, before anything listens. Unknown keys are ignored.
+The configuration is a JSON file named by EDGE_CONFIG; EDGE_NAME and EDGE_LISTEN, where set, must agree with
+it. An invalid value is reported by the path of its key before the process listens. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from hoistplank.wire_fields import FieldError, Fields, flatten
 
 DEFAULT_IDLE_CLOSE_S = 30.0
-FIXED_KEYS = ("name", "listen", "limits", "settings")  # can't be changed while the program runs
-MAX_QUOTED = 40  # characters of a bad value that are repeated in the error
+FIXED_KEYS = ("name", "listen", "limits", "settings")  # a change takes effect only at a restart
+MAX_QUOTED = 40  # characters of an invalid value that the error message repeats
 
 Count = Annotated[int, Meta(ge=1)]
 
 
 class DispatcherConfigurationError(Exception):
-    """A configuration can't be used; its text names the key and says what is wrong with it."""
+    """The configuration is invalid; the message names the key and the reason."""
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the process may use of its machine."""
+    """Limits on the resources that the process uses: descriptors, memory in MB and processor cores."""
 
     max_descriptors: Annotated[int, Meta(ge=64)] = msgspec.field(name="sockets", default=1_024)
     memory_mb: Count = 192
@@ -40,7 +40,7 @@
 
 
 class ConfigurationFile(msgspec.Struct, frozen=True):
-    """The file as it stands; `settings` are the deployment's, read by `settings_reader`."""
+    """The content of the file, not yet checked further; `settings_reader` reads `settings`."""
 
     name: str
     listen: str
@@ -55,9 +55,9 @@
 class Configuration:
     """The checked configuration of this dispatcher, with its defaults filled in.
 
-    `known` is what the change log had said when the file was written. `max_open_requests` of 0 is no cap;
-    `idle_close_s`: after how long a cache host closes an idle connection; `load_report_fields`: the figures
-    of a load report, in their order.
+    `known` is the content of the change log when the file was written. A `max_open_requests` of 0 means no
+    limit. `idle_close_s` is the time after which a cache host closes an idle connection. `load_report_fields`
+    are the names of the values in a load report, in their order.
     """
 
     file: ConfigurationFile
@@ -76,7 +76,7 @@
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
-    """The configuration that the environment names. Raises DispatcherConfigurationError."""
+    """Returns the configuration that the environment names. Raises DispatcherConfigurationError."""
     path = environment.get("EDGE_CONFIG", "")
     if not path:
         raise DispatcherConfigurationError("EDGE_CONFIG is not set: it names the configuration file")
@@ -97,9 +97,9 @@
             memory_mb=file.limits.memory_mb,
             known=file.known,
             router_settings=_read_router_settings(fields),
-            max_open_requests=int(_number(fields, "limits.open_cap", least=0, default=0)),
-            max_requests_per_connection=int(_number(fields, "limits.streams_per_conn", least=1, default=1)),
-            idle_close_s=_number(fields, "limits.idle_close", least=0, default=DEFAULT_IDLE_CLOSE_S),
+            max_open_requests=int(_number(fields, "limits.open_cap", minimum=0, default=0)),
+            max_requests_per_connection=int(_number(fields, "limits.streams_per_conn", minimum=1, default=1)),
+            idle_close_s=_number(fields, "limits.idle_close", minimum=0, default=DEFAULT_IDLE_CLOSE_S),
             load_report_fields=tuple(name for name in fields.text("report.fields", "").split(",") if name),
         )
     except FieldError as error:
@@ -107,12 +107,13 @@
 
 
 def reread_configuration(environment: Mapping[str, str]) -> Configuration:
-    """At a reload: what the environment says of name and address held for the start."""
+    """Reads the configuration again at a reload. EDGE_NAME and EDGE_LISTEN apply to the start only and aren't
+    compared."""
     return read_configuration({"EDGE_CONFIG": environment.get("EDGE_CONFIG", "")})
 
 
 def changed_fixed_keys(old: Configuration, new: Configuration) -> list[str]:
-    """The keys of a file read again that differ and can't be changed while the program runs."""
+    """Returns the keys that differ between the two files but take effect only at a restart."""
     return [key for key in FIXED_KEYS if getattr(old.file, key) != getattr(new.file, key)]
 
 
@@ -125,7 +126,7 @@
     except msgspec.ValidationError as error:
         raise DispatcherConfigurationError(str(error)) from error
     except msgspec.DecodeError as error:
-        raise DispatcherConfigurationError(f"EDGE_CONFIG: the file is no JSON: {error}") from error
+        raise DispatcherConfigurationError(f"EDGE_CONFIG: the file is not valid JSON: {error}") from error
 
 
 def _check_environment(environment: Mapping[str, str], file: ConfigurationFile) -> None:
@@ -140,7 +141,9 @@
     try:
         return int(text, 16)
     except ValueError as error:
-        raise DispatcherConfigurationError(f"seed: '{text[:MAX_QUOTED]}' is no hex number") from error
+        raise DispatcherConfigurationError(
+            f"seed: '{text[:MAX_QUOTED]}' is not a hexadecimal number"
+        ) from error
 
 
 def _check_known(known: Snapshot) -> None:
@@ -158,15 +161,16 @@
         raise DispatcherConfigurationError(f"{key}: {error}") from error
 
 
-def _number(fields: Fields, name: str, *, least: float, default: float) -> float:
+def _number(fields: Fields, name: str, *, minimum: float, default: float) -> float:
     value = fields.number(name, default)
-    if value < least:
-        raise FieldError(f"field '{name}' is {value:g}, below {least:g}")
+    if value < minimum:
+        raise FieldError(f"field '{name}' is {value:g}, below {minimum:g}")
     return value
 
 
 def _read_router_settings(fields: Fields) -> RouterSettings:
-    """The settings for the Router; the simulator's are always sound, a file's may hold anything."""
+    """Returns the Router's settings. The simulator's settings are always valid and not checked by
+    `read_settings`; those of a file may hold anything and are checked here."""
     settings = read_settings(fields)
     _check_traffic_classes(settings)
     rules = settings.rules
