--- a/hoistplank/program/logging_setup.py
+++ b/hoistplank/program/logging_setup.py
@@ -1,6 +1,6 @@
-"""The log: structlog to standard output, a line an event; nothing is written per request in normal running.
+"""Logging by structlog to standard output, one line for each event; in normal operation none per request.
 
-Every line goes through `redact`, the one place that keeps secrets out: whoever logs need not know what may
+Every line passes through `redact`, the one place that removes secrets: callers need not know which values may
 hold one.
 """
 
@@ -13,8 +13,8 @@
 import structlog
 
 REDACTED = "[withheld]"
-# A signed token, a private key's PEM block, an Authorization field, and the private members of a JWK (RFC
-# 7518).
+# A signed token, a private key's PEM block, an Authorization field, and the private members of a JWK
+# (RFC 7518).
 SECRETS = re.compile(
     r"eyJ[\w-]*\.[\w-]+\.[\w-]*"
     r"|-----BEGIN [A-Z ]*PRIVATE KEY-----.*?(?:-----END [A-Z ]*PRIVATE KEY-----|\Z)"
@@ -22,12 +22,12 @@
     r"|(?<=\"[dkpq]\":)\s*\"[\w-]{16,}\"",
     re.DOTALL,
 )
-SHORTEST_SECRET = 16  # characters; a look at the length is cheaper than the search of a short text
-MAX_DEPTH = 6  # of containers inside each other; what is deeper is withheld whole
+MIN_SECRET_LENGTH = 16  # characters; comparing the length is cheaper than searching a short text
+MAX_DEPTH = 6  # of nested containers; deeper values are replaced whole
 
 
 def _redact_text(text: str) -> str:
-    return SECRETS.sub(REDACTED, text) if len(text) >= SHORTEST_SECRET else text
+    return SECRETS.sub(REDACTED, text) if len(text) >= MIN_SECRET_LENGTH else text
 
 
 def _redact_value(value: Any, depth: int = 0) -> Any:
@@ -53,7 +53,7 @@
 
 
 def redact(_logger: Any, _method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """A processor of structlog's: the line without tokens, keys and private parts."""
+    """Removes tokens, keys and other secrets from the values of a log line (a structlog processor)."""
     for name, value in event.items():
         event[name] = _redact_value(value)
     return event
@@ -61,7 +61,7 @@
 
 def configure_logging(dispatcher: str, line_format: str = "lines") -> None:
     """Configures structlog for the process: "lines" for people, or "json" for programs, one object a line.
-    Each line names the dispatcher."""
+    Each line has the dispatcher's name."""
     renderer: Any = structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "event"])
     if line_format == "json":
         renderer = structlog.processors.JSONRenderer(sort_keys=True)
