--- a/hoistplank/__main__.py
+++ b/hoistplank/__main__.py
@@ -1,6 +1,6 @@
-"""Runs one dispatcher: python -m hoistplank, with EDGE_CONFIG naming its configuration.
+"""Runs one dispatcher: python -m hoistplank, with EDGE_CONFIG naming its configuration file.
 
-HOISTPLANK_OPERATOR may name the operator's file; without it none of what that file asks for is imported.
+HOISTPLANK_OPERATOR may name the operator file; without it none of the optional subsystems is imported.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 def main() -> int:
-    """Runs the dispatcher until it has ended; returns the exit code of docs/on-call.md."""
-    # Danger: a SIGHUP that comes before there is a handler for it ends the program. Those that come while it
-    # starts are kept and looked at once it runs.
-    early: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    """Runs the dispatcher until it ends; returns the exit code, as docs/on-call.md lists them."""
+    # Without a handler a SIGHUP ends the process, so one is installed before the imports. Signals that arrive
+    # during the start are recorded and handled once the service runs.
+    early_signals: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
 
     import os
 
@@ -29,36 +29,38 @@
     from hoistplank.program.logging_setup import configure_logging
 
     extensions: Extensions | None = None
-    form = os.environ.get("HOISTPLANK_LOG", "lines")
+    log_format = os.environ.get("HOISTPLANK_LOG", "lines")
     try:
         configuration = read_configuration(os.environ)
-        if form not in ("lines", "json"):
-            raise DispatcherConfigurationError(f"HOISTPLANK_LOG: '{form[:20]}' is neither 'lines' nor 'json'")
+        if log_format not in ("lines", "json"):
+            raise DispatcherConfigurationError(
+                f"HOISTPLANK_LOG: '{log_format[:20]}' is neither 'lines' nor 'json'"
+            )
         if file := os.environ.get("HOISTPLANK_OPERATOR", ""):
             from hoistplank.program.extensions import load_extensions
 
             extensions = load_extensions(file, configuration)
-            form = os.environ.get("HOISTPLANK_LOG", extensions.form)
+            log_format = os.environ.get("HOISTPLANK_LOG", extensions.log_format)
     except DispatcherConfigurationError as error:
         print(f"hoistplank: {error}", file=sys.stderr)
         return 2
-    configure_logging(configuration.name, form)
-    return _serve(configuration, early, extensions)
+    configure_logging(configuration.name, log_format)
+    return _serve(configuration, early_signals, extensions)
 
 
 def _wait_for_descriptors() -> None:
-    """Waits while the system has no descriptor or buffer for a moment: nothing can begin without."""
+    """Waits up to DESCRIPTORS_WAIT_S while the system has no free descriptors or buffers for the start."""
     import errno
     import socket
     import time
 
-    passing = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-    until = time.monotonic() + DESCRIPTORS_WAIT_S
-    while time.monotonic() < until:
+    transient_errors = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+    deadline = time.monotonic() + DESCRIPTORS_WAIT_S
+    while time.monotonic() < deadline:
         try:
             sock = socket.socket()
         except OSError as error:
-            if error.errno not in passing:
+            if error.errno not in transient_errors:
                 return
             time.sleep(DESCRIPTORS_RETRY_S)
         else:
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -195,7 +195,7 @@
         settings = compile_settings(section, Path(self.file).parent, self.generation)
         for form, old, new in _listeners(before, settings):
             if old is not None and new is not None and old.listen != new.listen:
-                log.warning("can't change while running", key=f"callers {form} listen")
+                log.warning("changed setting ignored until restart", key=f"callers {form} listen")
         self.settings, self.tls.settings = settings, settings.tls
         if self.tls_listener is not None and settings.tls is not None:
             self.tls_listener.settings = settings.tls
--- a/hoistplank/program/extension_protocol.py
+++ b/hoistplank/program/extension_protocol.py
@@ -1,4 +1,4 @@
-"""What the program knows of its optional parts, which the operator's file asks for."""
+"""The interfaces between the program and the optional subsystems that the operator file enables."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 
 
 class Extension(Protocol):
-    """One optional part of a dispatcher."""
+    """One optional subsystem of a dispatcher."""
 
-    def attach(self, host: Any, /) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """Its tasks by name, to be run beside the program's own; `host` is the `Service`."""
+    def attach(self, service: Any, /) -> list[tuple[str, Coroutine[Any, Any, None]]]:
+        """Connects the subsystem to the `Service`; returns the coroutines, each with its task name, that the
+        program runs beside its own tasks."""
 
     def close(self) -> None:
-        """The program ends: files and sockets are given back."""
+        """Closes files and sockets when the program ends."""
 
 
 class Extensions(Protocol):
-    """All of them, and the file that asks for them."""
+    """The enabled subsystems and the operator file that enables them."""
 
-    form: str  # of the log
+    log_format: str  # "lines" or "json"
 
     @property
     def authorizer(self) -> Authorizer | None:
-        """The one that decides whose requests are accepted."""
+        """The subsystem that decides which clients' requests are accepted; None accepts all."""
 
     @property
-    def each(self) -> Sequence[Extension]:
-        """In the order in which they are attached."""
+    def enabled(self) -> Sequence[Extension]:
+        """The enabled subsystems, in the order in which they are attached."""
 
-    def read_again(self) -> Callable[[], None]:
-        """At a reload: reads and checks all anew; the call returned puts it in force. Raises
-        DispatcherConfigurationError."""
+    def prepare_reload(self) -> Callable[[], None]:
+        """Reads and checks the operator file and the files it names; the function returned applies them.
+        Raises DispatcherConfigurationError."""
--- a/hoistplank/program/extensions.py
+++ b/hoistplank/program/extensions.py
@@ -1,6 +1,6 @@
-"""The subsystems that the operator's file asks for: built before anything listens, and prepared for a reload.
+"""The subsystems that the operator file enables: built before the process listens, and reloaded with it.
 
-Imported only where such a file is named; a subsystem is imported only where the file has its form.
+Imported only if an operator file is named; a subsystem is imported only if the file has its form.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
     from hoistplank.authorization.service import AuthorizationService
     from hoistplank.degradation.service import DegradationService
 
-FIXED_FORMS = ("callers", "membership", "levels", "distribution")  # they can't come or go at a reload
-LOCAL_FORM = "distribution"  # stands in a dispatcher's own file alone
+FIXED_FORMS = ("callers", "membership", "levels", "distribution")  # a reload can't add or remove them
+LOCAL_FORM = "distribution"  # allowed only in a dispatcher's own file, not in a distributed configuration
 
-TakeUp = Callable[[], None]  # puts what was read and checked in force
+Apply = Callable[[], None]  # applies a configuration that was read and checked
 
 
 @dataclass(frozen=True, slots=True)
 class _DistributedText:
-    """The configuration in force that replicas handed on, with the name that diagnostics give it."""
+    """The text of the distributed configuration in force; diagnostics give `name` as its file."""
 
     data: bytes
     name: str
 
 
 class Extensions:
-    """The subsystems of one operator's file, and its reload. Raises ConfigurationError."""
+    """Builds the subsystems of one operator file and reloads it. Raises ConfigurationError."""
 
     def __init__(self, file: str, configuration: Configuration, section: Section) -> None:
-        self.form: str = section["log"]["format"]
-        self.each: list[Extension] = []
+        self.log_format: str = section["log"]["format"]
+        self.enabled: list[Extension] = []
         self.authorizer: AuthorizationService | None = None
         self.degradation: DegradationService | None = None
         self._file = file
         self._configuration = configuration
         self._section = section
         self._distributed: _DistributedText | None = None
-        # First of all: it takes the place of the change log's watcher, which others refer to.
+        # Attached first: it replaces the change log's watcher, which the others refer to.
         self._add_distribution()
         self._add_authorization()
         self._add_membership()
@@ -55,7 +55,7 @@
         if section is not None:
             from hoistplank.distribution.service import DistributionService
 
-            self.each.append(DistributionService(section, self._configuration, self.parse_distributed))
+            self.enabled.append(DistributionService(section, self._configuration, self.parse_distributed))
 
     def _add_authorization(self) -> None:
         section = self._section["callers"]
@@ -64,14 +64,14 @@
 
             _check_tenant_classes(section, self._configuration)
             self.authorizer = AuthorizationService(section, self._file, self._configuration.router_settings)
-            self.each.append(self.authorizer)
+            self.enabled.append(self.authorizer)
 
     def _add_membership(self) -> None:
         section = self._section["membership"]
         if section is not None:
             from hoistplank.membership.service import MembershipService
 
-            self.each.append(MembershipService(section, self._file, self._configuration))
+            self.enabled.append(MembershipService(section, self._file, self._configuration))
 
     def _add_degradation(self) -> None:
         section = self._section["levels"]
@@ -79,40 +79,42 @@
             from hoistplank.degradation.service import DegradationService
 
             self.degradation = DegradationService(section, self._configuration)
-            self.each.append(self.degradation)
+            self.enabled.append(self.degradation)
 
-    def read_again(self) -> TakeUp:
-        """The file and all that it names, read and checked; raises DispatcherConfigurationError.
+    def prepare_reload(self) -> Apply:
+        """Reads and checks the file and the files it names; raises DispatcherConfigurationError.
 
-        Danger: where replicas handed on a configuration, the file on the disk is older: it is checked, and
-        what is in force is read again with the files that it names.
+        If a distributed configuration is in force, the file on disk is older and applying it would undo the
+        newer one: the file is only checked, and the distributed text is prepared again with the files it
+        names.
         """
-        take_up_file = self._prepare(lambda: _load(self._file))
+        apply_file = self._prepare(lambda: _load(self._file))
         if self._distributed is None:
-            return take_up_file
+            return apply_file
         return self.parse_distributed(self._distributed.data, self._distributed.name)()
 
-    def parse_distributed(self, data: bytes, name: str) -> Callable[[], TakeUp]:
-        """Parses a configuration that replicas hand on. What is returned checks it against what runs
-        and returns the call that takes it up. Raises DispatcherConfigurationError."""
+    def parse_distributed(self, data: bytes, name: str) -> Callable[[], Apply]:
+        """Parses a distributed configuration. The function returned checks it against the running one and
+        returns the function that applies it. Raises DispatcherConfigurationError."""
         try:
             section = _parse(data, name)
         except ConfigurationError as error:
             raise DispatcherConfigurationError(str(error)) from error
 
-        def check() -> TakeUp:
+        def check() -> Apply:
             prepared = self._prepare(lambda: self._with_local_form(section))
 
-            def take_up() -> None:
+            def apply() -> None:
                 prepared()
                 self._distributed = _DistributedText(data, name)
 
-            return take_up
+            return apply
 
         return check
 
     def _with_local_form(self, section: Section) -> Section:
-        """A section that replicas handed on, with the form that only this dispatcher's own file may hold."""
+        """Returns a distributed section with LOCAL_FORM added from this dispatcher's own file; raises
+        ConfigurationError if it already has one."""
         if section[LOCAL_FORM] is not None:
             found = f"'({LOCAL_FORM} …)' in a configuration that is handed on"
             expected = "it in each dispatcher's own file alone"
@@ -120,8 +122,8 @@
         section.values[LOCAL_FORM] = self._section[LOCAL_FORM]
         return section
 
-    def _prepare(self, load: Callable[[], Section]) -> TakeUp:
-        """A section loaded and checked against what runs; raises DispatcherConfigurationError."""
+    def _prepare(self, load: Callable[[], Section]) -> Apply:
+        """Loads a section and checks it against the running one; raises DispatcherConfigurationError."""
         try:
             section = load()
             self._check_forms(section)
@@ -129,23 +131,23 @@
         except ConfigurationError as error:
             raise DispatcherConfigurationError(str(error)) from error
 
-        def take_up() -> None:
+        def apply() -> None:
             self._section = section
             for reload in reloads:
                 reload()
 
-        return take_up
+        return apply
 
     def _check_forms(self, section: Section) -> None:
         for form in FIXED_FORMS:
             if (self._section[form] is None) != (section[form] is None):
                 location = section.location_of(form)
                 raise DispatcherConfigurationError(
-                    f"{location}: '({form} …)' can't come or go while the program runs"
+                    f"{location}: '({form} …)' can't be added or removed while the program runs"
                 )
 
-    def _prepare_reloads(self, section: Section) -> list[TakeUp]:
-        reloads = list[TakeUp]()
+    def _prepare_reloads(self, section: Section) -> list[Apply]:
+        reloads = list[Apply]()
         if self.authorizer is not None:
             _check_tenant_classes(section["callers"], self._configuration)
             reloads.append(self.authorizer.prepare_reload(section["callers"]))
@@ -167,7 +169,7 @@
 
 
 def _check_tenant_classes(callers: Section, configuration: Configuration) -> None:
-    """Raises ConfigurationError where a tenant names a traffic class that the settings don't have."""
+    """Raises ConfigurationError if a tenant names a traffic class that the settings don't have."""
     known = {traffic_class.name for traffic_class in configuration.router_settings.traffic_classes}
     expected = "one of the settings': " + ", ".join(sorted(known))
     diagnostics = [
@@ -181,7 +183,8 @@
 
 
 def load_extensions(file: str, configuration: Configuration) -> Extensions:
-    """The extensions of a dispatcher. Raises DispatcherConfigurationError, a line for each problem."""
+    """Returns the extensions of a dispatcher. Raises DispatcherConfigurationError with a line for each
+    problem."""
     try:
         return Extensions(file, configuration, _load(file))
     except ModuleNotFoundError as error:
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -1,4 +1,4 @@
-"""The program from start to exit: its parts, its phases and its signals."""
+"""Runs one dispatcher from start to exit: its tasks, phases and signals."""
 
 from __future__ import annotations
 
@@ -29,36 +29,36 @@
 
 log = structlog.get_logger()
 
-# The program itself takes some 20 MB, and each connection in use some tens of KB.
+# The process itself takes some 20 MB, and each connection in use some tens of KB.
 MIN_MEMORY_MB = 48
 DEFAULT_CONNECT_TIMEOUT_S = 1.0  # to a cache host, where the settings name none
 SWEEP_INTERVAL_S = 0.1
 LIST_CHECK_INTERVAL_S = 0.02
-FAILED_ANSWERS_S = 0.5  # for the last answers of a broken program to go out
-LAST_TURN_S = 0.01  # in which the tasks of closed connections end
-# Objects live for a request or for good: fewer, longer collections.
+FAILED_ANSWERS_TIMEOUT_S = 0.5  # for sending the last answers after a task has failed
+CLOSED_TASKS_WAIT_S = 0.01  # for the tasks of closed connections to end
+# Objects live for one request or for the whole process: fewer, longer collections.
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Service:
-    """One dispatcher. `run` is its life; `phase` says where it stands.
+    """One dispatcher process: `run` serves until it ends, `phase` is the current phase.
 
-    `reread` reads the configuration file anew at a SIGHUP; `early` holds the SIGHUPs that came before the
-    handler stood.
+    `reread` reads the configuration file again at a SIGHUP; `early_signals` holds the SIGHUPs that arrived
+    before the handler was installed.
     """
 
     def __init__(
         self,
         configuration: Configuration,
         reread: Callable[[], Configuration],
-        early: Sequence[int] = (),
+        early_signals: Sequence[int] = (),
         extensions: Extensions | None = None,
     ) -> None:
         self.configuration, self.extensions = configuration, extensions
         self.phase = Phase.STARTING
         self.exit_code = 0
-        self.provisional = False  # whether hosts of a persisted list have proved themselves
-        self.reread, self.early = reread, early
+        self.provisional = False  # True once enough hosts of a persisted list have answered probes
+        self.reread, self.early_signals = reread, early_signals
         self.loop = asyncio.get_running_loop()
         self.descriptors = DescriptorBudget(configuration.max_descriptors)
         self.router_task = RouterTask(
@@ -78,7 +78,7 @@
             self.router_task, self.frontend, self.listener, self._longest_deadline_s()
         )
         # Set by SIGTERM or SIGINT, and by SIGHUP.
-        self.terminated, self.renewed = asyncio.Event(), asyncio.Event()
+        self.terminated, self.reload_requested = asyncio.Event(), asyncio.Event()
 
     def _longest_deadline_s(self) -> float:
         return max(row.deadline_us for row in self.configuration.router_settings.traffic_classes) / 1e6
@@ -104,7 +104,7 @@
         )
 
     def _read_pending(self) -> None:
-        """What the change log and clients that wait for an answer have sent."""
+        """Reads what the change log and clients waiting for an answer have already sent."""
         self.endpoint_watcher.read_pending()
         self.frontend.read_pending()
 
@@ -127,49 +127,49 @@
         self.frontend.rate_limited_log.warning("cache host's connection closed", host=host, wrong=str(error))
 
     async def run(self) -> int:
-        """Serves until SIGTERM and the drain after it, or until a part breaks. Returns the exit code."""
+        """Serves until SIGTERM and the drain after it, or until a task fails. Returns the exit code."""
         self._handle_signals()
-        extensions = self.extensions.each if self.extensions is not None else ()
-        parts = self._start_parts(extensions)
+        extensions = self.extensions.enabled if self.extensions is not None else ()
+        tasks = self._start_tasks(extensions)
         self.enter(Phase.STARTING)
         self._log_limits()
-        done, _ = await asyncio.wait(parts, return_when=asyncio.FIRST_COMPLETED)
-        for part in done:
-            error = part.exception()
+        done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+        for task in done:
+            error = task.exception()
             if error is not None:
-                # Danger: a broken module or part would go on taking requests that it can't answer.
-                log.error("broken", part=part.get_name(), exc_info=error)
+                # Without the failed task the program would go on accepting requests that it can't answer.
+                log.error("broken", part=task.get_name(), exc_info=error)
                 self.exit_code = 1
                 await self._fail_open_requests()
-        for part in parts:
-            part.cancel()
-        await asyncio.gather(*parts, return_exceptions=True)
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
         self._close(extensions)
         self.enter(Phase.STOPPED)
-        await asyncio.sleep(LAST_TURN_S)
+        await asyncio.sleep(CLOSED_TASKS_WAIT_S)
         return self.exit_code
 
     def _handle_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.terminated.set)
-        self.loop.add_signal_handler(signal.SIGHUP, self.renewed.set)
-        if self.early:
-            self.renewed.set()
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
+        if self.early_signals:
+            self.reload_requested.set()
         self.loop.set_exception_handler(_log_unhandled)
 
-    def _start_parts(self, extensions: Sequence[Extension]) -> list[asyncio.Task[None]]:
-        """The tasks of the program and of its extensions; the end of any one ends the program."""
-        added = [part for extension in extensions for part in extension.attach(self)]
+    def _start_tasks(self, extensions: Sequence[Extension]) -> list[asyncio.Task[None]]:
+        """Starts the tasks of the program and of its extensions; the end of any task ends the program."""
+        added = [named for extension in extensions for named in extension.attach(self)]
         return [
-            self.loop.create_task(part, name=name)
-            for name, part in (
+            self.loop.create_task(coroutine, name=name)
+            for name, coroutine in (
                 ("router task", self.router_task.run()),
                 ("listener", self.listener.run()),
                 ("change log", self.endpoint_watcher.run()),
                 ("reload", self._reload()),
                 ("sweep", self._sweep()),
                 ("standstills", self.router_task.standstills.run()),
-                ("phases", self._pass_through_phases()),
+                ("phases", self._run_phases()),
                 *added,
             )
         ]
@@ -181,10 +181,10 @@
         if self.router_task.pool is not None:
             self.router_task.pool.close()
 
-    # Phases.
+    # Phases
 
     def enter(self, phase: Phase) -> None:
-        """Changes the phase, and logs it with the counts so far."""
+        """Changes the phase and logs it with the request counts so far."""
         self.phase = phase
         peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
         log.info(
@@ -197,15 +197,15 @@
             **self.router_task.counts.log_fields(),
         )
 
-    async def _pass_through_phases(self) -> None:
-        await self._until(self._may_serve)
-        # What was known is with the Router before any request: both go through one queue, in order.
+    async def _run_phases(self) -> None:
+        await self._wait_until(self._may_serve)
+        # The known hosts reach the Router before any request: both pass through one queue, in order.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         if not self.endpoint_watcher.has_list and not self.terminated.is_set():
             self.enter(Phase.PROVISIONAL)
-            await self._until(lambda: self.endpoint_watcher.has_list)
+            await self._wait_until(lambda: self.endpoint_watcher.has_list)
         if not self.terminated.is_set():
             self.enter(Phase.SERVING)
         await self.terminated.wait()
@@ -213,39 +213,40 @@
         await self.shutdown.run()
 
     def _may_serve(self) -> bool:
-        """Whether there is a list, and the Router acts on it.
+        """True if there is an endpoint list and the Router permits attempts by it.
 
-        Danger: `known` alone is as old as this process's start, and what drained since counts as received.
+        A list alone isn't enough: `known` is as old as the start of this process, and a drain published
+        since then counts as received, so a request to such a host would be a fault.
         """
         has_list = self.endpoint_watcher.has_list or self.provisional
         return has_list and self.router_task.router.permits_attempts(self.router_task.clock.now())
 
-    async def _until(self, is_known: Callable[[], bool]) -> None:
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
         """Waits for the condition or SIGTERM, whichever is first."""
-        while not is_known() and not self.terminated.is_set():
+        while not condition() and not self.terminated.is_set():
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LIST_CHECK_INTERVAL_S):
                     await self.terminated.wait()
 
-    # Beside the phases.
+    # Tasks beside the phases
 
     async def _reload(self) -> None:
-        """SIGHUP: the file is read again, and the change log followed at the address that it names now."""
+        """Reads the configuration again at each SIGHUP and follows the change log at the address it names."""
         while True:
-            await self.renewed.wait()
-            self.renewed.clear()
+            await self.reload_requested.wait()
+            self.reload_requested.clear()
             try:
                 configuration = self.reread()
-                put_in_force = self.extensions.read_again() if self.extensions is not None else None
+                apply_extensions = self.extensions.prepare_reload() if self.extensions is not None else None
             except DispatcherConfigurationError as error:
-                # Danger: a file that is half written or wrong would take the running dispatcher with it.
-                # The message names the key at fault; a traceback of a wrong file would say nothing more.
+                # A half-written or invalid file must not end the running dispatcher. The message names the
+                # key at fault; a traceback would add nothing.
                 log.error("configuration can't be used, the running one stays", wrong=str(error))  # noqa: TRY400
                 continue
-            if put_in_force is not None:
-                put_in_force()
+            if apply_extensions is not None:
+                apply_extensions()
             for key in changed_fixed_keys(self.configuration, configuration):
-                log.warning("can't change while running", key=key)
+                log.warning("changed setting ignored until restart", key=key)
             log.info("configuration read again", changelog=configuration.file.changelog)
             self.endpoint_watcher.set_address(configuration.changelog)
 
@@ -258,14 +259,14 @@
                 self.router_task.pool.sweep()
 
     async def _fail_open_requests(self) -> None:
-        """The open requests of a broken program are failed, as far as that still works."""
+        """Fails the open requests after a task has failed, as far as that still works."""
         self.router_task.requests.fail_all()
-        until = self.loop.time() + FAILED_ANSWERS_S
-        while not self.frontend.all_sent() and self.loop.time() < until:  # noqa: ASYNC110  no event tells it
+        deadline = self.loop.time() + FAILED_ANSWERS_TIMEOUT_S
+        while not self.frontend.all_sent() and self.loop.time() < deadline:  # noqa: ASYNC110  no event reports it
             await asyncio.sleep(0.01)
 
     def _log_limits(self) -> None:
-        """What the limits allow, so that nobody has to guess it from what is refused later."""
+        """Logs the limits derived from the configuration, so that a later refusal can be explained."""
         log.info(
             "resource limits derived",
             **{_descriptors_field(kind): limit for kind, limit in self.descriptors.limits.items()},
@@ -274,7 +275,7 @@
         )
         if self.configuration.memory_mb < MIN_MEMORY_MB:
             log.warning(
-                "memory limit found low: few large answers can wait for slow clients at once",
+                "memory limit is low: few large answers can wait for slow clients at once",
                 memory_mb=self.configuration.memory_mb,
             )
 
@@ -284,5 +285,5 @@
 
 
 def _log_unhandled(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """An error in a callback or a task that nobody awaits."""
+    """Logs an error in a callback, or in a task that nothing awaits."""
     log.error("event loop error unhandled", message=context.get("message"), exc_info=context.get("exception"))
--- a/hoistplank/program/state_log.py
+++ b/hoistplank/program/state_log.py
@@ -1,4 +1,4 @@
-"""Logs how far the endpoint list is to be relied on, and now and then what became of requests."""
+"""Logs changes of the endpoint list's standing and, at an interval, the counts of requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ObservedProgram(Protocol):
-    """What is looked at."""
+    """The parts of the program that `StateLog` reads."""
 
     router_task: RouterTask
     endpoint_watcher: EndpointWatcher
@@ -28,7 +28,7 @@
 
 
 class StateLog:
-    """Looks at the program when `update` is called; nothing is logged per request."""
+    """Compares the program's state at each `update` with the last one; logs nothing per request."""
 
     def __init__(self, program: ObservedProgram) -> None:
         self._program = program
@@ -38,7 +38,7 @@
         self._counts_logged: dict[str, dict[str, int]] = RequestCounts().breakdown()
 
     def update(self) -> None:
-        """Logs what has changed."""
+        """Logs what has changed since the last call, and the counts once the interval has passed."""
         router_task, now = self._program.router_task, asyncio.get_running_loop().time()
         standing = router_task.router.parts.list_confirmation.standing(router_task.clock.now())
         if standing is not self._standing:
@@ -84,8 +84,8 @@
             )
 
     def list_fields(self) -> dict[str, int]:
-        """The number of the last event held, how many hosts are listed, and how old that knowledge is: since
-        the change log last said that nothing is missing, -1 where it never did."""
+        """Returns the log fields of the endpoint list: the number of the last event, the count of listed
+        hosts, and the time since the change log last confirmed that nothing is missing (-1: it never did)."""
         watcher = self._program.endpoint_watcher
         age_ms = -1
         if watcher.confirmed_at:
--- a/tests/test_authorization_certificates.py
+++ b/tests/test_authorization_certificates.py
@@ -78,7 +78,7 @@
                 .replace('(key "server.key")', '(key "server.key") (oldest tls1.2)')
             )
             (tmp_path / "op.sexp").write_text(text)
-            place.running.service.renewed.set()
+            place.running.service.reload_requested.set()
             await until(lambda: place.callers.generation == 2)
             leaf, serial = place.authority.issue("coast.pem", ["uri:hoistplank:coast"])
             context = place.authority.client_context(leaf)
@@ -156,7 +156,7 @@
             (tmp_path / "op.sexp").write_text(
                 text.replace('(key "server.key")', '(key "server.key") (handshakes 4)')
             )
-            place.running.service.renewed.set()
+            place.running.service.reload_requested.set()
             await until(lambda: place.callers.generation == 2)
             rest = [await asyncio.open_connection("127.0.0.1", place.tls) for _ in range(20)]
             for _, writer in rest[10:]:
--- a/tests/test_authorization_control.py
+++ b/tests/test_authorization_control.py
@@ -22,24 +22,24 @@
         async with AuthorizingDispatcher(tmp_path) as place:
             good = (tmp_path / "op.sexp").read_text()
             (tmp_path / "op.sexp").write_text(good + "(log (format loud))")
-            place.running.service.renewed.set()
+            place.running.service.reload_requested.set()
             await asyncio.sleep(0.05)
             assert place.callers.generation == 1 and await place.ask(OLD.token("coast-1")) == (200, "")
             place.operator(extra="(control (listen 127.0.0.1:1))")
             # A form twice, and a listener that can't go: nothing of either is taken.
-            place.running.service.renewed.set()
+            place.running.service.reload_requested.set()
             await asyncio.sleep(0.05)
             (tmp_path / "op.sexp").write_text(
                 good.replace(f"(control (listen 127.0.0.1:{place.control}))", "")
             )
-            place.running.service.renewed.set()
+            place.running.service.reload_requested.set()
             await asyncio.sleep(0.05)
             assert place.callers.generation == 1
             place.operator(
                 tenants='(tenant inland (subjects "https://id.example" (names inland-*)) (rights read)'
                 " (rate 1/s) (burst 2))"
             )
-            place.running.service.renewed.set()
+            place.running.service.reload_requested.set()
             await until(lambda: place.callers.generation == 2)
             assert await place.ask(OLD.token("coast-1")) == (403, "no tenant")
             told = [await place.ask(OLD.token("inland-1"), group=200) for _ in range(3)]
--- a/tests/test_authorization_keys.py
+++ b/tests/test_authorization_keys.py
@@ -94,7 +94,7 @@
             await until(lambda: any(source.failed for source in place.callers.loader.sources))
             assert await place.ask(OLD.token("coast-1")) == (200, "")
             assert await place.ask(NEW.token("coast-1")) == (503, "key not known yet")
-            place.running.service.renewed.set()  # a reload with it changes nothing either
+            place.running.service.reload_requested.set()  # a reload with it changes nothing either
             await asyncio.sleep(0.05)
             assert await place.ask(OLD.token("coast-3")) == (200, "")
             write_key_set(file, OLD.jwk(), NEW.jwk())
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -129,7 +129,10 @@
     "wrong type": (LEVELS.format("often"), "1:18: 'often', expected a number from 0 to 1"),
     "unknown form": ("(levles)", "1:1: the unknown form 'levles', expected 'levels'"),
     "unbalanced": ("(levels (retries 0.5)", "1:1: a form that is never closed"),
-    "form that went": ("(log (format lines))", "'(levels …)' can't come or go while the program runs"),
+    "form that went": (
+        "(log (format lines))",
+        "'(levels …)' can't be added or removed while the program runs",
+    ),
     "a local form": (
         LEVELS.format(0.1) + "\n(distribution (replica c9 (endpoint 127.0.0.1:9)))",
         "2:1: '(distribution …)' in a configuration that is handed on",
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -50,7 +50,7 @@
             good = json.loads(file.read_text())
             file.write_text("{")  # a file that can't be used changes nothing
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: not dispatcher.service.renewed.is_set())
+            await until(lambda: not dispatcher.service.reload_requested.is_set())
             assert watcher.address[1] != 9
             # What can't change is told and left; the rest is taken up all the same.
             good |= {"changelog": f"127.0.0.1:{await serve(other)}", "listen": "127.0.0.1:1", "seed": "8"}
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -137,8 +137,8 @@
             written = json.loads(file.read_text())
             file.write_text(json.dumps(written | {"settings": other}))
             service = dispatcher.service
-            service.renewed.set()
-            await until(lambda: not service.renewed.is_set())
+            service.reload_requested.set()
+            await until(lambda: not service.reload_requested.is_set())
             assert await asked(dispatcher, 3, "page", "2400") == 200
             assert await asked(dispatcher, 4, "reel", "2400") == 400
         async with Running(
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -115,7 +115,7 @@
             dispatcher.service.terminated.set()
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
             dispatcher.service.terminated.set()
-            dispatcher.service.renewed.set()
+            dispatcher.service.reload_requested.set()
             assert (await dispatcher.ask(2, "page"))[0] == 200  # still taken while it drains
             assert await asyncio.wait_for(asyncio.shield(dispatcher.task), 4) == 0
             assert await dispatcher.client.reader.read() == b""
