--- a/hoistplank/membership/__init__.py
+++ b/hoistplank/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Which cache hosts there are while the change log is silent, from which source, and how far each is trusted.
+"""Host membership: the known cache hosts and their trust states, also while the change log is silent.
 
-Decision logic, without I/O or clock: `list_staleness`, `host_states`, `probe_schedule`, `host_registry`.
-Carried out by: `probe`, `fallback`, `list_recorder`, `service`. `docs/discovery.md` is the design note.
+Decision logic without I/O or clock: `list_staleness`, `host_states`, `probe_schedule`, `host_registry`.
+I/O and tasks: `probe`, `fallback`, `list_recorder`, `service`. `docs/discovery.md` is the design note.
 """
--- a/hoistplank/membership/list_recorder.py
+++ b/hoistplank/membership/list_recorder.py
@@ -1,4 +1,4 @@
-"""Persists the endpoint list as the change log gives it, for the next start of this dispatcher."""
+"""Persists the endpoint list of the change log for the next start of this dispatcher."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     RemovalHistory,
 )
 
-CONTACT_INTERVAL_US = 10_000_000  # between records of contact alone: a list's age need not be finer
-STOP_TIMEOUT_S = 0.2  # at the end of a graceful shutdown: a slow disk is not waited for
+CONTACT_INTERVAL_US = 10_000_000  # between records of contact alone; a list's age needs no finer resolution
+STOP_TIMEOUT_S = 0.2  # at the end of a graceful shutdown, which doesn't wait longer for a slow disk
 
 
 @dataclass(slots=True)
 class _HostUpdate:
-    """What one event said of hosts: the ones that are there, and names of those that went."""
+    """The hosts that one event lists, the names of those it removes, and whether it is a whole list."""
 
     listed: list[PersistedHost] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
@@ -35,17 +35,16 @@
 
 
 class ListRecorder:
-    """The current list, its removal history, and the writer that stores both; without a folder nothing is
-    stored.
+    """Holds the current list and its removal history, and stores both; without a folder nothing is stored.
 
-    `purge_retention_us`: how long purges are stored. `report` gets a line of text from the writing thread.
+    Purges are stored for `purge_retention_us`. `report` is called with a line of text in the writing thread.
     """
 
     def __init__(
         self, folder: Path | None, log_address: str, purge_retention_us: int, report: Callable[[str], None]
     ) -> None:
         self.state: PersistedList | None = None
-        self.notes: list[str] = []  # of reading the folder, a line for each problem
+        self.notes: list[str] = []  # a line for each problem in reading the folder
         self.current: dict[str, PersistedHost] = {}
         self._log_address = log_address
         self._purge_retention_us = purge_retention_us
@@ -74,8 +73,8 @@
             self._writer.start(self.state)
 
     def record_event(self, now: int, event: Event, *, is_first_list: bool) -> list[PersistedHost]:
-        """An event of the change log; returns the hosts that it names. Removals seen at the first list of a
-        run are no observation of the removal rate."""
+        """Records an event of the change log; returns the hosts that it names. Removals that the first list
+        of a run shows don't count towards the removal rate."""
         self._last_contact_us = now
         hosts = list[PersistedHost]()
         update = _HostUpdate()
@@ -131,7 +130,7 @@
         return [purge for purge in purges if purge.made_us > oldest_us]
 
     def record_contact(self, now: int) -> None:
-        """The change log is there and has nothing newer."""
+        """Records that the change log was reached and has nothing newer."""
         self._last_contact_us = now
         if self._writer is None or self.state is None:
             return
@@ -141,7 +140,7 @@
             self._writer.add(PersistedChange(now, self._revision, history=self._history))
 
     def stop(self, *, is_synced: bool) -> None:
-        """Writes what is pending, with the last contact where there was one, and ends."""
+        """Writes what is pending, with the last contact if there was one, and stops the writer."""
         if self._writer is None:
             return
         if self.state is not None and is_synced:
--- a/hoistplank/membership/probe.py
+++ b/hoistplank/membership/probe.py
@@ -10,14 +10,14 @@
 from hoistplank.protocol.errors import ProtocolError
 
 MAX_RESPONSE_BYTES = 256
-REQUEST_ID = b"feel"  # any token: it comes back in the answer
+REQUEST_ID = b"feel"  # any token; the answer repeats it
 REQUEST = b"PING " + REQUEST_ID + b"\r\n"
 LINE_END = b"\r\n"
 EVIDENCE_OF_STATUS = {b"green": Evidence.HEALTHY, b"red": Evidence.DRAINING}
 
 
 async def probe(endpoint: str, timeout_s: float) -> Evidence:
-    """Probes `HOST:PORT`: healthy, draining, no response, or an unexpected one. Raises nothing."""
+    """Probes `HOST:PORT`; returns healthy, draining, no response or an unexpected one. Raises nothing."""
     response = bytearray()
     try:
         async with asyncio.timeout(timeout_s):
@@ -50,5 +50,5 @@
     fields = response.split(LINE_END)[0].split()
     if len(fields) < 2 or fields[0] != REQUEST_ID:
         return Evidence.UNEXPECTED_RESPONSE
-    # Danger: another service may have that address now; a request sent there would be anybody's.
+    # Another service may have taken over the address; requests must not be sent to it.
     return EVIDENCE_OF_STATUS.get(fields[1], Evidence.UNEXPECTED_RESPONSE)
--- a/hoistplank/membership/sections.py
+++ b/hoistplank/membership/sections.py
@@ -1,4 +1,4 @@
-"""The section `(membership …)` of the operator's file: starting without discovery."""
+"""The section `(membership …)` of the operator file: starting without discovery."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def check_section(section: Section, diagnostics: list[Diagnostic]) -> None:
-    """Checks what one field's type can't: names of seeds occur once, and there is something to start from."""
+    """Checks across fields: seed names are unique, and there is a state folder or a seed to start from."""
     names = set[str]()
     for seed in section["seed"]:
         if seed.title in names:
