--- a/hoistplank/membership/fallback.py
+++ b/hoistplank/membership/fallback.py
@@ -1,4 +1,4 @@
-"""Serving without the change log: probes the registry's hosts, hands the usable ones to the router task."""
+"""Serving without the change log: probes the registry's hosts and publishes the usable ones."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 POLL_INTERVAL_S = 0.02
 LOG_INTERVAL_US = 1_000_000
-# What the end of a request's attempt shows of a host that no log vouches for. Ends that prove nothing are
-# left out.
+# The evidence that the end of a request's attempt gives on a host that the change log hasn't confirmed. Ends
+# that prove nothing are absent.
 EVIDENCE_OF_ENDING = {
     AttemptEnding.SERVED: Evidence.REQUEST_SERVED,
     AttemptEnding.NOT_MODIFIED: Evidence.REQUEST_SERVED,
@@ -41,7 +41,7 @@
 
 
 class Dispatcher(Protocol):
-    """What membership uses of the program that it is part of."""
+    """The parts of the program that membership uses."""
 
     router_task: RouterTask
     endpoint_watcher: EndpointWatcher
@@ -50,44 +50,44 @@
 
 
 async def wait_forever() -> None:
-    """Ends only by being cancelled: a part of the program that ends would end the program."""
+    """Waits until cancelled: the program ends when any of its tasks ends."""
     await asyncio.Event().wait()
 
 
 class DiscoveryFallback:
-    """Runs from the start until the change log has sent its list and the last probe has ended.
+    """Probes and publishes the registry's hosts until the change log has sent its list and no probe runs.
 
-    `patience_us`: how long the change log is waited for before hosts of the registry are used.
+    `change_log_wait_us` is the time for which the change log is waited for before registry hosts are used.
     """
 
     def __init__(
         self,
         registry: HostRegistry,
-        site: RouterSettings,
+        router_settings: RouterSettings,
         clock: Clock,
         probe_timeout_s: float,
-        patience_us: int,
+        change_log_wait_us: int,
     ) -> None:
         self._registry = registry
-        self._site = site
+        self._router_settings = router_settings
         self._clock = clock
         self._probe_timeout_s = probe_timeout_s
-        self._patience_us = patience_us
+        self._change_log_wait_us = change_log_wait_us
         self._probes: set[asyncio.Task[None]] = set()
-        self._probe_ended = asyncio.Event()  # another may begin
+        self._probe_ended = asyncio.Event()  # so that another can begin
         self._probe_count = 0
         self._result_counts = dict.fromkeys(PROBE_RESULTS, 0)
         self._last_logged_us = 0
 
     async def run(self, dispatcher: Dispatcher) -> None:
-        """Probes until the change log has sent its list, then waits to be cancelled; ends its probes."""
-        began_us = self._clock.now()
+        """Probes until the change log has sent its list, then waits to be cancelled; cancels its probes."""
+        run_started_us = self._clock.now()
         dispatcher.router_task.attempt_observer = self._attempt_ended
         try:
             while not (self._registry.is_synced and not self._probes):
                 now = self._clock.now()
                 self._start_probes(dispatcher, now)
-                if now - began_us >= self._patience_us:
+                if now - run_started_us >= self._change_log_wait_us:
                     self._publish(dispatcher, now)
                 await self._wait_for_probe()
             await wait_forever()
@@ -123,7 +123,7 @@
             self._probe_ended.set()
 
     def _publish(self, dispatcher: Dispatcher, now: int) -> None:
-        """Hands the usable hosts to the router task, if they changed and the change log has sent no list."""
+        """Gives the usable hosts to the router task if they changed and the change log has sent no list."""
         if not self._registry.usable_changed or self._registry.is_synced:
             return
         targets = [to_target(row.host, row.started_us) for row in self._registry.usable_hosts()]
@@ -132,17 +132,24 @@
         if now - self._last_logged_us > LOG_INTERVAL_US:
             self._last_logged_us = now
             results = {evidence.value: count for evidence, count in self._result_counts.items()}
-            log.info("own list", **self._registry.count_by_state(), probes=self._probe_count, **results)
+            log.info(
+                "unconfirmed endpoint list published",
+                **self._registry.count_by_state(),
+                probes=self._probe_count,
+                **results,
+            )
 
     def _can_serve(self) -> bool:
-        """Whether a cache host of this location and a source to fill from are usable."""
-        sources = (self._site.parent_kind, self._site.origin_kind)
+        """True if a cache host of this zone and a source to fill from are usable."""
+        sources = (self._router_settings.parent_kind, self._router_settings.origin_kind)
         usable = [entry.host for entry in self._registry.hosts.values() if entry.state in USABLE_STATES]
-        has_cache = any(host.kind not in sources and host.zone == self._site.zone for host in usable)
+        has_cache = any(
+            host.kind not in sources and host.zone == self._router_settings.zone for host in usable
+        )
         return has_cache and any(host.kind in sources for host in usable)
 
     def _attempt_ended(self, attempt: Attempt, ending: AttemptEnding) -> None:
-        """How requests fare at a host: the only sign of a drain that no log reports."""
+        """Records the outcome of a request at a host: the only sign of a drain that no log reports."""
         evidence = EVIDENCE_OF_ENDING.get(ending)
         if evidence is not None:
             self._registry.record(self._clock.now(), attempt.host, evidence)
--- a/hoistplank/membership/host_records.py
+++ b/hoistplank/membership/host_records.py
@@ -1,4 +1,4 @@
-"""Conversions between the change log's targets and the persisted hosts. No I/O, no clock."""
+"""Conversions between the change log's targets and persisted hosts. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def to_persisted(target: Target, now: int, previous: PersistedHost | None) -> PersistedHost:
-    """The target as it is stored; `previous` is the stored one of the same name, whose `since_us` stays while
-    its process does."""
+    """Returns the target in its stored form. `previous` is the stored host of the same name; its `since_us`
+    stays as long as its process is the same."""
     same_process = previous is not None and previous.boot_ms == target.boot_ms
     since_us = previous.since_us if previous is not None and same_process else now
     return PersistedHost(
@@ -28,7 +28,7 @@
 
 
 def to_target(host: PersistedHost, started_us: int) -> Target:
-    """The host as a target that is ready and started at `started_us`."""
+    """Returns the host as a target that is ready and started at `started_us`."""
     return Target(
         uid=host.uid,
         endpoint=host.endpoint,
@@ -41,8 +41,8 @@
     )
 
 
-def with_start(target: Target, started_us: int) -> Target:
-    """The target, as started at `started_us`."""
+def with_start_time(target: Target, started_us: int) -> Target:
+    """Returns the target with `started_us` as its start time."""
     if started_us == int(target.boot_ms * 1_000):
         return target
     return msgspec.structs.replace(target, boot_ms=started_us / 1_000)
--- a/hoistplank/membership/host_registry.py
+++ b/hoistplank/membership/host_registry.py
@@ -1,8 +1,8 @@
-"""What is known of each cache host, how far it is trusted, and when it is probed. No I/O, no clock.
+"""The registry of known cache hosts: their records, trust states and probe schedule. No I/O, no clock.
 
-`host_states` has the table. Until the change log has sent its list, only hosts that have answered a probe are
-usable, each as started at that moment, so that it counts as cold; then the whole list replaces all else.
-`now` is whole microseconds.
+`host_states` has the table of state transitions. Until the change log has sent its list, only hosts that
+have answered a probe are usable. Each gets that moment as its start time, so that it counts as cold. The
+first list of the change log replaces all of them. `now` is in whole microseconds.
 """
 
 from __future__ import annotations
@@ -18,19 +18,18 @@
 from hoistplank.membership.probe_schedule import ProbeSchedule
 from hoistplank.store.schemas import PersistedHost, RemovalHistory
 
-# A host's own state, as the change log spells it.
+# States of a host in the change log's events.
 READY, GONE = "ready", "gone"
 
-# Between probes of a host that did not answer as it should: backoff, with jitter around each pause.
+# Backoff between probes of a host that did not answer as expected, with jitter on each delay.
 INITIAL_BACKOFF_US, MAX_BACKOFF_US = 400_000, 10_000_000
 MAX_BACKOFF_DOUBLINGS = 6
-MIN_JITTER = 0.5  # of a pause; it is at most this and 1
-# Between probes of a host that did answer, as a drain or an end may follow that no change log reports; of
-# many hosts each is probed more seldom, so that there are only so many probes a second in all.
+MIN_JITTER = 0.5  # factor of a delay; the factor is drawn from here up to 1 more
+# Interval between probes of a host that did answer: it may still drain or end without a change log to report
+# it. With many hosts the interval grows, so that the total stays at RECHECKS_PER_S.
 RECHECK_INTERVAL_US = 2_000_000
 RECHECKS_PER_S = 50
-# Of the latest requests of a host that is not listed, so many and this share failed: it is as good as
-# drained.
+# An unlisted host counts as drained once this many and this share of its latest requests failed.
 RECENT_RESULTS = 20
 MIN_FAILURES, FAILURE_SHARE = 6, 0.7
 PROVEN_AFTER_REQUESTS = 3
@@ -42,40 +41,40 @@
 
 @dataclass(slots=True)
 class RegisteredHost:
-    """One host of the registry."""
+    """One host of the registry with its state, probe results and recent request results."""
 
     host: PersistedHost
     state: HostState
-    first_answered_us: int = 0  # when it became tentative: the start that it is handed on with
+    first_answered_us: int = 0  # when it became tentative; published as its start time
     unanswered_probes: int = 0  # in a row
     probe_rank: int = 0
     served_requests: int = 0
     recent_results: deque[bool] = field(default_factory=lambda: deque(maxlen=RECENT_RESULTS))
 
     def requests_are_failing(self) -> bool:
-        """Whether enough of its latest requests failed for it to count as drained."""
+        """Returns True if enough of its latest requests failed for it to count as drained."""
         results = self.recent_results
         return len(results) >= MIN_FAILURES and results.count(False) >= FAILURE_SHARE * len(results)
 
 
 class UsableHost(NamedTuple):
-    """A host that may be used without the change log; `started_us` makes it cold from then on."""
+    """A host that may be used without the change log; it counts as cold from `started_us` on."""
 
     host: PersistedHost
     started_us: int
 
 
 class HostRegistry:
-    """All known hosts. `random` gives each dispatcher a probe order of its own; `dispatchers` start together
-    at worst."""
+    """All known hosts and their probes. `random` gives each dispatcher its own probe order; `dispatchers` is
+    how many may start at the same time."""
 
     def __init__(self, random: Random, dispatchers: int = 1) -> None:
         self.hosts: dict[str, RegisteredHost] = {}
         self.survival_probability = 1.0
         self.max_probe_attempts = list_staleness.MAX_ATTEMPTS
-        self.is_synced = False  # whether the change log has sent its list
-        self.usable_changed = False  # since `usable_hosts` was called last
-        self.carried_starts: dict[str, int] = {}  # by host: its start as used before the sync
+        self.is_synced = False  # True once the change log has sent its list
+        self.usable_changed = False  # True if the usable hosts changed since the last `usable_hosts` call
+        self.carried_start_times: dict[str, int] = {}  # by host: the start time in use before the sync, in us
         self._random = random
         self._dispatchers = dispatchers
         self._schedule = ProbeSchedule()
@@ -89,9 +88,9 @@
         history: RemovalHistory,
         is_relevant: Callable[[PersistedHost], bool] = _always_relevant,
     ) -> None:
-        """Adds the hosts of an earlier list. One that was draining then is left out; one that is not relevant
-        here (a cache host of another location) is never probed."""
-        # Danger: with the clock set back, the list would be from the future: it counts as new.
+        """Adds the hosts of an earlier list, without those that were draining. A host that is not relevant to
+        this dispatcher (a cache host of another zone) is never probed."""
+        # If the clock was set back, the list appears to be from the future; it counts as new then.
         age_s = max(0.0, (now - last_contact_us) / 1e6)
         self.survival_probability = list_staleness.survival_probability(history, age_s)
         self.max_probe_attempts = list_staleness.max_probe_attempts(self.survival_probability)
@@ -99,19 +98,19 @@
             if host.uid not in self.hosts and host.state == READY:
                 self.hosts[host.uid] = RegisteredHost(host, HostState.PERSISTED)
         order = sorted(uid for uid, entry in self.hosts.items() if is_relevant(entry.host))
-        # Danger: dispatchers that start together from one list would all probe the same hosts first.
+        # Shuffled, or dispatchers that start together from one list would all probe the same hosts first.
         self._random.shuffle(order)
-        # The rarest kinds, the sources, go first: without one no cache host can fill anything, and
-        # non-idempotent requests have nowhere to go.
-        hosts_by_kind = Counter(self.hosts[uid].host.kind for uid in order)
-        order.sort(key=lambda uid: hosts_by_kind[self.hosts[uid].host.kind])
+        # The rarest kinds, the parents and origins, come first: without one no cache host can fill anything,
+        # and non-idempotent requests can't be sent anywhere.
+        host_count_by_kind = Counter(self.hosts[uid].host.kind for uid in order)
+        order.sort(key=lambda uid: host_count_by_kind[self.hosts[uid].host.kind])
         for rank, uid in enumerate(order):
             self.hosts[uid].probe_rank = rank
             self._schedule_probe(self.hosts[uid], now)
 
     def next_probes(self, now: int) -> list[PersistedHost]:
-        """The hosts to probe now. Each counts as in flight until `probe_completed`, and is not returned again
-        before."""
+        """Returns the hosts to probe now. The probe of each counts as in flight until `probe_completed`; the
+        host is not returned again before."""
         if self.is_synced:
             return []
         limit = list_staleness.probe_concurrency(self.survival_probability, self._dispatchers)
@@ -127,12 +126,12 @@
         return found
 
     def probe_completed(self, now: int, uid: str, evidence: Evidence) -> None:
-        """The end of a probe: healthy, draining, no response or an unexpected one."""
+        """Records the result of a probe: healthy, draining, no response or an unexpected one."""
         self._probes_in_flight = max(0, self._probes_in_flight - 1)
         self.record(now, uid, evidence)
 
     def record(self, now: int, uid: str, evidence: Evidence) -> None:
-        """Evidence on a host, from a probe or a request; what does not fit its state changes nothing."""
+        """Records evidence on a host, from a probe or a request; without a transition its state stays."""
         entry = self.hosts.get(uid)
         if entry is None:
             return
@@ -190,10 +189,10 @@
         entry.state = state
 
     def update_listed(self, now: int, hosts: Iterable[PersistedHost], *, whole: bool) -> None:
-        """The change log's hosts: a whole list replaces all else in one step, a change updates those that it
-        names."""
+        """Applies the change log's hosts: a whole list replaces all others in one step, a change updates the
+        hosts that it names."""
         if not self.is_synced:
-            self.carried_starts = {row.host.uid: row.first_answered_us for row in self._usable_entries()}
+            self.carried_start_times = {row.host.uid: row.first_answered_us for row in self._usable_entries()}
         self.is_synced = True
         named = set[str]()
         for host in hosts:
@@ -205,8 +204,8 @@
                     self._transition(now, entry, Evidence.UNLISTED)
         for uid in [uid for uid, entry in self.hosts.items() if entry.state is HostState.WITHDRAWN]:
             del self.hosts[uid]
-            self.carried_starts.pop(uid, None)
-        self.usable_changed = False  # nothing is handed on from here any more: the change log's list is
+            self.carried_start_times.pop(uid, None)
+        self.usable_changed = False  # hosts are published by the change log from now on
 
     def _update_listed_host(self, now: int, host: PersistedHost) -> None:
         entry = self.hosts.get(host.uid)
@@ -223,20 +222,20 @@
         return [entry for entry in self.hosts.values() if entry.state in USABLE_STATES]
 
     def usable_hosts(self) -> list[UsableHost]:
-        """All hosts that may be used while the change log is silent."""
+        """Returns all hosts that may be used while the change log is silent; clears `usable_changed`."""
         self.usable_changed = False
         return [UsableHost(entry.host, entry.first_answered_us) for entry in self._usable_entries()]
 
-    def start_of(self, uid: str, boot_us: int) -> int:
-        """The start that a listed host goes on with: that of its first answer, unless the change log knows of
+    def start_time_of(self, uid: str, boot_us: int) -> int:
+        """Returns the start time in us of a listed host: that of its first answer, unless the change log has
         a later one.
 
-        Danger: with another start the router would take a host that is in use already for a new process,
-        close its connections with requests on them, and begin its warm-up anew.
+        With a different start time the router would take a host already in use for a new process, close its
+        connections with requests on them, and restart its warm-up.
         """
-        return max(boot_us, self.carried_starts.get(uid, 0))
+        return max(boot_us, self.carried_start_times.get(uid, 0))
 
     def count_by_state(self) -> dict[str, int]:
-        """Hosts in each state that has any, in the order of the states."""
+        """Returns the number of hosts in each state that has any, in the order of `HostState`."""
         counts = Counter(entry.state for entry in self.hosts.values())
         return {state.value: counts[state] for state in HostState if counts[state]}
--- a/hoistplank/membership/host_states.py
+++ b/hoistplank/membership/host_states.py
@@ -1,6 +1,7 @@
-"""The states of a host in the registry, and which evidence moves it from which state to which.
+"""The states of a host in the registry, and the transitions between them by evidence.
 
-The table is drawn in `docs/discovery.md`. Values of the enums are the keys of the log line `own list`.
+`docs/discovery.md` draws the table. The enum values are fields of the log event `unconfirmed endpoint list
+published`.
 """
 
 from __future__ import annotations
@@ -9,29 +10,33 @@
 
 
 class HostState(enum.StrEnum):
-    """How far a host is trusted."""
+    """The degree to which a host is trusted."""
 
     PERSISTED = "kept"  # from a persisted list or a seed, not probed yet
     TENTATIVE = "tentative"  # it has answered a probe
-    PROVEN = "proven"  # it has served requests, too
-    SUSPECT = "doubtful"  # draining, not answering, or failing requests: it gets none and is probed again
-    LISTED = "listed"  # the change log vouches for it
+    PROVEN = "proven"  # it has also served requests
+    SUSPECT = (
+        "doubtful"  # draining, not answering, or failing requests: it gets no requests and is probed again
+    )
+    LISTED = "listed"  # in the change log's list
     WITHDRAWN = "withdrawn"  # not to be used again unless the change log lists it
 
 
 class Evidence(enum.StrEnum):
-    """What was observed of a host."""
+    """An observation of a host that may change its state."""
 
-    HEALTHY = "good"  # a probe was answered as it should be
-    DRAINING = "red"  # it answered that it takes nothing new
+    HEALTHY = "good"  # a probe got the expected answer
+    DRAINING = "red"  # it answered a probe that it accepts nothing new
     NO_RESPONSE = "mute"  # no connection or no answer
-    UNEXPECTED_RESPONSE = "stranger"  # what answered is no cache host
+    UNEXPECTED_RESPONSE = "stranger"  # the answer is not that of a cache host
     REQUEST_SERVED = "served"
-    REQUEST_FAILED = "refused"  # one request was refused, failed or timed out; counted, not in the table
+    REQUEST_FAILED = (
+        "refused"  # one request was refused, failed or timed out; counted, without a transition of its own
+    )
     REQUESTS_FAILING = "failed"  # too many of its latest requests failed
-    PROBES_EXHAUSTED = "spent"  # no more probes are worth it
+    PROBES_EXHAUSTED = "spent"  # the limit of unanswered probes is reached
     LISTED = "listed"  # the change log names it
-    UNLISTED = "unlisted"  # the change log says that it is gone, or leaves it out of a whole list
+    UNLISTED = "unlisted"  # the change log reports it as gone, or omits it from a whole list
 
 
 # The states in which a host may be used while the change log is silent.
--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -1,5 +1,5 @@
-"""Membership in a dispatcher: watches the change log, persists its list, and has the dispatcher start from
-the persisted list or from seeds while the change log is silent."""
+"""The membership service of a dispatcher: observes the change log and persists its list; while the change log
+is silent, the dispatcher starts from the persisted list or from seeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import structlog
 
 from hoistplank.membership.fallback import DiscoveryFallback, Dispatcher, wait_forever
-from hoistplank.membership.host_records import with_start
+from hoistplank.membership.host_records import with_start_time
 from hoistplank.membership.host_registry import READY, HostRegistry
 from hoistplank.membership.list_recorder import ListRecorder
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
@@ -27,12 +27,12 @@
 
 log = structlog.get_logger()
 
-# Beyond twice the time that a purge takes: for so long a copy may still be older than it.
+# Added to twice the purge delay: for this long a copy older than the purge may still exist.
 PURGE_MARGIN_US = 60_000_000
 
 
 def seed_hosts(section: Section, now: int) -> list[PersistedHost]:
-    """The hosts that the operator's file names to begin with."""
+    """Returns the seed hosts of the operator file."""
     return [
         PersistedHost(
             uid=seed.title,
@@ -50,8 +50,8 @@
 
 
 class MembershipService:
-    """One for the program. Raises ConfigurationError where the seeds name no host of this location; a folder
-    that fails costs freshness only."""
+    """The membership service, one for each dispatcher. Raises ConfigurationError if there are seeds but none
+    in this zone. If the state folder fails, only the freshness of the persisted list suffers."""
 
     def __init__(
         self, section: Section, file: str, configuration: Configuration, clock: Clock | None = None
@@ -61,19 +61,19 @@
         self._clock = clock or Clock()
         self._loop: asyncio.AbstractEventLoop | None = None
         self._dispatcher: Dispatcher | None = None
-        site = configuration.router_settings
-        self.registry = HostRegistry(Random(configuration.seed), site.dispatchers)
+        router_settings = configuration.router_settings
+        self.registry = HostRegistry(Random(configuration.seed), router_settings.dispatchers)
         folder = Path(file).parent / section["state"] if section["state"] is not None else None
-        purge_retention_us = 2 * site.rules.purge_delay_us + PURGE_MARGIN_US
+        purge_retention_us = 2 * router_settings.rules.purge_delay_us + PURGE_MARGIN_US
         log_address = configuration.file.changelog
         self._recorder = ListRecorder(folder, log_address, purge_retention_us, self._report)
         self._load_hosts()
         self._fallback = DiscoveryFallback(
-            self.registry, site, self._clock, section["probe-time"] / 1e6, section["patience"]
+            self.registry, router_settings, self._clock, section["probe-time"] / 1e6, section["patience"]
         )
 
     def _load_hosts(self) -> None:
-        """The registry's first hosts: those of the persisted list, else the seeds."""
+        """Loads the hosts of the persisted list, or else the seeds, into the registry."""
         now = self._clock.now()
         state = self._recorder.state
         if state is not None:
@@ -88,25 +88,25 @@
     def _check_seeds(self, seeds: list[PersistedHost]) -> None:
         zone = self._configuration.router_settings.zone
         if all(seed.zone != zone for seed in seeds):
-            found = f"no seed of this dispatcher's location '{zone}'"
+            found = f"no seed in this dispatcher's zone '{zone}'"
             location = self._section.location_of("seed")
-            raise ConfigurationError([Diagnostic(location, found, "one at least")])
+            raise ConfigurationError([Diagnostic(location, found, "at least one")])
 
     def _is_relevant(self, host: PersistedHost) -> bool:
-        """The router takes cache hosts of its own location alone, and any parent or origin."""
-        site = self._configuration.router_settings
-        return host.zone == site.zone or host.kind in (site.parent_kind, site.origin_kind)
+        """True for hosts that the router uses: cache hosts of its own zone, and any parent or origin."""
+        settings = self._configuration.router_settings
+        return host.zone == settings.zone or host.kind in (settings.parent_kind, settings.origin_kind)
 
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """Starts the writer, watches the change log, and returns the tasks to run beside the program's."""
+        """Starts the writer, observes the change log, and returns the tasks to run beside the program's."""
         self._dispatcher = dispatcher
         self._loop = asyncio.get_running_loop()
         for note in self._recorder.notes:
-            log.warning("kept state", note=note)
+            log.warning("persisted state not fully readable", note=note)
         self._recorder.start()
         dispatcher.endpoint_watcher.observer = self
         if self._configuration.known.results:
-            # The configuration's own list takes precedence: it was given at this start.
+            # The configuration's list takes precedence: it was supplied for this start.
             for event in self._configuration.known.results:
                 self.event_received(event)
             return [("membership", wait_forever())]
@@ -116,7 +116,7 @@
 
     def _resume(self, dispatcher: Dispatcher, state: PersistedList) -> None:
         log.info(
-            "kept list",
+            "starting from persisted endpoint list",
             hosts=len(self.registry.hosts),
             age_s=round((self._clock.now() - state.last_contact_us) / 1e6),
             of=state.log,
@@ -127,7 +127,7 @@
             dispatcher.router_task.submit(PurgeReceived(purge.object_key, purge.group, purge.made_us))
 
     def event_received(self, event: Event) -> Event:
-        """An event of the change log; returns it with the starts that its hosts go on with."""
+        """Records an event of the change log; returns it with the start times that its hosts keep."""
         now = self._clock.now()
         is_first_list = event.fleet is not None and not self.registry.is_synced
         hosts = self._recorder.record_event(now, event, is_first_list=is_first_list)
@@ -136,27 +136,27 @@
         self.registry.update_listed(now, hosts, whole=event.fleet.all)
         if is_first_list and self._dispatcher is not None:
             self._dispatcher.router_task.attempt_observer = None
-            hosts_listed, hosts_carried = len(self._recorder.current), len(self.registry.carried_starts)
-            log.info("change log is back", hosts=hosts_listed, kept=hosts_carried)
-        return msgspec.structs.replace(event, fleet=self._with_starts(event.fleet))
+            hosts_listed, hosts_carried = len(self._recorder.current), len(self.registry.carried_start_times)
+            log.info("first endpoint list received from change log", hosts=hosts_listed, kept=hosts_carried)
+        return msgspec.structs.replace(event, fleet=self._with_start_times(event.fleet))
 
-    def _with_starts(self, fleet: Fleet) -> Fleet:
+    def _with_start_times(self, fleet: Fleet) -> Fleet:
         targets = [
-            with_start(target, self.registry.start_of(target.uid, int(target.boot_ms * 1_000)))
+            with_start_time(target, self.registry.start_time_of(target.uid, int(target.boot_ms * 1_000)))
             for target in fleet.targets
         ]
         return msgspec.structs.replace(fleet, targets=targets)
 
     def confirmed_current(self) -> None:
-        """The change log is there and has nothing newer."""
+        """Records that the change log was reached and has nothing newer."""
         self._recorder.record_contact(self._clock.now())
 
     def _report(self, text: str) -> None:
-        """A line of the writing thread's, logged on the loop."""
+        """Logs a line from the writing thread, on the event loop."""
         if self._loop is not None and not self._loop.is_closed():
             with contextlib.suppress(RuntimeError):
-                self._loop.call_soon_threadsafe(lambda: log.warning("kept state", note=text))
+                self._loop.call_soon_threadsafe(lambda: log.warning("state writer status changed", note=text))
 
     def close(self) -> None:
-        """Writes what is pending."""
+        """Writes what is pending and stops the writer."""
         self._recorder.stop(is_synced=self.registry.is_synced)
