--- a/hoistplank/store/errors.py
+++ b/hoistplank/store/errors.py
@@ -7,11 +7,11 @@
 
 
 class StoreError(Exception):
-    """Base of every error that this package raises itself."""
+    """Base class of the errors that this package raises itself."""
 
 
 class FrameFault(enum.StrEnum):
-    """Why a frame or a file of frames can't be used; the value may become part of a file's name."""
+    """The reason why a frame or a file of frames is unusable; the value may become part of a file's name."""
 
     TOO_LONG = "too long"
     CUT_SHORT = "cut short"
@@ -25,7 +25,7 @@
 
 
 class FrameError(StoreError):
-    """A frame that can't be used; `fault` says why, and is the whole text."""
+    """A frame is unusable; `fault` is the reason and the whole message."""
 
     def __init__(self, fault: FrameFault) -> None:
         super().__init__(fault.value)
@@ -33,7 +33,7 @@
 
 
 class FolderError(StoreError):
-    """A state folder that can't be used: `path`, and `reason` in words."""
+    """A state folder is unusable: its `path`, and the `reason` as text."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -44,4 +44,6 @@
     """Another process holds the folder's lock."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__(path, "another process keeps its state there; each needs its own folder")
+        super().__init__(
+            path, "another process holds the lock of this folder; each dispatcher needs its own folder"
+        )
--- a/hoistplank/store/frames.py
+++ b/hoistplank/store/frames.py
@@ -1,4 +1,4 @@
-"""The framing of stored files: magic, format, kind, length and CRC-32C. Bytes in, frames out; no files.
+"""The framing of stored files: magic, format, kind, length and CRC-32C. Works on bytes, not on files.
 
 A frame is 4 bytes of magic, 2 of format, 2 of kind, 4 of content length, 4 of CRC-32C (RFC 3720 appendix
 B.4) over those twelve and the content, then the content. Integers are big-endian.
@@ -17,7 +17,7 @@
 HEAD = struct.Struct(">4sHHI")
 CHECKSUM = struct.Struct(">I")
 HEADER_BYTES = HEAD.size + CHECKSUM.size
-MAX_CONTENT_BYTES = 1 << 26  # a list of 100,000 hosts has some 20 MB
+MAX_CONTENT_BYTES = 1 << 26  # a list of 100,000 hosts takes some 20 MB
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameSequence:
-    """The valid frames at the start of some bytes.
+    """The valid frames at the start of a byte sequence.
 
-    `valid_bytes` is the length that they take; `fault` is what ended the sequence, None at a clean end.
+    `valid_bytes` is their total length; `fault` is the reason why the sequence ended, None at a clean end.
     """
 
     frames: tuple[Frame, ...]
@@ -42,7 +42,7 @@
 
 
 def encode_frame(format_version: int, kind: int, content: bytes) -> bytes:
-    """One frame; raises FrameError where the content exceeds `MAX_CONTENT_BYTES`."""
+    """Encodes one frame; raises FrameError if the content exceeds `MAX_CONTENT_BYTES`."""
     if len(content) > MAX_CONTENT_BYTES:
         raise FrameError(FrameFault.TOO_LONG)
     head = HEAD.pack(MAGIC, format_version, kind, len(content))
@@ -50,7 +50,7 @@
 
 
 def decode_frames(data: bytes) -> FrameSequence:
-    """All valid frames from the start on. A torn or damaged one ends it; nothing behind it is trusted."""
+    """Decodes all valid frames from the start up to a torn or damaged one; later bytes are not trusted."""
     frames = list[Frame]()
     position = 0
     while position < len(data):
@@ -63,7 +63,7 @@
 
 
 def _decode_frame(data: bytes, start: int) -> Frame | FrameFault:
-    """The frame that begins at `start`, or why there is none."""
+    """Decodes the frame that begins at `start`, or returns the reason why there is none."""
     if len(data) - start < HEADER_BYTES:
         return FrameFault.CUT_SHORT
     magic, format_version, kind, length = HEAD.unpack_from(data, start)
--- a/hoistplank/store/schemas.py
+++ b/hoistplank/store/schemas.py
@@ -1,7 +1,7 @@
-"""The contents of frames as records, and the migration of older formats. MessagePack by msgspec; no files.
+"""The records in frames, encoded as MessagePack by msgspec, and the migration of older formats. No files.
 
-Field names given by `msgspec.field(name=…)` are those of the stored files and must not change. Formats:
-1 held hosts alone; 2 has the removal history and the purges beside them. A newer format is left alone.
+Field names given by `msgspec.field(name=…)` are those of the stored files and must not change. Format 1 holds
+hosts only; format 2 adds the removal history and the purges. Records of a newer format are rejected.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from hoistplank.store.frames import Frame, encode_frame
 
 CURRENT_FORMAT = 2
-MAX_PURGES = 1_000  # of a persisted list; the oldest go first
+MAX_PURGES = 1_000  # of a persisted list; the oldest are dropped first
 
 
 class FrameKind(enum.IntEnum):
     """The `kind` field of a frame."""
 
     LIST = 1  # a whole state
-    CHANGE = 2  # what changed since
+    CHANGE = 2  # a change to the state before it
 
 
 class PersistedHost(msgspec.Struct, frozen=True):
-    """A cache host as the change log described it; `since_us` is when it was first listed, in Unix
+    """A cache host as listed by the change log; `since_us` is the time of its first listing, in Unix
     microseconds."""
 
     uid: str
@@ -42,8 +42,8 @@
 
 
 class RemovalHistory(msgspec.Struct, frozen=True):
-    """How fast hosts were removed: so many over so much host time (seconds), both halving in weight over
-    `list_staleness.HALF_LIFE_S`; as of `updated_us`, 0 for never."""
+    """The observed removals and the host time (host-seconds) over which they were observed. Both halve in
+    weight over `list_staleness.HALF_LIFE_S`; they are as of `updated_us`, 0 for never."""
 
     removed: float = msgspec.field(name="went", default=0.0)
     host_seconds: float = 0.0
@@ -51,7 +51,7 @@
 
 
 class PersistedPurge(msgspec.Struct, frozen=True):
-    """A purge of an object key, or of a purge group where the key is empty; made at `made_us`."""
+    """A purge of an object key, or of a purge group if the key is empty; made at `made_us`."""
 
     object_key: str = msgspec.field(name="thing")
     group: int
@@ -59,8 +59,8 @@
 
 
 class PersistedList(msgspec.Struct, frozen=True):
-    """The whole state: the address of its change log, when that was last reached, its revision, the hosts,
-    their removal history and the latest purges."""
+    """A whole state: the address of the change log, the time of the last contact with it, its revision, the
+    hosts, their removal history and the latest purges."""
 
     log: str
     last_contact_us: int = msgspec.field(name="heard_us")
@@ -71,8 +71,8 @@
 
 
 class PersistedChange(msgspec.Struct, frozen=True):
-    """One change of the state: hosts added or updated, names of removed ones, purges, and that the change
-    log was reached at `last_contact_us`. A revision of 0 or a history of None leaves the one before."""
+    """One change of the state: hosts added or updated, names of removed hosts, purges, and the time of the
+    last contact with the change log. A revision of 0 or a history of None leaves the previous one."""
 
     last_contact_us: int = msgspec.field(name="heard_us")
     revision: int = msgspec.field(name="rev", default=0)
@@ -83,11 +83,11 @@
 
 
 def _add_history_and_purges(content: dict[str, Any]) -> dict[str, Any]:
-    """Format 1 to 2: nothing was known of removals and purges."""
+    """Migrates format 1 to 2: adds an empty removal history and no purges."""
     return {"history": msgspec.to_builtins(RemovalHistory()), "purges": [], **content}
 
 
-# From a format to the next, for each kind; content goes through all steps from its own format on.
+# Migrations from a format to the next, by kind; content passes through all steps from its own format on.
 MIGRATIONS: dict[tuple[int, int], Callable[[dict[str, Any]], dict[str, Any]]] = {
     (1, FrameKind.LIST): _add_history_and_purges,
     (1, FrameKind.CHANGE): lambda content: content,
@@ -95,14 +95,14 @@
 
 
 def encode_record(record: PersistedList | PersistedChange) -> bytes:
-    """The record as a frame of the current format."""
+    """Encodes a record as a frame of the current format."""
     kind = FrameKind.LIST if isinstance(record, PersistedList) else FrameKind.CHANGE
     return encode_frame(CURRENT_FORMAT, kind, msgspec.msgpack.encode(record))
 
 
 def decode_record(frame: Frame) -> PersistedList | PersistedChange:
-    """A frame's record, migrated from its format; raises FrameError (NEWER_FORMAT where a newer program
-    wrote it)."""
+    """Decodes a frame's record and migrates it to the current format; raises FrameError, with NEWER_FORMAT if
+    a newer program wrote it."""
     if frame.format > CURRENT_FORMAT:
         raise FrameError(FrameFault.NEWER_FORMAT)
     try:
@@ -119,7 +119,7 @@
 
 
 def apply_changes(state: PersistedList, *changes: PersistedChange) -> PersistedList:
-    """The state after the changes, in their order; one walk over the hosts, however many changes."""
+    """Returns the state after the changes, in their order; one pass over the hosts for any number of them."""
     hosts = {host.uid: host for host in state.hosts}
     last_contact_us, revision, history = state.last_contact_us, state.revision, state.history
     purges = list(state.purges)
@@ -137,7 +137,7 @@
 
 
 def merge_changes(first: PersistedChange, second: PersistedChange) -> PersistedChange:
-    """Two changes as one that has the effect of both in turn; what the second supersedes is left out."""
+    """Merges two changes into one with the effect of both in order; drops what the second supersedes."""
     removed_second = set(second.removed)
     hosts = {host.uid: host for host in first.hosts if host.uid not in removed_second}
     hosts |= {host.uid: host for host in second.hosts}
