--- a/hoistplank/store/state_reader.py
+++ b/hoistplank/store/state_reader.py
@@ -1,8 +1,8 @@
-"""Reads the newest usable state from a folder's generations; may set damaged files aside.
+"""Reads the newest usable state from a folder's generations; may rename damaged files.
 
 list-0000000012.snap     one frame: a whole state
 list-0000000012.log      frames: changes to it, in order
-list-0000000009.snap.checksum    set aside: what could not be read, under a name that says why
+list-0000000009.snap.checksum    a damaged file, renamed with the fault as its suffix
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What was read: the state or None, the newest generation there is, how many changes were applied, and
-    a line for each problem."""
+    """The result of a load: the state or None, the newest generation in the folder, the number of changes
+    applied, and a line for each problem."""
 
     state: PersistedList | None = None
     generation: int = 0
     changes: int = 0
     notes: list[str] = field(default_factory=list)
-    newer: bool = False  # files of a newer format are there, untouched
+    has_newer_format: bool = False  # True if the folder has files of a newer format; they stay untouched
 
 
 def file_of(folder: Path, generation: int, suffix: str) -> Path:
-    """The path of a generation's snapshot or log."""
+    """Returns the path of a generation's snapshot or log."""
     return folder / f"list-{generation:010d}.{suffix}"
 
 
 def list_generations(folder: Path) -> dict[int, set[str]]:
-    """The generations in a folder, each with the suffixes of its files; raises FolderError."""
+    """Returns the generations in a folder, each with the suffixes of its files; raises FolderError."""
     generations: dict[int, set[str]] = {}
     try:
         names = os.listdir(folder)
@@ -55,7 +55,7 @@
 
 
 class StateReader:
-    """Reads one folder once. With `repair`, unreadable snapshots are renamed and torn log tails cut off."""
+    """Reads one folder once. With `repair`, unreadable snapshots are renamed and torn log tails truncated."""
 
     def __init__(self, folder: Path, *, repair: bool) -> None:
         self._folder = folder
@@ -63,7 +63,7 @@
         self._result = LoadResult()
 
     def load(self) -> LoadResult:
-        """The newest whole snapshot with all later changes applied; raises FolderError."""
+        """Loads the newest whole snapshot and applies all later changes; raises FolderError."""
         generations = list_generations(self._folder)
         self._result.generation = max(generations, default=0)
         snapshots = (number for number, suffixes in generations.items() if SNAPSHOT in suffixes)
@@ -72,7 +72,7 @@
             state = self._read_snapshot(file_of(self._folder, generation, SNAPSHOT))
             if state is None:
                 continue
-            # Changes of a later generation whose snapshot is damaged follow on those of this one.
+            # The changes of a later generation whose snapshot is damaged are applied after those of this one.
             for number in logs:
                 if number >= generation:
                     state = self._replay_log(file_of(self._folder, number, LOG), state)
@@ -88,7 +88,7 @@
         except FrameError as error:
             self._result.notes.append(f"{file.name}: {error}")
             if error.fault is FrameFault.NEWER_FORMAT:
-                self._result.newer = True  # not ours to judge: a newer program may come back to it
+                self._result.has_newer_format = True  # not damaged: a newer program may use it again
             elif self._repair:
                 with contextlib.suppress(OSError):
                     file.rename(file.with_name(f"{file.name}.{error.fault.replace(' ', '-')}"))
@@ -108,7 +108,7 @@
                 changes.append(_decode_change(frame))
             except FrameError as error:
                 self._result.notes.append(f"{file.name}: {error} at byte {position}")
-                self._result.newer |= error.fault is FrameFault.NEWER_FORMAT
+                self._result.has_newer_format |= error.fault is FrameFault.NEWER_FORMAT
                 return schemas.apply_changes(state, *changes)
             self._result.changes += 1
             position += frames.HEADER_BYTES + len(frame.content)
@@ -118,10 +118,10 @@
 
     def _drop_torn_tail(self, file: Path, sequence: frames.FrameSequence, size: int) -> None:
         valid = sequence.valid_bytes
-        note = f"{file.name}: {sequence.fault} at byte {valid}, {size - valid} bytes left out"
+        note = f"{file.name}: {sequence.fault} at byte {valid}, {size - valid} bytes ignored"
         self._result.notes.append(note)
         if self._repair:
-            # Danger: what is appended next must follow on the last whole frame, or it would never be read.
+            # The next append must follow the last whole frame; behind a torn one it would never be read.
             with contextlib.suppress(OSError):
                 os.truncate(file, valid)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -195,7 +195,7 @@
     newer.write_bytes(data := frames.encode_frame(9, 1, b"who knows"))
     folder = StateFolder(tmp_path)
     loaded = folder.load()
-    assert names(loaded.state) == ["a"] and loaded.newer and "newer format" in loaded.notes[0]
+    assert names(loaded.state) == ["a"] and loaded.has_newer_format and "newer format" in loaded.notes[0]
     folder.snapshot(kept("b"))
     assert newer.read_bytes() == data and (tmp_path / "list-0000000003.snap").exists()
 
@@ -209,9 +209,9 @@
     writer.start(kept("a"))
     writer.add(PersistedChange(2, 2, [host("b")]))
     time.sleep(0.1)
-    assert len(told) == 1 and not two.files()
+    assert len(told) == 1 and not two.generations()
     one.close()  # the first one ends: the second takes over by itself
-    until(lambda: bool(two.files()))
+    until(lambda: bool(two.generations()))
     writer.stop()
     assert names(StateFolder(tmp_path).load().state) == ["a", "b"]
 
@@ -257,7 +257,7 @@
         if broken.is_set():
             raise OSError(number, os.strerror(number))
 
-    monkeypatch.setattr("hoistplank.store.background_writer.RETRY_AFTER_FAILURE_S", 0.01)
+    monkeypatch.setattr("hoistplank.store.background_writer.FAILURE_RETRY_INTERVAL_S", 0.01)
     writer = BackgroundWriter(StateFolder(tmp_path, sync), told.append, 0.0)
     writer.start(None)
     writer.replace(kept("a"))
@@ -285,13 +285,13 @@
         if call == self.call and self.errors:
             raise self.errors.pop()
 
-    def take_lock(self, file: int) -> None:
+    def lock_descriptor(self, file: int) -> None:
         self.fail("lock")
-        super().take_lock(file)
+        super().lock_descriptor(file)
 
-    def files(self) -> dict[int, set[str]]:
-        self.fail("files")
-        return super().files()
+    def generations(self) -> dict[int, set[str]]:
+        self.fail("generations")
+        return super().generations()
 
     def snapshot(self, state: PersistedList) -> None:
         self.fail("snapshot")
@@ -300,7 +300,7 @@
 
 FAILURES: dict[str, Exception] = {
     "lock": OSError(errno.EIO, os.strerror(errno.EIO)),
-    "files": FolderError(Path("state"), "can't be read (Input/output error)"),
+    "generations": FolderError(Path("state"), "can't be read (Input/output error)"),
     "snapshot": FrameError(FrameFault.TOO_LONG),
 }
 
@@ -311,8 +311,8 @@
 ) -> None:
     """What was taken on is still owed once the disk is well again; a thread that ended would write nothing,
     and nobody would notice."""
-    monkeypatch.setattr("hoistplank.store.background_writer.RETRY_AFTER_FAILURE_S", 0.01)
-    monkeypatch.setattr("hoistplank.store.background_writer.RETRY_LOCK_S", 0.01)
+    monkeypatch.setattr("hoistplank.store.background_writer.FAILURE_RETRY_INTERVAL_S", 0.01)
+    monkeypatch.setattr("hoistplank.store.background_writer.LOCK_RETRY_INTERVAL_S", 0.01)
     told = list[str]()
     folder = FailingFolder(tmp_path, call, FAILURES[call])
     writer = BackgroundWriter(folder, told.append, 0.0)
