--- a/hoistplank/store/folder.py
+++ b/hoistplank/store/folder.py
@@ -131,7 +131,7 @@
             os.close(handle)
 
     def _remove_old_generations(self) -> None:
-        """Removes all but the last RETAINED_GENERATIONS, whatever their format; renamed damaged files stay."""
+        """Removes all but the last RETAINED_GENERATIONS of any format; renamed damaged files stay."""
         for generation, suffixes in self.generations().items():
             if generation > self.generation - RETAINED_GENERATIONS:
                 continue
