--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""EDGE_CONFIG: what can't be used names its key, and the program ends before it listens."""
+"""EDGE_CONFIG: an invalid value is reported with its key, and the program exits before it listens."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    "key, value, told",
+    "key, value, message",
     [
         ("listen", "here", "listen: 'here' is no address"),
         ("changelog", None, "changelog"),
@@ -39,12 +39,12 @@
         ),
     ],
 )
-def test_bad_configuration_names_its_key(tmp_path: Path, key: str, value: Any, told: str) -> None:
-    with pytest.raises(DispatcherConfigurationError, match=told):
+def test_invalid_value_is_reported_with_its_key(tmp_path: Path, key: str, value: Any, message: str) -> None:
+    with pytest.raises(DispatcherConfigurationError, match=message):
         configuration(tmp_path, **{key: value})
 
 
-def test_configuration_that_disagrees_or_is_none(tmp_path: Path) -> None:
+def test_environment_mismatch_and_missing_or_malformed_file_are_rejected(tmp_path: Path) -> None:
     configuration(tmp_path)
     file = str(tmp_path / "config.json")
     with pytest.raises(
@@ -58,7 +58,7 @@
         read_configuration({"EDGE_CONFIG": file})
 
 
-def test_bad_configuration_ends_the_program_before_it_listens(tmp_path: Path) -> None:
+def test_invalid_configuration_exits_with_2_before_listening(tmp_path: Path) -> None:
     async def scene() -> None:
         program = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -67,7 +67,9 @@
             env={"EDGE_CONFIG": str(tmp_path / "none")},
             stderr=asyncio.subprocess.PIPE,
         )
-        _, said = await program.communicate()
-        assert program.returncode == 2 and said.startswith(b"hoistplank: EDGE_CONFIG: the file can't be read")
+        _, stderr = await program.communicate()
+        assert program.returncode == 2 and stderr.startswith(
+            b"hoistplank: EDGE_CONFIG: the file can't be read"
+        )
 
     run_scene(scene())
