--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the program: what is open and what still comes in is answered before it stops."""
+"""Graceful shutdown: open requests and those that still arrive are answered before the program stops."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 from tests.scene_runner import run_scene
 
 
-def at_the_drains_end(dispatcher: Running, step: Callable[[], object]) -> None:
-    """`step` is taken in the very turn in which the drain finds nothing open, once its windows are over."""
+def call_when_drained(dispatcher: Running, action: Callable[[], object]) -> None:
+    """Calls `action` in the event loop iteration in which the shutdown first finds no request open after its
+    accept window."""
     shutdown = dispatcher.service.shutdown
-    plain, done = shutdown.is_empty, list[bool]()
+    original, called = shutdown.is_empty, list[bool]()
 
     def is_empty() -> bool:
-        if plain() and not done:
-            done.append(True)
-            step()
+        if original() and not called:
+            called.append(True)
+            action()
             return True
-        return plain()
+        return original()
 
     shutdown.is_empty = is_empty  # type: ignore[method-assign]
 
@@ -39,7 +40,7 @@
 
 
 async def connected_socket(sock: socket.socket) -> socket.socket:
-    """Waits until a socket that another step connects is connected."""
+    """Waits until a socket that `call_when_drained` connects is connected."""
 
     def connected() -> bool:
         try:
@@ -52,37 +53,41 @@
     return sock
 
 
-def test_a_request_that_has_come_in_the_instant_of_the_end_is_answered(tmp_path: Path) -> None:
+def test_request_received_as_the_drain_ends_is_answered(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(served)
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
+        cache_host = ScriptedCacheHost(served)
+        async with SteadyDispatcher(
+            tmp_path, {"a": cache_host, "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             with raw_socket(dispatcher.client) as raw:
-                at_the_drains_end(dispatcher, lambda: raw.send(request_bytes(2)))
+                call_when_drained(dispatcher, lambda: raw.send(request_bytes(2)))
                 dispatcher.service.terminated.set()
                 number, status, _, body = await asyncio.wait_for(dispatcher.client.read_answer(), 5)
             assert (number, status, body) == (2, 200, BODY)
-            assert await dispatcher.client.reader.read() == b""  # its end, and no reset
+            assert await dispatcher.client.reader.read() == b""  # closed in order, without a reset
 
     run_scene(scene())
 
 
-def test_a_request_after_the_write_side_was_shut_is_not_sent_on(tmp_path: Path) -> None:
+def test_request_after_the_write_side_was_shut_is_not_forwarded(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(served)
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
+        cache_host = ScriptedCacheHost(served)
+        async with SteadyDispatcher(
+            tmp_path, {"a": cache_host, "o": ScriptedCacheHost(silent)}
+        ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
             dispatcher.service.terminated.set()
             assert await dispatcher.client.reader.read() == b""
             with raw_socket(dispatcher.client) as raw:
                 raw.send(request_bytes(2))
             await asyncio.wait_for(asyncio.shield(dispatcher.task), 5)
-            assert [id for id, _, _ in box.requests] == [f"{1:016x}"]
+            assert [id for id, _, _ in cache_host.requests] == [f"{1:016x}"]
 
     run_scene(scene())
 
 
-def test_one_that_stands_in_the_backlog_at_the_end_is_answered(tmp_path: Path) -> None:
+def test_request_on_a_connection_in_the_backlog_at_the_drains_end_is_answered(tmp_path: Path) -> None:
     async def scene() -> None:
         async with SteadyDispatcher(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
@@ -90,11 +95,11 @@
             assert (await dispatcher.ask(1, "page"))[0] == 200
             late = socket.socket()
 
-            def step() -> None:
+            def connect_and_send() -> None:
                 late.connect(dispatcher.service.listener.sock.getsockname())
                 late.send(request_bytes(2))
 
-            at_the_drains_end(dispatcher, step)
+            call_when_drained(dispatcher, connect_and_send)
             dispatcher.service.terminated.set()
             reader, writer = await asyncio.open_connection(sock=await connected_socket(late))
             number, status, _, _ = await asyncio.wait_for(FastCgiClient(reader, writer).read_answer(), 5)
@@ -104,7 +109,7 @@
     run_scene(scene())
 
 
-def test_half_a_record_holds_up_no_end_and_a_second_sigterm_changes_nothing(tmp_path: Path) -> None:
+def test_partial_record_and_second_sigterm_do_not_delay_shutdown(tmp_path: Path) -> None:
     async def scene() -> None:
         async with SteadyDispatcher(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
@@ -116,14 +121,14 @@
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
             dispatcher.service.terminated.set()
             dispatcher.service.reload_requested.set()
-            assert (await dispatcher.ask(2, "page"))[0] == 200  # still taken while it drains
+            assert (await dispatcher.ask(2, "page"))[0] == 200  # still accepted during the drain
             assert await asyncio.wait_for(asyncio.shield(dispatcher.task), 4) == 0
             assert await dispatcher.client.reader.read() == b""
 
     run_scene(scene())
 
 
-def test_an_answer_larger_than_the_buffers_is_read_whole_while_the_program_ends(tmp_path: Path) -> None:
+def test_answers_larger_than_the_buffers_are_delivered_whole_during_shutdown(tmp_path: Path) -> None:
     async def scene() -> None:
         async with SteadyDispatcher(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
@@ -136,24 +141,24 @@
             await until(lambda: dispatcher.service.router_task.counts.succeeded == 8)
             dispatcher.service.terminated.set()
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
-            client, got = FastCgiClient(reader, writer), set[int]()
-            while len(got) < 8:
+            client, answered = FastCgiClient(reader, writer), set[int]()
+            while len(answered) < 8:
                 number, status, _, body = await asyncio.wait_for(client.read_answer(), 5)
                 assert (status, body) == (200, BODY)
-                got.add(number)
+                answered.add(number)
             assert await reader.read() == b""
 
     run_scene(scene())
 
 
-def test_drain_answers_what_comes_and_what_is_open_then_ends(tmp_path: Path) -> None:
+def test_drain_answers_new_and_open_requests_then_exits(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(
+        cache_host = ScriptedCacheHost(
             lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
         )
-        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
+        async with Running(tmp_path, {"a": cache_host, "o": ScriptedCacheHost(silent)}) as dispatcher:
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "400"})
-            await until(lambda: bool(box.requests))
+            await until(lambda: bool(cache_host.requests))
             os.kill(os.getpid(), signal.SIGTERM)
             await until(lambda: dispatcher.service.phase is Phase.DRAINING)
             late = await dispatcher.connect()
@@ -167,7 +172,9 @@
     run_scene(scene())
 
 
-def test_broken_module_fails_what_is_open_and_ends(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_error_in_the_router_fails_open_requests_and_exits_with_1(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scene() -> None:
         async with Running(
             tmp_path, {"a": ScriptedCacheHost(silent), "o": ScriptedCacheHost(silent)}
@@ -177,12 +184,12 @@
             router = dispatcher.service.router_task.router
             handle = router.handle
 
-            def broken(now: int, event: Event) -> None:
+            def failing_handle(now: int, event: Event) -> None:
                 if isinstance(event, ClientDisconnected):
-                    raise TypeError("a fault of the module")
+                    raise TypeError("error in the router")
                 handle(now, event)
 
-            monkeypatch.setattr(router, "handle", broken)
+            monkeypatch.setattr(router, "handle", failing_handle)
             other = await dispatcher.connect()
             other.send(2, "page")
             await until(lambda: len(dispatcher.service.router_task.requests.by_id) == 2)
