--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""How much of a core a start takes: a real process from exec to 200 on the health path."""
+"""The processor time of a start: a real process from exec to 200 on the health path."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from tests.helpers import configuration
 from tests.scene_runner import run_scene
 
-# Nine in ten are to be ready within 10 s, and a tenth of a core is the least part of one that we reckon with.
-MOST_CPU_S = 1.0
+# Nine in ten dispatchers must be ready within 10 s, and the smallest share of a core to expect is a tenth.
+MAX_CPU_S = 1.0
 
 
-def used_s(process: int) -> float:
-    """The processor time that a process has used."""
+def cpu_time_s(process: int) -> float:
+    """Returns the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / float(os.sysconf("SC_CLK_TCK"))
 
 
 @pytest.mark.parametrize("discovery", ["up", "down", "silent"])
-def test_a_start_takes_less_of_a_core_than_a_tenth_gives_in_time(tmp_path: Path, discovery: str) -> None:
+def test_start_uses_less_than_the_maximum_processor_time(tmp_path: Path, discovery: str) -> None:
     async def scene() -> None:
-        with socket.socket() as free, socket.socket() as nobody:
+        with socket.socket() as free, socket.socket() as not_listening:
             free.bind(("127.0.0.1", 0))
-            nobody.bind(("127.0.0.1", 0))  # taken, and nothing listens there
+            not_listening.bind(("127.0.0.1", 0))  # bound, but not listening
             listen = f"127.0.0.1:{free.getsockname()[1]}"
-            port = nobody.getsockname()[1]
+            port = not_listening.getsockname()[1]
             if discovery == "up":
                 port = await serve(FakeChangeLog().serve_connection)
             elif discovery == "silent":
-                nobody.listen(1)
+                not_listening.listen(1)
             free.close()
             hosts = [endpoint_entry(f"h{n}", "box", 9) for n in range(200)]
             known = {"seq": 1, "results": [fleet_event(1, hosts, whole=True)]}
@@ -56,7 +56,7 @@
                 client = FastCgiClient(*await asyncio.open_connection(*listen.split(":")))
                 client.send(1, "", script="/-/healthy")
                 assert (await client.read_answer())[1] == 200
-                assert used_s(program.pid) < MOST_CPU_S
+                assert cpu_time_s(program.pid) < MAX_CPU_S
             finally:
                 program.kill()
                 await program.wait()
