--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,5 @@
-"""Membership: how far an old list is trusted, which hosts the Router learns of, and a dispatcher that starts
-without discovery."""
+"""Membership: the estimated survival of an old list, the hosts that the Router gets, and a dispatcher that
+starts without discovery."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 from tests.helpers import Running, until
 from tests.scene_runner import run_scene
 
-S = 1_000_000
-KEPT_REVISION = 9  # of the list kept at the start: no list that the log tells has it
-QUIET, ROLLING = RemovalHistory(2.0, 2e8, 1), RemovalHistory(300.0, 3e6, 1)
+SECOND_US = 1_000_000
+PERSISTED_REVISION = 9  # of the list persisted before the start; no list of the change log has it
+STABLE_FLEET, ROLLING_DEPLOY = RemovalHistory(2.0, 2e8, 1), RemovalHistory(300.0, 3e6, 1)
 
 
 def host(uid: str, port: int = 1, kind: str = "box", state: str = "ready") -> PersistedHost:
@@ -37,10 +37,10 @@
 
 
 @given(st.floats(0, 1e4), st.floats(0, 1e9), st.floats(0, 1e7), st.floats(0, 1e7))
-def test_older_lists_are_worth_less_and_get_fewer_tries(
-    went: float, spent: float, one: float, two: float
+def test_survival_and_probe_attempts_do_not_grow_with_the_lists_age(
+    removed: float, host_seconds: float, one: float, two: float
 ) -> None:
-    history, young, old = RemovalHistory(went, spent, 1), min(one, two), max(one, two)
+    history, young, old = RemovalHistory(removed, host_seconds, 1), min(one, two), max(one, two)
     assert (
         0
         <= list_staleness.survival_probability(history, old)
@@ -56,84 +56,86 @@
     )
 
 
-def test_the_worth_of_a_list_is_learned_from_its_own_history() -> None:
+def test_survival_is_estimated_from_the_removal_history() -> None:
     week = 7 * 86_400.0
     assert (
-        list_staleness.survival_probability(QUIET, week) > 0.9
-        and list_staleness.survival_probability(ROLLING, 3_600) < 0.75
-        and list_staleness.survival_probability(ROLLING, week) < 1e-9
+        list_staleness.survival_probability(STABLE_FLEET, week) > 0.9
+        and list_staleness.survival_probability(ROLLING_DEPLOY, 3_600) < 0.75
+        and list_staleness.survival_probability(ROLLING_DEPLOY, week) < 1e-9
     )
     history = RemovalHistory()
     for hour in range(200):
-        history = list_staleness.update_history(history, (hour + 1) * 3_600 * S, 100, 1)
+        history = list_staleness.update_history(history, (hour + 1) * 3_600 * SECOND_US, 100, 1)
     assert 0.5 < list_staleness.removal_rate(history) * 100 * 3_600 < 1.5  # one of a hundred an hour
 
 
-class Against(RuleBasedStateMachine):
-    """A registry beside a plain table of its hosts."""
+class RegistryModel(RuleBasedStateMachine):
+    """Compares a registry with a simple model of its hosts' states."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.registry, self.now, self.model = HostRegistry(Random(1)), S, dict[str, HostState]()
+        self.registry, self.now, self.model = HostRegistry(Random(1)), SECOND_US, dict[str, HostState]()
         self.registry.load_persisted(self.now, [host(uid) for uid in "abcdef"], 0, RemovalHistory())
         self.model = dict.fromkeys("abcdef", HostState.PERSISTED)
-        self.out: set[str] = set()
-        self.live = False
+        self.probes_in_flight: set[str] = set()
+        self.is_synced = False
 
     @rule(seconds=st.floats(0.01, 5))
-    def later(self, seconds: float) -> None:
-        self.now += int(seconds * S)
+    def advance_time(self, seconds: float) -> None:
+        self.now += int(seconds * SECOND_US)
 
     @rule()
-    def feel(self) -> None:
+    def start_probes(self) -> None:
         for row in self.registry.next_probes(self.now):
             assert (
-                not self.live and row.uid not in self.out and self.model[row.uid] is not HostState.WITHDRAWN
+                not self.is_synced
+                and row.uid not in self.probes_in_flight
+                and self.model[row.uid] is not HostState.WITHDRAWN
             )
-            self.out.add(row.uid)
+            self.probes_in_flight.add(row.uid)
 
-    def _moved(self, uid: str, evidence: Evidence) -> None:
+    def _apply_evidence(self, uid: str, evidence: Evidence) -> None:
         if uid not in self.model:
             return
         state = TRANSITIONS.get((self.model[uid], evidence))
         if state is not None:
             self.model[uid] = state
-        if self.live and self.model[uid] is HostState.WITHDRAWN:
+        if self.is_synced and self.model[uid] is HostState.WITHDRAWN:
             del self.model[uid]
 
-    @rule(what=st.sampled_from(PROBE_RESULTS), data=st.data())
-    def answer(self, what: Evidence, data: st.DataObject) -> None:
-        if self.out:
-            uid = data.draw(st.sampled_from(sorted(self.out)))
-            self.out.discard(uid)
+    @rule(evidence=st.sampled_from(PROBE_RESULTS), data=st.data())
+    def complete_probe(self, evidence: Evidence, data: st.DataObject) -> None:
+        if self.probes_in_flight:
+            uid = data.draw(st.sampled_from(sorted(self.probes_in_flight)))
+            self.probes_in_flight.discard(uid)
             entry = self.registry.hosts.get(uid)
-            spent = (
+            is_exhausted = (
                 entry is not None
-                and what is Evidence.NO_RESPONSE
+                and evidence is Evidence.NO_RESPONSE
                 and entry.unanswered_probes + 1 >= self.registry.max_probe_attempts
                 and not entry.served_requests
             )
-            self.registry.probe_completed(self.now, uid, what)
-            self._moved(uid, what)
-            if spent:
-                self._moved(uid, Evidence.PROBES_EXHAUSTED)
+            self.registry.probe_completed(self.now, uid, evidence)
+            self._apply_evidence(uid, evidence)
+            if is_exhausted:
+                self._apply_evidence(uid, Evidence.PROBES_EXHAUSTED)
 
     @rule(uid=st.sampled_from("abcdef"), times=st.integers(1, 10))
-    def serve(self, uid: str, times: int) -> None:
+    def serve_requests(self, uid: str, times: int) -> None:
         for _ in range(times):
             self.registry.record(self.now, uid, Evidence.REQUEST_SERVED)
         entry = self.registry.hosts.get(uid)
         if entry is not None and entry.served_requests >= 3:
-            self._moved(uid, Evidence.REQUEST_SERVED)
+            self._apply_evidence(uid, Evidence.REQUEST_SERVED)
 
     @rule(uids=st.lists(st.sampled_from("abcdefgh"), unique=True), whole=st.booleans(), gone=st.booleans())
-    def log(self, uids: list[str], whole: bool, gone: bool) -> None:
-        whole |= not self.live  # its first word is a whole list
+    def update_list(self, uids: list[str], whole: bool, gone: bool) -> None:
+        whole |= not self.is_synced  # the first list is a whole one
         states = ["gone" if gone and n % 2 else "ready" for n in range(len(uids))]
         self.registry.update_listed(
             self.now, [host(u, state=s) for u, s in zip(uids, states, strict=True)], whole=whole
         )
-        self.live = True
+        self.is_synced = True
         for uid, state in zip(uids, states, strict=True):
             if state == "gone":
                 self.model.pop(uid, None)
@@ -143,44 +145,46 @@
             self.model = {uid: state for uid, state in self.model.items() if uid in uids}
 
     @invariant()
-    def same(self) -> None:
+    def states_match_the_model(self) -> None:
         assert {uid: entry.state for uid, entry in self.registry.hosts.items()} == self.model
 
     @invariant()
-    def told_only_what_has_answered(self) -> None:
-        told = self.registry.usable_hosts()
-        assert {row.host.uid for row in told} == {
+    def only_hosts_that_answered_are_usable(self) -> None:
+        usable = self.registry.usable_hosts()
+        assert {row.host.uid for row in usable} == {
             uid for uid, state in self.model.items() if state in USABLE_STATES
         }
-        assert all(row.started_us > 0 for row in told)  # each is cold from its proof on
+        assert all(row.started_us > 0 for row in usable)  # each is cold from its first answer on
 
 
-TestHostRegistry = Against.TestCase
+TestHostRegistry = RegistryModel.TestCase
 TestHostRegistry.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
 
 
-def test_dispatchers_that_start_together_feel_out_different_hosts_first() -> None:
+def test_dispatchers_that_start_together_probe_different_hosts_first() -> None:
     first = set()
     for seed in range(8):
         registry = HostRegistry(Random(seed), 8)
-        registry.load_persisted(S, [host(f"h{n:03d}") for n in range(200)], 0, RemovalHistory())
-        first.add(registry.next_probes(S)[0].uid)
+        registry.load_persisted(SECOND_US, [host(f"h{n:03d}") for n in range(200)], 0, RemovalHistory())
+        first.add(registry.next_probes(SECOND_US)[0].uid)
     assert len(first) >= 6
 
 
-def test_a_host_whose_requests_fail_is_rested_and_felt_out_again() -> None:
+def test_host_with_failing_requests_is_not_usable_and_is_probed_again() -> None:
     registry = HostRegistry(Random(1))
-    registry.load_persisted(S, [host("a")], 0, QUIET)
-    registry.probe_completed(S, registry.next_probes(S)[0].uid, Evidence.HEALTHY)
+    registry.load_persisted(SECOND_US, [host("a")], 0, STABLE_FLEET)
+    registry.probe_completed(SECOND_US, registry.next_probes(SECOND_US)[0].uid, Evidence.HEALTHY)
     assert len(registry.usable_hosts()) == 1
     for _ in range(6):
-        registry.record(2 * S, "a", Evidence.REQUEST_FAILED)
+        registry.record(2 * SECOND_US, "a", Evidence.REQUEST_FAILED)
     assert (
         registry.usable_changed
         and registry.usable_hosts() == []
         and registry.count_by_state() == {"doubtful": 1}
     )
-    assert [row.uid for row in registry.next_probes(3 * S)] == ["a"] and registry.next_probes(3 * S) == []
+    assert [row.uid for row in registry.next_probes(3 * SECOND_US)] == ["a"] and registry.next_probes(
+        3 * SECOND_US
+    ) == []
 
 
 def served(id: str, fields: dict[str, str], body: bytes) -> bytes:
@@ -188,19 +192,19 @@
 
 
 def membership(running: Running) -> MembershipService:
-    watch = running.service.endpoint_watcher.observer
-    assert isinstance(watch, MembershipService)
-    return watch
+    observer = running.service.endpoint_watcher.observer
+    assert isinstance(observer, MembershipService)
+    return observer
 
 
-class DispatcherWithoutLog:
-    """A dispatcher whose log is down, beside a kept list of hosts that answer in several ways."""
+class DispatcherWithPersistedList:
+    """A dispatcher with a persisted list, whose change log is down or answers as the test says."""
 
     def __init__(
         self, folder: Path, age_s: float = 60, changelog: str = "127.0.0.1:9", **hosts: ScriptedCacheHost
     ) -> None:
         self.folder, self.age_s, self.hosts, self.changelog = folder, age_s, hosts, changelog
-        self.others: list[PersistedHost] = []
+        self.other_hosts: list[PersistedHost] = []
         (folder / "op.sexp").write_text('(membership (state "state") (patience 50ms) (probe-time 200ms))')
 
     async def __aenter__(self) -> Running:
@@ -212,7 +216,11 @@
         store.lock()
         store.snapshot(
             PersistedList(
-                "127.0.0.1:9", int((time.time() - self.age_s) * S), KEPT_REVISION, rows + self.others, QUIET
+                "127.0.0.1:9",
+                int((time.time() - self.age_s) * SECOND_US),
+                PERSISTED_REVISION,
+                rows + self.other_hosts,
+                STABLE_FLEET,
             )
         )
         store.close()
@@ -221,11 +229,11 @@
         self.running.operator = True
         return await self.running.__aenter__()
 
-    async def __aexit__(self, *words: object) -> None:
-        await self.running.__aexit__(*words)
+    async def __aexit__(self, *error: object) -> None:
+        await self.running.__aexit__(*error)
 
 
-def test_it_serves_from_the_kept_list_and_moves_to_the_log_s(tmp_path: Path) -> None:
+def test_dispatcher_serves_from_the_persisted_list_then_switches_to_the_change_logs(tmp_path: Path) -> None:
     async def scene() -> None:
         a, o, red, new = (
             ScriptedCacheHost(served),
@@ -234,23 +242,23 @@
             ScriptedCacheHost(served),
         )
         red.health = "red"
-        quiet = await serve(lambda reader, writer: asyncio.sleep(60))
-        place = DispatcherWithoutLog(tmp_path, a=a, o=o, red=red)
+        unanswering = await serve(lambda reader, writer: asyncio.sleep(60))
+        setup = DispatcherWithPersistedList(tmp_path, a=a, o=o, red=red)
 
-        async def nonsense(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def other_service(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"220 mail\r\n")
             await asyncio.sleep(60)
 
-        place.others = [
+        setup.other_hosts = [
             host("gone", 1),
-            host("quiet", quiet),
-            host("other", await serve(nonsense)),
+            host("quiet", unanswering),
+            host("other", await serve(other_service)),
             host("drained", 1, state="draining"),
         ]
-        began = time.monotonic()
-        async with place as running:
+        started_at = time.monotonic()
+        async with setup as running:
             await until(lambda: running.service.phase is Phase.PROVISIONAL)
-            assert time.monotonic() - began < 1.5
+            assert time.monotonic() - started_at < 1.5
             assert (await running.ask(1, "", script="/-/healthy"))[0] == 200
             status, _, body = await running.ask(3, "page")
             assert (status, body) == (200, b"well") and a.requests
@@ -261,16 +269,16 @@
             }
             assert all(
                 host.warming_since_us > 0 for host in router.parts.hosts.by_name.values()
-            )  # cold until shown otherwise
+            )  # cold until they have warmed up
             registry = membership(running).registry
             assert (
                 registry.hosts["other"].state is HostState.WITHDRAWN
                 and registry.hosts["red"].state is HostState.SUSPECT
             )
             assert "drained" not in registry.hosts
-            # The log comes back with a list that shares one host: it replaces all else in one step.
+            # The change log returns with a list that shares one host; it replaces all others in one step.
             connections = a.connections
-            kept_start = running.service.router_task.endpoints.by_host["a"].endpoint.started_us
+            start_time_before = running.service.router_task.endpoints.by_host["a"].endpoint.started_us
             targets = [
                 endpoint_entry("a", "box", int(registry.hosts["a"].host.endpoint.split(":")[1])),
                 endpoint_entry("n", "origin", await serve(new.serve_connection)),
@@ -284,8 +292,8 @@
                 set(running.service.router_task.endpoints.by_host) == {"a", "n"}
                 and not router.placement.purges_unknown
             )
-            # What it got to know goes on: neither its connections nor its cold time begin anew.
-            assert running.service.router_task.endpoints.by_host["a"].endpoint.started_us == kept_start
+            # The shared host keeps its connections and its start time, so its warm-up is not restarted.
+            assert running.service.router_task.endpoints.by_host["a"].endpoint.started_us == start_time_before
             assert (await running.ask(4, "page"))[0] == 200 and a.connections == connections
             state = None
             while state is None or state.revision != 1:
@@ -296,33 +304,33 @@
     run_scene(scene())
 
 
-def test_a_kept_list_is_not_served_by_while_the_log_owes_its_answer(tmp_path: Path) -> None:
-    """A log that was asked and answers late may have a drain to tell: kept hosts are probed, and get no
-    request."""
+def test_persisted_hosts_get_no_requests_while_the_change_logs_answer_is_pending(tmp_path: Path) -> None:
+    """A change log that answers late may list a persisted host as draining. Guards against a request to that
+    host before the answer: persisted hosts are probed, but get no request."""
 
     async def scene() -> None:
         a, b, o = (ScriptedCacheHost(served) for _ in range(3))
-        answers = asyncio.Event()
+        may_answer = asyncio.Event()
 
-        async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def late_change_log(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
-            await answers.wait()
+            await may_answer.wait()
             rows = [
                 endpoint_entry(
                     uid, "origin" if uid == "o" else "box", port, "draining" if uid == "a" else "ready"
                 )
-                for uid, port in place.ports.items()
+                for uid, port in setup.ports.items()
             ]
             writer.write(json.dumps(fleet_event(1, rows, whole=True)).encode() + b"\n1\n")
             await reader.read()
 
-        log = f"127.0.0.1:{await serve(late)}"
-        place = DispatcherWithoutLog(tmp_path, changelog=log, a=a, b=b, o=o)
-        async with place as running:
-            await until(lambda: running.service.router_task.endpoints.is_up("a"))  # probed, and well
+        log = f"127.0.0.1:{await serve(late_change_log)}"
+        setup = DispatcherWithPersistedList(tmp_path, changelog=log, a=a, b=b, o=o)
+        async with setup as running:
+            await until(lambda: running.service.router_task.endpoints.is_up("a"))  # its probe was answered
             assert (await running.ask(1, "page"))[0] == 503
             assert running.service.phase is Phase.STARTING and not (a.requests or b.requests)
-            answers.set()
+            may_answer.set()
             await until(lambda: running.service.phase is Phase.SERVING)
             assert (await running.ask(2, "page"))[0] == 200
             assert not a.requests
@@ -330,25 +338,25 @@
     run_scene(scene())
 
 
-def test_a_host_that_vanishes_is_no_longer_told(tmp_path: Path) -> None:
+def test_draining_host_gets_no_requests_until_it_is_healthy_again(tmp_path: Path) -> None:
     async def scene() -> None:
         a, b, o = ScriptedCacheHost(served), ScriptedCacheHost(served), ScriptedCacheHost(served)
-        async with DispatcherWithoutLog(tmp_path, a=a, b=b, o=o) as running:
+        async with DispatcherWithPersistedList(tmp_path, a=a, b=b, o=o) as running:
             await until(lambda: len(running.service.router_task.endpoints.by_host) == 3)
-            a.health = "red"  # it drains, and no log tells
+            a.health = "red"  # it drains, and no change log reports it
             await until(lambda: set(running.service.router_task.endpoints.by_host) == {"b", "o"})
-            taken = len(a.requests)
-            running.client = await running.connect()  # the first one was silent for too long
+            requests_before = len(a.requests)
+            running.client = await running.connect()  # the first connection was idle for too long
             for number in range(1, 9):
                 await running.ask(number, "page", fields={"HTTP_X_SUBJECT": f"{number:016x}"})
-            assert len(a.requests) == taken
+            assert len(a.requests) == requests_before
             a.health = "green"
             await until(lambda: set(running.service.router_task.endpoints.by_host) == {"a", "b", "o"})
 
     run_scene(scene())
 
 
-def test_without_a_state_seeds_begin_and_the_list_is_kept(tmp_path: Path) -> None:
+def test_dispatcher_serves_from_seeds_without_a_persisted_list(tmp_path: Path) -> None:
     async def scene() -> None:
         a, o = ScriptedCacheHost(served), ScriptedCacheHost(served)
         ports = [await serve(a.serve_connection), await serve(o.serve_connection)]
@@ -366,7 +374,7 @@
     run_scene(scene())
 
 
-def test_what_can_t_be_kept_costs_no_request(tmp_path: Path) -> None:
+def test_unusable_state_folder_fails_no_request(tmp_path: Path) -> None:
     async def scene() -> None:
         (tmp_path / "state").write_text("no folder")
         (tmp_path / "op.sexp").write_text('(membership (state "state"))')
