--- a/hoistplank/program/extensions.py
+++ b/hoistplank/program/extensions.py
@@ -116,8 +116,8 @@
         """Returns a distributed section with LOCAL_FORM added from this dispatcher's own file; raises
         ConfigurationError if it already has one."""
         if section[LOCAL_FORM] is not None:
-            found = f"'({LOCAL_FORM} …)' in a configuration that is handed on"
-            expected = "it in each dispatcher's own file alone"
+            found = f"'({LOCAL_FORM} …)' in a distributed configuration"
+            expected = "it only in each dispatcher's own file"
             raise ConfigurationError([Diagnostic(section.location_of(LOCAL_FORM), found, expected)])
         section.values[LOCAL_FORM] = self._section[LOCAL_FORM]
         return section
--- a/hoistplank/program/sections.py
+++ b/hoistplank/program/sections.py
@@ -42,7 +42,7 @@
         data = Path(path).read_bytes()
     except OSError as error:
         found = f"a file that can't be read ({error.strerror})"
-        diagnostic = Diagnostic(SourceLocation(path, 1, 1), found, "the operator's file")
+        diagnostic = Diagnostic(SourceLocation(path, 1, 1), found, "a readable operator file")
         raise ConfigurationError([diagnostic]) from error
     return parse_file(data, path)
 
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -135,7 +135,7 @@
     ),
     "a local form": (
         LEVELS.format(0.1) + "\n(distribution (replica c9 (endpoint 127.0.0.1:9)))",
-        "2:1: '(distribution …)' in a configuration that is handed on",
+        "2:1: '(distribution …)' in a distributed configuration",
     ),
 }
 
