--- a/hoistplank/membership/service.py
+++ b/hoistplank/membership/service.py
@@ -137,7 +137,7 @@
         if is_first_list and self._dispatcher is not None:
             self._dispatcher.router_task.attempt_observer = None
             hosts_listed, hosts_carried = len(self._recorder.current), len(self.registry.carried_start_times)
-            log.info("first endpoint list received from change log", hosts=hosts_listed, kept=hosts_carried)
+            log.info("first endpoint list received", hosts=hosts_listed, kept=hosts_carried)
         return msgspec.structs.replace(event, fleet=self._with_start_times(event.fleet))
 
     def _with_start_times(self, fleet: Fleet) -> Fleet:
