--- a/hoistplank/routing/__init__.py
+++ b/hoistplank/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Between the sockets and the Router: one task owns it, and all else reaches it through that task's queue."""
+"""Connects the sockets to the Router. A single task owns it; everything else submits events to its queue."""
--- a/hoistplank/routing/attempt_ending.py
+++ b/hoistplank/routing/attempt_ending.py
@@ -1,4 +1,4 @@
-"""The ways for an attempt to end, and what each means to the decision logic."""
+"""Endings of an attempt, and the outcome that each is reported as to the decision logic."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class AttemptEnding(StrEnum):
-    """How an attempt ended: without an answer, or by one of the cache host's.
+    """The ending of an attempt: a failure without an answer, or the status of the cache host's answer.
 
-    A new connection that is reset before anything was written says little of its host: it counts like an
-    attempt that was cancelled before its first byte.
+    A new connection that is reset before anything was written is hardly evidence against its host: it counts
+    like an attempt that was cancelled before its first byte.
     """
 
-    CONNECTION_REFUSED = "refused"  # the cache host's machine turned the connection down
-    CONNECT_TIMED_OUT = "not up"  # no connection within the settings' time-out
-    NOT_WRITTEN = "unwritten"  # the connection ended before the request was written whole
+    CONNECTION_REFUSED = "refused"  # the cache host's machine refused the connection
+    CONNECT_TIMED_OUT = "not up"  # no connection within the connect timeout of the settings
+    NOT_WRITTEN = "unwritten"  # the connection ended before the request was fully written
     NOT_STARTED = "withheld"  # cancelled before its first byte
     CONNECTION_LOST = "broken"  # the connection ended after the request was written
-    ANSWER_SPOILED = "spoilt"  # likewise, but the host was there: it says nothing of it
+    ANSWER_SPOILED = "spoilt"  # likewise, but the host was reachable: no evidence against it
     TIMED_OUT = "late"
     CANCELLED = "withdrawn"
     SERVED = "served"
@@ -32,8 +32,8 @@
     NOT_ATTEMPTED = "nobody"
 
 
-# What each ending counts as. A connection that never was, NOT_WRITTEN and NOT_STARTED prove that the attempt
-# never ran; a break or silence once it was written whole proves nothing.
+# The outcome of each ending. A connection that was never established, NOT_WRITTEN and NOT_STARTED prove that
+# the attempt never ran; a lost connection or a timeout after the request was fully written proves nothing.
 OUTCOMES = {
     AttemptEnding.CONNECTION_REFUSED: Outcome.CONNECT_FAILED,
     AttemptEnding.CONNECT_TIMED_OUT: Outcome.CONNECT_FAILED,
@@ -60,7 +60,7 @@
     RequestFailure.ANSWER_SPOILED: AttemptEnding.ANSWER_SPOILED,
 }
 
-# The other two statuses answer health checks, and fit no attempt (`cachewire.check_answer`).
+# The other two statuses answer health checks and are rejected for attempts (`cachewire.check_answer`).
 ENDING_OF_STATUS = {
     AnswerStatus.SERVED: AttemptEnding.SERVED,
     AnswerStatus.NOT_MODIFIED: AttemptEnding.NOT_MODIFIED,
--- a/hoistplank/routing/attempt_message.py
+++ b/hoistplank/routing/attempt_message.py
@@ -1,4 +1,4 @@
-"""An attempt as the cache wire writes it."""
+"""Encodes an attempt as a message to a cache host."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 
 def attempt_message(request: Request, action: SendAttempt, waited_us: int) -> bytes:
-    """The bytes of an attempt that begins `waited_us` after it was decided.
+    """Returns the message of an attempt whose sending begins `waited_us` after the decision to make it.
 
-    A cache host that is its own source is to fill nothing: no source is named.
+    An attempt whose fill source is the cache host itself names no source: the host fills nothing.
     """
     fields = {
         "queue": request.class_name,
         "path": request.object_key,
         "blk": str(request.part),
-        # Danger: a host that is given more than the client has left works for nobody.
+        # A larger budget than the client's remaining time would have the host work on an answer nobody
+        # awaits.
         "budget": str(max(1, (action.timeout_us - waited_us) // 1000)),
     }
     if request.idempotency_key:
@@ -34,7 +35,8 @@
     if action.retention:
         fields["shelf"] = str(action.retention)
     if action.max_age_us > 0:
-        # Rounded down: never an older copy than was decided, and never 0, which would mean the usual age.
+        # Rounded down, so that no copy older than decided is accepted; at least 1, as 0 means the default
+        # age.
         fields["accept"] = str(max(1, action.max_age_us // 1000))
     if action.join_fill:
         fields["hints"] = "wait-for"
--- a/hoistplank/routing/cache_host_reader.py
+++ b/hoistplank/routing/cache_host_reader.py
@@ -1,4 +1,4 @@
-"""The reader of a connection to a cache host: answers to the attempts that wait for them."""
+"""Reads answers from a connection to a cache host and passes each to the attempt that awaits it."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def make_answer_reader(pooled: PooledConnection) -> Consume:
-    """What takes the bytes of one connection; it raises ProtocolError where they can't be read, or where an
-    answer does not fit what was asked."""
+    """Returns the consumer of one connection's bytes. It raises ProtocolError if they can't be parsed, or if
+    an answer does not match its request."""
     reader = cachewire.AnswerReader()
 
     def consume(buffer: bytearray, start: int, end: int) -> int:
@@ -19,8 +19,8 @@
             if not answers:
                 return start
             for answer in answers:
-                # A second copy, an answer that crossed with its DROP, or one that nobody asked for says
-                # nothing of the others: it is dropped, and the connection goes on.
+                # A duplicate answer, one that crossed with its DROP, or one to an unknown id does not affect
+                # the other attempts: it is ignored, and the connection stays in use.
                 attempt = pooled.in_flight.get(answer.request_id)
                 if isinstance(attempt, Attempt):
                     request = attempt.request
