--- a/hoistplank/routing/class_admission.py
+++ b/hoistplank/routing/class_admission.py
@@ -1,4 +1,4 @@
-"""Whether the core has capacity for one more request of a traffic class."""
+"""Admission of requests by traffic class, according to the capacity of the core."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 MAX_LAG_TARGET_US = 25_000
 MIN_LAG_TARGET_US = 2_000
-LAG_TARGET_DIVISOR = 10  # of the shortest latency objective
+LAG_TARGET_DIVISOR = 10  # the target is this fraction of the shortest latency objective
 MIN_OPEN_REQUESTS = 8
 
 
 class ClassAdmission:
-    """The bound on open requests that follows what the core carries, shared by traffic class.
+    """Adaptive limit on open requests, which follows the capacity of the core, with a share for each class.
 
-    `max_open` is the settings' own cap, its ceiling. `shares`: of the bound, by class name; the class with
-    the largest priority weight gets all of it.
+    `max_open` is the configured cap, which the limit never exceeds. `shares` maps a class name to the class's
+    share of the limit; the class with the largest priority weight may use all of it.
     """
 
     def __init__(self, settings: RouterSettings, max_open: int, now: int) -> None:
@@ -32,22 +32,28 @@
         }
 
     def max_open_requests(self, class_name: str) -> int:
-        """How many requests may be open in all for one more of a class to be admitted, where an authorizer
-        shares them out: the settings' cap, or the class's share of the bound while that is below it."""
+        """Returns how many requests may be open in total for another one of a class to be admitted, where an
+        authorizer divides the capacity: the configured cap, or the class's share of the adaptive limit while
+        that limit is binding."""
         if not self.controller.is_binding():
             return self.max_open
         return int(self.controller.limit * self.shares.get(class_name, 1.0))
 
     def admits(self, class_name: str, open_count: int, *, is_authorized: bool) -> bool:
-        """Whether one more request may be opened beside `open_count`; `is_authorized`: an authorizer has
-        admitted it, by `max_open_requests`. A class that is not known counts as the one with the largest
-        weight."""
-        has_whole_bound = is_authorized and not self.controller.is_binding()
-        share = 1.0 if has_whole_bound else self.shares.get(class_name, 1.0)
+        """Returns whether another request may be opened in addition to `open_count` open ones.
+
+        `is_authorized` says that an authorizer has admitted it, within `max_open_requests`. An unknown class
+        is treated like the class with the largest priority weight.
+        """
+        may_use_whole_limit = is_authorized and not self.controller.is_binding()
+        share = 1.0 if may_use_whole_limit else self.shares.get(class_name, 1.0)
         return self.controller.admits(open_count, share)
 
 
 def _lag_target_us(settings: RouterSettings) -> int:
-    """The loop's lag that the admission aims below: 25 ms, or a tenth of the shortest latency objective."""
+    """Returns the target for the event loop's lag, in microseconds.
+
+    It is a tenth of the shortest latency objective, but between 2 ms and 25 ms.
+    """
     shortest_us = min(row.latency_objective_us for row in settings.traffic_classes)
     return max(MIN_LAG_TARGET_US, min(MAX_LAG_TARGET_US, shortest_us // LAG_TARGET_DIVISOR))
--- a/hoistplank/routing/event_queue.py
+++ b/hoistplank/routing/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that wait for the router task's next turn."""
+"""Queue of the events for the router task's next turn."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from hoistplank.routing.events import Event, RequestArrived
 
-FIRST_IN_ORDER = -1e18  # before any request, by `_urgency`
+BEFORE_ALL_REQUESTS = -1e18  # sort key below that of any request
 
 
 class EventQueue:
-    """In the order in which they came; by urgency while the loop is late."""
+    """A queue in order of arrival that is sorted by urgency while the event loop is late."""
 
     def __init__(self, priority_weights: Mapping[str, float]) -> None:
         self._priority_weights = priority_weights
@@ -21,16 +21,19 @@
         return len(self._events)
 
     def append(self, event: Event) -> None:
-        """Adds one at the end."""
+        """Adds an event at the end."""
         self._events.append(event)
 
     def take(self, *, is_late: bool) -> list[Event]:
-        """All that wait. Late: what ends attempts first, then new requests, those of the largest weight
-        first, so that answers are not left lying while cheap requests are taken."""
+        """Removes and returns all queued events.
+
+        If the loop is late, all other events come before new requests, and requests are sorted by descending
+        priority weight, so that answers don't wait while requests of low weight are processed.
+        """
         events, self._events = self._events, deque()
         return sorted(events, key=self._urgency) if is_late else list(events)
 
     def _urgency(self, event: Event) -> float:
         if isinstance(event, RequestArrived):
             return -self._priority_weights[event.request.class_name]
-        return FIRST_IN_ORDER
+        return BEFORE_ALL_REQUESTS
--- a/hoistplank/routing/events.py
+++ b/hoistplank/routing/events.py
@@ -1,6 +1,6 @@
-"""What is submitted to the router task: one type an event.
+"""Events that are submitted to the router task, one type for each kind.
 
-Four are the decision logic's own, handed on as they are: TimerFired, DegradationChanged,
+Four of them are types of the decision logic and are passed to it unchanged: TimerFired, DegradationChanged,
 EndpointWatchFailed and EndpointWatchStageChanged.
 """
 
@@ -47,26 +47,29 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """Nobody waits for the answer of a request any more."""
+    """The client of a request left or aborted it, and no longer awaits the answer."""
 
     request: Request
 
 
 class AttemptTimedOut(NamedTuple):
-    """An attempt has had the time that it was given."""
+    """The timeout of an attempt has expired."""
 
     attempt: Attempt
 
 
 class EndpointsUpdated(NamedTuple):
-    """A list of cache hosts has come, as the change log writes them."""
+    """A list of cache hosts was received, with entries in the format of the change log."""
 
     form: EndpointListForm
     targets: list[Target]
 
 
 class PurgeReceived(NamedTuple):
-    """Copies made before `made_us` (Unix time) are void: of an object, or where it is empty of a group."""
+    """Copies made before `made_us` (Unix time in microseconds) are invalid.
+
+    They are the copies of one object or, if `object_key` is empty, of all objects of a purge group.
+    """
 
     object_key: str
     purge_group: int
@@ -74,17 +77,17 @@
 
 
 class DrainStarted(NamedTuple):
-    """The program is to end: deadlines of requests that arrive from now on are cut to `deadline_us`."""
+    """The program shuts down: deadlines of requests that arrive from now on are limited to `deadline_us`."""
 
     deadline_us: int
 
 
 class DrainDeadlineReached(NamedTuple):
-    """What is still open is failed."""
+    """The shutdown's deadline was reached: requests that are still open fail."""
 
 
 class Checkpoint(NamedTuple):
-    """All events submitted before it have been taken in by the decision logic: `callback` is called then."""
+    """Calls `callback` once the decision logic has processed all events submitted before it."""
 
     callback: Callable[[], None]
 
