--- a/hoistplank/routing/clock.py
+++ b/hoistplank/routing/clock.py
@@ -1,38 +1,41 @@
-"""Time in whole microseconds: a clock for spans, and how far the wall clock was stepped beside it."""
+"""Clocks with a resolution of one microsecond that tolerate steps of the wall clock."""
 
 from __future__ import annotations
 
 import time
 
-# Two readings of two clocks are some microseconds apart; a wall clock that is slewed moves both alike.
+# A smaller difference is no step: the two clocks are read some microseconds apart, and slewing of the wall
+# clock moves the monotonic clock as well.
 MIN_STEP_US = 100_000
 
 
 class Clock:
-    """Unix time as it was at the start, going on at the monotonic pace.
+    """Unix time at the start of the process, advanced by the monotonic clock.
 
-    Danger: deadlines, windows, waits and graces are spans of real time. A clock that followed a step of the
-    wall clock would end them all in one turn, or make them last for an hour.
+    Deadlines, windows, waits and grace periods are durations of real time. If this clock followed a step of
+    the wall clock by an hour, all of them would end at once, or last for an hour longer.
     """
 
     def __init__(self) -> None:
-        self.offset_ns = time.time_ns() - time.monotonic_ns()  # from the monotonic clock to ours
+        self.offset_ns = time.time_ns() - time.monotonic_ns()  # from the monotonic clock to this one
 
     def now(self) -> int:
-        """Unix time in microseconds; never below an earlier answer."""
+        """Returns Unix time in microseconds, never less than an earlier call did."""
         return (time.monotonic_ns() + self.offset_ns) // 1000
 
     def step_us(self) -> int:
-        """By how much the wall clock has been set forward (back, where below 0) since the start."""
+        """Returns by how many microseconds the wall clock was set forward since the start (back:
+        negative)."""
         step_us = (time.time_ns() - time.monotonic_ns() - self.offset_ns) // 1000
         return step_us if abs(step_us) >= MIN_STEP_US else 0
 
     def to_local_start(self, stamp_us: int) -> int:
-        """When, by this clock, a process started that dates its start `stamp_us` by the wall clock.
+        """Returns the start time by this clock of a process that reports its start as `stamp_us` of wall
+        time.
 
-        Danger: after a step nobody can tell whether the stamp is from before it. The younger reading counts,
-        but no later one than now: a warm host that is taken for a cold one gets less, a cold host that is
-        taken for a warm one is pushed over.
+        After a step of the wall clock it is unknown whether the timestamp is from before the step. The later
+        interpretation is used, but never one after now: a warm host that is taken for a cold one only gets
+        less load, while a cold host that is taken for a warm one would be overloaded.
         """
         step_us = self.step_us()
         if not step_us or not stamp_us:
@@ -42,11 +45,14 @@
 
 
 class WallClock(Clock):
-    """Follows the wall clock when that is set forward, and goes on at the monotonic pace when it is set back:
-    for what others have dated, as the expiry of a token, which must not come back into force."""
+    """A clock that follows forward steps of the wall clock and ignores backward steps.
+
+    It is for timestamps of others, such as the expiry of a token: an expired token must not become valid
+    again when the wall clock is set back.
+    """
 
     def now(self) -> int:
-        """Unix time in microseconds; never below an earlier answer."""
+        """Returns Unix time in microseconds, never less than an earlier call did."""
         monotonic_ns = time.monotonic_ns()
         self.offset_ns = max(self.offset_ns, time.time_ns() - monotonic_ns)
         return (monotonic_ns + self.offset_ns) // 1000
