--- a/hoistplank/routing/endpoint_registry.py
+++ b/hoistplank/routing/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Where each cache host is, as the last endpoint lists said."""
+"""Addresses and states of the cache hosts, from the endpoint lists received so far."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 
 @dataclass(slots=True)
 class RegisteredEndpoint:
-    """A cache host and the address of its process; `announced_start_us`: its start as the list dates it."""
+    """A cache host with the address of its process.
+
+    `announced_start_us` is the start of the process as the endpoint list gives it, by the wall clock.
+    """
 
     endpoint: Endpoint
     address: tuple[str, int]
     announced_start_us: int
 
     def is_other_process(self, endpoint: Endpoint, address: tuple[str, int]) -> bool:
-        """Whether a newer entry of the list is not of this process, or says that it is gone."""
+        """Returns whether a newer entry of the list is of another process, or removes the host."""
         return (
             self.address != address
             or self.endpoint.started_us != endpoint.started_us
@@ -29,10 +32,11 @@
 
 
 class EndpointRegistry:
-    """The cache hosts by name. `retire` ends the connections that a host has now; `to_local_start` takes the
-    start of a process, as the list dates it, into the time of the decision logic.
+    """The cache hosts by name.
 
-    What is gone is forgotten at once, with all that is held of it: hosts come and go all day.
+    `retire` drains the existing connections to a host; `to_local_start` converts the start of a process from
+    the list's wall time to the time of the decision logic. A removed host is dropped at once with everything
+    known about it, because hosts are replaced all day.
     """
 
     def __init__(self, retire: Callable[[str], None], to_local_start: Callable[[int], int]) -> None:
@@ -41,12 +45,12 @@
         self._to_local_start = to_local_start
 
     def is_up(self, host: str) -> bool:
-        """Whether a host is known and may get new attempts."""
+        """Returns whether a host is known and may get new attempts."""
         registered = self.by_host.get(host)
         return registered is not None and registered.endpoint.state == EndpointState.UP
 
     def update(self, form: EndpointListForm, targets: list[Target]) -> list[Endpoint]:
-        """Takes a list in; returns its entries for the decision logic."""
+        """Applies an endpoint list and returns its entries for the decision logic."""
         announced = [target.entry() for target in targets]
         endpoints = [self._with_local_start(endpoint) for endpoint in announced]
         if form is not EndpointListForm.CHANGES:
@@ -56,7 +60,7 @@
         return endpoints
 
     def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
-        """Danger: another time for a start that is known would pass for another start."""
+        """Converts each start time only once: a second, different result would look like a restart."""
         registered = self.by_host.get(endpoint.host)
         if registered is not None and registered.announced_start_us == endpoint.started_us:
             started_us = registered.endpoint.started_us
@@ -67,7 +71,7 @@
         return msgspec.structs.replace(endpoint, started_us=started_us)
 
     def _remove_all_but(self, hosts: set[str]) -> None:
-        # Danger: what an unconfirmed list held and the log's first one does not would stay reachable.
+        # Otherwise hosts of an unconfirmed list that the change log's first list lacks would stay reachable.
         for host in list(self.by_host):
             if host not in hosts:
                 self._retire(host)
@@ -76,7 +80,7 @@
     def _update(self, endpoint: Endpoint, address: tuple[str, int], announced_start_us: int) -> None:
         registered = self.by_host.get(endpoint.host)
         if registered is not None and registered.is_other_process(endpoint, address):
-            # Danger: a connection to a process that has gone is used for the one that came after it.
+            # Otherwise a connection to the previous process would be used for its successor.
             self._retire(endpoint.host)
         if endpoint.state == EndpointState.REMOVED:
             self.by_host.pop(endpoint.host, None)
--- a/hoistplank/routing/remembered_drains.py
+++ b/hoistplank/routing/remembered_drains.py
@@ -1,4 +1,4 @@
-"""Which hosts were announced as draining or gone, so that an older list can't take it back. No I/O."""
+"""Memory of the hosts announced as draining or gone, so that an older list can't revert it. No I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 
 from hoistplank.protocol.changelog import Target
 
-MAX_HOSTS = 4_096  # the latest ones: those that left longer ago are in no list any more
+MAX_HOSTS = 4_096  # the most recent ones; hosts that left earlier are in no list any more
 
 
 class RememberedDrains:
-    """The hosts last announced as not ready, with the start of the process that was to leave."""
+    """The hosts last announced as not ready, with the start time of the process that was leaving."""
 
     def __init__(self) -> None:
         self._start_ms_by_host = OrderedDict[str, float]()
 
     def apply(self, target: Target, *, numbering_restarted: bool) -> Target:
-        """What an entry of the list says, beside what was announced of its host before.
+        """Returns an entry of the list, changed to draining if an earlier drain of its host still holds.
 
-        Danger: a log that counts anew, or only lags, has a list from before a drain that was received, and
-        the host would get new work. Once a log counted anew, only another start of the process takes it back.
+        A change log that restarted its numbering, or only lags, sends a list from before a drain that was
+        already received, and the host would get new attempts. Once the log has restarted its numbering, only
+        a new start of the host's process ends the drain.
         """
         if target.state != "ready":
             self._remember(target)
