--- a/hoistplank/routing/rate_limited_log.py
+++ b/hoistplank/routing/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Rate-limited lines on what comes from outside: a client that sends it at full speed can't fill the log."""
+"""Rate-limited logging of events caused from outside, so that a fast sender can't flood the log."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class RateLimitedLog:
-    """One line a second for each kind of event at most, with how many came so far.
+    """Logs each kind of event at most once a second, with the number of its events so far.
 
-    To be made in a running event loop. `counts` has the number of events by kind, also of those not logged.
+    It must be created in a running event loop. `counts` maps a kind of event to its number of events,
+    including those that were not logged.
     """
 
     def __init__(self) -> None:
@@ -23,12 +24,12 @@
         self._logged_at: dict[str, float] = {}
 
     def info(self, event: str, **fields: Any) -> None:
-        """As `warning`, for what is nothing out of the ordinary."""
+        """Does the same as `warning` at level info, for ordinary events."""
         if self._is_due(event):
             log.info(event, so_far=self.counts[event], **fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Counts an event, and logs it with its fields unless one of its kind was logged within a second."""
+        """Counts an event, and logs it unless one of its kind was logged within the last second."""
         if self._is_due(event):
             log.warning(event, so_far=self.counts[event], **fields)
 
--- a/hoistplank/routing/signal_feed.py
+++ b/hoistplank/routing/signal_feed.py
@@ -1,4 +1,4 @@
-"""What requests and attempts show of the fleet's state, for the levels of degradation."""
+"""Reports signals of requests and attempts, on which the degradation levels are decided."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from hoistplank.degradation.observer import CompletedFill, SignalObserver
 from hoistplank.routing.attempts import Attempt, Request
 
-FILL_DELAY_US = 100_000  # of a fill beside its sending time, as the decision logic reckons it
-LINK_FIELD = "link_full"  # of a load report: how full the host's link is
+FILL_DELAY_US = 100_000  # expected duration of a fill beyond its sending time, as in the decision logic
+LINK_FIELD = "link_full"  # field of a load report: utilization of the host's link
 
 
 class SignalFeed:
-    """Translates the router task's events for the observer of the degradation signals."""
+    """Converts the router task's events into records of the degradation signals' observer."""
 
     def __init__(
         self, observer: SignalObserver, settings: RouterSettings, load_report_fields: tuple[str, ...]
@@ -22,24 +22,24 @@
         self.load_report_fields = load_report_fields
 
     def loop_measured(self, now: int, lag_us: int, open_share: float) -> None:
-        """The loop's lag, and the open requests as a share of the bound on them."""
+        """Records the loop's lag, and the open requests as a share of their limit."""
         self.observer.record_loop(now, lag_us, open_share)
 
     def request_shed(self, now: int, class_name: str) -> None:
-        """A request was rejected as it arrived; of no known class, it counts for none."""
+        """Records a request that was rejected on arrival; one of an unknown class counts for no class."""
         self.observer.record_shedding(now, shed=True)
         if class_name in self.traffic_classes:
             self.observer.record_response(now, class_name, in_target=False)
 
     def request_closed(self, now: int, request: Request, served_us: int) -> None:
-        """A request is over; `served_us` from its receipt to its answer, -1 where it was not served."""
+        """Records a closed request; `served_us` is the time from receipt to answer, -1 if not served."""
         in_time = 0 <= served_us <= self._objective_us(request)
         self.observer.record_response(now, request.class_name, in_target=in_time)
 
     def answer_received(
         self, now: int, attempt: Attempt, cache_status: int, took_us: int, load_report: list[float]
     ) -> None:
-        """A cache host's answer, with what it says of a fill and of its link."""
+        """Records a cache host's answer: the fill that it reports, and the load of the host's link."""
         request = attempt.request
         if cache_status in FETCHED and attempt.source and attempt.source != attempt.host:
             in_time = took_us <= self._objective_us(request)
@@ -51,7 +51,7 @@
                 self.observer.record_link(now, value)
 
     def purge_received(self, now: int, object_key: str, purge_group: int) -> None:
-        """Copies of an object or a group were voided: fills of them are to be expected."""
+        """Records a purge of an object or a group, as fills of its copies are to be expected."""
         self.observer.record_purge(now, object_key, purge_group)
 
     def _objective_us(self, request: Request) -> float:
--- a/hoistplank/routing/standstill.py
+++ b/hoistplank/routing/standstill.py
@@ -1,4 +1,4 @@
-"""Notices that this process stood still: stopped, or kept off its core."""
+"""Detects standstills of this process: it was stopped, or got no processor time."""
 
 from __future__ import annotations
 
@@ -7,39 +7,40 @@
 from collections.abc import Callable
 
 CHECK_INTERVAL_S = 0.04
-# Longer than the interval between checks, and less than what may pass between a client's end and an attempt
-# for it (0.1 s), or between a drain and what is sent to its host.
+# Longer than the interval between checks, and shorter than the time allowed between a client's disconnect and
+# an attempt for it (0.1 s), or between a drain and the last attempt sent to its host.
 STANDSTILL_S = 0.09
-# For so long after a standstill, what came meanwhile may still be unread: timers run before sockets are read,
-# and clients that connected meanwhile are still to be accepted.
+# How long after a standstill data that arrived during it may still be unread: timers run before sockets are
+# read, and clients that connected meanwhile have yet to be accepted.
 RECOVERY_S = 0.25
 
 
-def _nothing_pending() -> None:
-    """Nobody has anything to read first."""
+def _read_nothing() -> None:
+    """The default of `read_pending`, for a detector without connections."""
 
 
 class StandstillDetector:
-    """Calls `read_pending` in each check during a standstill's recovery, before anything is decided.
+    """Detects standstills, and calls `read_pending` in each check during the recovery from one.
 
-    `run` checks while nothing else does; `check` is called before anything is sent by what is known.
+    `check` is called before decisions are made on the current state, so that data that arrived during the
+    standstill is read first. `run` checks periodically, for times when nothing else does.
     """
 
     def __init__(self) -> None:
-        self.read_pending: Callable[[], None] = _nothing_pending
+        self.read_pending: Callable[[], None] = _read_nothing
         self.count = 0
-        self.last_began_at = 0.0  # monotonic, as the event loop's time
+        self.last_began_at = 0.0  # start of the last one: monotonic seconds, as the event loop's time
         self._checked_at = time.monotonic()
         self._recovering_until = 0.0
 
     async def run(self) -> None:
-        """Checks again and again, until it is cancelled."""
+        """Checks periodically until the task is cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self.check()
 
     def detect(self) -> int:
-        """How often the process has stood still, until now."""
+        """Returns the number of standstills so far, including one that has just ended."""
         now = time.monotonic()
         if now - self._checked_at > STANDSTILL_S:
             self.count += 1
@@ -49,11 +50,11 @@
         return self.count
 
     def is_recovering(self) -> bool:
-        """Whether the process has stood still until a moment ago."""
+        """Returns whether a standstill ended less than RECOVERY_S ago."""
         self.detect()
         return self._checked_at < self._recovering_until
 
     def check(self) -> None:
-        """During a recovery, has what came during the standstill read."""
+        """Reads the data that arrived during a standstill, while recovering from one."""
         if self.is_recovering():
             self.read_pending()
