--- a/hoistplank/routing/attempts.py
+++ b/hoistplank/routing/attempts.py
@@ -1,4 +1,4 @@
-"""A request in the router task's hands, and its attempts at cache hosts."""
+"""Accepted requests and their attempts at cache hosts."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 
 class Response(Protocol):
-    """The client's side of a request. The first of these calls is its answer; it comes once."""
+    """The response to a client's request. The first call sends it; later calls have no effect."""
 
     def succeed(self, body: bytes, *, unchanged: bool) -> None:
-        """The object; `unchanged`: the copy that the client named still holds."""
+        """Answers with the object or, if `unchanged`, confirms the copy that the client named."""
 
     def reject(self, retry_after_us: int) -> None:
-        """Nothing was done; the client may come again after that time."""
+        """Answers that nothing was done, and that the client may retry after that time."""
 
     def fail(self) -> None:
-        """The request failed, and may have had its effect."""
+        """Answers that the request failed, and may have taken effect."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that was accepted: what the client sent, and its attempts in flight.
+    """An accepted request: the fields that the client sent, and its attempts in flight.
 
-    Times are Unix times in microseconds. `known_version`: of the copy that the client has, "" for none.
+    Times are Unix times in microseconds. `known_version` is the version of the client's copy, "" for none.
     """
 
     response: Response
@@ -47,17 +47,17 @@
     known_version: str
     body: bytes
     deadline_us: int
-    is_repeat: bool  # the client has asked for the same before
-    is_cacheable: bool  # whether copies of its traffic class are cached: then its answers are of a copy
-    caller: object = None  # who sent it, from its acceptance to its end, where callers are authorized
-    received_us: int = 0  # when its last byte was read
-    sending_us: float = 0.0  # how long its answer takes to send at the usual pace, once one has come
-    is_closed: bool = False  # answered, or its client is gone
-    attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by number
+    is_repeat: bool  # the client sent the same request before
+    is_cacheable: bool  # its traffic class is cached, so that answers are of a copy
+    caller: object = None  # identity of the caller while the request is open, if there is an authorizer
+    received_us: int = 0  # time at which its last byte was read
+    sending_us: float = 0.0  # time to send the answer at the configured rate, once there is one
+    is_closed: bool = False  # answered, or its client left
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # attempts in flight, by number
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt is over, with the cache host's answer where one came."""
+    """An attempt ended, with the cache host's answer if there was one."""
 
     attempt: Attempt
     ending: AttemptEnding
@@ -65,7 +65,7 @@
 
 
 class AttemptOwner(Protocol):
-    """What an attempt uses of the router task, which stands above it."""
+    """The interface of the router task that an attempt uses."""
 
     clock: Clock
     endpoints: EndpointRegistry
@@ -73,18 +73,18 @@
     max_start_delay_us: int
 
     def submit(self, event: AttemptEnded) -> None:
-        """Takes the attempt's end."""
+        """Takes the event that the attempt ended."""
 
     def permits_attempts(self, now: int, /) -> bool:
-        """Whether anything may be sent by the endpoint list that is held."""
+        """Returns whether the current endpoint list permits attempts at all."""
 
 
 class Attempt:
-    """One request on its way to one cache host, in the pool's hands; it reports its end to its owner once.
+    """A request sent to one cache host through the pool; it reports its end to its owner once.
 
-    `started_us` and `ended_us` are times of the sockets, not of the router task's turns: the loop's lag and a
-    connection's set-up are no part of what a cache host took. `encode_after` writes its message, given how
-    long (us) after the decision it begins.
+    `started_us` and `ended_us` are taken when the socket is written and read, not in the router task's turns,
+    so that the loop's lag and connection setup don't count as time that the cache host took. `encode_after`
+    returns its message, given the time (us) between the decision and the start of sending.
     """
 
     def __init__(
@@ -99,27 +99,28 @@
         self.owner, self.request, self.id, self.number = owner, request, request.id, action.attempt
         self.host, self.source = action.host, action.source
         self.decided_us = now
-        self._standstills = owner.standstills.count  # until it was decided
+        self._standstills = owner.standstills.count  # up to the decision
         self.start_by_us = action.start_by_us
         self.decided_at = asyncio.get_running_loop().time()
         self.connection: PooledConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.is_over = False
+        self.is_finished = False
         self.started_us, self.ended_us = now, 0
 
     def may_begin(self) -> bool:
-        """Asked just before the first byte: waiting for a connection may have made the attempt out of date.
+        """Returns whether the attempt may still be sent; called just before its first byte.
 
-        Danger: a drain's grace, a warming host's budget, a purge's grace or the window in which a repeat is
-        dropped passes while a connection is not yet up, or while its writes are held up.
+        While the attempt waits for a connection or for blocked writes, a drain's grace period, a warming
+        host's budget, a purge's grace period or the window in which a host drops a repeat may have passed.
         """
         self.started_us = self.owner.clock.now()
-        # After a standstill it is decided anew: the change log or the client may have said more meanwhile.
+        # After a standstill the decision is made again: the client may have left, or the change log may have
+        # sent events meanwhile.
         if self.owner.standstills.detect() != self._standstills:
             return False
         if not self.owner.permits_attempts(self.started_us):
             return False
-        if self.is_over or self.request.is_closed or not self.owner.endpoints.is_up(self.host):
+        if self.is_finished or self.request.is_closed or not self.owner.endpoints.is_up(self.host):
             return False
         if self.source and not self.owner.endpoints.is_up(self.source):
             return False
@@ -128,23 +129,23 @@
         return self.started_us - self.decided_us <= self.owner.max_start_delay_us
 
     def encode(self) -> bytes:
-        """Its message, with the time that its client has left as it begins."""
+        """Returns its message, with the time that its client has left when sending starts."""
         return self._encode_after(self.started_us - self.decided_us)
 
     def failed(self, failure: RequestFailure, /) -> None:
-        """The pool ended it without an answer."""
+        """Reports that the pool ended the attempt without an answer."""
         self._end(ENDING_OF_FAILURE[failure], None)
 
     def answered(self, answer: Answer) -> None:
-        """The cache host's answer has come."""
+        """Reports the cache host's answer."""
         self._end(ENDING_OF_STATUS[answer.status], answer)
 
-    def settle(self) -> None:
-        """It is over: its timer goes, and its request has it in flight no more."""
-        self.is_over = True
+    def mark_finished(self) -> None:
+        """Cancels the timer and removes the attempt from its request's attempts in flight."""
+        self.is_finished = True
         if self.timer is not None:
             self.timer.cancel()
-            self.timer = None  # it refers back to the attempt
+            self.timer = None  # the timer refers back to the attempt: breaks the reference cycle
         self.request.attempts.pop(self.number, None)
 
     def _end(self, ending: AttemptEnding, answer: Answer | None) -> None:
--- a/hoistplank/routing/request_counts.py
+++ b/hoistplank/routing/request_counts.py
@@ -1,4 +1,4 @@
-"""Counts over all requests and attempts since the start, for the log."""
+"""Counts of requests and attempts since the start of the process, for the log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests by their end, and attempts; `shed` ones are among the rejected."""
+    """Counts of requests by result, and of attempts; `rejected` includes the `shed` requests."""
 
     succeeded: int = 0
     rejected: int = 0
@@ -20,10 +20,10 @@
     attempts: int = 0
     shed: int = 0
     attempts_by_ending: Counter[AttemptEnding] = field(default_factory=Counter)
-    given_up_by_reason: Counter[EndReason] = field(default_factory=Counter)
+    unsuccessful_by_reason: Counter[EndReason] = field(default_factory=Counter)
 
     def log_fields(self) -> dict[str, int]:
-        """Under the names of the log line `phase`."""
+        """Returns the counts under the field names of the log line `phase`."""
         return {
             "succeeded": self.succeeded,
             "rejected": self.rejected,
@@ -34,8 +34,8 @@
         }
 
     def breakdown(self) -> dict[str, dict[str, int]]:
-        """Attempts by their ending and given up requests by the reason, as the log line `counts` has them."""
+        """Returns attempts by ending and unsuccessful requests by reason, for the log line `counts`."""
         return {
             "endings": {ending.value: count for ending, count in self.attempts_by_ending.items()},
-            "given_up": {reason.value: count for reason, count in self.given_up_by_reason.items()},
+            "given_up": {reason.value: count for reason, count in self.unsuccessful_by_reason.items()},
         }
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -1,4 +1,4 @@
-"""The one task that owns the Router: hands it the queued events, and carries out what it decides."""
+"""The task that owns the Router: passes queued events to it and executes the actions that it decides."""
 
 from __future__ import annotations
 
@@ -45,19 +45,19 @@
 from hoistplank.transport.pooled_request import RequestFailure
 
 MAX_TICK_S = 0.002
-NO_CAP = 1 << 30  # on open requests, where the settings name none
-# An attempt that has waited longer than a connection may take, and this, is decided anew.
+UNLIMITED_OPEN_REQUESTS = 1 << 30  # if the settings set no cap
+# An attempt that starts later after its decision than the connect timeout plus this margin is decided again.
 START_DELAY_MARGIN_US = 100_000
-LAG_DECAY_DIVISOR = 8  # by so much of itself the lag falls a turn, where the loop is no later again
+LAG_DECAY_DIVISOR = 8  # the lag falls by this fraction of itself a turn, unless the loop is that late again
 
 AttemptObserver = Callable[[Attempt, AttemptEnding], None]
 
 
 class RouterTask:
-    """Everything that changes what the Router knows goes through this task's queue, by `submit`.
+    """Owns the Router. All changes to the Router's state go through this task's queue, by `submit`.
 
-    `max_open` caps the open requests (0: no cap); `load_report_fields` names the figures of a load report in
-    their order. `pool` is set once it is made.
+    `max_open` caps the open requests (0: no cap); `load_report_fields` names the values of a load report in
+    their order. `pool` is set after the pool is created.
     """
 
     def __init__(
@@ -72,20 +72,20 @@
         self.router = Router(settings, seed)
         self.requests = RequestTable()
         self.endpoints = EndpointRegistry(self._retire_connections, clock.to_local_start)
-        self.admission = ClassAdmission(settings, max_open or NO_CAP, clock.now())
+        self.admission = ClassAdmission(settings, max_open or UNLIMITED_OPEN_REQUESTS, clock.now())
         self.counts = RequestCounts()
         self.pool: Pool | None = None
         self.queue = EventQueue({row.name: row.priority_weight for row in settings.traffic_classes})
-        self.lag_us = 0  # by how much the loop runs late
+        self.lag_us = 0  # lateness of the event loop, decaying
         self.tick_s = min(MAX_TICK_S, settings.tick_us / 1e6)
         self.retry_after_us = settings.rules.max_retry_after_us // 2 * settings.rules.may_send_retry_after
         self.max_start_delay_us = settings.rules.connect_timeout_us + START_DELAY_MARGIN_US
-        self.drain_deadline_us = 0  # to which deadlines are cut; 0 before the drain
+        self.drain_deadline_us = 0  # upper limit of deadlines during a drain; 0 before it
         self.standstills = StandstillDetector()
-        self.attempt_observer: AttemptObserver | None = None  # who else learns how attempts end
-        # Asked before each turn where the list may have gone stale: what the Router is to get first.
+        self.attempt_observer: AttemptObserver | None = None  # called when an attempt ends
+        # Called before each turn; returns an endpoint list for the Router if the current one has gone stale.
         self.before_turn: Callable[[int], EndpointsUpdated | None] | None = None
-        self.signals: SignalFeed | None = None  # where levels of degradation are in use
+        self.signals: SignalFeed | None = None  # if degradation levels are in use
         self._wake: asyncio.Event = asyncio.Event()
         self._event_handlers = self._make_event_handlers()
         self._action_handlers = self._make_action_handlers()
@@ -96,12 +96,12 @@
             ClientDisconnected: self._on_client_disconnected,
             AttemptTimedOut: self._on_attempt_timed_out,
             AttemptEnded: self._on_attempt_ended,
-            TimerFired: self._hand_on,
+            TimerFired: self._forward_to_router,
             EndpointsUpdated: self._on_endpoints_updated,
-            EndpointWatchFailed: self._hand_on,
-            EndpointWatchStageChanged: self._hand_on,
+            EndpointWatchFailed: self._forward_to_router,
+            EndpointWatchStageChanged: self._forward_to_router,
             PurgeReceived: self._on_purge_received,
-            DegradationChanged: self._hand_on,
+            DegradationChanged: self._forward_to_router,
             DrainStarted: self._on_drain_started,
             DrainDeadlineReached: self._on_drain_deadline_reached,
             Checkpoint: self._on_checkpoint,
@@ -118,18 +118,21 @@
         }
 
     def submit(self, event: Event) -> None:
-        """The one way in."""
+        """Queues an event for the next turn; nothing else changes the Router's state."""
         self.queue.append(event)
         self._wake.set()
 
     def observe_signals(self, observer: SignalObserver) -> None:
-        """From now on `observer` sees what the levels of degradation are decided on."""
+        """Reports the signals for the degradation levels to `observer` from now on."""
         self.signals = SignalFeed(observer, self.settings, self.load_report_fields)
 
     def admits(self, class_name: str, *, is_authorized: bool = False) -> bool:
-        """Whether the core has capacity for one more request of a class, or of the one with the largest
-        weight where none is known yet; one that is not admitted is to be rejected at once by the caller, and
-        is counted here. `is_authorized`: an authorizer has admitted it."""
+        """Returns whether the core has capacity for another request of a traffic class.
+
+        An unknown class is treated like the one with the largest priority weight. A request that is not
+        admitted is counted here as shed, and the caller must reject it at once. `is_authorized` says that an
+        authorizer has admitted it.
+        """
         if self.admission.admits(class_name, self.requests.open_count, is_authorized=is_authorized):
             return True
         self.counts.rejected += 1
@@ -139,19 +142,19 @@
         return False
 
     async def run(self) -> None:
-        """Until it is cancelled, or the Router breaks: what it raised then comes out here."""
+        """Processes events until the task is cancelled; an exception of the Router propagates."""
         while True:
             await self._wake.wait()
             self._wake.clear()
             self.turn()
             slept_us = self.clock.now()
-            # What is submitted within a tick is handled together: fewer turns, and writes in one call.
+            # Events of one tick are handled together, which saves turns and combines writes into one call.
             await asyncio.sleep(self.tick_s)
             lag_us = self.clock.now() - slept_us - int(self.tick_s * 1e6)
             self.lag_us = max(lag_us, self.lag_us - self.lag_us // LAG_DECAY_DIVISOR)
 
     def turn(self) -> None:
-        """Hands the Router what waits in the queue, and carries out what it decides."""
+        """Passes all queued events to the Router and executes the actions that it decides."""
         self.standstills.check()
         now = self.clock.now()
         if self.before_turn is not None and (stale_list := self.before_turn(now)) is not None:
@@ -178,8 +181,8 @@
         if request.is_closed:
             return
         if not self.requests.add(request):
-            # Danger: an id comes again while its request is open, or has attempts out: their ends would be
-            # taken for those of the new one. The open one is untouched.
+            # The id is in use by a request that is open or has attempts in flight, whose endings would be
+            # attributed to the new request. The new one fails; the existing one is not affected.
             request.is_closed = True
             request.response.fail()
             return
@@ -200,9 +203,10 @@
 
     def _on_client_disconnected(self, now: int, event: ClientDisconnected) -> None:
         request = event.request
-        if not self.requests.holds(request):
-            # Danger: while late, an end comes before the request it ends; counted out and never in, the
-            # count of open ones would fall below what is open, and an end in order would wait for it in vain.
+        if not self.requests.contains(request):
+            # While the loop is late, this event is processed before the request's arrival. If it were counted
+            # as closed without having been opened, the open count would fall below the number of open
+            # requests, and a graceful shutdown would wait for it to reach zero in vain.
             request.is_closed = True
         elif not request.is_closed:
             self.counts.client_left += 1
@@ -210,7 +214,7 @@
             self.router.handle(now, decision_events.ClientDisconnected(request.id))
 
     def _close(self, request: Request, served_us: int = -1) -> None:
-        """`served_us`: how long a served request took from its receipt; -1 where it was not served."""
+        """Closes a request; `served_us` is the time from receipt to answer, -1 if it was not served."""
         if self.signals is not None:
             self.signals.request_closed(self.clock.now(), request, served_us)
         self.requests.close(request)
@@ -219,23 +223,23 @@
 
     def _on_attempt_timed_out(self, now: int, event: AttemptTimedOut) -> None:
         attempt = event.attempt
-        if not attempt.is_over:
-            was_sent = _take_back(attempt)
+        if not attempt.is_finished:
+            was_sent = _cancel(attempt)
             ending = AttemptEnding.TIMED_OUT if was_sent else AttemptEnding.CONNECT_TIMED_OUT
             self._on_attempt_ended(now, AttemptEnded(attempt, ending, None))
 
     def _on_attempt_ended(self, now: int, event: AttemptEnded) -> None:
         attempt, ending, answer = event
-        if attempt.is_over:
+        if attempt.is_finished:
             return
-        attempt.settle()
+        attempt.mark_finished()
         self.counts.attempts_by_ending[ending] += 1
         if self.attempt_observer is not None:
             self.attempt_observer(attempt, ending)
         request = attempt.request
         outcome = OUTCOMES[ending]
         took_us = (attempt.ended_us or now) - attempt.started_us
-        # Danger: an answer that lay unread while the loop ran late would count against its host.
+        # The time that an answer was unread because the loop was late must not count against its host.
         took_us -= min(self.lag_us, took_us // 2)
         if outcome == Outcome.SUCCEEDED and answer is not None and not request.is_closed:
             self._succeed(now, request, answer, unchanged=ending is AttemptEnding.NOT_MODIFIED)
@@ -256,7 +260,7 @@
             load_report=load_report,
         )
         self.router.handle(now, ended)
-        self.requests.forget_if_over(request)
+        self.requests.remove_if_finished(request)
 
     def _succeed(self, now: int, request: Request, answer: Answer, *, unchanged: bool) -> None:
         if self.settings.stream_kb_per_s > 0:
@@ -265,9 +269,9 @@
         self.counts.succeeded += 1
         request.response.succeed(answer.body, unchanged=unchanged)
 
-    # Timers, endpoints, purges, degradation, the drain.
+    # Timers, endpoints, purges, degradation, drain.
 
-    def _hand_on(
+    def _forward_to_router(
         self,
         now: int,
         event: TimerFired | DegradationChanged | EndpointWatchFailed | EndpointWatchStageChanged,
@@ -283,7 +287,7 @@
             self.pool.drain(host)
 
     def permits_attempts(self, now: int) -> bool:
-        """Whether anything may be sent by the endpoint list; asked at an attempt's first byte."""
+        """Returns whether the endpoint list permits attempts; called at an attempt's first byte."""
         return self.router.permits_attempts(now)
 
     def _on_purge_received(self, now: int, event: PurgeReceived) -> None:
@@ -305,7 +309,7 @@
     def _on_checkpoint(self, _now: int, event: Checkpoint) -> None:
         event.callback()
 
-    # What the Router decides.
+    # Actions of the Router.
 
     def _send_attempt(self, now: int, action: SendAttempt) -> None:
         request = self.requests.by_id[action.request_id]
@@ -324,21 +328,21 @@
         request = self.requests.by_id[action.request_id]
         self._close(request)
         self.counts.rejected += 1
-        self.counts.given_up_by_reason[action.reason] += 1
+        self.counts.unsuccessful_by_reason[action.reason] += 1
         request.response.reject(action.retry_after_us)
 
     def _fail(self, _now: int, action: Fail) -> None:
         request = self.requests.by_id[action.request_id]
         self._close(request)
         self.counts.failed += 1
-        self.counts.given_up_by_reason[action.reason] += 1
+        self.counts.unsuccessful_by_reason[action.reason] += 1
         request.response.fail()
 
     def _cancel_attempt(self, _now: int, action: CancelAttempt) -> None:
         request = self.requests.by_id.get(action.request_id)
         attempt = request.attempts.get(action.attempt) if request else None
-        if attempt is not None and not attempt.is_over:
-            ending = AttemptEnding.CANCELLED if _take_back(attempt) else AttemptEnding.NOT_STARTED
+        if attempt is not None and not attempt.is_finished:
+            ending = AttemptEnding.CANCELLED if _cancel(attempt) else AttemptEnding.NOT_STARTED
             self.submit(AttemptEnded(attempt, ending, None))
 
     def _set_timer(self, _now: int, action: SetTimer) -> None:
@@ -346,11 +350,11 @@
         loop.call_later(action.delay_us / 1e6, self.submit, TimerFired(action.timer_id))
 
     def _watch_endpoints(self, now: int, action: WatchEndpoints) -> None:
-        """The change log is always followed, and taken up again by itself: its next event is the answer."""
+        """Does nothing: the change log is always followed, and reconnects are automatic."""
 
 
-def _take_back(attempt: Attempt) -> bool:
-    """Has the cache host drop an attempt; whether it may have run."""
+def _cancel(attempt: Attempt) -> bool:
+    """Tells the cache host to drop an attempt; returns whether the attempt may have run."""
     if attempt.connection is None:
         return False
     return attempt.connection.cancel(attempt.id, cachewire.encode_drop(attempt.id), attempt.decided_at)
