--- a/hoistplank/routing/client_session.py
+++ b/hoistplank/routing/client_session.py
@@ -1,4 +1,4 @@
-"""One client's FastCGI connection: its requests, their responses, and how the connection ends."""
+"""A client's FastCGI connection: its requests, their responses, and the end of the connection."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 from hoistplank.transport.connection import Connection, Consume
 from hoistplank.transport.descriptor_budget import ConnectionKind, DescriptorBudget
 
-MAX_REQUESTS = 32  # open ones a connection
-MAX_RECORD_BYTES = 131_072  # a record with its padding
-MAX_UNSENT_BYTES = 1_048_576  # what may wait for one client before its next requests are deferred
-# What may wait for one before nothing more is read from it: beyond all answers that it can be owed at once.
+MAX_REQUESTS = 32  # open requests per connection
+MAX_RECORD_BYTES = 131_072  # of one record with its padding
+MAX_UNSENT_BYTES = 1_048_576  # unsent data of a client above which its next requests are deferred
+# Unsent data of a client above which reading from it pauses: more than all answers that it can await at once.
 MAX_UNSENT_BEFORE_PAUSE_BYTES = MAX_UNSENT_BYTES + MAX_REQUESTS * 245_760
-DEFERRED_ANSWER_US = 250_000  # before its time is over, what was deferred for a slow reader is answered
-SHED_READ_PAUSE_S = 0.02  # between reads of a connection whose last read was shed
-MAX_BAD_REQUESTS = 8  # requests that can't be used, on one connection: usual clients send none
+DEFERRED_ANSWER_US = 250_000  # a deferred request is submitted this long before its deadline
+SHED_READ_PAUSE_S = 0.02  # reading pause of a connection after one of its requests was shed
+MAX_INVALID_REQUESTS = 8  # per connection; well-behaved clients send none
 
 ConnectionFactory = Callable[[socket.socket, Consume, int, int], Connection]
 
 
 class SessionOwner(Protocol):
-    """What a session uses of the frontend, which owns it and stands above it."""
+    """The interface of the frontend that a session uses; the frontend owns the session."""
 
     router_task: RouterTask
     intake: RequestIntake
     descriptors: DescriptorBudget
     rate_limited_log: RateLimitedLog
     sessions: dict[ClientSession, None]
-    unfinished_timeout_s: float  # for a request to become whole
+    unfinished_timeout_s: float  # time limit for a request to arrive completely
 
     def shed(self, number: int, script: bytes) -> bytes | None:
-        """The answer to a request that is shed as it begins; None where it is read on."""
+        """Returns the answer to a request that is shed as it begins; None if the request is to be read."""
 
     def count_held_bytes(self, more: int) -> None:
-        """Requests of this client hold so many bytes more, or fewer."""
+        """Adds `more` (negative: fewer) bytes to the count of bytes held by requests."""
 
 
 class ClientSession:
     """One connection of a client, from accept to close.
 
-    `identity` is what its handshake has proven, for the authorizer to read; `peer` its remote address.
+    `identity` is the identity proven by its handshake, for the authorizer; `peer` is its remote address.
     """
 
     identity: object
@@ -59,36 +59,36 @@
         self, frontend: SessionOwner, sock: socket.socket, peer: str, make_connection: ConnectionFactory
     ) -> None:
         self.frontend, self.intake = frontend, frontend.intake
-        # Danger: load shedding is blind to who calls; one tenant's herd would have it shed all.
+        # Load shedding doesn't know the caller: with an authorizer, one tenant's herd would cause the
+        # requests of all tenants to be shed.
         shed = frontend.shed if frontend.intake.authorizer is None else None
         self.reader = fastcgi.RequestReader(MAX_REQUESTS, shed)
         self.peer, self.identity = peer, None
-        # By FastCGI number; None while it is not a request for the router task (yet).
+        # By FastCGI number; None for one that is not (yet) a request for the router task.
         self.open_requests: dict[int, Request | None] = {}
-        # Whole, and not handed to the router task while too much waits for this client.
+        # Complete requests that are submitted to the router task once this client has less unsent data.
         self.deferred: dict[int, Request] = {}
-        self.is_closing = False  # it ends once nothing is owed on it any more
-        self.given_up = False  # what it sent can't be used: nothing more is read
-        self.has_sent_request = False  # whether it has sent a usable request
-        self.bad_requests = 0
-        self.whole_requests = 0
-        self.counted_bytes = 0  # what the frontend knows of the bytes that its requests hold
-        self.unfinished_since: dict[
-            int, float
-        ] = {}  # by number: when a sweep first found a request unfinished
+        self.is_closing = False  # it closes once nothing is pending on it
+        self.has_failed = False  # its input is unusable: nothing more is read
+        self.has_sent_request = False  # it sent a valid request, or one that was shed
+        self.invalid_requests = 0
+        self.complete_requests = 0
+        self.reported_held_bytes = 0  # bytes held by its requests, as last reported to the frontend
+        # By number: the time of the sweep that first found a request unfinished.
+        self.unfinished_since: dict[int, float] = {}
         self.connection = make_connection(sock, self.consume, MAX_RECORD_BYTES, MAX_UNSENT_BEFORE_PAUSE_BYTES)
         loop = asyncio.get_running_loop()
         self.opened_at = loop.time()
         self.task = loop.create_task(self.connection.run(), name="client connection")
         self.task.add_done_callback(self._ended)
 
-    # What comes in.
+    # Input.
 
     def consume(self, buffer: bytearray, start: int, end: int) -> int:
-        """Takes the requests that stand whole between start and end; returns how far the buffer is used."""
+        """Handles the complete requests between start and end; returns up to where the buffer is consumed."""
         shed_before = self.reader.shed_count
         try:
-            while not self.given_up:
+            while not self.has_failed:
                 start, events = self.reader.read(buffer, start, end)
                 if not events:
                     return start
@@ -100,7 +100,7 @@
                     else:
                         self._request_aborted(event)
         except ProtocolError as error:
-            self.give_up(str(error))
+            self.close_with_failure(str(error))
         finally:
             self._read_ended(shed_before)
         return end
@@ -110,23 +110,23 @@
         if self.reader.close_requested:
             asyncio.get_running_loop().call_soon(self.close_when_idle)
         if self.reader.shed_count > shed_before:
-            # Danger: a usual client that got nothing but refusals for a while would pass for one that
-            # never sent a request, and lose its connection with what it sent meanwhile.
+            # Otherwise a client whose requests were all shed would count as one that never sent a request,
+            # and would lose its connection together with the requests it sent meanwhile.
             self.has_sent_request = True
-            # Danger: while the core is full, a read and a write for each request rejected cost more
-            # than serving another: what comes next is read later, in one go.
+            # While the core is full, a read and a write for each rejected request cost more than serving a
+            # request: the next data is read later, in one go.
             self.connection.pause_reading(SHED_READ_PAUSE_S)
 
     def _count_held_bytes(self) -> None:
-        more = self.reader.held_bytes - self.counted_bytes
-        self.counted_bytes = self.reader.held_bytes
+        more = self.reader.held_bytes - self.reported_held_bytes
+        self.reported_held_bytes = self.reader.held_bytes
         self.frontend.count_held_bytes(more)
 
     def _request_received(self, received: fastcgi.FastCgiRequest, *, is_last: bool) -> None:
-        """`is_last`: nothing more has been read behind it."""
+        """Handles a complete request; `is_last` says that no further data was read after it."""
         response = FastCgiResponse(self, received.number, received.keep_connection)
         self.open_requests[received.number] = None
-        self.whole_requests += 1
+        self.complete_requests += 1
         try:
             if received.error:
                 raise ProtocolError(received.error)
@@ -137,7 +137,7 @@
                 return
             request = self.intake.parse(response, fields, received, self._unread_for_us(is_last=is_last))
         except ProtocolError as error:
-            self._refuse_bad_request(received, response, str(error))
+            self._reject_invalid_request(received, response, str(error))
             return
         self.has_sent_request = True
         authorizer = self.intake.authorizer
@@ -147,18 +147,19 @@
             return
         self.open_requests[received.number] = request
         if self.connection.unsent_bytes > MAX_UNSENT_BYTES:
-            # Danger: a client that does not read what it is owed would fill the memory. It is read on all the
-            # same: an end that nobody reads is an end that nobody sees, and its requests would be forwarded.
+            # A client that doesn't read its answers would fill the memory, so its requests are deferred.
+            # Reading goes on, because otherwise a disconnect would not be noticed and its requests would be
+            # forwarded.
             self.deferred[received.number] = request
-            self.connection.on_all_written = self._all_sent
+            self.connection.on_all_written = self._on_all_written
         else:
             self.frontend.router_task.submit(RequestArrived(request))
 
     def _unread_for_us(self, *, is_last: bool) -> int:
-        """For how long what has just been read may have lain unread, where that can be long.
+        """Returns how long the data just read may have been unread, in microseconds; 0 without a standstill.
 
-        The system tells it of the last bytes alone; what stands before them may have come at any time of the
-        standstill at which this connection was not known to be drained.
+        The system reports the arrival time of the last bytes only. Earlier ones may have arrived at any time
+        since the standstill began or since the connection's socket was last known to be empty.
         """
         standstills = self.frontend.router_task.standstills
         if not standstills.is_recovering():
@@ -168,15 +169,15 @@
         unread_since = max(standstills.last_began_at, self.connection.drained_at)
         return int((asyncio.get_running_loop().time() - unread_since) * 1e6)
 
-    def _refuse_bad_request(
+    def _reject_invalid_request(
         self, received: fastcgi.FastCgiRequest, response: FastCgiResponse, error: str
     ) -> None:
-        """Answered at once, and nothing goes to a cache host."""
-        self.frontend.rate_limited_log.warning("request can't be used", wrong=error)
+        """Answers 400 at once, without an attempt; too many invalid requests close the connection."""
+        self.frontend.rate_limited_log.warning("invalid request rejected", wrong=error)
         response.send(400, (), b"")
-        self.bad_requests += 1
-        if received.error or self.bad_requests >= MAX_BAD_REQUESTS:
-            self.give_up(error)
+        self.invalid_requests += 1
+        if received.error or self.invalid_requests >= MAX_INVALID_REQUESTS:
+            self.close_with_failure(error)
 
     def _request_aborted(self, event: fastcgi.RequestAborted) -> None:
         request = self.open_requests.pop(event.number, None)
@@ -186,12 +187,12 @@
             self.intake.ended(request)
         self.connection.send(fastcgi.encode_end_request(event.number, 1))
 
-    # What goes out.
+    # Output.
 
     def send_response(self, response: FastCgiResponse, data: bytes) -> None:
         """Sends a response, unless its request was aborted."""
         if response.number not in self.open_requests:
-            return  # aborted meanwhile: no answer is owed, and the number may stand for another request
+            return  # aborted meanwhile: no answer is due, and its number may be in use by another request
         request = self.open_requests[response.number]
         if request is not None and request.response is not response:
             return
@@ -204,30 +205,29 @@
         if not response.keep_connection:
             self.close_when_idle()
 
-    def _all_sent(self) -> None:
-        """All that waited for this client has been written."""
+    def _on_all_written(self) -> None:
+        """Submits deferred requests, and closes a closing connection, once all data has been written."""
         deferred, self.deferred = self.deferred, {}
         for request in deferred.values():
             self.frontend.router_task.submit(RequestArrived(request))
         if self.is_closing and self.is_idle():
             self.connection.close_gracefully()
 
-    def release_overdue(self, now_us: int) -> None:
-        """What is deferred and nearly out of time goes to the router task after all, for a timely answer."""
+    def submit_expiring(self, now_us: int) -> None:
+        """Submits deferred requests whose deadline is near, so that they are answered in time."""
         for number, request in list(self.deferred.items()):
             if request.deadline_us - now_us < DEFERRED_ANSWER_US:
                 del self.deferred[number]
                 self.frontend.router_task.submit(RequestArrived(request))
 
-    # How it ends.
+    # End of the connection.
 
-    def give_up(self, reason: str) -> None:
-        """What was received can't be used: all that is open is answered at once, no more is read, and it
-        closes."""
-        if self.given_up:
+    def close_with_failure(self, reason: str) -> None:
+        """Fails all open requests, stops reading and closes gracefully, as the input is unusable."""
+        if self.has_failed:
             return
-        self.given_up = True
-        self.frontend.rate_limited_log.warning("client connection given up", wrong=reason)
+        self.has_failed = True
+        self.frontend.rate_limited_log.warning("unusable input, closing client connection", wrong=reason)
         self._fail_open_requests()
         self.reader.forget_all()
         self._count_held_bytes()
@@ -243,20 +243,22 @@
         self.deferred.clear()
 
     def release_memory(self) -> None:
-        """Requests hold too much memory, and this client's most: they are answered at once.
+        """Fails the open requests of this client, whose requests hold the most memory of all.
 
-        Danger: what else it has written lies unread, and each whole request is owed an answer: the connection
-        goes on, unless what it holds never becomes whole.
+        The connection stays open, because further requests of the client may be unread and each complete
+        request must be answered. It is closed if unfinished requests hold most of the memory.
         """
-        self.frontend.rate_limited_log.warning("requests hold too much memory", bytes=self.reader.held_bytes)
+        self.frontend.rate_limited_log.warning(
+            "memory limit of requests exceeded, failing open requests", bytes=self.reader.held_bytes
+        )
         held_bytes = self.reader.held_bytes
         self._fail_open_requests()
         if self.reader.held_bytes > held_bytes // 2:
-            self.give_up("unfinished requests hold too much memory")
+            self.close_with_failure("unfinished requests hold too much memory")
 
     def close_when_idle(self, *, even_if_silent: bool = True) -> None:
-        """Ends this connection once all that is open on it has been answered, and the answers are out."""
-        self.is_closing, self.connection.on_all_written = True, self._all_sent
+        """Closes the connection once all open requests are answered and the answers are written."""
+        self.is_closing, self.connection.on_all_written = True, self._on_all_written
         if self.is_idle() and (even_if_silent or self.has_sent_request):
             self.connection.close_gracefully()
 
@@ -268,12 +270,12 @@
         error = None if task.cancelled() else task.exception() or task.result()
         if error is not None and not isinstance(error, OSError):
             self.frontend.rate_limited_log.warning(
-                "client connection closed", wrong=str(error) or type(error).__name__
+                "client connection ended with an error", wrong=str(error) or type(error).__name__
             )
         self._disconnected()
 
     def _disconnected(self) -> None:
-        """The client is gone: nobody waits for what is open here."""
+        """Reports open requests as disconnected: the client no longer awaits them."""
         for request in self.open_requests.values():
             if request is not None:
                 self.frontend.router_task.submit(ClientDisconnected(request))
@@ -281,59 +283,60 @@
         self.open_requests.clear()
 
     def read_pending(self, max_reads: int) -> None:
-        """Reads what has come by now, an end included."""
+        """Reads all data that has arrived, including the end of the connection."""
         self.connection.read_pending(max_reads)
         if self.connection.is_closed:
-            # Danger: the connection's task ends some turns later, and attempts would be made until then.
+            # The connection's task ends some turns of the loop later; attempts would be made until then.
             self._disconnected()
 
-    # What the frontend asks before it ends one.
+    # State that the frontend checks before it closes a connection.
 
     def has_unfinished_request(self) -> bool:
-        """Whether part of a request has come and the rest has not."""
+        """Returns whether a request has arrived only in part."""
         connection = self.connection
         return len(self.reader.requests) > len(self.reader.complete) or connection.has_partial_message
 
     def is_idle(self) -> bool:
-        """Whether nothing is owed on it, after one more read of what has come.
+        """Returns whether nothing is pending on the connection, after one more read.
 
-        Danger: on a full core a request may lie unread for long; a close on it loses an accepted request.
+        On a full core a request may have been unread for long; closing the connection would lose it.
         """
-        if self._owes_nothing():
+        if self._has_nothing_pending():
             self.connection.read_now()
-        return self._owes_nothing()
+        return self._has_nothing_pending()
 
-    def _owes_nothing(self) -> bool:
+    def _has_nothing_pending(self) -> bool:
         return not (self.reader.requests or self.connection.unsent_bytes or self.has_unfinished_request())
 
     def is_answered(self) -> bool:
-        """Whether every request that came whole has its answer, and the answers are with the system."""
+        """Returns whether all complete requests are answered and the answers were passed to the system."""
         return not (self.open_requests or self.connection.unsent_bytes)
 
     def is_silent(self) -> bool:
-        """Whether nothing of a request has ever come."""
+        """Returns whether no part of a request has ever arrived."""
         return not (self.has_sent_request or self.open_requests or self.has_unfinished_request())
 
-    def overdue(self, now: float) -> str:
-        """Why this connection is to end, "" where it may stay: no request became whole in time.
+    def timeout_reason(self, now: float) -> str:
+        """Returns the reason why the connection has timed out, or "" if it has not.
 
-        The clock runs from the start, whatever has come since.
+        It times out if a request does not arrive completely within the limit. The time counts from the start
+        of the connection or request, whatever has arrived since.
         """
         timeout_s = self.frontend.unfinished_timeout_s
         if not self.has_sent_request and now - self.opened_at > timeout_s:
             self.connection.read_now()
             if not self.has_sent_request:
-                return "no whole request in time"
+                return "no complete request in time"
         if not self.has_unfinished_request():
             self.unfinished_since = {}
             return ""
         numbers = [number for number in self.reader.requests if number not in self.reader.complete]
         if not numbers:
-            # A record that has begun; the next whole request ends its clock.
-            numbers = [-1 - self.whole_requests]
+            # A partial record without a request number; its timeout ends with the next complete request.
+            numbers = [-1 - self.complete_requests]
         self.unfinished_since = {number: self.unfinished_since.get(number, now) for number in numbers}
-        return "a request does not become whole" if self.is_stalled(now, timeout_s) else ""
+        return "request not completed in time" if self.is_stalled(now, timeout_s) else ""
 
     def is_stalled(self, now: float, timeout_s: float) -> bool:
-        """Whether one of its requests has been unfinished for longer."""
+        """Returns whether one of its requests has been unfinished for longer than `timeout_s`."""
         return any(now - since > timeout_s for since in self.unfinished_since.values())
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -79,7 +79,7 @@
             assert status == 503 and b"X-Pushback-Ms" in head
             # A client that got nothing but refusals is no silent one: its line stays.
             session = next(iter(dispatcher.service.frontend.sessions))
-            assert session.has_sent_request and not session.overdue(session.opened_at + 60)
+            assert session.has_sent_request and not session.timeout_reason(session.opened_at + 60)
             owner.requests.open_count = 0
             assert (await dispatcher.ask(4, "page"))[0] == 200  # the same line, after its rest
             # A request that asks for the end of its connection gets it, and what it sent is read before.
