--- a/hoistplank/routing/request_intake.py
+++ b/hoistplank/routing/request_intake.py
@@ -1,4 +1,4 @@
-"""Decides on a request that has come whole: health check, parse, authorize, admit."""
+"""Handles a request that has arrived completely: health check, parsing, authorization, admission."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class Authorizer(Protocol):
-    """Decides whether a caller's request may be accepted; a dispatcher without one accepts them all."""
+    """Decides whether a caller's request is accepted; without one, a dispatcher accepts all requests."""
 
     def admit(
         self, identity: object, fields: dict[str, str], request: Request, peer: str
     ) -> RequestRefusal | None:
-        """Counts the request as open, or returns why it is refused. `identity` is what the connection's
-        handshake has proven, `peer` the connection's remote address."""
+        """Counts the request as open and returns None, or returns the refusal. `identity` is the identity
+        proven by the connection's handshake, `peer` the connection's remote address."""
 
     def ended(self, request: Request) -> None:
-        """A request that was admitted has had its answer, or its client is gone; called once for each."""
+        """Ends an admitted request, which was answered or whose client left; called once for each."""
 
 
 class RequestIntake:
-    """What stands between a whole request and the router task; shared by all client sessions."""
+    """Processes complete requests before they reach the router task; shared by all client sessions."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
     ) -> None:
         self.router_task = router_task
         self.is_ready = is_ready
-        self.health_detail: Callable[[], str] = str  # the body of a health answer
+        self.health_detail: Callable[[], str] = str  # returns the body of a health check's answer
         self.authorizer = authorizer
         self.parser = RequestParser(settings)
         self.max_retry_after_us = (
@@ -48,15 +48,15 @@
         )
 
     def answer_health_check(self, response: FastCgiResponse) -> None:
-        """200 while this dispatcher is to get requests, else 503."""
+        """Answers 200 while this dispatcher is ready for requests, otherwise 503."""
         detail = self.health_detail().encode()
         response.send(200 if self.is_ready() else 503, (), detail)
 
     def parse(
         self, response: FastCgiResponse, fields: dict[str, str], received: FastCgiRequest, unread_for_us: int
     ) -> Request:
-        """The request of these fields, which came `unread_for_us` ago; raises ProtocolError on one that can't
-        be used."""
+        """Returns the request with these fields, which arrived `unread_for_us` ago; raises ProtocolError if
+        it is invalid."""
         received_us = self.router_task.clock.now() - unread_for_us
         request = self.parser.parse(received_us, response, fields, bytes(received.body))
         received.body, received.params = bytearray(), bytearray()
@@ -71,7 +71,7 @@
         identity: object,
         peer: str,
     ) -> bool:
-        """Whether the caller may have it and the core has capacity; else the request has had its answer."""
+        """Returns whether the caller is authorized and the core has capacity; if not, answers the request."""
         refusal = authorizer.admit(identity, fields, request, peer)
         if refusal is not None:
             response.refuse(refusal, self.max_retry_after_us)
@@ -83,11 +83,11 @@
         return True
 
     def ended(self, request: Request) -> None:
-        """A request that was handed to the router task has had its answer, or its client is gone."""
+        """Ends a request that was submitted to the router task and answered, or whose client left."""
         if self.authorizer is not None:
             self.authorizer.ended(request)
 
 
 def is_health_check(fields: dict[str, str]) -> bool:
-    """Whether the request asks for this dispatcher's own health."""
+    """Returns whether the request is a health check of this dispatcher."""
     return fields.get("SCRIPT_NAME", "") + fields.get("PATH_INFO", "") == HEALTH_PATH
