--- a/hoistplank/routing/attempt_message.py
+++ b/hoistplank/routing/attempt_message.py
@@ -16,8 +16,7 @@
         "queue": request.class_name,
         "path": request.object_key,
         "blk": str(request.part),
-        # A larger budget than the client's remaining time would have the host work on an answer nobody
-        # awaits.
+        # With a larger budget than the client's remaining time, the host would work on an unused answer.
         "budget": str(max(1, (action.timeout_us - waited_us) // 1000)),
     }
     if request.idempotency_key:
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -255,8 +255,8 @@
                 backoff_s = MIN_BACKOFF_S
                 continue
             if self.is_log_behind:
-                # A log that was restarted numbers its events from 1, and all of them would be ignored as old. A
-                # log that only lags catches up before a connection counts as dead. All events are requested
+                # A log that was restarted numbers its events from 1, and all of them would be ignored as old.
+                # A log that only lags catches up before a connection counts as dead. All events are requested
                 # again: the first one has the whole endpoint list.
                 self.last_seq, self.is_log_behind, self.numbering_restarted = 0, False, True
             if self.is_current:
