--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -1,4 +1,4 @@
-"""A dispatcher process that is stopped for a while: what came meanwhile is known before anything is sent."""
+"""Standstills of a dispatcher process: data that arrived during one is read before anything is sent."""
 
 from __future__ import annotations
 
@@ -18,67 +18,68 @@
 from tests.test_unconfirmed_list import Requests, sent_to
 
 STOPPED_S = 0.6
-LARGE_REQUESTS, LARGE_BODY_BYTES = 8, 5_000  # more than one read takes
-PURGES = 3_000  # that stand before the drain in the log: far more than one read takes
+LARGE_REQUESTS, LARGE_BODY_BYTES = 8, 5_000  # more than fits in one read
+PURGES = 3_000  # before the drain in the log: far more than fit in one read
 
 
-async def stop_for(place: Deployment, seconds: float) -> None:
-    """Stops the dispatcher's process; it goes on when this returns."""
-    assert place.process is not None
+async def resume_after(deployment: Deployment, seconds: float) -> None:
+    """Waits, then resumes the dispatcher's stopped process."""
+    assert deployment.process is not None
     await asyncio.sleep(seconds)
-    place.process.send_signal(signal.SIGCONT)
+    deployment.process.send_signal(signal.SIGCONT)
 
 
-def test_a_drain_behind_many_events_is_known_before_requests_are_sent(tmp_path: Path) -> None:
+def test_drain_after_many_pending_events_is_applied_before_requests_are_sent(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with Deployment(tmp_path) as place:
-            requests, drained = Requests(place), place.caches[0]
+        async with Deployment(tmp_path) as deployment:
+            requests, drained_host = Requests(deployment), deployment.caches[0]
             await requests.send_for(0.3)
-            assert place.process is not None
-            place.process.send_signal(signal.SIGSTOP)
+            assert deployment.process is not None
+            deployment.process.send_signal(signal.SIGSTOP)
             for number in range(PURGES):
-                place.publish(invalidate={"object": f"{number:016x}", "time": time.time() * 1e3})
-            place.set_state(drained, "draining")
-            before = len(sent_to(place, drained))
-            going_on = asyncio.create_task(stop_for(place, STOPPED_S))
+                deployment.publish(invalidate={"object": f"{number:016x}", "time": time.time() * 1e3})
+            deployment.set_state(drained_host, "draining")
+            sent_before = len(sent_to(deployment, drained_host))
+            resuming = asyncio.create_task(resume_after(deployment, STOPPED_S))
             await requests.send_for(STOPPED_S + 0.6)
-            await going_on
-            assert len(sent_to(place, drained)) == before
+            await resuming
+            assert len(sent_to(deployment, drained_host)) == sent_before
             assert set(requests.statuses) <= {200, 503}
             await requests.wait_until_served()
 
     run_scene(scene())
 
 
-def test_nothing_is_sent_for_a_client_that_left_meanwhile(tmp_path: Path) -> None:
-    """What a client sent and its end are read one after the other; the request must not go out between."""
+def test_request_of_client_that_left_during_standstill_is_not_sent(tmp_path: Path) -> None:
+    """A request and the end of its connection are read one after the other. The request must not be sent to a
+    cache host in between."""
 
     async def scene() -> None:
-        async with Deployment(tmp_path) as place:
-            resting = [await place.client() for _ in range(20)]
-            for number, client in enumerate(resting, 1):
-                await served(client, number)
-            assert place.process is not None
-            place.process.send_signal(signal.SIGSTOP)
-            left = list[str]()
-            for number, client in enumerate(resting, 101):
+        async with Deployment(tmp_path) as deployment:
+            idle_clients = [await deployment.client() for _ in range(20)]
+            for number, client in enumerate(idle_clients, 1):
+                await send_until_served(client, number)
+            assert deployment.process is not None
+            deployment.process.send_signal(signal.SIGSTOP)
+            left_request_ids = list[str]()
+            for number, client in enumerate(idle_clients, 101):
                 client.send(number, "page", {"HTTP_X_SUBJECT": f"{number:016x}"})
-                left.append(f"{number:016x}")
+                left_request_ids.append(f"{number:016x}")
                 client.writer.close()
-            await stop_for(place, STOPPED_S)
-            staying = await place.client()
-            await served(staying, 200)
-            assert not [each for each in place.caches_received() if each.request_id in left]
+            await resume_after(deployment, STOPPED_S)
+            remaining_client = await deployment.client()
+            await send_until_served(remaining_client, 200)
+            assert not [each for each in deployment.caches_received() if each.request_id in left_request_ids]
 
     run_scene(scene())
 
 
-def test_a_request_that_waited_is_not_sent_for_a_client_that_left_meanwhile(tmp_path: Path) -> None:
-    """Timers run before sockets are read: what waits is decided on first after a standstill."""
+def test_held_request_of_client_that_left_during_standstill_is_not_sent(tmp_path: Path) -> None:
+    """Timers run before sockets are read, so held requests are decided on first after a standstill."""
 
     async def scene() -> None:
-        box, origin = ScriptedCacheHost(answer_at_once), ScriptedCacheHost(answer_at_once)
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": origin}) as dispatcher:
+        cache, origin = ScriptedCacheHost(answer_at_once), ScriptedCacheHost(answer_at_once)
+        async with SteadyDispatcher(tmp_path, {"a": cache, "o": origin}) as dispatcher:
             router_task = dispatcher.service.router_task
             confirmation = router_task.router.parts.list_confirmation
             confirmation.observe(router_task.clock.now(), EndpointWatchStage.CONNECTING)
@@ -88,24 +89,24 @@
             client.sendall(request_bytes(1, "booking", KEY))
             await until(lambda: bool(router_task.router.waiting))
             client.close()
-            time.sleep(STOPPED_S / 2)  # noqa: ASYNC251  the loop stands still
+            time.sleep(STOPPED_S / 2)  # noqa: ASYNC251  blocks the loop
             router_task.submit(EndpointWatchStageChanged(EndpointWatchStage.CONFIRMED))
             router_task.turn()
             await until(lambda: not router_task.requests.open_count)
-            assert not box.requests and not origin.requests
+            assert not cache.requests and not origin.requests
 
     run_scene(scene())
 
 
-def test_the_time_that_a_request_lay_unread_is_no_longer_its_client_s(tmp_path: Path) -> None:
+def test_attempt_budget_excludes_the_time_that_a_request_was_unread(tmp_path: Path) -> None:
     async def scene() -> None:
-        box, origin = ScriptedCacheHost(answer_at_once), ScriptedCacheHost(answer_at_once)
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": origin}) as dispatcher:
+        cache, origin = ScriptedCacheHost(answer_at_once), ScriptedCacheHost(answer_at_once)
+        async with SteadyDispatcher(tmp_path, {"a": cache, "o": origin}) as dispatcher:
             loop, client = asyncio.get_running_loop(), socket.socket()
             client.connect(dispatcher.service.listener.sock.getsockname())
             sent_at = loop.time()
-            client.sendall(request_bytes(1, "booking", KEY))  # whose client waits for 1.5 s
-            time.sleep(STOPPED_S)  # noqa: ASYNC251  the loop stands still
+            client.sendall(request_bytes(1, "booking", KEY))  # its client waits for 1.5 s
+            time.sleep(STOPPED_S)  # noqa: ASYNC251  blocks the loop
             await until(lambda: bool(origin.requests))
             left_ms = 1_500 - (loop.time() - sent_at) * 1e3
             assert int(origin.requests[0][1]["budget"]) <= left_ms + 50
@@ -114,19 +115,19 @@
     run_scene(scene())
 
 
-def test_requests_that_take_several_reads_count_from_the_standstill_alike(tmp_path: Path) -> None:
-    """The read before brought a part of what lay there: it says nothing of when the rest came."""
+def test_attempt_budget_excludes_the_unread_time_of_requests_that_take_several_reads(tmp_path: Path) -> None:
+    """An earlier read took only a part of the pending data: it does not show when the rest arrived."""
 
     async def scene() -> None:
-        box, origin = ScriptedCacheHost(answer_at_once), ScriptedCacheHost(answer_at_once)
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": origin}) as dispatcher:
+        cache, origin = ScriptedCacheHost(answer_at_once), ScriptedCacheHost(answer_at_once)
+        async with SteadyDispatcher(tmp_path, {"a": cache, "o": origin}) as dispatcher:
             loop, client = asyncio.get_running_loop(), socket.socket()
             client.connect(dispatcher.service.listener.sock.getsockname())
             sent_at = loop.time()
             for number in range(1, LARGE_REQUESTS + 1):
                 fields = {"HTTP_X_OPERATION_KEY": f"{number:032x}"}
                 client.sendall(request_bytes(number, "booking", fields, bytes(LARGE_BODY_BYTES)))
-            time.sleep(STOPPED_S)  # noqa: ASYNC251  the loop stands still
+            time.sleep(STOPPED_S)  # noqa: ASYNC251  blocks the loop
             await until(lambda: len(origin.requests) == LARGE_REQUESTS)
             left_ms = 1_500 - (loop.time() - sent_at) * 1e3
             assert max(int(fields["budget"]) for _, fields, _ in origin.requests) <= left_ms + 100
@@ -135,10 +136,10 @@
     run_scene(scene())
 
 
-async def served(client: FastCgiClient, number: int) -> None:
-    """A request that is served, sent anew while the dispatcher rejects what comes after a standstill."""
-    for again in range(20):
-        fields = {"HTTP_X_CORRELATION_ID": f"{number:08x}{again:08x}", "HTTP_X_SUBJECT": f"{number:016x}"}
+async def send_until_served(client: FastCgiClient, number: int) -> None:
+    """Sends a request until it is served: the dispatcher rejects some right after a standstill."""
+    for repeat in range(20):
+        fields = {"HTTP_X_CORRELATION_ID": f"{number:08x}{repeat:08x}", "HTTP_X_SUBJECT": f"{number:016x}"}
         client.send(number, "page", fields)
         if (await asyncio.wait_for(client.read_answer(), 5))[1] == 200:
             return
