--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The dispatcher's clocks."""
+"""Tests of the dispatcher's clocks when the wall clock is set."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 HOUR_US = 3_600_000_000
 
 
-class Times:
-    """The system's clocks, set by hand."""
+class FakeClocks:
+    """Replaces the system's clocks by values set in the test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.monotonic_us, self.wall_us = 1_000, START_US
@@ -19,52 +19,52 @@
         monkeypatch.setattr("time.time_ns", lambda: self.wall_us * 1_000)
 
     def step(self, step_us: int) -> None:
-        """Sets the wall clock."""
+        """Sets the wall clock forward, or back if negative."""
         self.wall_us += step_us
 
-    def pass_by(self, span_us: int) -> None:
-        """Both clocks go on."""
+    def advance(self, span_us: int) -> None:
+        """Advances both clocks."""
         self.monotonic_us += span_us
         self.wall_us += span_us
 
 
 @pytest.fixture
-def times(monkeypatch: pytest.MonkeyPatch) -> Times:
-    return Times(monkeypatch)
+def clocks(monkeypatch: pytest.MonkeyPatch) -> FakeClocks:
+    return FakeClocks(monkeypatch)
 
 
 @pytest.mark.parametrize("step_us", [HOUR_US, 5_000_000, -5_000_000, -HOUR_US])
-def test_spans_are_real_time_whatever_the_wall_clock_does(times: Times, step_us: int) -> None:
+def test_clock_ignores_steps_of_the_wall_clock(clocks: FakeClocks, step_us: int) -> None:
     clock = Clock()
     assert clock.now() == START_US and clock.step_us() == 0
-    times.step(step_us)
+    clocks.step(step_us)
     assert clock.now() == START_US and clock.step_us() == step_us
-    times.pass_by(2_000)
+    clocks.advance(2_000)
     assert clock.now() == START_US + 2_000 and clock.step_us() == step_us
-    times.step(-step_us)
+    clocks.step(-step_us)
     assert clock.now() == START_US + 2_000 and clock.step_us() == 0
 
 
-def test_a_start_is_taken_for_the_younger_of_its_readings(times: Times) -> None:
+def test_start_time_after_a_step_is_the_later_interpretation(clocks: FakeClocks) -> None:
     clock = Clock()
-    times.pass_by(60_000_000)
+    clocks.advance(60_000_000)
     now, old = clock.now(), START_US + 50_000_000
-    assert clock.to_local_start(old) == old  # no step: as it stands
+    assert clock.to_local_start(old) == old  # no step: unchanged
     for step_us in (HOUR_US, -HOUR_US):
-        times.step(step_us)
-        assert clock.to_local_start(0) == 0  # no start is known
+        clocks.step(step_us)
+        assert clock.to_local_start(0) == 0  # unknown start
         stamped_after_the_step = now + step_us - 1_000_000
-        # It started a second ago: never older, so that a cold host passes for no warm one.
+        # It started a second ago. An earlier result would make a cold host look warm.
         assert now - 1_000_000 <= clock.to_local_start(stamped_after_the_step) <= now
         assert old <= clock.to_local_start(old) <= now
-        times.step(-step_us)
+        clocks.step(-step_us)
 
 
-def test_what_others_have_dated_follows_the_wall_clock_forward_and_never_back(times: Times) -> None:
+def test_wall_clock_follows_forward_steps_and_ignores_backward_steps(clocks: FakeClocks) -> None:
     clock = WallClock()
     assert clock.now() == START_US
-    times.pass_by(2_000)
-    times.step(-9_000_000)
+    clocks.advance(2_000)
+    clocks.step(-9_000_000)
     assert clock.now() == START_US + 2_000
-    times.step(20_000_000)
+    clocks.step(20_000_000)
     assert clock.now() == START_US + 11_002_000
