--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""The watch on the change log: silence, gaps, lost lines and a log that counts anew."""
+"""Tests of `EndpointWatcher`: silence, gaps, incomplete lines and a log that restarts its numbering."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from hoistplank.fakes.wire import ConnectionHandler, ScriptedCacheHost, serve
 from hoistplank.program.phase import Phase
 from hoistplank.protocol.changelog import Event, Fleet, Snapshot
-from hoistplank.routing import endpoint_watcher as watching
+from hoistplank.routing import endpoint_watcher
 from hoistplank.routing.clock import Clock
 from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.events import (
@@ -34,7 +34,7 @@
 
 
 class EventRecorder:
-    """Hears what the change log says, and apart from it how the watch stands."""
+    """Records the watcher's events, and its stages separately."""
 
     def __init__(self) -> None:
         self.clock, self.events, self.stages = Clock(), list[Any](), list[EndpointWatchStage]()
@@ -51,13 +51,13 @@
 
 
 def snapshot(seq: int, *events: bytes) -> Snapshot:
-    """The list that a configuration knows, up to `seq`."""
+    """Returns a configuration's snapshot of the change log up to `seq`."""
     return msgspec.json.decode(b'{"seq":%d,"results":[%s]}' % (seq, b",".join(events)), type=Snapshot)
 
 
 @contextlib.asynccontextmanager
 async def running(watcher: EndpointWatcher) -> AsyncIterator[None]:
-    """Runs a watcher, and ends it with the block."""
+    """Runs a watcher for the duration of the block."""
     task = asyncio.create_task(watcher.run(), name="endpoint watcher")
     try:
         yield
@@ -67,164 +67,167 @@
 
 
 @contextlib.asynccontextmanager
-async def followed(talk: ConnectionHandler) -> AsyncIterator[tuple[EndpointWatcher, EventRecorder]]:
-    """A watcher that knows a list up to number 1, and follows a log that talks as `talk` does."""
-    told = EventRecorder()
+async def running_watcher(
+    handle_connection: ConnectionHandler,
+) -> AsyncIterator[tuple[EndpointWatcher, EventRecorder]]:
+    """Runs a watcher that has events up to 1, against a log whose connections `handle_connection` serves."""
+    recorder = EventRecorder()
     known = snapshot(1, endpoint_event(1, whole=True))
-    watcher = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
+    watcher = EndpointWatcher(recorder, ("127.0.0.1", await serve(handle_connection)), known, Random(1))
     async with running(watcher):
-        yield watcher, told
+        yield watcher, recorder
 
 
 @pytest.fixture
 def short_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A log counts as silent after 0.2 s."""
-    monkeypatch.setattr(watching, "SILENCE_TIMEOUT_S", 0.2)
-    monkeypatch.setattr(watching, "CHECK_INTERVAL_S", 0.02)
+    """Sets the silence timeout to 0.2 s."""
+    monkeypatch.setattr(endpoint_watcher, "SILENCE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(endpoint_watcher, "CHECK_INTERVAL_S", 0.02)
 
 
-QUIET_WATCHES: dict[str, list[bytes]] = {
+CONNECTIONS_WITHOUT_PROGRESS: dict[str, list[bytes]] = {
     "silent from its first second": [],
     "silent after half a line": [endpoint_event(2)[:20]],
-    "a dribble of bytes": [bytes([byte]) for byte in endpoint_event(2)[:-1]],
-    "a number behind ours": [b"0\n"] * 1_000,
-    "a number behind ours, as an object": [b'{"seq":0}\n'] * 1_000,
+    "single bytes": [bytes([byte]) for byte in endpoint_event(2)[:-1]],
+    "a position below last_seq": [b"0\n"] * 1_000,
+    "a position below last_seq, as an object": [b'{"seq":0}\n'] * 1_000,
     "the same event again": [endpoint_event(1, whole=True)] * 1_000,
 }
 
 
 @pytest.mark.usefixtures("short_silence")
-@pytest.mark.parametrize("how", QUIET_WATCHES)
-def test_a_watch_on_which_nothing_moves_on_is_taken_up_again(how: str) -> None:
+@pytest.mark.parametrize("case", CONNECTIONS_WITHOUT_PROGRESS)
+def test_connection_without_progress_is_replaced(case: str) -> None:
     async def scene() -> None:
-        asked = list[int]()
+        requested_positions = list[int]()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
-            if len(asked) == 1:
-                for piece in QUIET_WATCHES[how]:
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
+            if len(requested_positions) == 1:
+                for piece in CONNECTIONS_WITHOUT_PROGRESS[case]:
                     writer.write(piece)
                     await asyncio.sleep(0.02)
             else:
-                first = endpoint_event(1, whole=True) * (asked[-1] == 0)
+                first = endpoint_event(1, whole=True) * (requested_positions[-1] == 0)
                 writer.write(first + endpoint_event(2, state="draining") + b"2\n")
             await reader.read()
 
-        async with followed(talk) as (log, told):
-            await until(lambda: log.last_seq == 2)
-            # A log that counts anew is asked for all it has; any other goes on from where we are.
-            assert asked == [1, 0 if how.startswith("a number behind ours") else 1]
-            assert told.events[-1].targets[0].state == "draining"
+        async with running_watcher(handle_connection) as (watcher, recorder):
+            await until(lambda: watcher.last_seq == 2)
+            # All events are requested from a log that restarted its numbering, from others only later events.
+            assert requested_positions == [1, 0 if case.startswith("a position below last_seq") else 1]
+            assert recorder.events[-1].targets[0].state == "draining"
 
     run_scene(scene())
 
 
 @pytest.mark.usefixtures("short_silence")
-def test_a_log_that_counts_anew_takes_no_drain_back() -> None:
+def test_log_that_restarts_its_numbering_does_not_revert_a_drain() -> None:
     async def scene() -> None:
-        asked = list[int]()
+        requested_positions = list[int]()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
-            # From before the drain.
-            writer.write(b"1\n" if asked[-1] else endpoint_event(1, whole=True) + b"1\n")
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
+            # The list is from before the drain.
+            writer.write(b"1\n" if requested_positions[-1] else endpoint_event(1, whole=True) + b"1\n")
             await reader.read()
 
-        told = EventRecorder()
+        recorder = EventRecorder()
         lines = [endpoint_event(1, whole=True), endpoint_event(2, state="draining")]
         known = snapshot(2, *lines)
-        log = EndpointWatcher(told, ("127.0.0.1", await serve(talk)), known, Random(1))
-        async with running(log):
-            await until(lambda: log.last_seq == 1)
-            assert asked == [2, 0] and told.events[-1].targets[0].state == "draining"
-            # The same process: only a new one is ready again.
-            log._apply(msgspec.json.decode(endpoint_event(2), type=Event))
-            assert told.events[-1].targets[0].state == "draining"
-            new = msgspec.structs.replace(told.events[-1].targets[0], state="ready", boot_ms=5.0)
-            log._apply(Event(3, Fleet(3, False, [new])))
-            assert told.events[-1].targets[0].state == "ready"
+        watcher = EndpointWatcher(recorder, ("127.0.0.1", await serve(handle_connection)), known, Random(1))
+        async with running(watcher):
+            await until(lambda: watcher.last_seq == 1)
+            assert requested_positions == [2, 0] and recorder.events[-1].targets[0].state == "draining"
+            # It is the same process: the host becomes ready only with a new one.
+            watcher._apply(msgspec.json.decode(endpoint_event(2), type=Event))
+            assert recorder.events[-1].targets[0].state == "draining"
+            new = msgspec.structs.replace(recorder.events[-1].targets[0], state="ready", boot_ms=5.0)
+            watcher._apply(Event(3, Fleet(3, False, [new])))
+            assert recorder.events[-1].targets[0].state == "ready"
 
     run_scene(scene())
 
 
 @pytest.mark.usefixtures("short_silence")
 @pytest.mark.parametrize("number", [b"%d\n", b'{"seq":%d}\n'])
-def test_a_watch_that_tells_its_number_each_second_stays(number: bytes) -> None:
+def test_connection_with_periodic_positions_is_kept(number: bytes) -> None:
     async def scene() -> None:
-        asked = list[int]()
+        requested_positions = list[int]()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
             while True:
                 writer.write(number % 1)
                 await asyncio.sleep(0.05)
 
-        async with followed(talk) as (log, _):
-            await until(lambda: log.progress_count > 20)
-            assert asked == [1]
+        async with running_watcher(handle_connection) as (watcher, _):
+            await until(lambda: watcher.progress_count > 20)
+            assert requested_positions == [1]
 
     run_scene(scene())
 
 
-def test_a_line_of_the_log_that_breaks_off_is_asked_for_again_at_once() -> None:
-    """Half an event may be a drain: it counts as told, and the seconds that stay away show it far too
-    late."""
+def test_incomplete_line_causes_an_immediate_reconnect() -> None:
+    """The partial line may be a drain, which counts as received. The silence timeout is far too late."""
 
     async def scene() -> None:
-        asked, broke = list[int](), list[float]()
+        requested_positions, sent_at = list[int](), list[float]()
         loop = asyncio.get_running_loop()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
             line = endpoint_event(2, state="draining")
-            writer.write(line[: len(line) // 2] if len(asked) == 1 else line)
-            broke.append(loop.time())
+            writer.write(line[: len(line) // 2] if len(requested_positions) == 1 else line)
+            sent_at.append(loop.time())
             await reader.read()
 
-        async with followed(talk) as (log, told):
-            await until(lambda: log.last_seq == 2)
-            assert asked == [1, 1] and loop.time() - broke[0] < 1.0
-            assert told.events[-1].targets[0].state == "draining"
+        async with running_watcher(handle_connection) as (watcher, recorder):
+            await until(lambda: watcher.last_seq == 2)
+            assert requested_positions == [1, 1] and loop.time() - sent_at[0] < 1.0
+            assert recorder.events[-1].targets[0].state == "draining"
 
     run_scene(scene())
 
 
 @pytest.mark.parametrize("number", [b"2\n", b'{"seq":2}\n'])
-def test_a_number_ahead_of_its_event_asks_for_the_event(number: bytes) -> None:
-    """An event was lost on its way: the number shows it, and it must not count as heard."""
+def test_position_ahead_of_the_events_requests_the_missing_event(number: bytes) -> None:
+    """The position shows that an event was lost in transit; it must not count as received."""
 
     async def scene() -> None:
-        asked = list[int]()
+        requested_positions = list[int]()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
-            writer.write(number if len(asked) == 1 else endpoint_event(2, state="draining") + number)
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
+            writer.write(
+                number if len(requested_positions) == 1 else endpoint_event(2, state="draining") + number
+            )
             await reader.read()
 
-        async with followed(talk) as (log, told):
-            await until(lambda: log.last_seq == 2)
-            assert asked == [1, 1] and told.events[-1].targets[0].state == "draining"
+        async with running_watcher(handle_connection) as (watcher, recorder):
+            await until(lambda: watcher.last_seq == 2)
+            assert requested_positions == [1, 1] and recorder.events[-1].targets[0].state == "draining"
 
     run_scene(scene())
 
 
-def test_a_log_that_is_back_is_heard_within_a_drains_grace() -> None:
-    """What it holds counts as told though nobody is connected: the pause between tries stays short."""
+def test_backoff_stays_shorter_than_the_grace_period_of_a_drain() -> None:
+    """Events in the log count as received even without a connection: a drain must arrive in time."""
 
     async def scene() -> None:
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             port = listener.getsockname()[1]
-        told, failed, loop = EventRecorder(), list[float](), asyncio.get_running_loop()
-        plain = told.submit
+        recorder, failed, loop = EventRecorder(), list[float](), asyncio.get_running_loop()
+        original = recorder.submit
 
-        def tell(event: Any) -> None:
-            plain(event)
+        def record_time(event: Any) -> None:
+            original(event)
             failed.append(loop.time())
 
-        told.submit = tell  # type: ignore[method-assign]
-        log = EndpointWatcher(told, ("127.0.0.1", port), Snapshot(0, []), Random(1), grace_s=0.25)
-        async with running(log):
+        recorder.submit = record_time  # type: ignore[method-assign]
+        watcher = EndpointWatcher(recorder, ("127.0.0.1", port), Snapshot(0, []), Random(1), grace_s=0.25)
+        async with running(watcher):
             await until(lambda: len(failed) > 12)
             assert max(later - first for first, later in zip(failed[5:], failed[6:], strict=False)) < 0.25
 
@@ -232,130 +235,134 @@
 
 
 @pytest.mark.usefixtures("short_silence")
-def test_a_log_that_answers_late_is_heard_all_the_same() -> None:
-    """Asked again before it could answer, it would never be heard, however long it is waited for."""
+def test_log_that_answers_later_than_the_silence_timeout_is_confirmed() -> None:
+    """Reconnecting each time before the log could answer would never receive its answer."""
 
     async def scene() -> None:
-        asked = list[int]()
+        requested_positions = list[int]()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
-            await asyncio.sleep(0.5)  # of which a log may usually be silent for 0.2 s
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
+            await asyncio.sleep(0.5)  # longer than the silence timeout of 0.2 s
             writer.write(b"1\n")
             await reader.read()
 
-        async with followed(talk) as (log, told):
-            await until(lambda: told.stages[-1] is EndpointWatchStage.CONFIRMED)
-            assert asked == [1, 1, 1]
+        async with running_watcher(handle_connection) as (watcher, recorder):
+            await until(lambda: recorder.stages[-1] is EndpointWatchStage.CONFIRMED)
+            assert requested_positions == [1, 1, 1]
 
     run_scene(scene())
 
 
 @pytest.mark.usefixtures("short_silence")
-def test_events_without_a_number_are_confirmed_by_another_question() -> None:
-    """The first of several events says nothing of those behind it."""
+def test_events_without_a_position_are_confirmed_by_a_reconnect() -> None:
+    """An event does not show whether others follow it."""
 
     async def scene() -> None:
-        asked = list[int]()
+        requested_positions = list[int]()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
-            writer.write(endpoint_event(2, state="draining") if asked[-1] == 1 else b"2\n")
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
+            writer.write(endpoint_event(2, state="draining") if requested_positions[-1] == 1 else b"2\n")
             await reader.read()
 
-        async with followed(talk) as (log, told):
-            await until(lambda: log.last_seq == 2)
-            assert told.stages[-1] is EndpointWatchStage.AWAITING_ANSWER
-            await until(lambda: told.stages[-1] is EndpointWatchStage.CONFIRMED)
-            assert asked == [1, 2] and len(told.events) == 2  # nothing was lost on the way
+        async with running_watcher(handle_connection) as (watcher, recorder):
+            await until(lambda: watcher.last_seq == 2)
+            assert recorder.stages[-1] is EndpointWatchStage.AWAITING_ANSWER
+            await until(lambda: recorder.stages[-1] is EndpointWatchStage.CONFIRMED)
+            assert requested_positions == [1, 2] and len(recorder.events) == 2  # no event was lost
 
     run_scene(scene())
 
 
 @pytest.mark.usefixtures("short_silence")
-def test_a_standstill_of_our_own_is_not_taken_for_the_logs_silence() -> None:
+def test_standstill_of_this_process_does_not_count_as_silence_of_the_log() -> None:
     async def scene() -> None:
-        asked, speaks = list[int](), asyncio.Event()
+        requested_positions, has_sent = list[int](), asyncio.Event()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
             while True:
                 writer.write(b"0\n")
-                speaks.set()
+                has_sent.set()
                 await asyncio.sleep(0.02)
 
-        log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
-        async with running(log):
-            await until(lambda: log.progress_count > 0)
+        watcher = EndpointWatcher(
+            EventRecorder(), ("127.0.0.1", await serve(handle_connection)), Snapshot(0, []), Random(1)
+        )
+        async with running(watcher):
+            await until(lambda: watcher.progress_count > 0)
             for _ in range(3):
-                stop = asyncio.get_running_loop().time() + 0.3
-                while asyncio.get_running_loop().time() < stop:
-                    pass  # the loop stands still for longer than a log may be silent
-                moves = log.progress_count
-                await until(lambda moves=moves: log.progress_count > moves)  # type: ignore[misc]
-            assert asked == [0]
+                deadline = asyncio.get_running_loop().time() + 0.3
+                while asyncio.get_running_loop().time() < deadline:
+                    pass  # blocks the loop for longer than the silence timeout
+                before = watcher.progress_count
+                await until(lambda before=before: watcher.progress_count > before)  # type: ignore[misc]
+            assert requested_positions == [0]
 
     run_scene(scene())
 
 
-def test_no_descriptor_for_the_watch_ends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watcher_retries_when_no_descriptor_is_available(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
-        failed, asked, plain = list[int](), list[int](), socket.socket
+        failed, requested_positions, original = list[int](), list[int](), socket.socket
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
             writer.write(b"0\n")
             await reader.read()
 
-        log = EndpointWatcher(EventRecorder(), ("127.0.0.1", await serve(talk)), Snapshot(0, []), Random(1))
+        watcher = EndpointWatcher(
+            EventRecorder(), ("127.0.0.1", await serve(handle_connection)), Snapshot(0, []), Random(1)
+        )
 
-        def none(*words: Any) -> Any:
+        def fail_twice(*words: Any) -> Any:
             if len(failed) < 2:
                 failed.append(1)
                 raise OSError(24, "Too many open files")
-            return plain(*words)
+            return original(*words)
 
-        monkeypatch.setattr("hoistplank.transport.connecting.socket.socket", none)
-        async with running(log):
-            await until(lambda: log.is_current)
-            assert asked == [0] and len(failed) == 2
+        monkeypatch.setattr("hoistplank.transport.connecting.socket.socket", fail_twice)
+        async with running(watcher):
+            await until(lambda: watcher.is_current)
+            assert requested_positions == [0] and len(failed) == 2
 
     run_scene(scene())
 
 
-def test_a_configuration_in_the_log_does_no_harm_to_a_dispatcher_that_follows_it_directly() -> None:
-    """It has no use for one; taken for a bare number ahead of its event, it would end the watch for good."""
+def test_watcher_ignores_configuration_events() -> None:
+    """A configuration taken for a position ahead of its event would end every connection to the log."""
 
     async def scene() -> None:
-        log = FakeChangeLog(epoch=7)
-        told = EventRecorder()
-        listing_ = EndpointWatcher(
-            told, ("127.0.0.1", await serve(log.serve_connection)), Snapshot(0, []), Random(1)
+        change_log = FakeChangeLog(epoch=7)
+        recorder = EventRecorder()
+        watcher = EndpointWatcher(
+            recorder, ("127.0.0.1", await serve(change_log.serve_connection)), Snapshot(0, []), Random(1)
         )
-        async with running(listing_):
-            log.publish(fleet_event(1, [endpoint_entry("a", "box", 9)], whole=True))
-            log.publish_configuration(2, "x" * 1_000_000)
-            log.publish({"seq": 3, "configuration": {"text": ["wrong"]}})
-            log.publish({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
-            await until(lambda: listing_.last_seq == 4)
-            assert [type(event) for event in told.events] == [
+        async with running(watcher):
+            change_log.publish(fleet_event(1, [endpoint_entry("a", "box", 9)], whole=True))
+            change_log.publish_configuration(2, "x" * 1_000_000)
+            change_log.publish({"seq": 3, "configuration": {"text": ["wrong"]}})
+            change_log.publish({"seq": 4, "invalidate": {"object": "ab", "time": 1}})
+            await until(lambda: watcher.last_seq == 4)
+            assert [type(event) for event in recorder.events] == [
                 EndpointsUpdated,
                 PurgeReceived,
-            ] and log.requested_positions == [0]
+            ] and change_log.requested_positions == [0]
 
     run_scene(scene())
 
 
-def test_change_log_is_taken_up_from_the_last_event_without_gaps(
+def test_watcher_reconnects_after_a_gap_and_receives_all_events_in_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         async with Running(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
         ) as dispatcher:
-            told: list[Any] = []
-            owner = dispatcher.service.router_task
-            monkeypatch.setattr(owner, "submit", recorded_call(owner.submit, told))
+            submitted: list[Any] = []
+            router_task = dispatcher.service.router_task
+            monkeypatch.setattr(router_task, "submit", recorded_call(router_task.submit, submitted))
             dispatcher.tell({"seq": 2, "invalidate": {"object": "ab", "time": 1}})
             dispatcher.tell({"seq": 4, "invalidate": {"bucket": 9, "time": 2}})  # 3 is missing
             await until(lambda: len(dispatcher.since) > 1)
@@ -363,32 +370,38 @@
             await until(lambda: dispatcher.service.endpoint_watcher.last_seq == 4)
             assert dispatcher.since[:2] == [1, 2]
             purges = [
-                (event.object_key, event.purge_group) for (event,) in told if isinstance(event, PurgeReceived)
+                (event.object_key, event.purge_group)
+                for (event,) in submitted
+                if isinstance(event, PurgeReceived)
             ]
             assert purges == [("ab", 0), ("", 8), ("", 9)]
 
     run_scene(scene())
 
 
-def test_silent_change_log_and_silent_host(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A log that says nothing is taken up again; a line on which all was silent gets no new attempts."""
+def test_silent_change_log_and_silent_host_get_new_connections(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The dispatcher reconnects to a silent log; a silent cache host connection gets no new attempts."""
 
     async def scene() -> None:
         monkeypatch.setattr("hoistplank.routing.endpoint_watcher.SILENCE_TIMEOUT_S", 0.05)
-        asked: list[int] = []
+        requested_positions: list[int] = []
 
-        async def quiet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(int((await reader.readline()).split()[1]))
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requested_positions.append(int((await reader.readline()).split()[1]))
             await reader.read()
 
-        box = ScriptedCacheHost(silent)
-        log = f"127.0.0.1:{await serve(quiet)}"
-        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, changelog=log) as dispatcher:
-            await until(lambda: len(asked) >= 2)
-            # By the list of the configuration, once the longest wait for an answer is over.
+        cache = ScriptedCacheHost(silent)
+        log_address = f"127.0.0.1:{await serve(handle_connection)}"
+        async with Running(
+            tmp_path, {"a": cache, "o": ScriptedCacheHost(silent)}, changelog=log_address
+        ) as dispatcher:
+            await until(lambda: len(requested_positions) >= 2)
+            # It serves by the configuration's list once the longest wait for the log's answer is over.
             await until(lambda: dispatcher.service.phase is Phase.SERVING)
-            dispatcher.client = await dispatcher.connect()  # the first one said nothing for too long
-            for number in (1, 2, 3):  # the first brings the connection up, the second finds it silent
+            dispatcher.client = await dispatcher.connect()  # the first connection was silent for too long
+            for number in (1, 2, 3):  # the first one connects, the second one finds the connection silent
                 await dispatcher.ask(
                     number, "booking", fields={"HTTP_X_DEADLINE_MS": "400", "HTTP_X_OPERATION_KEY": "5c" * 16}
                 )
