--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -1,4 +1,4 @@
-"""Clients that leave, abort or don't read: their requests end, and nothing is sent too late."""
+"""Clients that disconnect, abort or don't read: their requests end, and no attempt is sent for them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 async def slow_reading_socket(dispatcher: Running) -> socket.socket:
-    """A client's connection that takes little of what it is owed until somebody reads."""
+    """Returns a client connection with a small receive buffer, which accepts little data until it is read."""
     sock = socket.socket()
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8_192)
@@ -39,74 +39,74 @@
     return sock
 
 
-def test_the_end_of_a_client_is_seen_while_it_does_not_read_what_it_is_owed(tmp_path: Path) -> None:
+def test_abort_of_a_client_that_does_not_read_its_answers_is_noticed(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(
+        cache = ScriptedCacheHost(
             lambda id, fields, body: silent(id, fields, body)
             if fields["blk"] == "9"
             else served(id, fields, body)
         )
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
+        async with SteadyDispatcher(tmp_path, {"a": cache, "o": ScriptedCacheHost(silent)}) as dispatcher:
             loop, sock = asyncio.get_running_loop(), await slow_reading_socket(dispatcher)
-            late = {"HTTP_X_CHUNK": "9", "HTTP_X_DEADLINE_MS": "2400"}
-            await loop.sock_sendall(sock, request_bytes(32, fields=late))
-            await until(lambda: len(box.requests) == 1)
+            slow_fields = {"HTTP_X_CHUNK": "9", "HTTP_X_DEADLINE_MS": "2400"}
+            await loop.sock_sendall(sock, request_bytes(32, fields=slow_fields))
+            await until(lambda: len(cache.requests) == 1)
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": "1"}))
             session = next(each for each in dispatcher.service.frontend.sessions if each.open_requests)
             await until(lambda: session.connection.unsent_bytes > 2 << 20)
-            # What comes once too much waits is read, and so is what comes after it.
+            # Requests are still read when too much data is unsent, and so are later records.
             await loop.sock_sendall(sock, request_bytes(31, fields={"HTTP_X_CHUNK": "1"}))
             await until(lambda: 31 in session.open_requests)
             await loop.sock_sendall(sock, fastcgi.encode_record(fastcgi.ABORT_REQUEST, 32))
             began = loop.time()
-            await until(lambda: f"{32:016x}" in box.dropped)
-            assert loop.time() - began < 1  # and not when its time is over
+            await until(lambda: f"{32:016x}" in cache.dropped)
+            assert loop.time() - began < 1  # well before the request's deadline
             sock.close()
 
     run_scene(scene())
 
 
-def test_requests_of_one_that_does_not_read_are_held_back_and_answered_in_time(tmp_path: Path) -> None:
+def test_requests_of_a_client_that_does_not_read_are_deferred_and_answered_in_time(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(served)
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
+        cache = ScriptedCacheHost(served)
+        async with SteadyDispatcher(tmp_path, {"a": cache, "o": ScriptedCacheHost(silent)}) as dispatcher:
             loop, sock = asyncio.get_running_loop(), await slow_reading_socket(dispatcher)
             for number in range(1, 31):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             session = await session_of_the_client(dispatcher)
             await until(lambda: session.connection.unsent_bytes > 2 << 20 and not session.open_requests)
-            seen = len(box.requests)
+            received_before = len(cache.requests)
             for number in (31, 32):
                 await loop.sock_sendall(sock, request_bytes(number, fields={"HTTP_X_CHUNK": str(number)}))
             await until(lambda: len(session.deferred) == 2)
-            assert len(box.requests) == seen
-            session.deferred[31].deadline_us = Clock().now() + 100_000  # its time is nearly over
-            await until(lambda: 31 not in session.open_requests)  # answered, though nothing is read
+            assert len(cache.requests) == received_before
+            session.deferred[31].deadline_us = Clock().now() + 100_000  # nearly reached
+            await until(lambda: 31 not in session.open_requests)  # answered, though the client reads nothing
             reader, writer = await asyncio.open_connection(sock=sock)
-            client, got = FastCgiClient(reader, writer), dict[int, int]()
-            while len(got) < 32:
+            client, statuses = FastCgiClient(reader, writer), dict[int, int]()
+            while len(statuses) < 32:
                 number, status, _, _ = await asyncio.wait_for(client.read_answer(), 5)
-                got[number] = status
-            assert got.pop(31) == 503 and set(got.values()) == {200}
+                statuses[number] = status
+            assert statuses.pop(31) == 503 and set(statuses.values()) == {200}
             writer.close()
 
     run_scene(scene())
 
 
-def test_an_end_that_is_told_before_its_request_counts_nothing(tmp_path: Path) -> None:
-    """While late, the owner takes what ends before what comes."""
+def test_disconnect_processed_before_its_request_leaves_no_open_request(tmp_path: Path) -> None:
+    """While the loop is late, the router task processes disconnects before arrivals."""
 
     async def scene() -> None:
         async with SteadyDispatcher(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(silent)}
         ) as dispatcher:
             assert (await dispatcher.ask(1, "page"))[0] == 200
-            session, owner = await session_of_the_client(dispatcher), dispatcher.service.router_task
-            nobody: Any = None
+            session, router_task = await session_of_the_client(dispatcher), dispatcher.service.router_task
+            no_response: Any = None
             request = dispatcher.service.frontend.intake.parser.parse(
                 Clock().now(),
-                nobody,
+                no_response,
                 {
                     "SCRIPT_NAME": "/api/v2/page",
                     "HTTP_X_CORRELATION_ID": "ab" * 8,
@@ -115,93 +115,97 @@
                 },
                 b"",
             )
-            owner.lag_us = 100_000
-            owner.submit(RequestArrived(request))
-            owner.submit(ClientDisconnected(request))
-            owner.turn()
-            assert owner.requests.open_count == 0 and not owner.requests.by_id and session.frontend.all_sent()
+            router_task.lag_us = 100_000
+            router_task.submit(RequestArrived(request))
+            router_task.submit(ClientDisconnected(request))
+            router_task.turn()
+            assert (
+                router_task.requests.open_count == 0
+                and not router_task.requests.by_id
+                and session.frontend.all_sent()
+            )
 
     run_scene(scene())
 
 
 @pytest.mark.parametrize(
-    "what",
+    "change",
     ["host drains", "source drains", "host no longer named", "client leaves", "client resets", "window over"],
 )
-def test_nothing_is_sent_over_a_connection_that_came_up_too_late(
-    tmp_path: Path, what: str, monkeypatch: pytest.MonkeyPatch
+def test_attempt_is_not_sent_if_it_became_invalid_while_connecting(
+    tmp_path: Path, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        box, origin = ScriptedCacheHost(served), ScriptedCacheHost(served)
-        async with SteadyDispatcher(tmp_path, {"a": box, "o": origin}) as dispatcher:
-            owner, gate = dispatcher.service.router_task, ConnectionGate(monkeypatch)
+        cache, origin = ScriptedCacheHost(served), ScriptedCacheHost(served)
+        async with SteadyDispatcher(tmp_path, {"a": cache, "o": origin}) as dispatcher:
+            router_task, gate = dispatcher.service.router_task, ConnectionGate(monkeypatch)
             client = await dispatcher.connect()
-            if what == "window over":
-                # As a repeat whose time in which it would be dropped ends while its connection comes up.
-                plain = owner._action_handlers[SendAttempt]
+            if change == "window over":
+                # A repeat whose deduplication window ends while its connection is being established.
+                original_handler = router_task._action_handlers[SendAttempt]
 
-                def attempt(now: int, action: SendAttempt) -> None:
-                    plain(now, msgspec.structs.replace(action, start_by_us=now + 1))
+                def send_after_window(now: int, action: SendAttempt) -> None:
+                    original_handler(now, msgspec.structs.replace(action, start_by_us=now + 1))
 
-                owner._action_handlers[SendAttempt] = attempt
+                router_task._action_handlers[SendAttempt] = send_after_window
                 client.send(1, "booking", KEY)
             else:
                 client.send(1, "page", {"HTTP_X_DEADLINE_MS": "600"})
             await until(lambda: bool(gate.waiting))
-            if what.endswith("drains"):
-                row = dispatcher.targets[0 if what == "host drains" else 1]
-                dispatcher.tell(fleet_event(2, [row | {"state": "draining"}]))
-                await until(lambda: owner.endpoints.by_host[row["uid"]].endpoint.state == "draining")
-            elif what == "host no longer named":
+            if change.endswith("drains"):
+                entry = dispatcher.targets[0 if change == "host drains" else 1]
+                dispatcher.tell(fleet_event(2, [entry | {"state": "draining"}]))
+                await until(lambda: router_task.endpoints.by_host[entry["uid"]].endpoint.state == "draining")
+            elif change == "host no longer named":
                 dispatcher.tell(fleet_event(2, dispatcher.targets[1:], whole=True))
-                await until(lambda: "a" not in owner.endpoints.by_host)
-            elif what == "client leaves":
+                await until(lambda: "a" not in router_task.endpoints.by_host)
+            elif change == "client leaves":
                 client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
-                await until(lambda: not owner.requests.open_count)
-            elif what == "client resets":
+                await until(lambda: not router_task.requests.open_count)
+            elif change == "client resets":
                 client.writer.transport.abort()
-                await until(lambda: not owner.requests.open_count)
+                await until(lambda: not router_task.requests.open_count)
             gate.open.set()
-            if what.startswith("client"):
-                await until(lambda: not owner.requests.by_id)
+            if change.startswith("client"):
+                await until(lambda: not router_task.requests.by_id)
             else:
-                # Where another way is left it is taken: the other host, or this one with no source to fill
-                # from.
+                # If possible, another attempt is made: at the other host, or at this one without a fill
+                # source.
                 status = (await asyncio.wait_for(client.read_answer(), 5))[1]
-                assert status in ((502, 503) if what == "window over" else (200, 503))
-            if not what.startswith("host"):
+                assert status in ((502, 503) if change == "window over" else (200, 503))
+            if not change.startswith("host"):
                 assert not origin.requests and not [
-                    fields for _, fields, _ in box.requests if "parent" in fields
+                    fields for _, fields, _ in cache.requests if "parent" in fields
                 ]
-            if what != "source drains":
-                assert not box.requests
+            if change != "source drains":
+                assert not cache.requests
 
     run_scene(scene())
 
 
-def test_attempts_of_a_client_that_left_are_taken_back(tmp_path: Path) -> None:
+def test_attempts_of_a_client_that_aborted_are_cancelled(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(silent)
-        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
+        cache = ScriptedCacheHost(silent)
+        async with Running(tmp_path, {"a": cache, "o": ScriptedCacheHost(silent)}) as dispatcher:
             dispatcher.client.send(1, "page")
-            await until(lambda: bool(box.requests))
+            await until(lambda: bool(cache.requests))
             dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
-            owner = dispatcher.service.router_task
+            router_task = dispatcher.service.router_task
             began = asyncio.get_running_loop().time()
-            await until(lambda: not owner.requests.by_id and not owner.router.in_flight)
-            assert asyncio.get_running_loop().time() - began < 0.5  # well before its time is over
+            await until(lambda: not router_task.requests.by_id and not router_task.router.in_flight)
+            assert asyncio.get_running_loop().time() - began < 0.5  # well before its deadline
 
     run_scene(scene())
 
 
 def test_aborted_request_gets_no_answer_and_frees_its_number(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(
+        cache = ScriptedCacheHost(
             lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
         )
-        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(served)}) as dispatcher:
+        async with Running(tmp_path, {"a": cache, "o": ScriptedCacheHost(served)}) as dispatcher:
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1"})
-            await until(lambda: bool(box.requests))
+            await until(lambda: bool(cache.requests))
             dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             assert (await dispatcher.client.read_answer())[1] == 0  # END_REQUEST alone
             assert (await dispatcher.ask(1, "page", fields={"HTTP_X_CORRELATION_ID": "ab" * 8}))[0] == 200
@@ -209,7 +213,7 @@
     run_scene(scene())
 
 
-def test_slow_reader_costs_only_itself(tmp_path: Path) -> None:
+def test_slow_reader_does_not_delay_other_clients(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Running(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -1,4 +1,4 @@
-"""Clients that break the framing or never finish: each costs only its own connection."""
+"""Clients with invalid framing or unfinished requests: only their own connection is affected."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.helpers import Running, until
 from tests.scene_runner import run_scene
 
-REQUESTS, BODY_BYTES = 30, 48_000  # of a client: some of them hold more together than 32 MB allow
+REQUESTS, BODY_BYTES = 30, 48_000  # per client; several clients together exceed the limit at 32 MB of memory
 
 
 def request_begin(number: int, params: bytes = b"") -> bytes:
@@ -29,7 +29,7 @@
 MALFORMED: dict[str, list[bytes]] = {
     "nothing": [],
     "half a record": [request_begin(1)[:11]],
-    "never whole": [request_begin(1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page"))],
+    "never complete": [request_begin(1, fastcgi.encode_pair(b"SCRIPT_NAME", b"/api/v2/page"))],
     "endless parameters": [
         request_begin(1),
         *[fastcgi.encode_record(fastcgi.PARAMS, 1, bytes(60_000))] * 200,
@@ -40,43 +40,48 @@
         *[fastcgi.encode_record(5, 1, bytes(60_000))] * 200,
     ],
     "one number twice": [request_begin(1), request_begin(1)],
-    "strays": [fastcgi.encode_record(fastcgi.STDIN, 9, b"x")] * 5_000,
+    "unknown request numbers": [fastcgi.encode_record(fastcgi.STDIN, 9, b"x")] * 5_000,
     "other version": [b"\x07" + request_begin(1)[1:]],
 }
 
 
-@pytest.mark.parametrize("kind", MALFORMED)
-def test_rude_client_is_answered_or_closed_and_costs_only_itself(
-    tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("case", MALFORMED)
+def test_malformed_client_is_answered_or_closed_without_effect_on_others(
+    tmp_path: Path, case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         monkeypatch.setattr("hoistplank.routing.frontend.UNFINISHED_TIMEOUT_S", 0.2)
-        box = ScriptedCacheHost(
+        cache = ScriptedCacheHost(
             lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
         )
-        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}) as dispatcher:
+        async with Running(tmp_path, {"a": cache, "o": ScriptedCacheHost(silent)}) as dispatcher:
             assert (await dispatcher.ask(3, "page"))[0] == 200
-            rude, mixed = await dispatcher.connect(), await dispatcher.connect()
-            mixed.send(5, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "2400"})
-            await until(lambda: len(box.requests) == 2)
-            for piece in MALFORMED[kind]:
-                rude.writer.write(piece)
-            rest = asyncio.create_task(rude.reader.read())
-            # A clock that runs from the start: what still trickles in does not hold it up.
-            while not rest.done() and kind in ("nothing", "half a record", "never whole"):
+            malformed_client, broken_client = await dispatcher.connect(), await dispatcher.connect()
+            broken_client.send(5, "page", {"HTTP_X_CHUNK": "1", "HTTP_X_DEADLINE_MS": "2400"})
+            await until(lambda: len(cache.requests) == 2)
+            for piece in MALFORMED[case]:
+                malformed_client.writer.write(piece)
+            rest = asyncio.create_task(malformed_client.reader.read())
+            # The timeout counts from the start: further data does not extend it.
+            while not rest.done() and case in ("nothing", "half a record", "never complete"):
                 await asyncio.sleep(0.02)
-                if kind == "never whole":
-                    rude.writer.write(
+                if case == "never complete":
+                    malformed_client.writer.write(
                         fastcgi.encode_record(fastcgi.PARAMS, 1, fastcgi.encode_pair(b"A", b"b"))
                     )
             try:
-                said = await asyncio.wait_for(rest, 3)
+                received = await asyncio.wait_for(rest, 3)
             except ConnectionResetError:
-                said = b""
-            assert b"Status: 200" not in said and (b"Status: 400" in said) == (kind[-4:] in ("body", "ters"))
-            # What is open where framing breaks is answered before the close.
-            mixed.writer.write(b"GET / HTTP/1.1\r\n\r\n")
-            assert (await mixed.read_answer())[:2] == (5, 502) and await mixed.reader.read() == b""
+                received = b""
+            assert b"Status: 200" not in received and (b"Status: 400" in received) == (
+                case[-4:] in ("body", "ters")
+            )
+            # Open requests of a connection with invalid framing are answered before it is closed.
+            broken_client.writer.write(b"GET / HTTP/1.1\r\n\r\n")
+            assert (await broken_client.read_answer())[:2] == (
+                5,
+                502,
+            ) and await broken_client.reader.read() == b""
             assert (await dispatcher.ask(1, "page"))[0] == 200
             frontend = dispatcher.service.frontend
             await until(
@@ -87,7 +92,7 @@
     run_scene(scene())
 
 
-def test_bytes_that_are_no_fastcgi_end_their_connection_alone(tmp_path: Path) -> None:
+def test_invalid_fastcgi_closes_only_its_connection(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Running(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
@@ -100,8 +105,8 @@
     run_scene(scene())
 
 
-def test_whoever_is_let_go_for_the_memory_of_its_requests_is_answered_first(tmp_path: Path) -> None:
-    """Requests that were read are owed an answer each, whatever ends their connection."""
+def test_requests_that_exceed_the_memory_limit_are_answered(tmp_path: Path) -> None:
+    """Each request that was read must be answered, whatever closes its connection."""
 
     async def scene() -> None:
         hosts = {"a": ScriptedCacheHost(silent), "o": ScriptedCacheHost(silent)}
@@ -113,9 +118,9 @@
                     answers.append((await asyncio.wait_for(client.read_answer(), 5))[1])
 
             reading = [asyncio.create_task(read(client)) for client in clients]
-            for place, client in enumerate(clients):
+            for index, client in enumerate(clients):
                 for number in range(1, REQUESTS + 1):
-                    unique = f"{place:08x}{number:08x}"
+                    unique = f"{index:08x}{number:08x}"
                     fields = {"HTTP_X_CORRELATION_ID": unique, "HTTP_X_OPERATION_KEY": unique * 2}
                     client.send(number, "booking", fields, body=bytes(BODY_BYTES))
             await asyncio.gather(*reading)
