--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -22,17 +22,17 @@
 from tests.scene_runner import run_scene
 
 
-def test_request_is_served_whole_and_its_fields_go_on(tmp_path: Path) -> None:
+def test_request_is_served_and_its_fields_are_forwarded(tmp_path: Path) -> None:
     async def scene() -> None:
-        box, origin = ScriptedCacheHost(served), ScriptedCacheHost(served)
-        async with Running(tmp_path, {"a": box, "o": origin}) as dispatcher:
+        cache, origin = ScriptedCacheHost(served), ScriptedCacheHost(served)
+        async with Running(tmp_path, {"a": cache, "o": origin}) as dispatcher:
             await until(lambda: dispatcher.service.phase is Phase.SERVING)
             status, head, body = await dispatcher.ask(
                 7, "page", fields={"HTTP_X_CHUNK": "3", "HTTP_X_KNOWN": "ab" * 8}
             )
             assert (status, body) == (200, BODY)
-            id, fields, sent = box.requests[0]
-            assert (id, sent, fields.pop("budget").isdecimal()) == (f"{7:016x}", b"", True)
+            id, fields, sent_body = cache.requests[0]
+            assert (id, sent_body, fields.pop("budget").isdecimal()) == (f"{7:016x}", b"", True)
             assert fields == {
                 "queue": "page",
                 "path": "7f3a9c21e0b4d655",
@@ -50,41 +50,44 @@
             assert (origin.requests[0][1]["uniq"], origin.requests[0][2]) == (key, blob)
             status, _, _ = await dispatcher.ask(9, "", script="/-/healthy")
             assert status == 200
-            # A client's own clock may say some ms more than the deadline.
+            # A client's clock may exceed the maximum deadline by some milliseconds.
             assert (await dispatcher.ask(10, "page", fields={"HTTP_X_DEADLINE_MS": "2505"}))[0] == 200
 
     run_scene(scene())
 
 
-def test_a_full_core_rejects_as_a_request_begins_or_by_its_class(tmp_path: Path) -> None:
+def test_full_core_rejects_requests_by_class_as_they_begin(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Running(
             tmp_path, {"a": ScriptedCacheHost(served), "o": ScriptedCacheHost(served)}
         ) as dispatcher:
             await until(lambda: dispatcher.service.phase is Phase.SERVING)
-            owner = dispatcher.service.router_task
-            # A bound between the shares of the cheapest and of the dearest traffic class: bookings still
-            # come in.
-            # By hand: the controller itself raises it in a period in which the bound is nearly reached.
-            owner.admission.controller.observe = lambda *told: None  # type: ignore[method-assign]
-            share = owner.admission.shares["page"]
-            assert share < 0.95 and owner.admission.shares["booking"] == 1.0
-            owner.admission.controller.limit, owner.requests.open_count = 20.0, int(20 * share) + 1
+            router_task = dispatcher.service.router_task
+            # The open count is between the limits of the classes with the smallest and the largest priority
+            # weight, so bookings are still admitted. The controller is disabled, because it raises the limit
+            # itself when the limit is nearly reached.
+            router_task.admission.controller.observe = lambda *arguments: None  # type: ignore[method-assign]
+            share = router_task.admission.shares["page"]
+            assert share < 0.95 and router_task.admission.shares["booking"] == 1.0
+            router_task.admission.controller.limit, router_task.requests.open_count = (
+                20.0,
+                int(20 * share) + 1,
+            )
             status, head, _ = await dispatcher.ask(1, "page")
             assert status == 503 and b"X-Pushback-Ms" in head
-            assert owner.counts.shed == 1  # asked once for each
+            assert router_task.counts.shed == 1  # one check per request
             assert (await dispatcher.ask(2, "booking", fields=KEY))[0] == 200
-            owner.requests.open_count = 20
+            router_task.requests.open_count = 20
             status, head, _ = await dispatcher.ask(3, "booking", fields=KEY)
             assert status == 503 and b"X-Pushback-Ms" in head
-            # A client that got nothing but refusals is no silent one: its line stays.
+            # A client whose requests were all rejected is not silent: its connection is kept.
             session = next(iter(dispatcher.service.frontend.sessions))
             assert session.has_sent_request and not session.timeout_reason(session.opened_at + 60)
-            owner.requests.open_count = 0
-            assert (await dispatcher.ask(4, "page"))[0] == 200  # the same line, after its rest
-            # A request that asks for the end of its connection gets it, and what it sent is read before.
+            router_task.requests.open_count = 0
+            assert (await dispatcher.ask(4, "page"))[0] == 200  # the same connection, after its reading pause
+            # A request without FCGI_KEEP_CONN closes its connection, after all that the client sent was read.
             reader, writer = await asyncio.open_connection(*dispatcher.service.listener.sock.getsockname())
-            owner.requests.open_count = 20
+            router_task.requests.open_count = 20
             writer.write(
                 fastcgi.encode_record(fastcgi.BEGIN_REQUEST, 1, struct.pack(">HB5x", 1, 0))
                 + fastcgi.encode_record(
@@ -92,42 +95,42 @@
                 )
             )
             await writer.drain()
-            while owner.counts.shed < 3:
+            while router_task.counts.shed < 3:
                 await asyncio.sleep(0.001)
             writer.write(fastcgi.encode_record(fastcgi.PARAMS, 1) + fastcgi.encode_record(fastcgi.STDIN, 1))
-            came = await asyncio.wait_for(reader.read(), 5)
+            received = await asyncio.wait_for(reader.read(), 5)
             writer.close()
-            owner.requests.open_count = 0
-            assert b"Status: 503" in came and came.endswith(fastcgi.encode_end_request(1))
+            router_task.requests.open_count = 0
+            assert b"Status: 503" in received and received.endswith(fastcgi.encode_end_request(1))
 
     run_scene(scene())
 
 
-def test_more_than_a_turn_holds_is_turned_back_at_once(tmp_path: Path) -> None:
+def test_requests_are_rejected_at_once_if_too_many_events_are_queued(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(served)
-        async with Running(tmp_path, {"a": box, "o": ScriptedCacheHost(served)}) as dispatcher:
+        cache = ScriptedCacheHost(served)
+        async with Running(tmp_path, {"a": cache, "o": ScriptedCacheHost(served)}) as dispatcher:
             await until(
                 lambda: dispatcher.service.phase is Phase.SERVING and not dispatcher.service.router_task.queue
             )
-            gone = EndpointsUpdated(EndpointListForm.CHANGES, [])
+            update = EndpointsUpdated(EndpointListForm.CHANGES, [])
             turn = dispatcher.service.router_task.turn
 
-            def crowded() -> None:
+            def turn_with_many_events() -> None:
                 for _ in range(500):
-                    dispatcher.service.router_task.queue.append(gone)
+                    dispatcher.service.router_task.queue.append(update)
                 turn()
 
-            dispatcher.service.router_task.turn = crowded  # type: ignore[method-assign]
+            dispatcher.service.router_task.turn = turn_with_many_events  # type: ignore[method-assign]
             status, head, _ = await dispatcher.ask(1, "page")
-            assert status == 503 and b"X-Pushback-Ms" in head and not box.requests
-            # What earns three times as much is still worth an attempt.
+            assert status == 503 and b"X-Pushback-Ms" in head and not cache.requests
+            # A class with three times the priority weight still gets an attempt.
             assert (await dispatcher.ask(2, "booking", fields=KEY))[0] == 200
 
     run_scene(scene())
 
 
-def test_unchanged_copy_is_told_as_valid(tmp_path: Path) -> None:
+def test_unchanged_copy_is_answered_as_valid(tmp_path: Path) -> None:
     def unchanged(id: str, fields: dict[str, str], body: bytes) -> bytes:
         return f"{id} still_good digest={fields['got']},dated=1 0\r\n\r\n".encode()
 
@@ -163,39 +166,39 @@
         ("booking", {"HTTP_X_OPERATION_KEY": "a,parent=b"}, "/api/v2/"),
     ],
 )
-def test_unusable_field_is_answered_as_failed(
+def test_invalid_field_is_answered_with_status_400(
     tmp_path: Path, class_name: str, fields: dict[str, str], script: str
 ) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(served)
-        async with Running(tmp_path, {"a": box, "o": box}) as dispatcher:
+        cache = ScriptedCacheHost(served)
+        async with Running(tmp_path, {"a": cache, "o": cache}) as dispatcher:
             status, _, _ = await dispatcher.ask(3, class_name, fields=fields, script=script)
-            assert status == 400 and not box.requests
+            assert status == 400 and not cache.requests
 
     run_scene(scene())
 
 
-def test_id_that_comes_again_is_refused_while_its_request_or_its_attempts_are_out(tmp_path: Path) -> None:
+def test_reused_id_fails_while_its_request_is_open_or_has_attempts_in_flight(tmp_path: Path) -> None:
     async def scene() -> None:
-        box = ScriptedCacheHost(
+        cache = ScriptedCacheHost(
             lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
         )
         async with Running(
-            tmp_path, {"a": box, "o": ScriptedCacheHost(silent)}, **{"settings.limits.may_cancel": False}
+            tmp_path, {"a": cache, "o": ScriptedCacheHost(silent)}, **{"settings.limits.may_cancel": False}
         ) as dispatcher:
             same = {"HTTP_X_CORRELATION_ID": "ab" * 8}
             dispatcher.client.send(1, "page", {"HTTP_X_CHUNK": "1"} | same)
-            await until(lambda: bool(box.requests))
+            await until(lambda: bool(cache.requests))
             other = await dispatcher.connect()
             other.send(1, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
-            assert (await other.read_answer())[1] == 502 and len(box.requests) == 1
+            assert (await other.read_answer())[1] == 502 and len(cache.requests) == 1
             dispatcher.client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
             assert (await dispatcher.client.read_answer())[1] == 0
-            other.send(2, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)  # its attempt is still out
-            assert (await other.read_answer())[1] == 502 and len(box.requests) == 1
-            owner = dispatcher.service.router_task
-            await until(lambda: not owner.requests.by_id)  # the attempt's time is over
-            assert not owner.router.in_flight and not owner.router.requests
+            other.send(2, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)  # its attempt is still in flight
+            assert (await other.read_answer())[1] == 502 and len(cache.requests) == 1
+            router_task = dispatcher.service.router_task
+            await until(lambda: not router_task.requests.by_id)  # until the attempt times out
+            assert not router_task.router.in_flight and not router_task.router.requests
             other.send(3, "page", {"HTTP_X_SUBJECT": "cd" * 8} | same)
             assert (await other.read_answer())[1] == 200
 
