--- a/hoistplank/routing/client_session.py
+++ b/hoistplank/routing/client_session.py
@@ -147,8 +147,8 @@
             return
         self.open_requests[received.number] = request
         if self.connection.unsent_bytes > MAX_UNSENT_BYTES:
-            # A client that doesn't read its answers would fill the memory, so its requests are deferred.
-            # Reading goes on, because otherwise a disconnect would not be noticed and its requests would be
+            # Requests are deferred, because a client that doesn't read its answers would fill the memory.
+            # Reading goes on: otherwise a disconnect would not be noticed, and the requests would be
             # forwarded.
             self.deferred[received.number] = request
             self.connection.on_all_written = self._on_all_written
@@ -223,7 +223,7 @@
     # End of the connection.
 
     def close_with_failure(self, reason: str) -> None:
-        """Fails all open requests, stops reading and closes gracefully, as the input is unusable."""
+        """Fails open requests, stops reading and closes gracefully: the input is invalid or incomplete."""
         if self.has_failed:
             return
         self.has_failed = True
--- a/hoistplank/routing/endpoint_watcher.py
+++ b/hoistplank/routing/endpoint_watcher.py
@@ -37,13 +37,14 @@
 CONNECT_TIMEOUT_S = 1.0
 # Events that are not followed by the log's position may be the first of several. The log sends its position
 # at once on a new connection, which is sooner than the next periodic one. The watcher therefore reconnects
-# this long after the last byte, with at most so many connections until the position is confirmed. A log whose
-# first response took longer than QUICK_ANSWER_S is overloaded, and gets no additional connections.
+# SETTLED_S after the last byte, up to MAX_UNCONFIRMED_CONNECTIONS in a row until the position is confirmed. A
+# log whose first response took longer than QUICK_ANSWER_S is overloaded, and gets no additional connections.
 SETTLED_S = 0.04
 MAX_UNCONFIRMED_CONNECTIONS = 3
 QUICK_ANSWER_S = 0.3
 RECONNECT_FOR_POSITION = "reconnecting for its position"  # reason of a connection's end: reconnect at once
-# Reads from the socket at once, of 8 KB and more each, so that a batch of events is handled in one turn.
+# Consecutive reads from the socket, of 8 KB and more each, so that a batch of events is known before the next
+# turn.
 MAX_READS_AT_ONCE = 16
 MAX_PENDING_READS = 1_024  # after a standstill
 # Backoff between attempts to connect. Events in the log count as received even by a dispatcher that is not
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -20,9 +20,7 @@
 # A connection must end within 3 s if no request on it is completed; the rest is for a sweep and the close.
 UNFINISHED_TIMEOUT_S = 2.0
 LAST_ANSWER_ARRIVED_S = 0.1  # an idle client has received its last answer this long after its last request
-NEW_CONNECTION_S = (
-    0.05  # a connection without data may be younger than this: its first bytes may be in transit
-)
+NEW_CONNECTION_S = 0.05  # the first bytes of a connection younger than this may be in transit
 # Shares of the memory limit: a quarter for unsent answers, an eighth for unfinished and open requests.
 UNSENT_BYTES_PER_MB = 1 << 18
 HELD_BYTES_PER_MB = 1 << 17
