--- a/hoistplank/degradation/__init__.py
+++ b/hoistplank/degradation/__init__.py
@@ -1,7 +1,7 @@
-"""Graceful degradation: levels of reduced service, admission control by the loop's lag, and their signals.
+"""Graceful degradation: levels of reduced service, their signals, and admission control by event loop lag.
 
-Decision logic, without I/O or clock: `signals`, `readings`, `observer`, `conditions`, `levels`, `damping`,
-`state_machine`, `admission`. `sections` is the section of the operator's file, `settings` what is made of
-it, `status` the report for operators, and `service` runs it all in a dispatcher. `docs/levels.md` is the
-design note.
+Decision logic without I/O or clock: `signals`, `readings`, `observer`, `conditions`, `levels`, `damping`,
+`state_machine` and `admission`. `sections` parses the section of the operator file into `settings`, `status`
+is the report for operators, and `service` runs the package in a dispatcher. `docs/levels.md` is the design
+note.
 """
--- a/hoistplank/degradation/admission.py
+++ b/hoistplank/degradation/admission.py
@@ -1,19 +1,22 @@
-"""Admission control: how many requests may be open at once so that the event loop keeps up with them.
-
-A controller on the loop's measured lag and on what waits for its turns. No I/O, no clock: `now` is whole
-microseconds. Once a period the lag of its turns and the most open requests in it are judged:
-
-- pressure above 1 in this period and the one before (mean lag over the target, the largest over four
-  targets, or more events waiting than `max_waiting`): the limit falls to what was open times
-  1 / sqrt(pressure), by half at most, and not below `min_open`;
-- pressure below a half where the limit was nearly reached: it rises by its square root, to `max_open` at
-  most;
-- else it stays. So it neither winds up while nobody presses against it nor jumps at one late turn: a
-  stall of the loop (a reload, the garbage collector) is one period's, a full core every period's.
-
-A traffic class is admitted while the open requests are below the limit times its share: the class of the
-highest utility gets the whole limit, the lowest about `min_share` of it, so that the most valuable requests
-are the last to be rejected. docs/levels.md has the reasons and the test against a scripted core.
+"""Admission control: limits the number of open requests so that the event loop keeps up with them.
+
+A feedback controller on the measured lag of the loop and on the number of events waiting for it. No I/O, no
+clock: `now` is whole microseconds. At the end of each period the limit is adjusted by the lag and the peak
+number of open requests in the period:
+
+- If the pressure is above 1 in this period and the one before (mean lag above the target, peak lag above four
+  targets, or more than `max_waiting` events waiting), the limit falls to the peak of open requests times
+  1 / sqrt(pressure), but to no less than half of that peak and not below `min_open`.
+- If the pressure is below a half and the limit was nearly reached, the limit rises by its square root, up to
+  `max_open`.
+- Otherwise the limit stays. It therefore doesn't grow while the load stays far below it, and isn't cut for
+  one late turn: a stall of the loop (a reload, the garbage collector) affects one period, a saturated core
+  every period.
+
+A traffic class is admitted while the number of open requests is below the limit times the share of the
+class: the class of the highest utility gets the whole limit, the class of the lowest about `min_share` of it,
+so that the most valuable requests are rejected last. docs/levels.md has the reasons and the test against a
+scripted core.
 """
 
 from __future__ import annotations
@@ -21,16 +24,16 @@
 from dataclasses import dataclass
 from math import sqrt
 
-PEAK_LAG_TARGETS = 4  # the largest lag of a period may be so many times the target for the mean
-CUT_AFTER_PERIODS = 2  # of pressure in a row
-DEEPEST_CUT = 0.5
+PEAK_LAG_TARGETS = 4  # allowed peak lag of a period, as a multiple of the target for the mean
+CUT_AFTER_PERIODS = 2  # consecutive periods under pressure
+MIN_CUT_FACTOR = 0.5
 RAISE_BELOW_PRESSURE = 0.5
-NEARLY_REACHED = 0.75  # of the limit
+NEARLY_REACHED_SHARE = 0.75  # of the limit
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """The controller's figures: the lag aimed at, bounds of the limit, the period. Raises ValueError."""
+    """Target lag, bounds of the limit, period and shares of the controller. Raises ValueError."""
 
     target_lag_us: int = 25_000
     min_open: int = 8
@@ -40,16 +43,18 @@
     min_share: float = 0.6
 
     def __post_init__(self) -> None:
-        """Checks the figures."""
+        """Checks the ranges of the settings."""
         if not (self.target_lag_us > 0 and 0 < self.min_open <= self.max_open and self.period_us > 0):
-            raise ValueError("admission settings: target, period and 0 < min_open <= max_open")
+            raise ValueError(
+                "admission settings: expected target lag and period above 0, and 0 < min_open <= max_open"
+            )
         if not 0.0 < self.min_share <= 1.0 or self.max_waiting < 1:
-            raise ValueError("admission settings: min_share above 0 and up to 1, max_waiting at least 1")
+            raise ValueError("admission settings: expected 0 < min_share <= 1 and max_waiting of at least 1")
 
 
 @dataclass(slots=True)
 class _Period:
-    """What the turns of the present period saw."""
+    """Lag, open requests and waiting events over the turns of the current period."""
 
     total_lag_us: int = 0
     turns: int = 0
@@ -59,7 +64,7 @@
 
 
 class AdmissionController:
-    """The limit on open requests, and whether a request of a given share may be admitted."""
+    """Holds the limit on open requests, adjusts it every period and admits requests by their share."""
 
     def __init__(self, settings: AdmissionSettings, now: int = 0) -> None:
         self.settings = settings
@@ -68,10 +73,10 @@
         self.cuts = 0
         self._period = _Period()
         self._period_end_us = now + settings.period_us
-        self._periods_under_pressure = 0  # in a row
+        self._periods_under_pressure = 0  # consecutive
 
     def observe(self, now: int, lag_us: int, open_requests: int, waiting: int = 0) -> None:
-        """What a turn of the loop saw: its lag, requests open, events that waited for it."""
+        """Records a turn of the loop: its lag, the open requests and the events that waited for it."""
         period = self._period
         period.total_lag_us += lag_us
         period.turns += 1
@@ -87,9 +92,9 @@
         self._periods_under_pressure = self._periods_under_pressure + 1 if self.pressure > 1.0 else 0
         if self._periods_under_pressure >= CUT_AFTER_PERIODS:
             self._cut(period)
-        elif self.pressure < RAISE_BELOW_PRESSURE and period.peak_open >= NEARLY_REACHED * self.limit:
+        elif self.pressure < RAISE_BELOW_PRESSURE and period.peak_open >= NEARLY_REACHED_SHARE * self.limit:
             self._raise()
-        # A turn that came after a long stall closes one period, not many.
+        # The first turn after a long stall ends one period, not many.
         self._period_end_us = max(self._period_end_us + self.settings.period_us, now)
         self._period = _Period()
 
@@ -103,9 +108,9 @@
         )
 
     def _cut(self, period: _Period) -> None:
-        factor = max(DEEPEST_CUT, 1.0 / sqrt(self.pressure))
-        reached = min(self.limit, float(period.peak_open))
-        self.limit = max(float(self.settings.min_open), reached * factor)
+        factor = max(MIN_CUT_FACTOR, 1.0 / sqrt(self.pressure))
+        peak_open = min(self.limit, float(period.peak_open))
+        self.limit = max(float(self.settings.min_open), peak_open * factor)
         self.cuts += 1
 
     def _raise(self) -> None:
@@ -113,16 +118,16 @@
             self.limit = min(float(self.settings.max_open), self.limit + max(1.0, sqrt(self.limit)))
 
     def share(self, utility: float, highest_utility: float) -> float:
-        """Of the limit, for a traffic class of `utility`, where the most valuable class has
-        `highest_utility`."""
+        """Returns the share of the limit for a traffic class of `utility`; `highest_utility` is that of the
+        most valuable class."""
         min_share = self.settings.min_share
         relative = min(utility, highest_utility) / highest_utility if highest_utility > 0 else 1.0
         return min_share + (1.0 - min_share) * relative
 
     def admits(self, open_requests: int, share: float = 1.0) -> bool:
-        """Whether a request of a class with that share may be admitted beside the open ones."""
+        """True if a request of a class with this share may be admitted while `open_requests` are open."""
         return open_requests < self.limit * share
 
     def is_binding(self) -> bool:
-        """Whether the limit is below what the settings allow."""
+        """True if the limit is below the maximum of the settings."""
         return self.limit < self.settings.max_open
