--- a/hoistplank/degradation/conditions.py
+++ b/hoistplank/degradation/conditions.py
@@ -1,6 +1,6 @@
-"""Conditions on readings, and since when each has been met. No I/O, no clock.
+"""Conditions on readings, and the time since which each has been met. No I/O, no clock.
 
-A reading that is unknown meets no condition, so that a signal that stops coming neither raises nor lowers the
+An unknown reading meets no condition, so that a signal without new observations neither raises nor lowers the
 level.
 """
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """`signal` above (or below) `value`, for at least `hold_us`."""
+    """Met while `signal` is above (or below) `value`, once it has been for `hold_us`."""
 
     signal: str
     above: bool
@@ -22,38 +22,38 @@
     hold_us: int = 0
 
     def is_met(self, reading: Reading) -> bool:
-        """Whether the reading is beyond the value, however long it has been."""
+        """True if the reading is beyond the value, regardless of the hold time."""
         if reading.value is None:
             return False
         return reading.value > self.value if self.above else reading.value < self.value
 
     def __str__(self) -> str:
-        """As the operator's file has it, without the time."""
+        """Returns the condition in the syntax of the operator file, without the hold time."""
         return f"{self.signal} {'above' if self.above else 'below'} {self.value:g}"
 
 
 @dataclass(frozen=True, slots=True)
 class TransitionReason:
-    """A condition that was met, with the value read."""
+    """A condition that was met, with the value of its reading."""
 
     condition: Condition
     value: float
 
     def __str__(self) -> str:
-        """For the log and the operator: `lag 300 > 200`."""
+        """Returns the reason for logs and reports, such as `lag 300 > 200`."""
         sign = ">" if self.condition.above else "<"
         return f"{self.condition.signal} {self.value:.3g} {sign} {self.condition.value:g}"
 
 
 class ConditionTracker:
-    """Since when each of some conditions has been met without a break."""
+    """Tracks the time since which each condition has been met without interruption."""
 
     def __init__(self, conditions: Iterable[Condition]) -> None:
         self._conditions = tuple(dict.fromkeys(conditions))
         self._met_since_us: dict[Condition, int] = {}
 
     def update(self, now: int, readings: dict[str, Reading]) -> dict[Condition, float]:
-        """The conditions that have been met for their whole hold time, with the values read."""
+        """Returns the conditions that have been met for their whole hold time, with the values read."""
         met: dict[Condition, float] = {}
         for condition in self._conditions:
             reading = readings.get(condition.signal, UNKNOWN)
