--- a/hoistplank/degradation/errors.py
+++ b/hoistplank/degradation/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the overrides that an operator may ask for; their texts are shown to the operator."""
+"""Errors of operator overrides; their messages are shown to the operator."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-SHOWN_LEVEL_CHARACTERS, SHOWN_ACTION_CHARACTERS = 40, 20  # of what an operator sent
+MAX_QUOTED_LEVEL, MAX_QUOTED_ACTION = 40, 20  # characters of a request repeated in a message
 
 
 class DegradationError(ValueError):
@@ -12,32 +12,32 @@
 
 
 class UnknownLevelError(DegradationError):
-    """`level` is none of `known`."""
+    """`level` is not one of the known levels."""
 
     def __init__(self, level: str, known: Iterable[str]) -> None:
-        super().__init__(f"no level '{level[:SHOWN_LEVEL_CHARACTERS]}'; there are {', '.join(known)}")
+        super().__init__(f"unknown level '{level[:MAX_QUOTED_LEVEL]}', expected one of {', '.join(known)}")
         self.level = level
 
 
 class ForbiddenLevelError(DegradationError):
-    """`level` is forbidden by an operator, and can't be pinned."""
+    """`level` can't be pinned because an operator has forbidden it."""
 
     def __init__(self, level: str) -> None:
-        super().__init__(f"level '{level}' is forbidden")
+        super().__init__(f"can't pin level '{level}': an operator has forbidden it")
         self.level = level
 
 
 class FullServiceError(DegradationError):
-    """Full service can't be forbidden."""
+    """`level` is full service, which can't be forbidden."""
 
     def __init__(self, level: str) -> None:
-        super().__init__(f"'{level}' can't be forbidden")
+        super().__init__(f"level '{level}' is full service and can't be forbidden")
         self.level = level
 
 
 class UnknownActionError(DegradationError):
-    """`action` is none of `known`."""
+    """`action` is not one of the known actions."""
 
     def __init__(self, action: str, known: Iterable[str]) -> None:
-        super().__init__(f"'{action[:SHOWN_ACTION_CHARACTERS]}' is none of {', '.join(known)}")
+        super().__init__(f"unknown action '{action[:MAX_QUOTED_ACTION]}', expected one of {', '.join(known)}")
         self.action = action
