--- a/hoistplank/degradation/levels.py
+++ b/hoistplank/degradation/levels.py
@@ -1,4 +1,4 @@
-"""Levels of reduced service and changes between them, as records."""
+"""Records of levels of reduced service and of the changes between them."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """Entered where any of `enter` is met; left, one level down, where all of `leave` are met and `dwell_us`
-    is over. Raises ValueError."""
+    """A level that is entered when any of `enter` is met, and left for the level below when all of `leave`
+    are met and `dwell_us` has passed. Raises ValueError."""
 
     name: str
     enter: tuple[Condition, ...]
@@ -23,15 +23,15 @@
     effects: Degradation = field(default_factory=Degradation)
 
     def __post_init__(self) -> None:
-        """Checks the name and that the level can be entered and left."""
+        """Checks the name, and that there are conditions to enter and to leave."""
         if not self.enter or not self.leave:
             raise ValueError(f"level '{self.name}' needs at least one condition to enter and one to leave")
         if self.name == FULL:
-            raise ValueError(f"'{FULL}' is the name of full service")
+            raise ValueError(f"level name '{FULL}' is reserved for full service")
 
 
 class Trigger(enum.StrEnum):
-    """What made a level change; the values stand in the log and in the report for operators."""
+    """The cause of a change of level; the values appear in logs and in the report for operators."""
 
     READINGS = "readings"
     PIN = "pin"
@@ -41,8 +41,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelChange:
-    """The level went from `before` to `after` at `at_us`; `reasons` are the conditions behind a change that
-    the readings made."""
+    """A change from level `before` to level `after` at `at_us`; `reasons` are the conditions that were met,
+    if readings caused the change."""
 
     at_us: int
     before: str
@@ -51,17 +51,17 @@
     trigger: Trigger
 
     def describe(self) -> str:
-        """The reasons, or what else made the level change."""
+        """Returns the reasons, or the trigger if there are none."""
         return "; ".join(str(reason) for reason in self.reasons) or self.trigger.value
 
 
 @dataclass(frozen=True, slots=True)
 class ManualOverride:
-    """An operator's pin or ban of a level, until a time, or with 0 until it is taken back."""
+    """An operator's pin or ban of a level until `until_us`; with 0, until it is withdrawn."""
 
     level: str
     until_us: int
 
     def is_in_force(self, now: int) -> bool:
-        """Whether it has not ended yet."""
+        """True if the override has not expired at `now`."""
         return not self.until_us or now < self.until_us
