--- a/hoistplank/degradation/readings.py
+++ b/hoistplank/degradation/readings.py
@@ -1,8 +1,8 @@
 """Current values of the signals, each a decaying mean of its observations. No I/O, no clock.
 
-Each observation weighs 1 and halves in weight with every half-life. A reading with too little weight, or
-without an observation for eight half-lives, is unknown: no level is entered or left by it. `now` is whole
-microseconds.
+An observation has a weight of 1, which halves with every half-life. A reading with too little weight, or
+without an observation for eight half-lives, is unknown and neither raises nor lowers the level. `now` is
+whole microseconds.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from hoistplank.degradation.signals import default_half_life_us, family_of
 
-MIN_WEIGHT = 3.0  # observations, before decay, that make a mean known
-STALE_HALF_LIVES = 8  # after the last observation a reading is unknown
-MAX_SIGNALS = 512  # members of the families: parents and traffic classes come and go
+MIN_WEIGHT = 3.0  # undecayed observations from which on a mean is known
+STALE_HALF_LIVES = 8  # since the last observation, after which a reading is unknown
+MAX_SIGNALS = 512  # bounds the members of families, which change with parents and traffic classes
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A signal's smoothed value, None where it is unknown; `age_us` since the last observation, -1 where
+    """The smoothed value of a signal, None if unknown; `age_us` is the time since the last observation, -1 if
     there was none."""
 
     value: float | None
@@ -55,7 +55,7 @@
             self._updated_us = now
 
     def reading(self, now: int) -> Reading:
-        """The mean as it is known at `now`."""
+        """Returns the mean at `now`, unknown if it has too little weight or is stale."""
         age_us = max(0, now - self._updated_us)
         weight = self._weight * 0.5 ** (age_us / self.half_life_us)
         is_known = self._weight >= MIN_WEIGHT and weight >= MIN_WEIGHT * 0.5**STALE_HALF_LIVES
@@ -65,7 +65,7 @@
 
 
 class SignalReadings:
-    """All readings by signal. `half_lives_us` overrides the usual ones, by name of a signal or a family."""
+    """The readings of all signals; `half_lives_us` overrides the defaults by name of a signal or family."""
 
     def __init__(self, half_lives_us: dict[str, int] | None = None) -> None:
         self.half_lives_us = dict(half_lives_us or {})
@@ -76,27 +76,27 @@
         return self.half_lives_us.get(name, by_family)
 
     def set_half_lives(self, half_lives_us: dict[str, int]) -> None:
-        """Other half-lives from now on; what was observed stays."""
+        """Replaces the half-lives from now on; existing observations are kept."""
         self.half_lives_us = dict(half_lives_us)
         for name, mean in self._means.items():
             mean.half_life_us = self._half_life_us(name)
 
     def record(self, now: int, name: str, value: float, weight: float = 1.0) -> None:
-        """Adds an observation of a signal; raises KeyError for a name that is no signal."""
+        """Adds an observation of a signal; raises KeyError for an unknown signal."""
         mean = self._means.get(name)
         if mean is None:
             mean = self._means[name] = DecayingMean(self._half_life_us(name), now)
             if len(self._means) > MAX_SIGNALS:
-                # Danger: members of families that come and go would grow without end.
+                # Without a bound, memory would grow with every parent or traffic class ever observed.
                 self._means.popitem(last=False)
         self._means.move_to_end(name)
         mean.add(now, value, weight)
 
     def reading(self, now: int, name: str) -> Reading:
-        """The reading of one signal, unknown where it was never observed."""
+        """Returns the reading of one signal, unknown if it was never observed."""
         mean = self._means.get(name)
         return mean.reading(now) if mean is not None else UNKNOWN
 
     def all(self, now: int) -> dict[str, Reading]:
-        """The readings of all signals that were observed."""
+        """Returns the readings of all signals observed so far, by name."""
         return {name: mean.reading(now) for name, mean in self._means.items()}
