--- a/hoistplank/degradation/sections.py
+++ b/hoistplank/degradation/sections.py
@@ -1,6 +1,7 @@
-"""The section `(levels …)` of the operator's file: its schema, its checks, and the settings made of it.
+"""The section `(levels …)` of the operator file: its schema, its checks, and the settings built from it.
 
-The names of forms are the operator's and stay; `settings`, `levels` and `admission` have the code's.
+The form names belong to the file format and are not to be changed; the records that are built from them in
+`settings`, `levels` and `admission` use the names of the code.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from hoistplank.operator_configuration.schema import TITLE, Field, FormSchema, Section
 from hoistplank.operator_configuration.values import NAME, ValueType, duration, integer, matching, number
 
-CLASS_NAME = matching(r"[A-Za-z0-9_.-]{1,40}", "a traffic class's name as the settings give it")
+CLASS_NAME = matching(r"[A-Za-z0-9_.-]{1,40}", "the name of a traffic class in the settings")
 ATOM = ValueType("a word, a number or a time", lambda atom: atom)
 
 LEVEL = FormSchema(
@@ -26,7 +27,7 @@
             required=True,
             repeated=True,
             list_per_form=True,
-            doc="SIGNAL above|below VALUE, then 'for' TIME where it must hold so long; any one enters",
+            doc="SIGNAL above|below VALUE, optionally with 'for' and a hold TIME; any one condition enters",
         ),
         Field(
             "leave",
@@ -34,23 +35,28 @@
             required=True,
             repeated=True,
             list_per_form=True,
-            doc="the same; all of them, and the dwell over, leave one level down",
+            doc="the same syntax; all conditions, once the dwell is over, lead one level down",
         ),
-        Field("dwell", duration("0ms", "1h"), 30_000_000, doc="the shortest time in the level"),
+        Field("dwell", duration("0ms", "1h"), 30_000_000, doc="the minimum time in the level"),
         Field("turn-back", CLASS_NAME, repeated=True, doc="traffic classes whose new requests are rejected"),
-        Field("every-part", CLASS_NAME, repeated=True, doc="of those, classes whose later parts are, too"),
+        Field(
+            "every-part",
+            CLASS_NAME,
+            repeated=True,
+            doc="of those, the classes whose later parts are rejected too",
+        ),
         Field(
             "old-first",
             CLASS_NAME,
             repeated=True,
-            doc="traffic classes that are answered from a stale copy within its window before a fill",
+            doc="traffic classes that are served from a stale copy within its window before a fill",
         ),
-        Field("fills", number(0.05, 1), 1.0, doc="the share of the concurrency limit for fills that is left"),
-        Field("shots", integer(1, 16), 0, doc="the most attempts of a request"),
-        Field("retries", number(0, 16), None, doc="retries per first attempt, in this level"),
+        Field("fills", number(0.05, 1), 1.0, doc="remaining share of the concurrency limit for fills"),
+        Field("shots", integer(1, 16), 0, doc="the maximum number of attempts of a request"),
+        Field("retries", number(0, 16), None, doc="retries per first attempt in this level"),
     ),
     title=NAME,
-    doc="a level of reduced service; levels stand in the order in which they reduce more",
+    doc="a level of reduced service; the levels are ordered from the least reduced to the most",
 )
 
 ADMISSION = FormSchema(
@@ -59,23 +65,33 @@
             "target-lag",
             duration("1ms", "1s"),
             25_000,
-            doc="the loop's lag above which fewer requests are admitted",
+            doc="loop lag above which fewer requests are admitted",
         ),
-        Field("least", integer(1, 100_000), 8, doc="requests that may always be open"),
+        Field("least", integer(1, 100_000), 8, doc="open requests that are always allowed"),
         Field("period", duration("10ms", "5s"), 100_000, doc="how often the limit is adjusted"),
-        Field("waiting", integer(1, 1_000_000), 2_000, doc="events waiting for a turn that count as full"),
+        Field(
+            "waiting",
+            integer(1, 1_000_000),
+            2_000,
+            doc="events waiting for a turn at which the core counts as full",
+        ),
         Field(
             "least-share",
             number(0.05, 1),
             0.6,
-            doc="the share of the limit for the traffic class of the lowest utility",
+            doc="share of the limit for the traffic class of the lowest utility",
         ),
     )
 )
 
 LEVELS = FormSchema(
     (
-        Field("admission", ADMISSION, default=True, doc="the limit on open requests that follows the core"),
+        Field(
+            "admission",
+            ADMISSION,
+            default=True,
+            doc="the limit on open requests, adjusted to the load of the core",
+        ),
         Field("retries", number(0, 16), 1.0, doc="retries per first attempt over 10 s; 0: no limit"),
         Field("every", duration("10ms", "5s"), 100_000, doc="how often the readings are evaluated"),
         Field("calm", duration("1s", "1h"), 120_000_000, doc="half-life of the penalty for changes of level"),
@@ -84,16 +100,16 @@
             ATOM,
             repeated=True,
             list_per_form=True,
-            doc="SIGNAL TIME: a half-life other than the usual one",
+            doc="SIGNAL TIME: a half-life that replaces the default",
         ),
         Field("level", LEVEL, repeated=True, doc="the levels, least reduced first"),
     ),
-    doc="levels of reduced service, the admission control that follows the core, and retry budgets",
+    doc="levels of reduced service, admission control by the load of the core, and retry budgets",
 )
 
 
 def build_settings(section: Section, semantics: dict[str, str]) -> DegradationSettings:
-    """The settings of a section, its traffic classes checked against `semantics`, by class name. Raises
+    """Builds the settings of a section; `semantics` are those of the known traffic classes, by name. Raises
     ConfigurationError."""
     diagnostics: list[Diagnostic] = []
     _check_traffic_classes(section, semantics, diagnostics)
@@ -110,7 +126,7 @@
 
 
 def build_admission_settings(section: Section, max_open: int) -> AdmissionSettings:
-    """The admission controller's settings; `max_open` is the most that the dispatcher's limits allow."""
+    """Builds the settings of admission control; `max_open` is the dispatcher's limit on open requests."""
     admission = section["admission"]
     return AdmissionSettings(
         target_lag_us=admission["target-lag"],
@@ -123,7 +139,7 @@
 
 
 def check_section(section: Section, diagnostics: list[Diagnostic]) -> None:
-    """Checks what one field's type can't: names, conditions and half-lives."""
+    """Checks level names, conditions and half-lives, which the types of single fields can't check."""
     names = set[str]()
     for level in section["level"]:
         if level.title in names or level.title == FULL:
@@ -137,13 +153,13 @@
 
 
 def _build_levels(section: Section, diagnostics: list[Diagnostic]) -> tuple[Level, ...]:
-    """The levels, without those that can't be built: a diagnostic says why."""
+    """Builds the levels; adds a diagnostic for each level that is invalid, and leaves it out."""
     levels = (_build_level(level, section["retries"], diagnostics) for level in section["level"])
     return tuple(level for level in levels if level is not None)
 
 
 def _build_level(level: Section, retry_share: float, diagnostics: list[Diagnostic]) -> Level | None:
-    """One level; `retry_share` is that of the whole section, which holds where the level has none."""
+    """Builds one level; `retry_share` is the section's, for a level without its own."""
     enter = _build_conditions(level, "enter", diagnostics)
     leave = _build_conditions(level, "leave", diagnostics)
     _check_hysteresis(level, enter, leave, diagnostics)
@@ -183,7 +199,7 @@
     leave: tuple[Condition, ...],
     diagnostics: list[Diagnostic],
 ) -> None:
-    """A level with no gap between a condition to enter and one to leave would flap."""
+    """Checks for a gap between conditions to enter and to leave: without one, the level would flap."""
     for leaving in leave:
         for entering in enter:
             if entering.signal != leaving.signal or entering.above == leaving.above:
@@ -211,17 +227,19 @@
 def _check_traffic_classes(
     section: Section, semantics: dict[str, str], diagnostics: list[Diagnostic]
 ) -> None:
-    """Every traffic class named is one of the settings', and only idempotent ones are rejected: a class whose
-    requests may not always be sent again is served at every level (and not held to fewer attempts, by the
-    router)."""
-    known = "one of the settings': " + ", ".join(sorted(semantics))
+    """Checks that every traffic class is known, and that only idempotent classes are rejected: a class whose
+    requests can't always be sent again is served at every level (and the router doesn't limit its attempts
+    further)."""
+    known_classes = "one of the settings': " + ", ".join(sorted(semantics))
     for level in section["level"]:
         for field in ("turn-back", "old-first"):
             for class_name in level[field]:
                 location = level.location_of(field)
                 if class_name not in semantics:
-                    diagnostics.append(Diagnostic(location, f"the traffic class '{class_name}'", known))
+                    diagnostics.append(
+                        Diagnostic(location, f"the traffic class '{class_name}'", known_classes)
+                    )
                 elif field == "turn-back" and semantics[class_name] != IDEMPOTENT:
                     found = f"the {semantics[class_name]} traffic class '{class_name}'"
-                    expected = "an idempotent traffic class: bookings stay whole at every level"
+                    expected = "an idempotent traffic class, as only those may be rejected"
                     diagnostics.append(Diagnostic(location, found, expected))
