--- a/hoistplank/degradation/settings.py
+++ b/hoistplank/degradation/settings.py
@@ -1,4 +1,4 @@
-"""What the section `(levels …)` of the operator's file asks for, as records."""
+"""Settings built from the section `(levels …)` of the operator file."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 @dataclass(frozen=True, slots=True)
 class DegradationSettings:
-    """Levels, least reduced first; `base` is what holds at full service. `half_lives_us` overrides those of
-    the signals, by name."""
+    """Levels, least reduced first. `base` has the effects at full service, `half_lives_us` the overrides of
+    the signals' half-lives, by name."""
 
     levels: tuple[Level, ...] = ()
     penalty_half_life_us: int = DEFAULT_PENALTY_HALF_LIFE_US
@@ -22,9 +22,9 @@
     base: Degradation = field(default_factory=Degradation)
 
     def new_state_machine(self) -> LevelStateMachine:
-        """A machine of these levels, at full service."""
+        """Returns a state machine of these levels, at full service."""
         return LevelStateMachine(self.levels, self.penalty_half_life_us)
 
     def new_readings(self) -> SignalReadings:
-        """Readings with these half-lives, all unknown yet."""
+        """Returns readings with these half-lives, all of them unknown."""
         return SignalReadings(self.half_lives_us)
