--- a/hoistplank/degradation/state_machine.py
+++ b/hoistplank/degradation/state_machine.py
@@ -1,8 +1,9 @@
-"""Which level of reduced service is in force, since when and why: one state machine. No I/O, no clock.
+"""State machine that determines the level of reduced service in force. No I/O, no clock.
 
-Level 0 is full service. A level has the effects of all levels below it as well as its own. Entering is quick,
-leaving slow and one level at a time: after the level's dwell, and not while flap damping suppresses it.
-`TRANSITIONS` is the whole table; it is drawn in docs/levels.md. `now` is whole microseconds.
+Level 0 is full service. A level has the effects of all levels below it in addition to its own. A level is
+entered at once, skipping lower ones if need be, but left one step at a time: after its dwell, and not while
+flap damping suppresses the step. `TRANSITIONS` is the complete table; docs/levels.md has a diagram of it.
+`now` is whole microseconds.
 """
 
 from __future__ import annotations
@@ -22,35 +23,35 @@
 
 
 class State(enum.Enum):
-    """Of the machine; the values stand in the report for operators."""
+    """States of the machine; the values appear in the report for operators."""
 
     STEADY = "steady"
-    EASING = "easing"  # the conditions to leave the level are met, and its dwell runs
+    EASING = "easing"  # the conditions to leave the level are met, but its dwell is not over
     PINNED = "pinned"
 
 
 class Event(enum.Enum):
-    """What the machine reacts to."""
+    """Inputs of the machine."""
 
-    ENTRY_MET = enum.auto()  # a condition to enter a higher level
-    EXIT_MET = enum.auto()  # all conditions to leave the level in force
+    ENTRY_MET = enum.auto()  # a condition to enter a higher level is met
+    EXIT_MET = enum.auto()  # all conditions to leave the level in force are met
     EXIT_NOT_MET = enum.auto()
-    DWELL_OVER = enum.auto()  # with the exit met, and no damping in force
+    DWELL_OVER = enum.auto()  # with the conditions to leave met, and no suppression by flap damping
     PIN_SET = enum.auto()  # by an operator
-    PIN_ENDED = enum.auto()  # by time, or taken back
+    PIN_ENDED = enum.auto()  # expired, or withdrawn by an operator
     LEVEL_FORBIDDEN = enum.auto()  # the level in force is forbidden by an operator
 
 
 class Effect(enum.Enum):
-    """What a transition does to the level."""
+    """The change of level that a transition makes."""
 
     NONE = enum.auto()
-    GO_TO_REQUESTED = enum.auto()  # the level that the event names
+    GO_TO_REQUESTED = enum.auto()  # the level given with the event
     GO_TO_ALLOWED_BELOW = enum.auto()  # the highest level below that is not forbidden
 
 
 class Transition(NamedTuple):
-    """The state after an event, what happens to the level, and what that is put down to."""
+    """The next state, the effect on the level, and the trigger recorded for that change."""
 
     state: State
     effect: Effect = Effect.NONE
@@ -61,7 +62,8 @@
 _RAISE = Transition(State.STEADY, Effect.GO_TO_REQUESTED)
 _LEAVE_FORBIDDEN = Transition(State.STEADY, Effect.GO_TO_ALLOWED_BELOW, Trigger.FORBID)
 
-# An event that has no row for a state changes nothing there: readings do not move a pinned machine.
+# An event without a row for a state is ignored in that state: readings don't change the level while it is
+# pinned.
 TRANSITIONS: dict[tuple[State, Event], Transition] = {
     (State.STEADY, Event.ENTRY_MET): _RAISE,
     (State.STEADY, Event.EXIT_MET): Transition(State.EASING),
@@ -78,21 +80,21 @@
 
 
 class EntryCandidate(NamedTuple):
-    """A level that the readings ask for: its rank, 0 for none, and the conditions that are met."""
+    """The level to enter by the readings: its rank, 0 if there is none, and its conditions that are met."""
 
     rank: int
     reasons: tuple[TransitionReason, ...]
 
 
 class LevelStateMachine:
-    """The level in force, evaluated anew with each set of readings. Bounded state: a few figures a level."""
+    """Holds the level in force and evaluates it for each set of readings; its state is bounded."""
 
     def __init__(
         self, levels: tuple[Level, ...], penalty_half_life_us: int = DEFAULT_PENALTY_HALF_LIFE_US
     ) -> None:
         names = [level.name for level in levels]
         if len(set(names)) != len(names):
-            raise ValueError("two levels of one name")
+            raise ValueError("two levels have the same name")
         self.levels = levels
         self.state = State.STEADY
         self.rank = 0  # of the level in force; 0 is full service, 1 the first of `levels`
@@ -113,7 +115,7 @@
         return self.name_of(self.rank)
 
     def name_of(self, rank: int) -> str:
-        """The name of the level of a rank."""
+        """Returns the name of the level of a rank."""
         return self.levels[rank - 1].name if rank else FULL
 
     def _rank(self, name: str) -> int:
@@ -123,15 +125,15 @@
         return rank
 
     def effects(self, base: Degradation) -> Degradation:
-        """Of the level in force and all below it, over `base` (what holds at full service)."""
+        """Combines the effects of the level in force and all below it with `base`, those of full service."""
         combined = base
         for level in self.levels[: self.rank]:
             combined = combined.joined(level.effects)
         return replace(combined, level=self.level_name)
 
     def dwell_us(self, now: int) -> int:
-        """For how long after its entry the level in force is kept at least: its dwell, or until flap damping
-        suppresses it no longer."""
+        """Returns the minimum time in the level in force since its entry: its dwell, or longer if flap
+        damping suppresses the step down."""
         if self.rank == 0:
             return 0
         dwell_us = self.levels[self.rank - 1].dwell_us
@@ -139,7 +141,7 @@
         return max(dwell_us, now - self.since_us + suppressed_us) if suppressed_us else dwell_us
 
     def pin(self, now: int, name: str, until_us: int) -> LevelChange | None:
-        """Holds `name` (or "full") until `until_us`, with 0 until `unpin`. Raises UnknownLevelError
+        """Pins the level `name` (or "full") until `until_us`; with 0, until `unpin`. Raises UnknownLevelError
         and ForbiddenLevelError."""
         rank = self._rank(name)
         if self.is_forbidden(now, name):
@@ -148,14 +150,14 @@
         return self._handle(now, Event.PIN_SET, rank)
 
     def unpin(self) -> None:
-        """Ends a pin; the level follows the readings from the next evaluation on."""
+        """Removes a pin; from the next evaluation on, the level depends on the readings."""
         self.pinned = None
         if self.state is State.PINNED:
             self.state = TRANSITIONS[State.PINNED, Event.PIN_ENDED].state
 
     def forbid(self, now: int, name: str, until_us: int) -> LevelChange | None:
-        """`name` is not entered until `until_us`, with 0 until `allow`; in force, it is left at once. Raises
-        UnknownLevelError and FullServiceError."""
+        """Forbids the level `name` until `until_us`; with 0, until `allow`. If it is in force, it is left at
+        once. Raises UnknownLevelError and FullServiceError."""
         rank = self._rank(name)
         if rank == 0:
             raise FullServiceError(name)
@@ -165,11 +167,11 @@
         return self._handle(now, Event.LEVEL_FORBIDDEN) if self.rank == rank else None
 
     def allow(self, name: str) -> None:
-        """Takes a ban back."""
+        """Removes a ban of a level."""
         self.forbidden.pop(name, None)
 
     def is_forbidden(self, now: int, name: str) -> bool:
-        """Whether a ban of the level is in force; one that has ended is forgotten."""
+        """True if a ban of the level is in force; removes an expired ban."""
         ban = self.forbidden.get(name)
         if ban is not None and not ban.is_in_force(now):
             del self.forbidden[name]
@@ -177,7 +179,7 @@
         return ban is not None
 
     def evaluate(self, now: int, readings: dict[str, Reading]) -> LevelChange | None:
-        """Evaluates the readings of `now`; returns the change of level, if there is one."""
+        """Evaluates the readings at `now`; returns the change of level, if any."""
         met = self._conditions.update(now, readings)
         if self.pinned is not None:
             if self.pinned.is_in_force(now):
@@ -193,7 +195,7 @@
         return self._evaluate_exit(now, met)
 
     def _highest_entry(self, now: int, met: dict[Condition, float]) -> EntryCandidate:
-        """The highest level that may be entered."""
+        """Returns the highest level with a condition to enter that is met, and that is not forbidden."""
         highest = EntryCandidate(0, ())
         for rank, level in enumerate(self.levels, 1):
             reasons = tuple(TransitionReason(entry, met[entry]) for entry in level.enter if entry in met)
@@ -214,7 +216,7 @@
     def _handle(
         self, now: int, event: Event, requested: int = 0, reasons: tuple[TransitionReason, ...] = ()
     ) -> LevelChange | None:
-        """Looks the event up in the table and carries the transition out."""
+        """Looks up the transition for an event and carries it out."""
         transition = TRANSITIONS.get((self.state, event))
         if transition is None:
             return None
@@ -228,7 +230,7 @@
                 return None
 
     def _allowed_below(self, now: int) -> int:
-        """The highest rank below the level in force that is not forbidden."""
+        """Returns the highest rank below the level in force that is not forbidden."""
         for rank in range(self.rank - 1, 0, -1):
             if not self.is_forbidden(now, self.name_of(rank)):
                 return rank
@@ -247,8 +249,8 @@
         return LevelChange(now, before, self.level_name, reasons, trigger)
 
     def resume_from(self, now: int, previous: LevelStateMachine) -> LevelChange | None:
-        """At a reload: takes over the level, pin and bans of an earlier machine, where levels of those names
-        are here too. A change is returned where the level in force is gone."""
+        """Copies the level, pin and bans of the previous machine at a reload, as far as this machine has
+        levels of those names. Returns a change if the level in force no longer exists."""
         self.forbidden = dict(previous.forbidden)
         if previous.pinned is not None and previous.pinned.level in self._rank_of:
             self.pinned = previous.pinned
@@ -257,5 +259,5 @@
         if rank is None:
             return LevelChange(now, previous.level_name, self.level_name, (), Trigger.RELOAD)
         self.rank, self.since_us, self.reasons = rank, previous.since_us, previous.reasons
-        self._damping.resume_from(previous._damping)  # noqa: SLF001 - of its own class
+        self._damping.resume_from(previous._damping)  # noqa: SLF001 - of the same class
         return None
