--- a/hoistplank/degradation/status.py
+++ b/hoistplank/degradation/status.py
@@ -1,4 +1,4 @@
-"""The report on degradation for operators: `GET /v1/levels`. Field names are those of the JSON."""
+"""The report on degradation for operators, `GET /v1/levels`. Field names are those of the JSON."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EffectsStatus(msgspec.Struct, frozen=True):
-    """The effects in force: traffic classes by name, shares, attempts a request (0: as configured)."""
+    """The effects in force: names of traffic classes, shares, attempts per request (0: as configured)."""
 
     reject: tuple[str, ...]
     every_part: tuple[str, ...]
@@ -27,14 +27,14 @@
 
 
 class OverrideStatus(msgspec.Struct, frozen=True):
-    """A pin or ban; `until_us` 0: until it is taken back."""
+    """A pin or ban of a level; with an `until_us` of 0, until it is withdrawn."""
 
     level: str
     until_us: int
 
 
 class AdmissionStatus(msgspec.Struct, frozen=True):
-    """The admission controller: its limit on open requests, and how hard the core is pressed."""
+    """The admission controller: its limit on open requests, the pressure and the number of cuts."""
 
     limit: int = msgspec.field(name="open_most")
     is_binding: bool = msgspec.field(name="binding")
@@ -43,7 +43,7 @@
 
 
 class ChangeStatus(msgspec.Struct, frozen=True):
-    """One change of level."""
+    """One change of level, with its trigger and reason."""
 
     at_us: int
     before: str
@@ -53,7 +53,7 @@
 
 
 class DegradationStatus(msgspec.Struct, frozen=True):
-    """The level in force, since when and why, and all that it follows from."""
+    """The level in force with its start and reason, the overrides, readings and latest changes."""
 
     level: str
     state: str
@@ -77,7 +77,7 @@
     admission: AdmissionController | None,
     changes: Iterable[LevelChange],
 ) -> DegradationStatus:
-    """The report at `now`; `changes` are the latest ones, oldest first."""
+    """Builds the report at `now`; `changes` are the latest ones, oldest first."""
     known = {name: reading.value for name, reading in readings.items() if reading.value is not None}
     return DegradationStatus(
         level=machine.level_name,
