--- a/hoistplank/degradation/service.py
+++ b/hoistplank/degradation/service.py
@@ -1,5 +1,5 @@
-"""Degradation in a dispatcher: takes the readings, evaluates the levels every period, hands their effects to
-the router task, and logs each change with its reason and its cost."""
+"""Degradation in a dispatcher: evaluates the levels periodically, submits their effects to the router task,
+and logs each change with its reason and the requests rejected since the previous change."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 
 log = structlog.get_logger()
 
-REPORTED_CHANGES = 64  # the latest ones, for operators
+MAX_REPORTED_CHANGES = 64  # the latest ones
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE") if hasattr(os, "sysconf") else 4_096
 RESIDENT_PAGES_FIELD = 1  # of /proc/self/statm
 
 
 class Dispatcher(Protocol):
-    """What degradation uses of the program that it is part of."""
+    """The parts of the dispatcher that degradation uses."""
 
     router_task: RouterTask
     descriptors: DescriptorBudget
 
 
 class OverrideAction(enum.StrEnum):
-    """What an operator may ask for, as `POST /v1/levels` names it."""
+    """Operator overrides, by their names in `POST /v1/levels`."""
 
     PIN = "pin"
     UNPIN = "unpin"
@@ -48,7 +48,7 @@
 
 
 def resident_share(memory_mb: int) -> float:
-    """Resident memory of this process over its limit, from /proc/self/statm; 0 where that can't be read."""
+    """Returns the resident memory of this process as a share of `memory_mb`, or 0 if it can't be read."""
     try:
         with open("/proc/self/statm", "rb") as file:
             pages = int(file.read().split()[RESIDENT_PAGES_FIELD])
@@ -58,7 +58,7 @@
 
 
 class DegradationService:
-    """Made before anything listens; `attach` sets its task to work beside the program's own. Raises
+    """Runs degradation: created before the dispatcher listens, and connected to it by `attach`. Raises
     ConfigurationError."""
 
     def __init__(self, section: Section, configuration: Configuration) -> None:
@@ -67,7 +67,7 @@
         self.settings = self._settings_of(section)
         self.state_machine = self.settings.new_state_machine()
         self._readings = self.settings.new_readings()
-        self._changes: deque[LevelChange] = deque(maxlen=REPORTED_CHANGES)
+        self._changes: deque[LevelChange] = deque(maxlen=MAX_REPORTED_CHANGES)
         self._rejected_at_change = 0
         self._dispatcher: Dispatcher | None = None
         self._observer: SignalObserver | None = None
@@ -78,11 +78,11 @@
 
     @property
     def _router_task(self) -> RouterTask:
-        assert self._dispatcher is not None, "attach comes first"
+        assert self._dispatcher is not None, "attach must be called first"
         return self._dispatcher.router_task
 
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """Has the router task observe its signals; returns the tasks to run beside the program's."""
+        """Connects the observer to the router task; returns the tasks that the program is to run."""
         self._dispatcher = dispatcher
         utility = {
             row.name: row.priority_weight for row in self._configuration.router_settings.traffic_classes
@@ -91,7 +91,7 @@
         self._router_task.observe_signals(self._observer)
         self._apply_admission_settings()
         self._router_task.submit(DegradationChanged(self.settings.base))
-        setattr(dispatcher, "levels", self)  # noqa: B010 - the admin server looks there, if there are levels
+        setattr(dispatcher, "levels", self)  # noqa: B010 - the admin server reads it if it is set
         return [("levels", self._run())]
 
     def _apply_admission_settings(self) -> None:
@@ -112,13 +112,13 @@
         self._observer.record_resources(now, memory_share, descriptor_share)
         change = self.state_machine.evaluate(now, self._readings.all(now))
         if change is not None:
-            self._changed(change)
+            self._apply_change(change)
 
-    def _changed(self, change: LevelChange) -> None:
+    def _apply_change(self, change: LevelChange) -> None:
         self._changes.append(change)
         rejected = self._router_task.counts.rejected
         log.info(
-            "level",
+            "degradation level changed",
             level=change.after,
             before=change.before,
             by=change.trigger.value,
@@ -127,18 +127,18 @@
             dwell_s=self.state_machine.dwell_us(change.at_us) / 1e6,
         )
         self._rejected_at_change = rejected
-        self._hand_on_effects()
+        self._submit_effects()
 
-    def _hand_on_effects(self) -> None:
+    def _submit_effects(self) -> None:
         self._router_task.submit(DegradationChanged(self.state_machine.effects(self.settings.base)))
 
     @property
     def level_name(self) -> str:
-        """The level in force."""
+        """The name of the level in force."""
         return self.state_machine.level_name
 
     def status(self, now: int) -> DegradationStatus:
-        """The report for operators."""
+        """Returns the report for operators."""
         return degradation_status(
             now,
             self.state_machine,
@@ -149,13 +149,13 @@
         )
 
     def override(self, now: int, action: str, level: str, duration_us: int, operator: str) -> str:
-        """Carries out an operator's pin, unpin, forbid or allow, for good where the duration is 0; returns
-        what was done. Raises DegradationError with the reason where it can't be done."""
+        """Carries out an operator's pin, unpin, forbid or allow, permanently if the duration is 0. Returns a
+        description of it; raises DegradationError if it is not possible."""
         until_us = now + duration_us if duration_us else 0
         change = self._apply_override(now, action, level, until_us)
-        log.info("level word", what=action, level=level, until_us=until_us, by=operator)
+        log.info("degradation override applied", what=action, level=level, until_us=until_us, by=operator)
         if change is not None:
-            self._changed(change)
+            self._apply_change(change)
         return f"{action} {level}".strip()
 
     def _apply_override(self, now: int, action: str, level: str, until_us: int) -> LevelChange | None:
@@ -173,23 +173,23 @@
         return None
 
     def prepare_reload(self, section: Section) -> Callable[[], None]:
-        """Checks another file's section; raises ConfigurationError. The call returned takes it up, keeping
-        the level in force where one of its name is still there."""
+        """Checks the section of a reloaded file; raises ConfigurationError. Returns a function that applies
+        it and keeps the level in force, if a level of that name still exists."""
         settings = self._settings_of(section)
         machine = settings.new_state_machine()
 
-        def take_up() -> None:
+        def apply_reload() -> None:
             change = machine.resume_from(self._router_task.clock.now(), self.state_machine)
             self._section, self.settings, self.state_machine = section, settings, machine
             self._apply_admission_settings()
             if change is not None:
-                self._changed(change)
+                self._apply_change(change)
             else:
-                self._hand_on_effects()
-            # Readings go on: what was observed before the reload still holds.
+                self._submit_effects()
+            # Observations from before the reload remain valid.
             self._readings.set_half_lives(settings.half_lives_us)
 
-        return take_up
+        return apply_reload
 
     def close(self) -> None:
-        """Nothing is held beside the task."""
+        """Does nothing: there are no resources beside the task."""
