--- a/hoistplank/cli/__init__.py
+++ b/hoistplank/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, on click: a group for each subsystem, imported only when called."""
+"""The command line, built on click: one group per subsystem, imported only when it is called."""
--- a/hoistplank/cli/control.py
+++ b/hoistplank/cli/control.py
@@ -1,4 +1,4 @@
-"""`hoistplank control`: the xDS control service, what it would tell a follower, and control replicas."""
+"""`hoistplank control`: the xDS control service, a dump of its resources, and control replicas."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from hoistplank.program.configuration import Configuration
     from hoistplank.xds.control import ControlService
 
-LOOPBACK = ("127.", "localhost:", "[::1]:")
+LOOPBACK_PREFIXES = ("127.", "localhost:", "[::1]:")
 
 
 @click.group()
 def control() -> None:
-    """Hand the dispatcher's choices to proxies over xDS (docs/xds.md), and the change log's events and
-    configurations to dispatchers (docs/distribution.md)."""
+    """Serve the dispatcher's routing decisions to proxies over xDS (docs/xds.md), and the events and
+    configurations of the change log to dispatchers (docs/distribution.md)."""
 
 
 control.add_command(replica)
@@ -45,18 +45,26 @@
     if not (certificate or key or client_ca):
         return None
     if not (certificate and key and client_ca):
-        fail("--certificate, --key and --client-ca go together: followers show certificates")
+        fail("--certificate, --key and --client-ca must be given together, as followers present certificates")
     pairs = [(Path(key).read_bytes(), Path(certificate).read_bytes())]
     return grpc.ssl_server_credentials(pairs, Path(client_ca).read_bytes(), require_client_auth=True)
 
 
 @control.command()
-@click.option("--config", envvar="EDGE_CONFIG", help="The platform's JSON file: change log, settings, list.")
-@click.option("--listen", default="127.0.0.1:18000", show_default=True, help="Where followers connect.")
-@click.option("--certificate", type=click.Path(), help="Chain of this service; followers then need theirs.")
-@click.option("--key", type=click.Path(), help="Its private key.")
-@click.option("--client-ca", type=click.Path(), help="Who signs followers' certificates.")
-@click.option("--look-every", default=10.0, show_default=True, help="Seconds between lines on followers.")
+@click.option(
+    "--config", envvar="EDGE_CONFIG", help="The platform's JSON file: change log, settings, endpoint list."
+)
+@click.option(
+    "--listen", default="127.0.0.1:18000", show_default=True, help="Address that followers connect to."
+)
+@click.option(
+    "--certificate",
+    type=click.Path(),
+    help="Certificate chain of this service; followers then need one, too.",
+)
+@click.option("--key", type=click.Path(), help="Private key of the certificate.")
+@click.option("--client-ca", type=click.Path(), help="CA that signs the certificates of followers.")
+@click.option("--look-every", default=10.0, show_default=True, help="Seconds between log lines on followers.")
 def run(
     config: str | None,
     listen: str,
@@ -67,7 +75,7 @@
 ) -> None:
     """Follow the change log and serve xDS followers until SIGTERM.
 
-    Without --certificate only loopback addresses are served. Exit code 2: what was given can't be used.
+    Without --certificate only loopback addresses are served. Exit code 2: invalid options or configuration.
     """
     from hoistplank.program.configuration import DispatcherConfigurationError, read_configuration
     from hoistplank.program.logging_setup import configure_logging
@@ -77,7 +85,7 @@
         credentials = _credentials(certificate, key, client_ca)
     except (DispatcherConfigurationError, OSError) as error:
         fail(str(error))
-    if credentials is None and not listen.startswith(LOOPBACK):
+    if credentials is None and not listen.startswith(LOOPBACK_PREFIXES):
         fail(f"--listen {listen}: without certificates only a loopback address is served")
     configure_logging(configuration.name, os.environ.get("HOISTPLANK_LOG", "lines"))
     try:
@@ -94,27 +102,27 @@
 
     from hoistplank.xds.control import ControlService
 
-    service, ended = ControlService(configuration), asyncio.Event()
+    service, stopping = ControlService(configuration), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, ended.set)
+        asyncio.get_running_loop().add_signal_handler(number, stopping.set)
     log = structlog.get_logger()
     running = asyncio.create_task(service.run(), name="control")
-    # Danger: hosts that drained before this start would be handed out as ready.
-    await _first_of(service.wait_until_confirmed(), ended.wait(), running)
+    # Until the list is confirmed, hosts that drained before this start would be sent as ready.
+    await _wait_for_first(service.wait_until_confirmed(), stopping.wait(), running)
     port = await service.serve(listen, credentials)
-    log.info("control service", listen=listen, port=port, hosts=len(service.resources.hosts))
-    while not ended.is_set() and not running.done():
+    log.info("control service listening", listen=listen, port=port, hosts=len(service.resources.hosts))
+    while not stopping.is_set() and not running.done():
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(look_every_s):
-                await ended.wait()
+                await stopping.wait()
         _log_followers(service)
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
     await service.close()
 
 
-async def _first_of(*waits: Awaitable[object]) -> None:
-    """Returns with the first of these; those that were not tasks before are ended."""
+async def _wait_for_first(*waits: Awaitable[object]) -> None:
+    """Waits until one of `waits` completes; cancels those that were not tasks before the call."""
     tasks = [asyncio.ensure_future(wait) for wait in waits]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -129,7 +137,7 @@
 
     rows = service.broadcaster.status()
     structlog.get_logger().info(
-        "followers",
+        "follower status",
         count=len(rows),
         behind=sum(subscription.behind for row in rows for subscription in row.types.values()),
         refused=sum(row.refused for row in rows),
