--- a/hoistplank/cli/control_dump.py
+++ b/hoistplank/cli/control_dump.py
@@ -1,4 +1,4 @@
-"""`hoistplank control dump`: what the control service tells a follower first."""
+"""`hoistplank control dump`: the resources that the control service first sends to a follower."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 SECTIONS = ("clusters", "endpoints", "purges")
 
 
-class _Dump:
-    """One follower of all clusters, or of one location's, until it was told all sections."""
+class _DumpFollower:
+    """Follows all clusters, or those of one location, until it has received all sections."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
@@ -24,7 +24,7 @@
         self._requests: asyncio.Queue[Any] = asyncio.Queue()
 
     async def fetch(self, address: str) -> dict[str, Any]:
-        """All sections by name. Raises TimeoutError and grpc.RpcError."""
+        """Returns all sections by name. Raises TimeoutError and grpc.RpcError."""
         import grpc
         from envoy.service.discovery.v3 import ads_pb2_grpc
 
@@ -32,7 +32,7 @@
 
         async with grpc.aio.insecure_channel(address) as channel, asyncio.timeout(TIMEOUT_S):
             stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
-            call = stub.StreamAggregatedResources(self._sent_requests())
+            call = stub.StreamAggregatedResources(self._outgoing_requests())
             self._subscribe(CLUSTER_TYPE, [])
             self._subscribe(RUNTIME_TYPE, [PURGES_NAME])
             async for response in call:
@@ -41,7 +41,7 @@
                     break
         return self.sections
 
-    async def _sent_requests(self) -> AsyncIterator[Any]:
+    async def _outgoing_requests(self) -> AsyncIterator[Any]:
         while True:
             yield await self._requests.get()
 
@@ -77,13 +77,13 @@
 
 @click.command()
 @click.argument("address")
-@click.option("--zone", default="", help="Show this location's cache hosts only.")
+@click.option("--zone", default="", help="Only the cache hosts of this location.")
 def dump(address: str, zone: str) -> None:
-    """What the control service at ADDRESS tells a follower: clusters, hosts, purges, as JSON."""
+    """Print the resources that the control service at ADDRESS sends: clusters, hosts and purges, as JSON."""
     import grpc
 
     try:
-        click.echo(json.dumps(asyncio.run(_Dump(zone).fetch(address)), indent=1, sort_keys=True))
+        click.echo(json.dumps(asyncio.run(_DumpFollower(zone).fetch(address)), indent=1, sort_keys=True))
     except (grpc.RpcError, TimeoutError) as error:
         click.echo(f"hoistplank: no answer from {address}: {type(error).__name__}", err=True)
         sys.exit(1)
