--- a/tests/test_distribution_delivery.py
+++ b/tests/test_distribution_delivery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hoistplank.cli.distribution import in_force_words
+from hoistplank.cli.distribution import format_change_status
 from tests.distribution_rig import Relay, Rig, asked, at
 from tests.helpers import until
 from tests.scene_runner import run_scene
@@ -118,6 +118,6 @@
                 status = await asked(rig.addresses[0].address, at(number))
                 assert status.change is not None and status.change.unreadable == wrong
                 assert (status.change.in_force, status.change.total) == (0, 1)
-                assert in_force_words(status.change).endswith(wrong)
+                assert format_change_status(status.change).endswith(wrong)
 
     run_scene(scene(), limit_s=60)
