--- a/hoistplank/cli/demo.py
+++ b/hoistplank/cli/demo.py
@@ -1,4 +1,4 @@
-"""`hoistplank demo`: a small deployment on loopback, ten seconds of requests, a drain in between."""
+"""`hoistplank demo`: a small deployment on loopback that serves ten seconds of requests during a drain."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from hoistplank.fakes.deployment import Deployment
 from hoistplank.fakes.wire import FastCgiClient
 
-RATE = 120.0  # requests a second: a small part of what a core carries
+RATE = 120.0  # requests per second: a small part of the capacity of a core
 OBJECTS = 300
 CONNECTIONS = 4
 BOOKING_EVERY = 30  # requests
-REQUEST_NUMBERS = 60_000  # of FastCGI, used in turn
-LAST_ANSWERS_S = 3.0  # for answers after the last request
-DRAIN_NOTICE_S = 0.25  # after which a draining host must get nothing more
+REQUEST_NUMBERS = 60_000  # FastCGI request ids, used in turn
+LAST_ANSWERS_TIMEOUT_S = 3.0  # after the last request
+DRAIN_NOTICE_S = 0.25  # after which a draining host must receive no more requests
 OK = 200
 MAX_LATENCY_US = 60_000_000
 
 
 class DemoResult(msgspec.Struct):
-    """What came of all requests; the names are those that the command prints."""
+    """The outcome of all requests; the field names are those that the command prints."""
 
     sent: int = msgspec.field(name="visits")
     answered: int
@@ -43,33 +43,33 @@
     drained: str
     after_drain: int = msgspec.field(name="to it 250 ms after the drain")
 
-    def good(self) -> bool:
-        """Whether all requests were served, and none by the drained host after it was told."""
+    def is_success(self) -> bool:
+        """True if all requests were served, and none by the drained host once the drain had to be known."""
         return self.served == self.sent and self.after_drain == 0
 
 
 class DemoRun:
-    """Sends requests to a deployment for some seconds, and drains a cache host halfway."""
+    """Sends requests to a deployment for `seconds`, and drains a cache host halfway through."""
 
     def __init__(self, deployment: Deployment, seconds: float, seed: int) -> None:
         self.deployment, self.seconds = deployment, seconds
         self.random = Random(seed)
         self.latencies_us = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.statuses = Counter[int]()
-        self.sent_at_s: dict[int, float] = {}  # by request number, of those without an answer
+        self.sent_at_s: dict[int, float] = {}  # of requests without an answer, by request number
         self.drained: FakeCacheServer = deployment.caches[0]
         self.drained_at = 0.0  # Unix time
         self.all_answered = asyncio.Event()
 
     async def run(self) -> DemoResult:
-        """Sends, waits for the last answers and sums up."""
+        """Sends the requests, waits for the last answers and returns the result."""
         clients = [await self.deployment.client() for _ in range(CONNECTIONS)]
         readers = [asyncio.create_task(self._read(client), name="reader") for client in clients]
         try:
             sent = await self._send_all(clients)
             if self.sent_at_s:
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(LAST_ANSWERS_S):
+                    async with asyncio.timeout(LAST_ANSWERS_TIMEOUT_S):
                         await self.all_answered.wait()
         finally:
             for reader in readers:
@@ -89,7 +89,7 @@
                 self.all_answered.set()
 
     async def _send_all(self, clients: list[FastCgiClient]) -> int:
-        """Sends at an even pace; returns how many."""
+        """Sends requests at an even rate; returns their number."""
         began, sent = time.monotonic(), 0
         while (elapsed := time.monotonic() - began) < self.seconds:
             if not self.drained_at and elapsed > self.seconds / 2:
@@ -101,7 +101,7 @@
         return sent
 
     def _send(self, client: FastCgiClient, index: int) -> None:
-        # Few objects are wanted often, most seldom.
+        # A few objects are requested often, most of them seldom.
         object_key = f"{int(OBJECTS * self.random.random() ** 3):016x}"
         fields = {"HTTP_X_SUBJECT": object_key, "HTTP_X_CORRELATION_ID": f"{index:016x}"}
         is_booking = index % BOOKING_EVERY == 0
@@ -134,7 +134,7 @@
         click.echo(f"  {server.uid:<10} {server.kind:<7} 127.0.0.1:{server.port}")
 
 
-async def _play(seconds: float, seed: int, *, stay: bool, describe: bool) -> DemoResult:
+async def _run_demo(seconds: float, seed: int, *, stay: bool, describe: bool) -> DemoResult:
     with tempfile.TemporaryDirectory() as folder:
         async with Deployment(Path(folder)) as deployment:
             if describe:
@@ -142,8 +142,8 @@
             result = await DemoRun(deployment, seconds, seed).run()
             if stay:
                 click.echo(
-                    f"still up, with {deployment.configuration}; send a request from another shell:\n"
-                    f"  hoistplank request 127.0.0.1:{deployment.address[1]} page\nCtrl-C ends it"
+                    f"still running with {deployment.configuration}; send a request from another shell:\n"
+                    f"  hoistplank request 127.0.0.1:{deployment.address[1]} page\nPress Ctrl-C to stop it."
                 )
                 await asyncio.Event().wait()
             return result
@@ -152,16 +152,16 @@
 @click.command()
 @click.option("--seconds", type=click.FloatRange(1, 600), default=10, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--stay", is_flag=True, help="Leave it all up until Ctrl-C, and say how to send a request.")
-@click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
+@click.option("--stay", is_flag=True, help="Keep running until Ctrl-C, and print how to send a request.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as one JSON object.")
 def demo(seconds: float, seed: int, stay: bool, as_json: bool) -> None:
-    """Start a change log, three cache hosts, a parent, an origin and a dispatcher on loopback; send requests;
-    drain one.
+    """Start a change log, three cache hosts, a parent, an origin and a dispatcher on loopback; send requests
+    and drain a cache host.
 
-    Exit code 1 if a request was not served, or the drained host got one too late.
+    Exit code 1: a request was not served, or the drained host received one too late.
     """
     try:
-        result = asyncio.run(_play(seconds, seed, stay=stay, describe=not as_json))
+        result = asyncio.run(_run_demo(seconds, seed, stay=stay, describe=not as_json))
     except KeyboardInterrupt:
         return
     rows = msgspec.to_builtins(result)
@@ -170,4 +170,4 @@
     else:
         for name, value in rows.items():
             click.echo(f"{name:>30}: {value}")
-    sys.exit(0 if result.good() else 1)
+    sys.exit(0 if result.is_success() else 1)
