--- a/hoistplank/cli/failure.py
+++ b/hoistplank/cli/failure.py
@@ -1,4 +1,4 @@
-"""How commands end that can't use what they were given."""
+"""Exit of commands on unusable input."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def fail(message: str) -> NoReturn:
-    """What was given can't be used: a line on standard error, exit code 2."""
+    """Prints the message on standard error and exits with code 2, for input that can't be used."""
     click.echo(f"hoistplank: {message}", err=True)
     sys.exit(UNUSABLE_INPUT)
--- a/hoistplank/cli/key_options.py
+++ b/hoistplank/cli/key_options.py
@@ -1,4 +1,4 @@
-"""What the commands on keys and tokens have in common."""
+"""Options and functions shared by the commands on keys and tokens."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     type=click.Path(path_type=Path),
     default=Path("ring"),
     show_default=True,
-    help="The folder with the ring.",
+    help="Folder of the key ring.",
 )
 
 
 def now_us() -> int:
-    """The time, in microseconds of the Unix clock."""
+    """Returns the Unix time in microseconds."""
     return time.time_ns() // 1_000
--- a/hoistplank/cli/lab_output.py
+++ b/hoistplank/cli/lab_output.py
@@ -1,4 +1,4 @@
-"""What the commands of the laboratory have in common: progress, tables and results that were read."""
+"""Functions shared by the laboratory's commands: progress bars, tables and reading of results."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 from hoistplank.cli.failure import fail
 
-ROOT = Path(__file__).resolve().parents[2]  # of the repository
+ROOT = Path(__file__).resolve().parents[2]  # root of the repository
 TABLE_WIDTH = 110
 COUNT = "{task.completed}/{task.total}"
 ROUNDED_COUNT = "{task.completed:.0f}/{task.total:.0f}"
 
-Row = dict[str, Any]  # one result, as its file holds it
+Row = dict[str, Any]  # one result, as stored in its file
 
 
 @contextmanager
 def progress_bar(count: str = COUNT) -> Iterator[Progress]:
-    """A bar on standard error, gone at the end."""
+    """Shows a progress bar on standard error, and removes it at the end."""
     columns: tuple[ProgressColumn, ...] = (TextColumn("{task.description}"), BarColumn(), TextColumn(count))
     console = Console(stderr=True)
     with Progress(*columns, TimeElapsedColumn(), console=console, transient=True) as progress:
@@ -30,12 +30,12 @@
 
 
 def table_console() -> Console:
-    """Where tables are printed."""
+    """Returns a console for tables, of a fixed width."""
     return Console(width=TABLE_WIDTH)
 
 
 def load_rows(path: str) -> list[Row]:
-    """The results of a file or folder; ends the command where they can't be read."""
+    """Returns the results in a file or folder; ends the command if they can't be read."""
     from hoistplank.lab.results import ResultsError, load
 
     try:
