--- a/hoistplank/cli/keys.py
+++ b/hoistplank/cli/keys.py
@@ -1,4 +1,4 @@
-"""`hoistplank keys`: the keys that sign tokens, through their lives."""
+"""`hoistplank keys`: the life cycle of the keys that sign tokens."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @click.group()
 def keys() -> None:
-    """Keys that sign tokens: made, published, signing, verifying, retired.
+    """Manage the keys that sign tokens: made, published, signing, verifying, retired.
 
     \b
-    A change of keys without a refused caller:
-      hoistplank keys make next           a private key, known to nobody
-      hoistplank keys publish next        in the key set; wait until all dispatchers tell its generation
-      hoistplank keys sign-with next      new tokens are signed with it, old ones stand
-      hoistplank keys retire old          once the last of its tokens has expired
+    To rotate keys without refusing a caller:
+      hoistplank keys make next           create a private key, not yet in the key set
+      hoistplank keys publish next        publish it; wait until all dispatchers report its generation
+      hoistplank keys sign-with next      sign new tokens with it; old tokens stay valid
+      hoistplank keys retire old          remove the old key once the last of its tokens has expired
     """
 
 
@@ -34,7 +34,7 @@
 @click.option("--alg", type=click.Choice(["EdDSA", "ES256"]), default="EdDSA", show_default=True)
 @RING_OPTION
 def make(kid: str, alg: str, folder: Path) -> None:
-    """Make a private key called KID; nobody knows of it until it is published."""
+    """Make a private key named KID; it is not in the key set until it is published."""
     try:
         with locked(folder):
             KeyRing(folder).make(kid, alg, now_us())
@@ -56,7 +56,7 @@
 @click.argument("kid")
 @RING_OPTION
 def publish(kid: str, folder: Path) -> None:
-    """Put KID into the key set, so that everyone has it before the first token is signed with it."""
+    """Add KID to the key set, so that every verifier has it before the first token is signed with it."""
     _apply(folder, kid, KeyEvent.PUBLISH)
 
 
@@ -64,7 +64,7 @@
 @click.argument("kid")
 @RING_OPTION
 def sign_with(kid: str, folder: Path) -> None:
-    """Sign new tokens with KID; the key that signed until now goes on verifying."""
+    """Sign new tokens with KID; tokens of the previous signing key are still verified."""
     _apply(folder, kid, KeyEvent.SIGN)
 
 
@@ -72,15 +72,15 @@
 @click.argument("kid")
 @RING_OPTION
 def retire(kid: str, folder: Path) -> None:
-    """Have KID's tokens refused from now on, and its private half removed."""
+    """Refuse the tokens of KID from now on, and remove its private key."""
     _apply(folder, kid, KeyEvent.RETIRE)
 
 
 @keys.command(name="list")
 @RING_OPTION
-@click.option("--json", "as_json", is_flag=True, help="A JSON object a line.")
-def listed(folder: Path, as_json: bool) -> None:
-    """List the ring's keys and their states."""
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
+def list_keys(folder: Path, as_json: bool) -> None:
+    """List the keys of the ring and their states."""
     try:
         entries = KeyRing(folder).entries()
     except AuthorizationError as error:
