--- a/hoistplank/cli/lab.py
+++ b/hoistplank/cli/lab.py
@@ -1,4 +1,4 @@
-"""`hoistplank lab`: days, experiments, comparisons, reports and the load tool."""
+"""`hoistplank lab`: emulated days, experiments, comparisons, reports and the load tool."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @click.group()
 def lab() -> None:
-    """An emulator of caches, parents and origin; load; experiments and reports.
+    """Emulate caches, parents and an origin; generate load; run experiments and report on them.
 
     \b
-    One day, now:        hoistplank lab day vanish
-    An experiment:       hoistplank lab run deploy/lab/defences.sexp
-    What it showed:      hoistplank lab report lab-results/defences
+    Play one day:        hoistplank lab day vanish
+    Run an experiment:   hoistplank lab run deploy/lab/defences.sexp
+    Report its results:  hoistplank lab report lab-results/defences
     Load a dispatcher:   hoistplank lab load 127.0.0.1:9000 --plan "10s:200" --tracks "page=9
     booking=1!"
     """
--- a/hoistplank/cli/lab_days.py
+++ b/hoistplank/cli/lab_days.py
@@ -1,4 +1,4 @@
-"""`hoistplank lab days` and `day`: the days that the laboratory knows, and one of them played now."""
+"""`hoistplank lab days` and `day`: list the emulated days, and play one of them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from hoistplank.cli.lab_output import Row
 from hoistplank.operator_configuration.errors import ConfigurationError
 
-RATE_PER_HOST = 20.0  # requests a second
+RATE_PER_HOST = 20.0  # requests per second
 HOSTS_PER_LOCATION = 20
 DISPATCHERS_PER_LOCATION = 3
 
 
 @click.command()
 def days() -> None:
-    """List the days by name, the policies, and the faults that a script may hold."""
+    """List the days, the policies, and the faults that a script may contain."""
     from hoistplank.lab.model.days import DAYS
     from hoistplank.lab.model.faults import KINDS
     from hoistplank.lab.policies import policy_names
@@ -37,16 +37,18 @@
 @click.command()
 @click.argument("name", default="calm")
 @click.option("--policy", default="module", show_default=True)
-@click.option("--size", type=click.IntRange(1, 20_000), default=12, show_default=True, help="Cache hosts.")
+@click.option(
+    "--size", type=click.IntRange(1, 20_000), default=12, show_default=True, help="Number of cache hosts."
+)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1, 3_600), default=20, show_default=True)
 @click.option("--load", "share", type=click.FloatRange(0.05, 5), default=0.75, show_default=True)
-@click.option("--sockets", is_flag=True, help="Against real dispatcher processes, in real time.")
-@click.option("--json", "as_json", is_flag=True, help="The whole result as one JSON object.")
-def day(  # noqa: PLR0913 (one parameter an option)
+@click.option("--sockets", is_flag=True, help="Use real dispatcher processes, in real time.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole result as one JSON object.")
+def day(  # noqa: PLR0913 (one parameter per option)
     name: str, policy: str, size: int, seed: int, seconds: float, share: float, sockets: bool, as_json: bool
 ) -> None:
-    """Play one day by NAME, or the script of a file. Exit code 1: a rule was broken, or the day was void."""
+    """Play the day NAME, or the script in file NAME. Exit code 1: a rule was violated, or the day is void."""
     from hoistplank.lab.backends.sockets import RunTooLateError
     from hoistplank.lab.experiment import Cell
     from hoistplank.lab.model.days import draw_day
@@ -85,7 +87,7 @@
 def _print_day(text: str, result: Row) -> None:
     click.echo(f"{text or 'no faults'}")
     click.echo(
-        f"earned {result['score']:.3f} of all that was asked for; {result['events']} events in "
+        f"score {result['score']:.3f} of the utility requested; {result['events']} events in "
         f"{result['took_s']:.1f} s"
     )
     for cause, lost in sorted(result["lost"].items(), key=lambda pair: -pair[1]):
--- a/hoistplank/cli/lab_experiments.py
+++ b/hoistplank/cli/lab_experiments.py
@@ -1,4 +1,4 @@
-"""`hoistplank lab run`, `compare` and `report`: experiments, and what they showed."""
+"""`hoistplank lab run`, `compare` and `report`: experiments, comparisons and reports of their results."""
 
 from __future__ import annotations
 
@@ -18,12 +18,10 @@
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--out", type=click.Path(), help="Folder for the results; lab-results/NAME else.")
+@click.option("--out", type=click.Path(), help="Folder for the results; default: lab-results/NAME.")
 @click.option("--workers", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default=True)
 def run(file: str, out: str | None, workers: int) -> None:
-    """Play the experiment of FILE; one that was cut off goes on where it was. Exit code 1: some cells
-    failed.
-    """
+    """Run the experiment of FILE, or resume it if it was interrupted. Exit code 1: some cells failed."""
     from hoistplank.lab.experiment import Cell, read_experiment
     from hoistplank.lab.runner import ExperimentRun, RunError
 
@@ -46,7 +44,7 @@
 
         running = ExperimentRun(experiment, folder, workers, report_cell)
         if running.journal.cut:
-            progress.console.print(f"{running.journal.cut} bytes of a cell that was cut off were let go")
+            progress.console.print(f"discarded {running.journal.cut} bytes of an incomplete cell")
         try:
             path = asyncio.run(running.run(ROOT))
         except RunError as error:
@@ -58,10 +56,10 @@
 @click.command()
 @click.argument("first", type=click.Path(exists=True))
 @click.argument("second", type=click.Path(exists=True), required=False)
-@click.option("--base", default="module", show_default=True, help="What others are compared with.")
+@click.option("--base", default="module", show_default=True, help="Policy that the others are compared with.")
 @click.option("--json", "as_json", is_flag=True)
 def compare(first: str, second: str | None, base: str, as_json: bool) -> None:
-    """Paired differences with 95 % intervals and a verdict: policies of one result, or two results."""
+    """Compare policies of a result, or two results: paired differences with 95 % intervals and a verdict."""
     from hoistplank.lab.report import paired
 
     rows = load_rows(first)
@@ -90,7 +88,7 @@
 
 
 def _two_results(first: list[Row], second: list[Row], policy: str) -> list[Row]:
-    """One policy's rows of both results, named after the result that they are of."""
+    """Returns the rows of one policy in both results, with the result as the policy name."""
     rows = [row | {"policy": "first"} for row in first if row["policy"] == policy]
     return rows + [row | {"policy": "second"} for row in second if row["policy"] == policy]
 
@@ -98,11 +96,11 @@
 @click.command()
 @click.argument("results", type=click.Path(exists=True))
 @click.argument("beside", type=click.Path(exists=True), required=False)
-@click.option("--out", type=click.Path(), help="The page; report.html beside the results else.")
+@click.option("--out", type=click.Path(), help="File to write; default: report.html next to the results.")
 @click.option("--base", default="module", show_default=True)
 def report(results: str, beside: str | None, out: str | None, base: str) -> None:
-    """Write one HTML page of RESULTS: it needs no network, and prints. Of a fleet's scenes, those of a second
-    run stand BESIDE.
+    """Write a self-contained, printable HTML page of RESULTS. For scenes of a fleet, a second run BESIDE is
+    shown next to them.
     """
     from hoistplank.lab.fleet import pages
     from hoistplank.lab.report import page
@@ -111,7 +109,7 @@
     if not rows:
         fail(f"{results}: no rows")
     if beside is not None and not all(row["fleet"] for row in rows):
-        fail(f"{results}: a second run stands beside scenes of the fleet only")
+        fail(f"{results}: a second run can only be shown next to scenes of the fleet")
     folder = Path(results) if Path(results).is_dir() else Path(results).parent
     path = Path(out) if out else folder / "report.html"
     if rows[0]["fleet"]:
--- a/hoistplank/cli/lab_fleet.py
+++ b/hoistplank/cli/lab_fleet.py
@@ -1,4 +1,4 @@
-"""`hoistplank lab fleet`: scenes with many processes and faults between them."""
+"""`hoistplank lab fleet`: scenes with many processes and faults on the paths between them."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 @click.command()
 @click.argument("paths", nargs=-1, required=True, type=click.Path())
-@click.option("--only", default="", help="This scene alone, by its name.")
-@click.option("--seed", "seeds", multiple=True, type=click.IntRange(0), help="May stand several times.")
+@click.option("--only", default="", help="Play only the scene of this name.")
+@click.option("--seed", "seeds", multiple=True, type=click.IntRange(0), help="May be given several times.")
 @click.option("--drive", type=click.Choice(["processes", "virtual", "both"]), default="processes")
-@click.option("--policy", "policies", multiple=True, help="In virtual time, beside the module.")
+@click.option("--policy", "policies", multiple=True, help="Further policy to play in virtual time.")
 @click.option("--at-once", type=click.IntRange(1, 16), default=max(1, (os.cpu_count() or 1) // 3))
-@click.option("--keep", type=click.Path(), help="A folder in which the dispatchers' files and logs stay.")
-@click.option("--out", type=click.Path(), help="A folder for the results, which 'lab report' reads.")
-@click.option("--json", "as_json", is_flag=True, help="A JSON object a run.")
-def fleet(  # noqa: PLR0913 (one parameter an option)
+@click.option("--keep", type=click.Path(), help="Folder in which to keep the dispatchers' files and logs.")
+@click.option("--out", type=click.Path(), help="Folder for the results, to be read by 'lab report'.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per run.")
+def fleet(  # noqa: PLR0913 (one parameter per option)
     paths: tuple[str, ...],
     only: str,
     seeds: tuple[int, ...],
@@ -43,17 +43,17 @@
     out: str | None,
     as_json: bool,
 ) -> None:
-    """Play the scenes of PATHS (files or folders) with many processes and faults between them.
+    """Play the scenes of PATHS (files or folders) with many processes and faults on the paths between them.
 
-    Exit code 0: all bounds held. 1: one did not, a rule was broken, or a process broke. 2: a scene can't be
-    met; nothing was started. 3: the machine was too slow to tell.
+    Exit code 0: all bounds held. 1: a bound or a rule was violated, or a process failed. 2: a scene can't be
+    played; nothing was started. 3: the machine was too slow for a verdict.
     """
     from hoistplank.lab.fleet import runner
 
     chosen = _scenes(paths, only, policies)
     drives = ["processes", "virtual"] if drive == "both" else [drive]
     if not any(one in scene.drives for scene, _ in chosen for one in drives):
-        fail(f"none of these scenes plays in {drive} time: they name what only processes have")
+        fail(f"none of these scenes can be played with --drive {drive}: they use what only processes have")
     with progress_bar() as progress:
         task = progress.add_task("scenes", total=None)
 
@@ -66,7 +66,9 @@
         try:
             rows = asyncio.run(runner.interruptible(work))
         except (KeyboardInterrupt, asyncio.CancelledError):
-            raise click.ClickException("interrupted; nothing of it is left") from None
+            raise click.ClickException(
+                "interrupted; no process is left running, and no results are written"
+            ) from None
     if out is not None:
         click.echo(_write(rows, Path(out)), err=True)
     for row in rows:
@@ -75,7 +77,7 @@
 
 
 def _scenes(paths: tuple[str, ...], only: str, policies: tuple[str, ...]) -> list[LoadedScene]:
-    """The scenes to play, with the folder each lies in; ends the command where one can't be met."""
+    """Returns the scenes to play, each with its folder; ends the command if one can't be played."""
     from hoistplank.lab.fleet.scene_loader import load_scenes
     from hoistplank.lab.policies import policy
     from hoistplank.lab.policy import UnknownPolicyError
@@ -90,7 +92,7 @@
 
 
 def _write(rows: list[Row], folder: Path) -> str:
-    """Writes the results of runs that came to an end; returns the file's name."""
+    """Writes the results of the completed runs; returns the name of the file."""
     from hoistplank.lab import results
     from hoistplank.lab.runner import revision
 
--- a/hoistplank/cli/lab_load.py
+++ b/hoistplank/cli/lab_load.py
@@ -1,4 +1,4 @@
-"""`hoistplank lab load`: the load tool, against a dispatcher on loopback."""
+"""`hoistplank lab load`: the load tool, for a dispatcher on loopback."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class LoadOptions(TypedDict):
-    """The options of the command, by the names that click hands them over with."""
+    """The options of the command, by the parameter names that click passes."""
 
     steps: str
     classes: str
@@ -48,41 +48,53 @@
 
 @click.command()
 @click.argument("address")
-@click.option("--plan", "steps", default="10s:100", show_default=True, help="As '10s:500 5s:500-2000'.")
+@click.option(
+    "--plan",
+    "steps",
+    default="10s:100",
+    show_default=True,
+    help="Steps and ramps, such as '10s:500 5s:500-2000'.",
+)
 @click.option(
     "--tracks",
     "classes",
     default="page=1",
     show_default=True,
-    help="As 'page=9 booking=1!'.",
+    help="Traffic classes, such as 'page=9 booking=1!'.",
 )
 @click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True)
-@click.option("--connections", type=click.IntRange(1, 1_000), default=4, show_default=True, help="A process.")
+@click.option(
+    "--connections", type=click.IntRange(1, 1_000), default=4, show_default=True, help="Per process."
+)
 @click.option(
     "--fresh", type=click.FloatRange(0, 1), default=0.0, help="Share of requests on new connections."
 )
 @click.option("--objects", type=click.IntRange(1, 10_000_000), default=1_000, show_default=True)
 @click.option("--zipf", type=click.FloatRange(0, 3), default=1.0, show_default=True)
-@click.option("--groups", type=click.IntRange(1, 255), default=1, show_default=True, help="Tenants' groups.")
+@click.option(
+    "--groups", type=click.IntRange(1, 255), default=1, show_default=True, help="Number of tenant groups."
+)
 @click.option("--deadline-ms", type=click.IntRange(1, 600_000), default=1_500, show_default=True)
-@click.option("--tokens", type=click.File("r"), help="A token a line, for the groups in turn.")
-@click.option("--ca", type=click.Path(exists=True), help="Speak TLS, and trust this CA (PEM).")
-@click.option("--cert", type=click.Path(exists=True), help="Own certificate and key (PEM).")
+@click.option(
+    "--tokens", type=click.File("r"), help="File with one token per line, used for the groups in turn."
+)
+@click.option("--ca", type=click.Path(exists=True), help="Use TLS, and trust this CA (PEM).")
+@click.option("--cert", type=click.Path(exists=True), help="Client certificate and key in one file (PEM).")
 @click.option(
     "--late-ms",
     type=click.FloatRange(0.1),
     default=5.0,
     show_default=True,
-    help="Voids a run (p99).",
+    help="The run is void if the tool is later than this at p99.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--out", type=click.Path(), help="The raw result with its histograms, as JSON.")
+@click.option("--out", type=click.Path(), help="File for the raw result with its histograms, as JSON.")
 @click.option("--json", "as_json", is_flag=True)
 def load(address: str, **options: Unpack[LoadOptions]) -> None:
     """Load the dispatcher at ADDRESS on loopback, in an open loop.
 
-    Plan: steps and ramps, SECONDS:RATE or SECONDS:RATE-RATE. Traffic classes: weights, '!' for an operation
-    key each. Exit code 1: not all were answered; 3: void, the tool itself was late.
+    Plan: steps and ramps, SECONDS:RATE or SECONDS:RATE-RATE. Traffic classes: NAME=WEIGHT, with '!' for an
+    operation key per request. Exit code 1: not all requests were answered. 3: void, the tool itself was late.
     """
     from hoistplank.lab.load.errors import LoadPlanError
     from hoistplank.lab.load.schedule import parse_schedule
@@ -90,7 +102,7 @@
 
     host, _, port = address.rpartition(":")
     if not host.startswith("127.") or not port.isdecimal():
-        fail(f"'{address}', expected an address of this machine with a port, as 127.0.0.1:9000")
+        fail(f"'{address}', expected a loopback address with a port, such as 127.0.0.1:9000")
     try:
         steps, mix = parse_schedule(options["steps"]), parse_mix(options["classes"])
     except LoadPlanError as error:
@@ -156,7 +168,8 @@
 
 def _print_result(result: Row) -> None:
     table = Table(
-        title=f"{result['rate']:g} requests a second over {result['seconds']:g} s; ms from when each was due"
+        title=f"{result['rate']:g} requests per second over {result['seconds']:g} s; "
+        "latencies in ms from the due time"
     )
     for word in ("track", "statuses", "p50", "p90", "p99", "p99.9", "most"):
         table.add_column(word, justify="left" if word in ("track", "statuses") else "right")
--- a/hoistplank/cli/lab_profile.py
+++ b/hoistplank/cli/lab_profile.py
@@ -1,4 +1,4 @@
-"""`hoistplank lab profile`: where a request's CPU goes."""
+"""`hoistplank lab profile`: CPU time of a request by layer."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 )
 @click.option("--json", "as_json", is_flag=True)
 def profile(rate: float, seconds: float, fresh: float, as_json: bool) -> None:
-    """Where a request's CPU goes by layer, of a dispatcher that is started for it with small stand-ins."""
+    """Measure the CPU time of a request by layer, in a dispatcher started for it with fake servers."""
     from hoistplank.lab.load.errors import LoadError
-    from hoistplank.lab.profile import run as profiled
+    from hoistplank.lab.profile import run as run_profile
 
     try:
-        found = profiled(rate, seconds, fresh)
+        found = run_profile(rate, seconds, fresh)
     except (LoadError, RuntimeError) as error:
         raise click.ClickException(str(error)) from None
     if as_json:
         click.echo(json.dumps(found))
         return
     click.echo(
-        f"{found['cpu_us_a_visit']} us of CPU a request at {rate:g} a second, {fresh:.0%} on new connections"
+        f"{found['cpu_us_a_visit']} us of CPU per request at {rate:g} requests per second, "
+        f"{fresh:.0%} on new connections"
     )
     for name, share in found["shares"].items():
         click.echo(f"  {share:6.1%}  {name}")
