--- a/hoistplank/cli/lazy.py
+++ b/hoistplank/cli/lazy.py
@@ -1,4 +1,4 @@
-"""Commands that are imported when they are called, and what they need to be installed."""
+"""Commands that are imported only when called, and the libraries that they require."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LazyCommand:
-    """Where a command is, the libraries that must be there beside those of the service, and what installs
-    them."""
+    """The location of a command, the libraries that it requires beside those of the service, and the command
+    that installs them."""
 
     module: str
     attribute: str
@@ -43,7 +43,7 @@
     ),
     "demo": LazyCommand("hoistplank.cli.demo", "demo"),
     "request": LazyCommand("hoistplank.cli.request", "request"),
-    "visit": LazyCommand("hoistplank.cli.request", "request"),  # the older name, which operators know
+    "visit": LazyCommand("hoistplank.cli.request", "request"),  # the previous name, kept for operators
 }
 CONTROL_EXTRA = COMMANDS["control"].install
 
@@ -56,9 +56,9 @@
 
 
 def _unavailable(name: str, reason: str) -> click.Command:
-    """Stands for a command whose libraries are not installed: the others and the help go on without them."""
+    """Returns a placeholder for a command whose libraries are missing; the help and other commands work."""
 
-    def refuse(args: tuple[str, ...]) -> None:  # noqa: ARG001 (click passes what stood on the command line)
+    def refuse(args: tuple[str, ...]) -> None:  # noqa: ARG001 (click passes the arguments)
         raise click.ClickException(f"'{name}' {reason}")
 
     arguments = click.Argument(["args"], nargs=-1, type=click.UNPROCESSED)
@@ -67,14 +67,14 @@
 
 
 class LazyGroup(click.Group):
-    """Imports a subsystem's commands when one of them is called, so that a light command stays light."""
+    """Imports a subsystem only when one of its commands is called, so that others start without it."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands."""
+        """Returns the names of all commands."""
         return sorted({*super().list_commands(ctx), *COMMANDS})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """A command by its name."""
+        """Returns a command by its name, or None."""
         lazy = COMMANDS.get(cmd_name)
         return super().get_command(ctx, cmd_name) if lazy is None else _load(cmd_name, lazy)
 
--- a/hoistplank/cli/main.py
+++ b/hoistplank/cli/main.py
@@ -1,5 +1,4 @@
-"""The `hoistplank` command. Exit codes: 0 done, 1 something broke or a check failed, 2 what was given can't
-be used."""
+"""The `hoistplank` command. Exit codes: 0 success, 1 an error or a failed check, 2 unusable input."""
 
 from __future__ import annotations
 
@@ -11,7 +10,7 @@
 try:
     import click
 except ModuleNotFoundError:
-    # The platform's own install: it serves by `python -m hoistplank`, which needs none of this.
+    # The platform installs no click: it serves by `python -m hoistplank`, which doesn't need it.
     sys.exit("hoistplank: the command line needs 'click': pip install -r requirements-service.txt")
 
 from hoistplank.cli.lazy import LazyGroup
@@ -41,17 +40,20 @@
 
 
 @main.command()
-@click.option("--config", envvar="EDGE_CONFIG", help="The platform's JSON file; EDGE_CONFIG else.")
+@click.option("--config", envvar="EDGE_CONFIG", help="The platform's JSON file; default: EDGE_CONFIG.")
 @click.option(
-    "--operator", envvar="HOISTPLANK_OPERATOR", help="The operator's file; HOISTPLANK_OPERATOR else."
+    "--operator", envvar="HOISTPLANK_OPERATOR", help="The operator file; default: HOISTPLANK_OPERATOR."
 )
 @click.option(
-    "--log", "log_format", type=click.Choice(["lines", "json"]), help="The form of the log; the file's else."
+    "--log",
+    "log_format",
+    type=click.Choice(["lines", "json"]),
+    help="Log format; default: that of the operator file.",
 )
 def run(config: str | None, operator: str | None, log_format: str | None) -> None:
     """Run a dispatcher in the foreground.
 
-    SIGTERM drains it (exit code 0), SIGHUP has both files read again. Exit code 2: a file can't be used.
+    SIGTERM drains it (exit code 0), SIGHUP reloads both files. Exit code 2: a file is missing or invalid.
     """
     variables = {"EDGE_CONFIG": config, "HOISTPLANK_OPERATOR": operator, "HOISTPLANK_LOG": log_format}
     os.environ.update({name: value for name, value in variables.items() if value})
@@ -61,9 +63,11 @@
 
 
 @main.command()
-@click.option("--json", "as_json", is_flag=True, help="As a JSON object, with the libraries' versions.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print a JSON object, with the versions of the libraries."
+)
 def version(as_json: bool) -> None:
-    """Tell the version."""
+    """Print the version."""
     own = _installed_version("hoistplank") or VERSION_WHEN_NOT_INSTALLED
     if not as_json:
         click.echo(f"hoistplank {own}")
