--- a/hoistplank/cli/operator_file.py
+++ b/hoistplank/cli/operator_file.py
@@ -1,4 +1,4 @@
-"""`hoistplank check` and `hoistplank fmt`: the operator's file."""
+"""`hoistplank check` and `hoistplank fmt`: validate and format an operator file."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="Faults as JSON, an object a line.")
+@click.option("--json", "as_json", is_flag=True, help="Print errors as JSON, one object per line.")
 def check(file: str, as_json: bool) -> None:
-    """Check an operator's FILE; each fault is told with its line, its column and what was expected.
+    """Check an operator FILE; each error is printed with its line, its column and what was expected.
 
-    Exit code 0: it can be used. 2: it can't. The files that it names are not opened.
+    Exit code 0: the file is valid. 2: it is not. Other files that it refers to are not opened.
     """
     from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
     from hoistplank.program.sections import load_file
@@ -39,10 +39,10 @@
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--check", "only", is_flag=True, help="Change nothing; exit code 1 if the file would change.")
-@click.option("--stdout", "out", is_flag=True, help="Write to standard output and leave the file as it is.")
+@click.option("--check", "only", is_flag=True, help="Write nothing; exit code 1 if the file would change.")
+@click.option("--stdout", "out", is_flag=True, help="Write to standard output and leave the file unchanged.")
 def fmt(file: str, only: bool, out: bool) -> None:
-    """Write an operator's FILE in its one layout; comments stay where they are."""
+    """Format an operator FILE in the standard layout; comments stay in place."""
     from hoistplank.operator_configuration.errors import ConfigurationError
     from hoistplank.operator_configuration.formatter import format_document
     from hoistplank.operator_configuration.parser import parse
@@ -64,7 +64,7 @@
 
 
 def _replace(path: Path, data: bytes) -> None:
-    """Danger: cut off in the middle of writing, half of the operator's file would be gone."""
+    """Replaces the file by a rename: an interrupted write in place would lose half of the operator file."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     temporary.write_bytes(data)
     temporary.chmod(path.stat().st_mode & 0o777)
