--- a/hoistplank/cli/request.py
+++ b/hoistplank/cli/request.py
@@ -19,15 +19,17 @@
 @click.command("request")
 @click.argument("address")
 @click.argument("class_name", metavar="CLASS")
-@click.option("--object", "object_key", default=f"{7:016x}", show_default=True, help="16 hex digits.")
+@click.option(
+    "--object", "object_key", default=f"{7:016x}", show_default=True, help="Object key, 16 hex digits."
+)
 @click.option("--group", type=click.IntRange(0, 255), default=0, show_default=True)
-@click.option("--key", default="", help="The operation key of a booking, 32 hex digits.")
-@click.option("--token-file", type=click.File("r"), help="The caller's token; - for standard input.")
-@click.option("--ca", type=click.Path(exists=True), help="Speak TLS, and trust this CA (PEM).")
+@click.option("--key", default="", help="Operation key of a booking, 32 hex digits.")
 @click.option(
-    "--cert", type=click.Path(exists=True), help="The client's certificate and key in one file (PEM)."
+    "--token-file", type=click.File("r"), help="File with the caller's token; - for standard input."
 )
-def request(  # noqa: PLR0913 (one parameter an option)
+@click.option("--ca", type=click.Path(exists=True), help="Use TLS, and trust this CA (PEM).")
+@click.option("--cert", type=click.Path(exists=True), help="Client certificate and key in one file (PEM).")
+def request(  # noqa: PLR0913 (one parameter per option)
     address: str,
     class_name: str,
     object_key: str,
@@ -37,7 +39,7 @@
     ca: str | None,
     cert: str | None,
 ) -> None:
-    """Send one request to a dispatcher at ADDRESS and tell the answer. Exit code 1: it was not served."""
+    """Send one request to a dispatcher at ADDRESS and print the answer. Exit code 1: it was not served."""
     fields = {
         "HTTP_X_SUBJECT": object_key,
         "HTTP_X_TAG": str(group),
@@ -70,7 +72,7 @@
 async def _send(
     address: str, class_name: str, fields: dict[str, str], context: ssl.SSLContext | None
 ) -> tuple[int, bytes, bytes]:
-    """The status, the head and the body of the answer."""
+    """Sends the request; returns the status, the head and the body of the answer."""
     host, _, port = address.rpartition(":")
     client = await connect((host, int(port)), context)
     client.send(1, class_name, fields)
--- a/hoistplank/cli/revoke.py
+++ b/hoistplank/cli/revoke.py
@@ -1,4 +1,4 @@
-"""`hoistplank revoke`: adds a revocation to the operators' file."""
+"""`hoistplank revoke`: adds a revocation to the revocation file."""
 
 from __future__ import annotations
 
@@ -18,11 +18,13 @@
 @click.command()
 @click.argument("kind", type=click.Choice(KINDS))
 @click.argument("value")
-@click.option("--issuer", default="", help="The token's issuer; for a serial the certificate's, or none.")
-@click.option("--until", "days", type=click.IntRange(1, 3_650), help="Days after which it may be forgotten.")
 @click.option(
-    "--file", type=click.Path(path_type=Path), required=True, help="The file that (revoked …) names."
+    "--issuer", default="", help="Issuer of the token; for a serial, that of the certificate, or none."
 )
+@click.option(
+    "--until", "days", type=click.IntRange(1, 3_650), help="Days after which the revocation may be dropped."
+)
+@click.option("--file", type=click.Path(path_type=Path), required=True, help="The file named by (revoked …).")
 def revoke(kind: str, value: str, issuer: str, days: int | None, file: Path) -> None:
     """Revoke a key, subject, jti, serial or name: dispatchers that read FILE refuse it within a second."""
     until = now_us() + days * DAY_US if days else 0
