--- a/hoistplank/cli/state.py
+++ b/hoistplank/cli/state.py
@@ -1,4 +1,4 @@
-"""`hoistplank state`: what is kept in a folder, for operators. Nothing in the folder is changed."""
+"""`hoistplank state`: read-only inspection of a state folder, for operators."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def _load(folder: Path) -> LoadResult:
     try:
         if not folder.is_dir():
-            raise FolderError(folder, "is no folder")
+            raise FolderError(folder, "is not a folder")
         return StateFolder(folder).load(repair=False)
     except FolderError as error:
         fail(str(error))
@@ -31,14 +31,14 @@
 
 @click.group()
 def state() -> None:
-    """What is kept across restarts: look at it, check it, write it out."""
+    """Show, verify and export the state that is kept across restarts."""
 
 
 @state.command()
 @FOLDER
-@click.option("--json", "as_json", is_flag=True, help="As a JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print a JSON object.")
 def show(folder: Path, as_json: bool) -> None:
-    """Tell how old the kept list is and what it is worth. Exit code 1: there is none."""
+    """Show the age of the kept list and the estimated share still valid. Exit code 1: there is no state."""
     loaded = _load(folder)
     persisted = loaded.state
     row: dict[str, object] = {
@@ -66,7 +66,7 @@
 @state.command()
 @FOLDER
 def verify(folder: Path) -> None:
-    """Read every file; a line for each that is not whole. Exit code 1: there is one, or no state."""
+    """Read all files; print a line for each damaged one. Exit code 1: a file is damaged, or no state."""
     loaded = _load(folder)
     for note in loaded.notes:
         click.echo(note)
@@ -76,7 +76,7 @@
 @state.command()
 @FOLDER
 def export(folder: Path) -> None:
-    """Write the state as JSON lines: one that tells of the list, then one a host and one a purge."""
+    """Write the state as JSON lines: one on the list, then one per host and one per purge."""
     persisted = _load(folder).state
     if persisted is None:
         sys.exit(1)
