--- a/hoistplank/cli/tokens.py
+++ b/hoistplank/cli/tokens.py
@@ -1,4 +1,4 @@
-"""`hoistplank token`: makes signed tokens, and shows what they say."""
+"""`hoistplank token`: makes signed tokens, and shows their claims."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 
 @click.group()
 def token() -> None:
-    """Signed tokens: make one for a caller, or look at what one says."""
+    """Make signed tokens for callers, or show the claims of one."""
 
 
 @token.command(name="make")
-@click.option("--issuer", required=True, help="As (issuer …) in the operator's file.")
-@click.option("--audience", required=True, help="As its (audience …).")
-@click.option("--subject", required=True, help="Whom the token is for.")
-@click.option("--for", "lasts", default="1h", show_default=True, help="How long it stands, as 15min or 8h.")
-@click.option("--jti", default="", help="A name by which this one token can be revoked.")
+@click.option("--issuer", required=True, help="Issuer, as in (issuer …) of the operator file.")
+@click.option("--audience", required=True, help="Audience, as in its (audience …).")
+@click.option("--subject", required=True, help="Subject that the token is for.")
+@click.option("--for", "lasts", default="1h", show_default=True, help="Lifetime, such as 15min or 8h.")
+@click.option("--jti", default="", help="Identifier by which this token can be revoked.")
 @RING_OPTION
 def make_token(issuer: str, audience: str, subject: str, lasts: str, jti: str, folder: Path) -> None:
-    """Make a token, signed by the ring's signing key; it is the only line on standard output."""
-    kind = duration("1s", "30d")
+    """Make a token, signed with the signing key of the ring; it is the only line on standard output."""
+    lifetime_type = duration("1s", "30d")
     try:
-        life_us: int = kind.parse(Atom(lasts, False, SourceLocation("--for", 1, 1)))
+        lifetime_us: int = lifetime_type.parse(Atom(lasts, False, SourceLocation("--for", 1, 1)))
     except ValueError:
-        fail(f"--for: '{lasts}', expected {kind.expected}")
+        fail(f"--for: '{lasts}', expected {lifetime_type.expected}")
     now = now_us()
     claims = {
         "iss": issuer,
         "aud": audience,
         "sub": subject,
         "iat": now // 1_000_000,
-        "exp": (now + life_us) // 1_000_000,
+        "exp": (now + lifetime_us) // 1_000_000,
         **({"jti": jti} if jti else {}),
     }
     try:
@@ -56,25 +56,25 @@
 
 
 @token.command()
-@click.option("--json", "as_json", is_flag=True, help="As a JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print a JSON object.")
 def show(as_json: bool) -> None:
-    """Tell what a token on standard input says. Its signature is not checked, and it is not repeated.
+    """Show the claims of a token on standard input. Its signature is not verified, and it is not printed.
 
-    It is read from standard input, since arguments can be seen by others on the machine.
+    It is read from standard input, because arguments are visible to other users of the machine.
     """
     text = sys.stdin.read(MAX_INPUT_CHARACTERS).strip()
     try:
-        found = parse_token(text.removeprefix("Bearer "), MAX_TOKEN_BYTES)
+        parsed = parse_token(text.removeprefix("Bearer "), MAX_TOKEN_BYTES)
     except InvalidTokenError as error:
-        fail(f"the token can't be used: {error.reason}")
-    left_s = (found.expires_us - now_us()) // 1_000_000
+        fail(f"invalid token: {error.reason}")
+    left_s = (parsed.expires_us - now_us()) // 1_000_000
     row = {
-        "alg": found.algorithm,
-        "kid": found.kid,
-        "iss": found.issuer,
-        "aud": list(found.audiences),
-        "sub": found.subject,
-        "jti": found.jti or None,
+        "alg": parsed.algorithm,
+        "kid": parsed.kid,
+        "iss": parsed.issuer,
+        "aud": list(parsed.audiences),
+        "sub": parsed.subject,
+        "jti": parsed.jti or None,
         "expires_in_s": left_s,
     }
     click.echo(json.dumps(row) if as_json else "\n".join(f"{name}: {value}" for name, value in row.items()))
