--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as an operator uses it: exit codes, files, and what the log never shows."""
+"""The command line: exit codes, files, help, start of the dispatcher, and secrets in its log."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 from hoistplank.program.logging_setup import REDACTED, redact
 
 
-def call(*words: str, text: str = "") -> Result:
-    return CliRunner().invoke(main, [*words], input=text)
+def call(*arguments: str, text: str = "") -> Result:
+    return CliRunner().invoke(main, [*arguments], input=text)
 
 
-def test_the_file_of_the_repository_is_good_and_laid_out() -> None:
+def test_operator_file_of_repository_is_valid_and_formatted() -> None:
     file = str(Path(__file__).parents[1] / "deploy" / "operator.sexp")
     assert (call("check", file).exit_code, call("fmt", "--check", file).exit_code) == (0, 0)
 
 
-def test_check_and_fmt_tell_faults_and_leave_a_broken_file_alone(tmp_path: Path) -> None:
+def test_check_and_fmt_report_errors_and_leave_invalid_file_unchanged(tmp_path: Path) -> None:
     file = tmp_path / "op.sexp"
     file.write_text("(callers (tokens (skew 9)))")
-    told = call("check", "--json", str(file))
-    row = json.loads(told.stdout)
-    assert (told.exit_code, row["line"], row["column"], row["found"]) == (2, 1, 24, "'9'")
+    result = call("check", "--json", str(file))
+    row = json.loads(result.stdout)
+    assert (result.exit_code, row["line"], row["column"], row["found"]) == (2, 1, 24, "'9'")
     assert call("check", str(tmp_path / "none")).exit_code == 2
     file.write_text("(callers (tokens (skew   9s))")
     assert call("fmt", str(file)).exit_code == 2 and file.read_text() == "(callers (tokens (skew   9s))"
@@ -53,7 +53,7 @@
     )
 
 
-def test_a_change_of_keys_by_hand(tmp_path: Path) -> None:
+def test_key_rotation_by_commands(tmp_path: Path) -> None:
     ring = str(tmp_path / "ring")
     for words in (
         ["make", "old"],
@@ -95,13 +95,13 @@
     rows = [json.loads(line) for line in call("keys", "list", "--json", "--ring", ring).stdout.splitlines()]
     assert [(row["kid"], row["state"]) for row in rows] == [("old", "retired"), ("new", "signing")]
     assert not (tmp_path / "ring" / "old.pem").exists()
-    told = call("token", "show", "--json", text=call(*words).stdout)
-    assert json.loads(told.stdout)["kid"] == "new" and call("token", "show", text="x.y").exit_code == 2
+    result = call("token", "show", "--json", text=call(*words).stdout)
+    assert json.loads(result.stdout)["kid"] == "new" and call("token", "show", text="x.y").exit_code == 2
     (tmp_path / "ring" / "new.pem").chmod(0o640)
     assert call(*words).exit_code == 2
 
 
-def test_revocations_are_appended_whole(tmp_path: Path) -> None:
+def test_revoke_appends_revocations_and_refuses_invalid_options(tmp_path: Path) -> None:
     file = tmp_path / "revoked.jsonl"
     assert call("revoke", "jti", "j1", "--issuer", "i", "--file", str(file)).exit_code == 0
     assert call("revoke", "serial", "1f", "--days", "30", "--file", str(file)).exit_code == 2
@@ -110,10 +110,10 @@
     assert [json.loads(line)["value"] for line in file.read_text().splitlines()] == ["j1", "1f"]
 
 
-def test_a_writer_killed_at_any_moment_leaves_a_whole_ring(tmp_path: Path) -> None:
-    """Key changes in a loop in a process of their own, killed again and again: each look finds a whole
-    set."""
-    ring, chance = tmp_path / "ring", Random(3)
+def test_key_ring_is_consistent_after_writer_is_killed(tmp_path: Path) -> None:
+    """A process that changes keys in a loop is killed at random times. A change written in part would leave
+    a ring that can't be read, or one with two signing keys."""
+    ring, rng = tmp_path / "ring", Random(3)
     code = (
         "import sys; from pathlib import Path; from hoistplank.authorization.key_ring import KeyRing\n"
         "from hoistplank.authorization.key_lifecycle import KeyEvent\n"
@@ -126,15 +126,15 @@
 
     for turn in range(6):
         child = subprocess.Popen([sys.executable, "-c", code, str(ring), str(turn * 1_000)])
-        time.sleep(0.6 + chance.random() / 4)
+        time.sleep(0.6 + rng.random() / 4)
         child.kill()
         child.wait()
-        entries = KeyRing(ring).entries()  # raises where anything is not whole
+        entries = KeyRing(ring).entries()  # raises if a file is incomplete
         assert sum(entry.state == "signing" for entry in entries) <= 1
     assert any(entry.state == "signing" for entry in KeyRing(ring).entries())
 
 
-def test_no_secret_reaches_a_line() -> None:
+def test_redact_removes_secrets_from_log_event() -> None:
     signer = TokenSigner("k1")
     private = private_key_pem(signer.key).decode()
     token = signer.token("coast-1")
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil, told",
+    "operator_file, message",
     [
         ("(tenant", "a form that is never closed"),
         ('(callers (revoked "none"))', "can't be read"),
@@ -167,10 +167,10 @@
         ),
     ],
 )
-def test_a_file_that_can_t_be_used_ends_the_start_before_anything_listens(
-    tmp_path: Path, spoil: str, told: str
+def test_run_with_invalid_operator_file_exits_before_listening(
+    tmp_path: Path, operator_file: str, message: str
 ) -> None:
-    (tmp_path / "op.sexp").write_text(spoil)
+    (tmp_path / "op.sexp").write_text(operator_file)
     port = free_port()
     (tmp_path / "c.json").write_text(
         json.dumps(
@@ -197,11 +197,13 @@
         text=True,
         timeout=20,
     )
-    assert done.returncode == 2 and told in done.stderr and f"{tmp_path}/op.sexp:1:" in done.stderr
+    assert done.returncode == 2 and message in done.stderr and f"{tmp_path}/op.sexp:1:" in done.stderr
     assert done.stdout == ""
 
 
-def test_json_lines_and_a_light_start(tmp_path: Path) -> None:
+def test_log_is_json_with_operator_file_and_optional_libraries_are_not_loaded_without_it(
+    tmp_path: Path,
+) -> None:
     FakeCertificateAuthority(tmp_path)
     write_key_set(tmp_path / "ring.json", TokenSigner("k1").jwk())
     (tmp_path / "revoked.jsonl").touch()
@@ -238,14 +240,14 @@
             )
 
 
-LACKING = """
+SCRIPT_WITHOUT_LIBRARIES = """
 import sys
-class Gone:
+class MissingLibraryFinder:
     def find_spec(self, name, path=None, target=None):
-        if name.partition(".")[0] in {lacks!r}:
+        if name.partition(".")[0] in {missing_libraries!r}:
             raise ModuleNotFoundError(f"No module named {{name!r}}", name=name)
-sys.meta_path.insert(0, Gone())
-sys.argv = ["hoistplank", *{words!r}]
+sys.meta_path.insert(0, MissingLibraryFinder())
+sys.argv = ["hoistplank", *{arguments!r}]
 from hoistplank.cli.main import main
 main()
 """
@@ -253,41 +255,43 @@
 SERVICE = ["lark", "cryptography", "joserfc", "httptools", "hdrh", "google_crc32c"]
 
 
-def without(lacks: list[str], *words: str) -> subprocess.CompletedProcess[str]:
-    text = LACKING.format(lacks=lacks, words=words)
+def run_without_libraries(missing_libraries: list[str], *arguments: str) -> subprocess.CompletedProcess[str]:
+    text = SCRIPT_WITHOUT_LIBRARIES.format(missing_libraries=missing_libraries, arguments=arguments)
     return subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, timeout=60)
 
 
 @pytest.mark.parametrize(
-    ("lacks", "noted"),
+    ("missing_libraries", "unavailable"),
     [
-        pytest.param([*LAB, *XDS], ["control", "lab"], id="the demo's and the service's install"),
-        pytest.param(XDS, ["control"], id="the laboratory's install"),
-        pytest.param([], [], id="all of it"),
+        pytest.param([*LAB, *XDS], ["control", "lab"], id="demo and service"),
+        pytest.param(XDS, ["control"], id="lab"),
+        pytest.param([], [], id="complete"),
     ],
 )
-def test_the_help_lists_what_lacks_its_libraries_with_what_to_install(
-    lacks: list[str], noted: list[str]
+def test_help_lists_commands_with_missing_libraries_and_what_to_install(
+    missing_libraries: list[str], unavailable: list[str]
 ) -> None:
-    told = without(lacks, "--help")
-    assert told.returncode == 0, told.stderr
-    rows = {line.split()[0]: line for line in told.stdout.split("Commands:")[1].splitlines() if line.strip()}
+    result = run_without_libraries(missing_libraries, "--help")
+    assert result.returncode == 0, result.stderr
+    rows = {
+        line.split()[0]: line for line in result.stdout.split("Commands:")[1].splitlines() if line.strip()
+    }
     assert {"check", "control", "demo", "lab", "request", "run", "visit"} <= set(rows)
-    assert sorted(name for name, line in rows.items() if "needs '" in line) == noted
-    for name in noted:
-        called = without(lacks, name, "--anything")
+    assert sorted(name for name, line in rows.items() if "needs '" in line) == unavailable
+    for name in unavailable:
+        called = run_without_libraries(missing_libraries, name, "--anything")
         assert called.returncode == 1 and f"Error: '{name}' needs" in called.stderr
         assert "pip install -r requirements-" in called.stderr
 
 
-def test_visit_is_another_name_of_request() -> None:
+def test_visit_is_an_alias_of_request() -> None:
     assert "Error: no answer from" in call("visit", "127.0.0.1:1", "page").output
     request_help, visit_help = call("request", "--help").output, call("visit", "--help").output
     assert "Send one request" in request_help
     assert request_help.replace(" request ", " visit ", 1) == visit_help
 
 
-def test_the_bare_install_says_what_the_command_line_needs() -> None:
-    told = without(["click", *SERVICE, *LAB, *XDS], "--help")
-    assert told.returncode == 1 and "Traceback" not in told.stderr
-    assert "'click': pip install -r requirements-service.txt" in told.stderr
+def test_command_line_without_click_says_what_to_install() -> None:
+    result = run_without_libraries(["click", *SERVICE, *LAB, *XDS], "--help")
+    assert result.returncode == 1 and "Traceback" not in result.stderr
+    assert "'click': pip install -r requirements-service.txt" in result.stderr
