--- a/hoistplank/decision/concurrency.py
+++ b/hoistplank/decision/concurrency.py
@@ -13,7 +13,7 @@
 # Where no link is declared, 8 attempts to begin with, shared by the dispatchers: 6 to 8 are alike, 12 loses
 # 0.02.
 UNDECLARED_HOST_LIMIT = 8.0
-LEAST_SHARED_LIMIT = 2.0
+MIN_SHARED_LIMIT = 2.0
 # A hit that takes over twice its sending time lowers the limit, in larger steps where it is small; one within
 # 1.4 of it raises the limit while it is used up.
 SLOW_HIT_FACTOR, SLOW_HIT_MARGIN_US = 2, 10_000
@@ -27,14 +27,14 @@
 UNDECLARED_FILL_LIMIT = 16.0
 # Half as many fills more than fill the link: 1.0 loses 0.05, 1.3 to 1.7 are alike.
 FILLS_PER_LINK = 1.5
-LEAST_FILL_LIMIT_SHARE = 0.3
+MIN_FILL_LIMIT_SHARE = 0.3
 FILL_LIMIT_INCREASE = 0.3
 FILL_LIMIT_DECREASE = 0.95
 # Beyond the limit: up to three times as many, while load reports of the last second say that the link has
 # capacity.
-MOST_EXTENSION = 3.0
+MAX_EXTENSION = 3.0
 LOAD_REPORT_US = 1_000_000
-LEAST_LINK_LOAD = 0.1
+MIN_LINK_LOAD = 0.1
 IN_TIME_SHARE_FOR_EXTENSION = 0.85
 # A class of which fewer fills than this come in time gets that share of the limit.
 LATE_CLASS_SHARE = 0.5
@@ -53,13 +53,13 @@
     def register(self, host: Host) -> None:
         """The limit of a host that is new."""
         if not self.links_declared:
-            host.concurrency_limit = max(LEAST_SHARED_LIMIT, UNDECLARED_HOST_LIMIT / self.sharers)
+            host.concurrency_limit = max(MIN_SHARED_LIMIT, UNDECLARED_HOST_LIMIT / self.sharers)
 
     def apply_declared_link(self, host: Host) -> None:
         """Lowers the limit to what the list declares of the host's link."""
         if self.links_declared and host.units > 0:
             # Twice its link and two more: at twice its sending time a hit is in time at most objectives.
-            host.concurrency_ceiling = max(LEAST_SHARED_LIMIT, (2.0 + 2.0 * host.units) / self.sharers)
+            host.concurrency_ceiling = max(MIN_SHARED_LIMIT, (2.0 + 2.0 * host.units) / self.sharers)
         host.concurrency_limit = min(host.concurrency_limit, host.concurrency_ceiling)
 
     def has_capacity(self, now_us: int, host: Host) -> bool:
@@ -113,11 +113,11 @@
         self.link_load_us = -LOAD_REPORT_US
         self.limit = UNDECLARED_FILL_LIMIT / settings.zone_sharers
         self.ceiling = inf
-        self.least = LEAST_SHARED_LIMIT
+        self.min_limit = MIN_SHARED_LIMIT
         if settings.zone_link_kb_per_s > 0 and settings.stream_kb_per_s > 0:
             transfers = settings.zone_link_kb_per_s / settings.stream_kb_per_s / settings.zone_sharers
-            self.limit = self.ceiling = max(LEAST_SHARED_LIMIT, FILLS_PER_LINK * transfers)
-            self.least = LEAST_FILL_LIMIT_SHARE * self.ceiling
+            self.limit = self.ceiling = max(MIN_SHARED_LIMIT, FILLS_PER_LINK * transfers)
+            self.min_limit = MIN_FILL_LIMIT_SHARE * self.ceiling
 
     def apply_degradation(self, degradation: Degradation) -> None:
         """Takes over the share of the limit that a level of degradation leaves."""
@@ -142,7 +142,7 @@
         if in_time and (crowded or self.ceiling < inf):
             self.limit = min(self.ceiling, self.limit + FILL_LIMIT_INCREASE)
         elif crowded and not in_time:
-            self.limit = max(self.least, self.limit * FILL_LIMIT_DECREASE)
+            self.limit = max(self.min_limit, self.limit * FILL_LIMIT_DECREASE)
 
     def record_load_report(self, now_us: int, report: list[float]) -> None:
         """Takes the load of the zone's link from a cache's load report."""
@@ -161,7 +161,7 @@
         if self.in_flight < limit:
             return True
         return self._may_be_extended(now_us) and self.in_flight < limit * min(
-            MOST_EXTENSION, FILLS_PER_LINK / max(LEAST_LINK_LOAD, self.link_load)
+            MAX_EXTENSION, FILLS_PER_LINK / max(MIN_LINK_LOAD, self.link_load)
         )
 
     def _may_be_extended(self, now_us: int) -> bool:
--- a/hoistplank/decision/health.py
+++ b/hoistplank/decision/health.py
@@ -8,7 +8,7 @@
 from hoistplank.decision.slow_start import SlowStart
 
 EJECTION_BASE_US = 125_000  # of the first ejection twice that, 0.25 s, doubling up to 8 s
-MOST_EJECTIONS = 6
+MAX_EJECTIONS = 6
 # After an ejection one attempt, then half an attempt more for each answer, in case the host came back cold;
 # 16 in flight are more than usual.
 FIRST_RECOVERY_LIMIT = 1.0
@@ -53,7 +53,7 @@
             host.recovery_limit = inf
             self.slow_start.end(host)
 
-    def eject(self, now_us: int, host: Host, least_ejections: int = 1) -> None:
+    def eject(self, now_us: int, host: Host, min_ejections: int = 1) -> None:
         """A host that may be gone gets nothing for a time, longer each time, and then one attempt.
 
         Answers hosts that vanish or hang: each attempt there would cost its whole time-out. Can harm a host
@@ -61,7 +61,7 @@
         """
         if host is self.hosts.origin or now_us < host.ejected_until_us:
             return
-        host.ejections = min(max(host.ejections + 1, least_ejections), MOST_EJECTIONS)
+        host.ejections = min(max(host.ejections + 1, min_ejections), MAX_EJECTIONS)
         host.ejected_until_us = now_us + EJECTION_BASE_US * 2**host.ejections
         host.recovery_limit = FIRST_RECOVERY_LIMIT
 
--- a/hoistplank/decision/hosts.py
+++ b/hoistplank/decision/hosts.py
@@ -93,7 +93,7 @@
         self.caches: list[Host] = []
         self.parents: list[Host] = []
         self.origin: Host | None = None
-        self.most_caches = 1  # that were ever listed at once
+        self.max_caches = 1  # that were ever listed at once
         self.version = 0  # of the tiers: kept orders of hosts hold for one version
 
     @property
@@ -149,7 +149,7 @@
                 self._remove(host)
         self.caches = [host for host in self.caches if host.tier == CACHE]
         self.parents = [host for host in self.parents if host.tier == PARENT]
-        self.most_caches = max(self.most_caches, len(self.caches))
+        self.max_caches = max(self.max_caches, len(self.caches))
         self.version += 1
 
     def _remove(self, host: Host) -> None:
--- a/hoistplank/decision/list_confirmation.py
+++ b/hoistplank/decision/list_confirmation.py
@@ -15,13 +15,13 @@
 # is for a turn, a connection's first byte and the loop's lag.
 GRACE_SHARE = 0.6
 # How long requests are held by a process that has just started, until any connection is established.
-MOST_START_WAIT_US = 3_500_000
+MAX_START_WAIT_US = 3_500_000
 # Likewise by one that had a confirmed list: nothing is known to have been missed, as nobody was asked yet.
-MOST_CONNECT_WAIT_US = 1_000_000
+MAX_CONNECT_WAIT_US = 1_000_000
 # Likewise until the first answer, once asked: a log says its number each second, a crowded one later.
-MOST_ANSWER_WAIT_US = 3_000_000
+MAX_ANSWER_WAIT_US = 3_000_000
 # A source that was asked and then gone for so long may be waited for once more.
-RENEWED_WAIT_US = 2 * MOST_ANSWER_WAIT_US
+RENEWED_WAIT_US = 2 * MAX_ANSWER_WAIT_US
 NEVER_US = -(10**18)
 
 
@@ -53,10 +53,10 @@
         """The watch has come to another stage."""
         previous, self.stage = self.stage, stage
         if previous is None:
-            self.hold_from_us, self.hold_until_us = now_us, now_us + MOST_START_WAIT_US
+            self.hold_from_us, self.hold_until_us = now_us, now_us + MAX_START_WAIT_US
         elif previous == EndpointWatchStage.CONFIRMED:
             self.hold_from_us = now_us + self.grace_us
-            self.hold_until_us = now_us + MOST_CONNECT_WAIT_US
+            self.hold_until_us = now_us + MAX_CONNECT_WAIT_US
         if stage == EndpointWatchStage.CONFIRMED:
             self.was_confirmed, self.is_unreachable, self._asked_us = True, False, NEVER_US
         elif stage == EndpointWatchStage.REFUSED:
@@ -84,7 +84,7 @@
         self._asked_us = now_us
         if not was_held:
             self.hold_from_us = now_us + self.grace_us if self.was_confirmed else now_us
-        self.hold_until_us = now_us + MOST_ANSWER_WAIT_US
+        self.hold_until_us = now_us + MAX_ANSWER_WAIT_US
 
     def standing(self, now_us: int) -> ListStanding:
         """How far the list is to be relied on now."""
--- a/hoistplank/decision/overload.py
+++ b/hoistplank/decision/overload.py
@@ -8,11 +8,11 @@
 
 # 10 ms of lag are within the margins of every deadline; one standstill is no rule, so 0.1 s is the most.
 IGNORED_LAG_US = 10_000
-MOST_LAG_US = 100_000
+MAX_LAG_US = 100_000
 # An event takes 0.2 ms of the core; what lies unread while it lags is not seen otherwise.
 EVENT_COST_US = 200
 # 250 waiting events are 50 ms of work; classes of a higher weight are kept for as many times more.
-MOST_EVENTS_WAITING = 250
+MAX_EVENTS_WAITING = 250
 
 # The last attempt is over so much before the client leaves.
 ANSWER_MARGIN_US = 100_000
@@ -24,7 +24,7 @@
 
     def __init__(self, settings: RouterSettings) -> None:
         self.tick_us = settings.tick_us
-        self.least_weight = min([row.priority_weight for row in settings.traffic_classes] or [0])
+        self.min_weight = min([row.priority_weight for row in settings.traffic_classes] or [0])
         self.degradation = Degradation()
         self.events_waiting = 0
         self.lag_us = 0
@@ -35,7 +35,7 @@
 
     def measure(self, event: EventLoopMeasured) -> None:
         """Takes over how the host program fares."""
-        self.lag_us = min(event.lag_us, MOST_LAG_US) if event.lag_us > IGNORED_LAG_US else 0
+        self.lag_us = min(event.lag_us, MAX_LAG_US) if event.lag_us > IGNORED_LAG_US else 0
         self.events_waiting = event.events_waiting + self.lag_us // EVENT_COST_US
 
     def set_latest_start(self, now_us: int, request: Request) -> None:
@@ -65,7 +65,7 @@
 
         Answers a core on which all answers come late. Can harm a lone burst.
         """
-        return self.events_waiting * self.least_weight > MOST_EVENTS_WAITING * traffic_class.priority_weight
+        return self.events_waiting * self.min_weight > MAX_EVENTS_WAITING * traffic_class.priority_weight
 
     def _is_degraded(self, request: Request) -> bool:
         """Whether the level of degradation rejects new requests of the class."""
--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -22,8 +22,8 @@
 
 # The order of waiting requests: repeats yield, and so do classes whose fills come late, but never wholly.
 REPEAT_WEIGHT = 0.2
-LEAST_IN_TIME_SHARE = 0.02
-LEAST_PRIORITY_WEIGHT = 0.001
+MIN_IN_TIME_SHARE = 0.02
+MIN_PRIORITY_WEIGHT = 0.001
 
 
 class PlannedAttempt(NamedTuple):
@@ -79,8 +79,8 @@
     def cost_per_weight(self, request: Request) -> float:
         """The key by which waiting requests are ordered: most weight in time for the time first."""
         state = request.class_state
-        weight = max(LEAST_PRIORITY_WEIGHT, state.traffic_class.priority_weight)
-        in_time = state.in_time_share + LEAST_IN_TIME_SHARE
+        weight = max(MIN_PRIORITY_WEIGHT, state.traffic_class.priority_weight)
+        in_time = state.in_time_share + MIN_IN_TIME_SHARE
         weight_in_time = weight * in_time * (REPEAT_WEIGHT if request.is_repeat else 1.0)
         return (request.sending_time_us() + state.fill_excess_us) / weight_in_time
 
--- a/hoistplank/decision/purges.py
+++ b/hoistplank/decision/purges.py
@@ -8,7 +8,7 @@
 from hoistplank.decision.requests import Request
 
 # An hour's purges of the largest fleet, all received at once, are 14,000.
-MOST_WATERMARKS = 16_384
+MAX_WATERMARKS = 16_384
 # The purge group of a purge of all objects, and the key of their watermark: no request has it.
 ALL_OBJECTS = -1
 
@@ -37,7 +37,7 @@
         # for serves that copy.
         while next(iter(self.by_key.values())).received_us < now_us - self.hold_us:
             self.by_key.popitem(last=False)
-        while len(self.by_key) > MOST_WATERMARKS:
+        while len(self.by_key) > MAX_WATERMARKS:
             # Danger: a flood of purges takes the memory. The oldest become one watermark of all objects.
             _, oldest = self.by_key.popitem(last=False)
             self._raise(now_us, ALL_OBJECTS, oldest.purged_us)
--- a/hoistplank/decision/retries.py
+++ b/hoistplank/decision/retries.py
@@ -42,7 +42,7 @@
 
 # Backoff: 20 ms doubled for each attempt, up to 16 times, spread by chance over half to one and a half of it.
 BACKOFF_US = 20_000
-MOST_BACKOFF_DOUBLINGS = 4
+MAX_BACKOFF_DOUBLINGS = 4
 
 
 class RetryPolicy:
@@ -65,11 +65,11 @@
         Answers an effect that happens twice. `host` may be None only where no attempt may have run.
         """
         traffic_class = request.traffic_class
-        most_attempts = self.rules.max_attempts
+        attempt_limit = self.rules.max_attempts
         idempotent = traffic_class.semantics == IDEMPOTENT
         if idempotent and self.degradation.max_attempts:
-            most_attempts = min(most_attempts, self.degradation.max_attempts)
-        if request.closed or request.in_flight or request.attempts_made >= most_attempts:
+            attempt_limit = min(attempt_limit, self.degradation.max_attempts)
+        if request.closed or request.in_flight or request.attempts_made >= attempt_limit:
             return False
         if idempotent or request.first_run_us < 0:
             return True
@@ -146,7 +146,7 @@
 
     def _back_off(self, now_us: int, request: Request) -> None:
         """Holds a request that a crowded host or source refused: longer each time, spread by chance."""
-        doublings = min(request.attempts_made, MOST_BACKOFF_DOUBLINGS)
+        doublings = min(request.attempts_made, MAX_BACKOFF_DOUBLINGS)
         request.not_before_us = now_us + int(BACKOFF_US * 2**doublings * (0.5 + self.random()))
 
     def final_answer(self, request: Request, reason: EndReason) -> Reject | Fail:
@@ -158,5 +158,5 @@
             harmless = keyed and traffic_class.deduplication_scope == DEDUPLICATED_EVERYWHERE
         if not harmless:
             return Fail(request.id, reason)
-        most_us = self.rules.max_retry_after_us * self.rules.may_send_retry_after
-        return Reject(request.id, int(most_us * (0.5 + self.random() / 2)), reason)
+        max_delay_us = self.rules.max_retry_after_us * self.rules.may_send_retry_after
+        return Reject(request.id, int(max_delay_us * (0.5 + self.random() / 2)), reason)
--- a/hoistplank/decision/router.py
+++ b/hoistplank/decision/router.py
@@ -46,8 +46,8 @@
 WAITING_TIMER_US = 20_000
 IDLE_TIMER_US = 50_000
 # Danger: the work of looking at all held requests would grow with the square of their number.
-MOST_LOOK_PAUSE_US = 50_000
-LOOK_PAUSE_FACTOR_US = 10
+MAX_RECHECK_INTERVAL_US = 50_000
+RECHECK_INTERVAL_FACTOR_US = 10
 
 
 class Router:
@@ -206,7 +206,7 @@
 
     def _place_waiting(self, now_us: int) -> None:
         """Looks at the waiting requests whose time has come, those with most weight for the time first."""
-        pause_us = min(MOST_LOOK_PAUSE_US, LOOK_PAUSE_FACTOR_US * len(self.waiting) ** 2)
+        pause_us = min(MAX_RECHECK_INTERVAL_US, RECHECK_INTERVAL_FACTOR_US * len(self.waiting) ** 2)
         due = [request for request in self.waiting.values() if request.next_look_us <= now_us]
         due.sort(key=self.placement.cost_per_weight)
         for request in due:
--- a/hoistplank/decision/slow_start.py
+++ b/hoistplank/decision/slow_start.py
@@ -122,7 +122,7 @@
             tier, sharers = self.hosts.parents, settings.dispatchers
         else:
             tier, sharers = self.hosts.caches, settings.dispatchers_in_zone
-            part = part / self.hosts.most_caches
+            part = part / self.hosts.max_caches
         # The mean, not the most: of few requests the most is mostly chance, a multiple of what is carried.
         carried = sum(neighbour.carried_transfers for neighbour in tier)
         return max(1.0, part, sharers * carried / max(1, len(tier)))
--- a/hoistplank/decision/stalls.py
+++ b/hoistplank/decision/stalls.py
@@ -18,14 +18,14 @@
 # A certain answer takes one sending time; at four, while others come, it is lost. Can harm large answers.
 LOST_SENDING_TIMES = 4
 LOST_MARGIN_US = 5e4
-MOST_ATTEMPTS_OF_A_LOST_ANSWER = 2
+MAX_ATTEMPTS_AT_LOST_ANSWER = 2
 # Beyond its latency objective by half, an attempt earns little and holds capacity.
 OVERDUE_OBJECTIVES = 1.5
 
 CACHE_LOSS_SIGNS = 2
 # Of a parent a dispatcher of many has few fills: ejected for 1 s at least, lest each test costs one.
-LEAST_PARENT_EJECTIONS = 3
-LEAST_CACHE_EJECTIONS = 1
+MIN_PARENT_EJECTIONS = 3
+MIN_CACHE_EJECTIONS = 1
 # A parent is only blamed while most fills of the class are in time: a slow origin delays all.
 HEALTHY_IN_TIME_SHARE = 0.5
 
@@ -93,14 +93,14 @@
     def _is_surely_lost(self, now_us: int, attempt: Attempt) -> bool:
         """Whether an answer was certain to come, and its request gains by another attempt."""
         request = attempt.request
-        if not attempt.is_certain or request.attempts_made >= MOST_ATTEMPTS_OF_A_LOST_ANSWER:
+        if not attempt.is_certain or request.attempts_made >= MAX_ATTEMPTS_AT_LOST_ANSWER:
             return False
         return now_us < request.latest_start_us
 
     def _blame(self, now_us: int, host: Host, attempt: Attempt) -> None:
         if host.tier == PARENT:
             # A parent that is gone fails its caches' connections: a clearer sign than a silence.
-            self.health.eject(now_us, host, LEAST_PARENT_EJECTIONS)
+            self.health.eject(now_us, host, MIN_PARENT_EJECTIONS)
             return
         self.health.record_loss(now_us, host, CACHE_LOSS_SIGNS, attempt.sent_us)
-        self.health.eject(now_us, host, LEAST_CACHE_EJECTIONS)
+        self.health.eject(now_us, host, MIN_CACHE_EJECTIONS)
--- a/hoistplank/lab/ablations.py
+++ b/hoistplank/lab/ablations.py
@@ -60,7 +60,7 @@
 class NoEjection(HealthTracker):
     """Neither silence nor lost connections are held against a host."""
 
-    def eject(self, now_us: int, host: Host, least_ejections: int = 1) -> None:
+    def eject(self, now_us: int, host: Host, min_ejections: int = 1) -> None:
         """Does nothing."""
 
     def record_loss(self, now_us: int, host: Host, signs: int, sent_us: int) -> None:
--- a/tests/test_purge_floors.py
+++ b/tests/test_purge_floors.py
@@ -18,7 +18,7 @@
     PurgeReceived,
     RequestArrived,
 )
-from hoistplank.decision.purges import ALL_OBJECTS, MOST_WATERMARKS, NO_WATERMARK
+from hoistplank.decision.purges import ALL_OBJECTS, MAX_WATERMARKS, NO_WATERMARK
 from hoistplank.decision.router import Router
 from tests.helpers import RULES, SITE
 
@@ -81,12 +81,12 @@
 
 def test_a_flood_of_purges_is_bounded_and_still_counts_for_each_object() -> None:
     made, now = router(), 100 * S
-    for number in range(MOST_WATERMARKS + 500):
+    for number in range(MAX_WATERMARKS + 500):
         made.handle(now + number, PurgeReceived(f"object-{number}", 0, 0))
-    assert len(made.parts.purges.by_key) == MOST_WATERMARKS
+    assert len(made.parts.purges.by_key) == MAX_WATERMARKS
     assert ALL_OBJECTS in made.parts.purges.by_key
     later = now + S
-    for number in (0, 250, 499, 500, MOST_WATERMARKS + 499):
+    for number in (0, 250, 499, 500, MAX_WATERMARKS + 499):
         assert 0 < oldest_asked(made, later + number, f"object-{number}") <= S, number
 
 
