--- a/hoistplank/decision/concurrency.py
+++ b/hoistplank/decision/concurrency.py
@@ -74,13 +74,13 @@
     def record_start(self, attempt: Attempt) -> None:
         """Counts an attempt at its host and, unless the host answers by itself, at its source."""
         attempt.host.attempts_in_flight += 1
-        if attempt.source is not None and not attempt.is_certain:
+        if attempt.source is not None and not attempt.answers_locally:
             attempt.source.attempts_in_flight += 1
 
     def record_end(self, attempt: Attempt) -> None:
         """Takes back what `record_start` counted."""
         attempt.host.attempts_in_flight -= 1
-        if attempt.source is not None and not attempt.is_certain:
+        if attempt.source is not None and not attempt.answers_locally:
             attempt.source.attempts_in_flight -= 1
 
     def adapt(self, host: Host, took_us: int, sending_time_us: float) -> None:
--- a/hoistplank/decision/feedback.py
+++ b/hoistplank/decision/feedback.py
@@ -11,7 +11,7 @@
 # The outcomes in which the cache host itself spoke.
 ANSWERED = frozenset((Outcome.SUCCEEDED, Outcome.ERROR, Outcome.OVERLOADED, Outcome.MISS))
 # The outcomes of a fill that tell how long fills take: its success, and the ends that a late one comes to.
-TIMED_FILL_ENDS = frozenset((Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.CANCELLED))
+TIMED_FILL_OUTCOMES = frozenset((Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.CANCELLED))
 
 CONNECT_MARGIN_US = 50_000
 # Signs of a lost process: a connection that can't be made is a clear one, one that breaks may be chance.
@@ -54,7 +54,11 @@
         request, source = attempt.request, attempt.source
         class_state = request.class_state
         self.fills.record_end(class_state)
-        if event.cache_status == CacheStatus.HIT or event.outcome not in TIMED_FILL_ENDS or request.closed:
+        if (
+            event.cache_status == CacheStatus.HIT
+            or event.outcome not in TIMED_FILL_OUTCOMES
+            or request.closed
+        ):
             return
         if event.outcome == Outcome.CANCELLED and source is not None and now_us < source.ejected_until_us:
             return  # it hung at a source that is blamed for it: no sign of crowded fills
@@ -103,7 +107,7 @@
             return
         sending_time_us = request.sending_time_us()
         self.slow_start.record_carried(now_us, host, sending_time_us)
-        if source is not None and not attempt.is_certain:
+        if source is not None and not attempt.answers_locally:
             self.slow_start.record_carried(now_us, source, sending_time_us)
         is_hit = status == CacheStatus.HIT
         if host.tier != PARENT:
--- a/hoistplank/decision/health.py
+++ b/hoistplank/decision/health.py
@@ -16,7 +16,7 @@
 RECOVERED_LIMIT = 16
 
 # Loss signs that count together: at one host or over its cell or zone, each no older than this.
-LOSS_SIGNS_OF_A_RESTART = 3
+RESTART_LOSS_SIGNS = 3
 LOSS_WINDOW_US = 4_000_000
 
 
@@ -75,15 +75,15 @@
         host.loss_signs += signs
         host.last_loss_us = now_us
         neighbours = [other for other in self.hosts.tier_of(host) if other.zone == host.zone]
-        struck = [
+        lossy_hosts = [
             other for other in neighbours if other.loss_signs and now_us - other.last_loss_us < LOSS_WINDOW_US
         ]
-        if sum(other.loss_signs for other in struck) < LOSS_SIGNS_OF_A_RESTART:
+        if sum(other.loss_signs for other in lossy_hosts) < RESTART_LOSS_SIGNS:
             return
-        cells = {other.cell for other in struck}
+        cells = {other.cell for other in lossy_hosts}
         for other in neighbours:
-            beside = len(cells) > 1 or other.cell in cells
-            if other in struck or (beside and other.answered_us < sent_us):
+            in_lossy_cell = len(cells) > 1 or other.cell in cells
+            if other in lossy_hosts or (in_lossy_cell and other.answered_us < sent_us):
                 self._suspect_restart(now_us, other)
 
     def _suspect_restart(self, now_us: int, host: Host) -> None:
--- a/hoistplank/decision/herds.py
+++ b/hoistplank/decision/herds.py
@@ -14,7 +14,7 @@
 # For so long after a copy was last seen it should still be there.
 COOLDOWN_US = 8_000_000
 # Past the cooldown, a herd that was not asked for teaches nothing.
-FORGOTTEN_AFTER_US = 10_000_000
+HERD_EXPIRY_US = 10_000_000
 
 
 class HerdTable:
@@ -38,7 +38,7 @@
             herd.tokens = min(BUCKET_SIZE, herd.tokens + elapsed_us * REFILL_PER_US)
         herd.last_request_us = now_us
         herds.move_to_end(fingerprint)
-        while next(iter(herds.values())).last_request_us < now_us - FORGOTTEN_AFTER_US:
+        while next(iter(herds.values())).last_request_us < now_us - HERD_EXPIRY_US:
             herds.popitem(last=False)
         request.herd = herd
         request.in_herd = herd.tokens < 1
--- a/hoistplank/decision/hosts.py
+++ b/hoistplank/decision/hosts.py
@@ -73,7 +73,7 @@
     # Its retry budget (retries.py).
     attempt_counts: AttemptCounts | None = None
 
-    def describes_a_start(self, endpoint: Endpoint) -> bool:
+    def describes_new_process(self, endpoint: Endpoint) -> bool:
         """Whether the endpoint is a process that was not known before."""
         if endpoint.state != EndpointState.UP:
             return False
--- a/hoistplank/decision/list_confirmation.py
+++ b/hoistplank/decision/list_confirmation.py
@@ -13,7 +13,7 @@
 
 # Of a drain's grace, how long a list that was confirmed is still acted on once sight of it is lost. The rest
 # is for a turn, a connection's first byte and the loop's lag.
-GRACE_SHARE = 0.6
+CONFIRMED_GRACE_SHARE = 0.6
 # How long requests are held by a process that has just started, until any connection is established.
 MAX_START_WAIT_US = 3_500_000
 # Likewise by one that had a confirmed list: nothing is known to have been missed, as nobody was asked yet.
@@ -41,13 +41,13 @@
     takes requests."""
 
     def __init__(self, grace_us: int) -> None:
-        self.grace_us = int(grace_us * GRACE_SHARE)
+        self.grace_us = int(grace_us * CONFIRMED_GRACE_SHARE)
         self.stage: EndpointWatchStage | None = None
         self.was_confirmed = False
         self.is_unreachable = False  # nobody listened at the last try
         self.hold_from_us = 0
         self.hold_until_us = 0
-        self._asked_us = NEVER_US  # when the present wait for an answer began
+        self._awaiting_since_us = NEVER_US  # when the present wait for an answer began
 
     def observe(self, now_us: int, stage: EndpointWatchStage) -> None:
         """The watch has come to another stage."""
@@ -58,20 +58,20 @@
             self.hold_from_us = now_us + self.grace_us
             self.hold_until_us = now_us + MAX_CONNECT_WAIT_US
         if stage == EndpointWatchStage.CONFIRMED:
-            self.was_confirmed, self.is_unreachable, self._asked_us = True, False, NEVER_US
+            self.was_confirmed, self.is_unreachable, self._awaiting_since_us = True, False, NEVER_US
         elif stage == EndpointWatchStage.REFUSED:
-            self._refused(now_us)
+            self._on_refused(now_us)
         elif stage == EndpointWatchStage.AWAITING_ANSWER:
-            self._asked(now_us)
+            self._on_asked(now_us)
 
-    def _refused(self, now_us: int) -> None:
+    def _on_refused(self, now_us: int) -> None:
         """Nobody listens. Danger: one that was asked and has gone without an answer may have had a drain to
         tell: what it owes is waited for all the same."""
-        if self._asked_us == NEVER_US or now_us - self._asked_us > RENEWED_WAIT_US:
+        if self._awaiting_since_us == NEVER_US or now_us - self._awaiting_since_us > RENEWED_WAIT_US:
             self.is_unreachable = True
-            self._asked_us = NEVER_US
+            self._awaiting_since_us = NEVER_US
 
-    def _asked(self, now_us: int) -> None:
+    def _on_asked(self, now_us: int) -> None:
         """The source has been asked, which counts as notified: from now on it owes an answer.
 
         Asked once more before any answer, the wait is not begun anew: a source that accepts connections and
@@ -79,9 +79,9 @@
         """
         was_held = self.standing(now_us) == ListStanding.AWAITED
         self.is_unreachable = False
-        if self._asked_us != NEVER_US:
+        if self._awaiting_since_us != NEVER_US:
             return
-        self._asked_us = now_us
+        self._awaiting_since_us = now_us
         if not was_held:
             self.hold_from_us = now_us + self.grace_us if self.was_confirmed else now_us
         self.hold_until_us = now_us + MAX_ANSWER_WAIT_US
--- a/hoistplank/decision/overload.py
+++ b/hoistplank/decision/overload.py
@@ -16,7 +16,7 @@
 
 # The last attempt is over so much before the client leaves.
 ANSWER_MARGIN_US = 100_000
-TICKS_OF_MARGIN = 2
+MARGIN_TICKS = 2
 
 
 class OverloadGuard:
@@ -53,10 +53,10 @@
         sending_time_us = request.known_sending_time_us or min(
             likely_us, traffic_class.latency_objective_us / 2
         )
-        objective_us = now_us + int(request.objective_us(sending_time_us)) - TICKS_OF_MARGIN * self.tick_us
+        objective_us = now_us + int(request.objective_us(sending_time_us)) - MARGIN_TICKS * self.tick_us
         # Danger: a loop that lags sees a request late, and carries out its answer late.
-        client_leaves_us = request.deadline_us - self.lag_us
-        request.latest_start_us = min(objective_us, client_leaves_us - ANSWER_MARGIN_US) - int(
+        client_deadline_us = request.deadline_us - self.lag_us
+        request.latest_start_us = min(objective_us, client_deadline_us - ANSWER_MARGIN_US) - int(
             sending_time_us
         )
 
--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -18,7 +18,7 @@
 # A request that is held for its herd's leader goes by itself this much before its latest start.
 HOLD_MARGIN_US = 40_000
 # The caches are merely full, not out of reach, while one is past so much of its recovery.
-RECOVERED_ENOUGH = 8
+REACHABLE_RECOVERY_LIMIT = 8
 
 # The order of waiting requests: repeats yield, and so do classes whose fills come late, but never wholly.
 REPEAT_WEIGHT = 0.2
@@ -33,7 +33,7 @@
     source: Host | None
     is_fill: bool = False
     joins_fill: bool = False
-    is_certain: bool = False
+    answers_locally: bool = False
 
 
 class Verdict(Enum):
@@ -46,7 +46,7 @@
 HOLD = Verdict.HOLD
 GIVE_UP = Verdict.GIVE_UP
 
-Placed = PlannedAttempt | Verdict
+PlacementResult = PlannedAttempt | Verdict
 
 
 class Placement:
@@ -84,7 +84,7 @@
         weight_in_time = weight * in_time * (REPEAT_WEIGHT if request.is_repeat else 1.0)
         return (request.sending_time_us() + state.fill_excess_us) / weight_in_time
 
-    def place(self, now_us: int, request: Request) -> Placed:
+    def place(self, now_us: int, request: Request) -> PlacementResult:
         """An attempt for the request, or whether it is held or given up."""
         if not self.list_confirmation.permits_attempts(now_us):
             # Danger: drains and purges from before the list's source has answered count as received, and
@@ -94,7 +94,7 @@
             stale = self._stale_copy(now_us, request)
             if stale is not None:
                 return stale
-        if now_us > request.latest_start_us or not self._may_go_on(now_us, request):
+        if now_us > request.latest_start_us or not self._may_attempt_again(now_us, request):
             return GIVE_UP
         if now_us < request.not_before_us:
             return HOLD
@@ -108,9 +108,9 @@
             return EndReason.LIST_UNCONFIRMED
         if now_us > request.latest_start_us:
             return EndReason.TOO_LATE
-        return EndReason.NO_HOST if self._may_go_on(now_us, request) else EndReason.NO_ATTEMPT_LEFT
+        return EndReason.NO_HOST if self._may_attempt_again(now_us, request) else EndReason.NO_ATTEMPT_LEFT
 
-    def _may_go_on(self, now_us: int, request: Request) -> bool:
+    def _may_attempt_again(self, now_us: int, request: Request) -> bool:
         """Whether any further attempt is allowed, at the host where the first may have run at least."""
         if not self.retries.may_attempt(now_us, request, request.first_run_host):
             return False
@@ -137,7 +137,7 @@
             return None
         return self._attempt_if_permitted(now_us, request, PlannedAttempt(missed, missed))
 
-    def _place_uncached(self, now_us: int, request: Request) -> Placed:
+    def _place_uncached(self, now_us: int, request: Request) -> PlacementResult:
         """Straight to the origin, where a refusal proves that nothing ran, or else through a cache."""
         origin = self.hosts.usable_origin()
         if origin is None:
@@ -151,7 +151,7 @@
             planned = PlannedAttempt(cache, origin)
         return self._attempt_if_permitted(now_us, request, planned) or HOLD
 
-    def _place_cached(self, now_us: int, request: Request) -> Placed:
+    def _place_cached(self, now_us: int, request: Request) -> PlacementResult:
         """At the copy's holder, behind the herd's leader, or at the first cache in the object's order."""
         herd = request.herd or self.herds.join(now_us, request)
         holder = self.herds.copy_holder(now_us, request, herd)
@@ -167,7 +167,7 @@
             return self._bypass_caches(now_us, request)
         return self._place_at(now_us, request, host, host is holder)
 
-    def _follow_leader(self, now_us: int, request: Request, herd: Herd) -> Placed | None:
+    def _follow_leader(self, now_us: int, request: Request, herd: Herd) -> PlacementResult | None:
         """Behind the leader's fill: joined to it at its cache, or held until just before it is too late.
 
         Answers a thundering herd, of which each request would fill. Can harm by the wait for a slow leader.
@@ -180,20 +180,20 @@
             return self._attempt_if_permitted(now_us, request, joined)
         return HOLD if now_us < request.latest_start_us - HOLD_MARGIN_US else None
 
-    def _place_at(self, now_us: int, request: Request, host: Host, has_copy: bool) -> Placed:
+    def _place_at(self, now_us: int, request: Request, host: Host, has_copy: bool) -> PlacementResult:
         """At a cache: for its copy, for a look whether there is one, or for a fill."""
         source = self.sources.choose(now_us, request, host)
-        if not has_copy and self._looks_first(request, host, source):
+        if not has_copy and self._checks_for_copy_first(request, host, source):
             return self._attempt_if_permitted(now_us, request, PlannedAttempt(host, host)) or HOLD
         if not has_copy and not self._may_fill(now_us, request):
             return HOLD
         joins_fill = self.caches_join_fills and not request.failed_hosts
         planned = PlannedAttempt(
-            host, source, is_fill=not has_copy, joins_fill=joins_fill, is_certain=has_copy
+            host, source, is_fill=not has_copy, joins_fill=joins_fill, answers_locally=has_copy
         )
         return self._attempt_if_permitted(now_us, request, planned) or HOLD
 
-    def _looks_first(self, request: Request, host: Host, source: Host | None) -> bool:
+    def _checks_for_copy_first(self, request: Request, host: Host, source: Host | None) -> bool:
         """Whether a cache is first asked only for what it has.
 
         Answers a link that is short: a look costs a millisecond and tells hits, which go on freely, from
@@ -208,13 +208,13 @@
     def _may_fill(self, now_us: int, request: Request) -> bool:
         return self.fills.has_capacity(now_us) and not self.fills.holds_back(request.class_state)
 
-    def _bypass_caches(self, now_us: int, request: Request) -> Placed:
+    def _bypass_caches(self, now_us: int, request: Request) -> PlacementResult:
         """Straight to a parent where all caches are gone, silent or out of their warm-up budget.
 
         Answers lost zones, releases and mass restarts. Can harm the zone's link, so not where the caches are
         merely full.
         """
-        if self._any_cache_within_reach(now_us, request):
+        if self._any_cache_reachable(now_us, request):
             return HOLD
         parent = self.sources.choose(now_us, request, None) if self.may_bypass_caches else None
         if parent is None:
@@ -224,10 +224,10 @@
         planned = PlannedAttempt(parent, self.hosts.usable_origin() or parent, is_fill=True)
         return self._attempt_if_permitted(now_us, request, planned) or HOLD
 
-    def _any_cache_within_reach(self, now_us: int, request: Request) -> bool:
+    def _any_cache_reachable(self, now_us: int, request: Request) -> bool:
         sending_time_us = request.class_state.sending_time_us
         return any(
-            cache.recovery_limit > RECOVERED_ENOUGH
+            cache.recovery_limit > REACHABLE_RECOVERY_LIMIT
             and self.health.is_usable(now_us, cache)
             and self.slow_start.fits_budget(now_us, cache, sending_time_us)
             for cache in self.hosts.caches
--- a/hoistplank/decision/ranking.py
+++ b/hoistplank/decision/ranking.py
@@ -18,14 +18,14 @@
 
         Kept with the request's herd, where it has one: the same order, worked out less often.
         """
-        keeper = request.herd or request
-        if keeper.order.version != self.hosts.version:
-            keeper.order = HostOrder(
+        order_holder = request.herd or request
+        if order_holder.order.version != self.hosts.version:
+            order_holder.order = HostOrder(
                 self.hosts.version,
                 _ranked(self.hosts.caches, hash_key(f"{request.object_key}/{request.part}")),
                 _ranked(self.hosts.parents, hash_key(request.object_key)),
             )
-        return keeper.order
+        return order_holder.order
 
 
 def _ranked(hosts: list[Host], key: int) -> list[Host]:
--- a/hoistplank/decision/requests.py
+++ b/hoistplank/decision/requests.py
@@ -77,7 +77,7 @@
     first_run_host: Host | None = None
     failed_hosts: list[Host] = field(default_factory=list)
     # While it waits.
-    next_look_us: int = 0
+    next_placement_us: int = 0
     not_before_us: int = 0
     missed_host: Host | None = None  # where no copy was found
     missed_us: int = 0
@@ -101,8 +101,8 @@
 class Attempt:
     """One attempt at a cache host.
 
-    `is_certain`: the cache answers by itself, from a copy that it is known to have, or that it has none.
-    `is_fixed`: it can't be cancelled any more: it was, or its answer has begun.
+    `answers_locally`: the cache answers by itself, from a copy that it is known to have, or that it has none.
+    `is_uncancellable`: it can't be cancelled any more: it was, or its answer has begun.
     """
 
     request: Request
@@ -111,8 +111,8 @@
     source: Host | None
     sent_us: int
     is_fill: bool
-    is_certain: bool
-    is_fixed: bool = False
+    answers_locally: bool
+    is_uncancellable: bool = False
 
     def awaited_host(self) -> Host:
         """The host that is to answer next: of a fill from a listed parent the parent, else the cache host."""
--- a/hoistplank/decision/router.py
+++ b/hoistplank/decision/router.py
@@ -110,7 +110,7 @@
         if host is None:
             host = self.parts.hosts.register(now_us, endpoint.host, endpoint.kind, endpoint.zone)
             self.parts.host_limits.register(host)
-        if host.describes_a_start(endpoint):
+        if host.describes_new_process(endpoint):
             host.begin_incarnation()
             self.parts.health.reset(host)
             # Old start times soon lapse; a host without one that appears in a later list has just started.
@@ -127,7 +127,7 @@
         self.changed = True
         self.parts.list_confirmation.observe(now_us, event.stage)
         for request in self.waiting.values():
-            request.next_look_us = 0
+            request.next_placement_us = 0
 
     def _on_event_loop_measured(self, _now_us: int, event: EventLoopMeasured) -> None:
         self.parts.overload.measure(event)
@@ -169,13 +169,13 @@
             return
         self.parts.retries.record_failure(now_us, attempt, event)
         self.waiting[request.id] = request
-        request.next_look_us = 0
+        request.next_placement_us = 0
 
     def _on_response_started(self, _now_us: int, event: ResponseStarted) -> None:
         request = self.requests.get(event.request_id)
         attempt = request.in_flight.get(event.attempt) if request is not None else None
         if attempt is not None:
-            attempt.is_fixed = True
+            attempt.is_uncancellable = True
 
     def _on_client_disconnected(self, _now_us: int, event: ClientDisconnected) -> None:
         self.changed = True
@@ -206,15 +206,17 @@
 
     def _place_waiting(self, now_us: int) -> None:
         """Looks at the waiting requests whose time has come, those with most weight for the time first."""
-        pause_us = min(MAX_RECHECK_INTERVAL_US, RECHECK_INTERVAL_FACTOR_US * len(self.waiting) ** 2)
-        due = [request for request in self.waiting.values() if request.next_look_us <= now_us]
+        recheck_interval_us = min(
+            MAX_RECHECK_INTERVAL_US, RECHECK_INTERVAL_FACTOR_US * len(self.waiting) ** 2
+        )
+        due = [request for request in self.waiting.values() if request.next_placement_us <= now_us]
         due.sort(key=self.placement.cost_per_weight)
         for request in due:
-            request.next_look_us = now_us + pause_us
-            if self._is_worth_a_look(now_us, request):
+            request.next_placement_us = now_us + recheck_interval_us
+            if self._may_be_placeable(now_us, request):
                 self._place(now_us, request)
 
-    def _is_worth_a_look(self, now_us: int, request: Request) -> bool:
+    def _may_be_placeable(self, now_us: int, request: Request) -> bool:
         """Whether anything may have changed for a request that found no copy and waits for a fill."""
         herd = request.herd
         return (
@@ -251,7 +253,7 @@
             source=source,
             sent_us=now_us,
             is_fill=planned.is_fill,
-            is_certain=planned.is_certain or source is host,
+            answers_locally=planned.answers_locally or source is host,
         )
         self._record_start(now_us, attempt)
         self.actions.append(
@@ -299,8 +301,8 @@
         """Takes an attempt back, where that is allowed and its effect may happen twice without harm."""
         request = attempt.request
         idempotent = request.traffic_class.semantics == IDEMPOTENT
-        if self.rules.may_cancel and idempotent and not attempt.is_fixed:
-            attempt.is_fixed = True
+        if self.rules.may_cancel and idempotent and not attempt.is_uncancellable:
+            attempt.is_uncancellable = True
             self.actions.append(CancelAttempt(request.id, attempt.number))
 
     def _close(self, request: Request) -> None:
--- a/hoistplank/decision/slow_start.py
+++ b/hoistplank/decision/slow_start.py
@@ -13,7 +13,7 @@
 # What is left is for sending times that turn out longer than their class's mean.
 BUDGET_MARGIN = 0.7
 # Multiples of it modulo 1 fall evenly for neighbouring and for spread dispatcher indexes alike.
-GOLDEN_SECTION = 0.6180339887
+GOLDEN_RATIO_FRACTION = 0.6180339887
 # What a host carries is averaged over some 5 s.
 CARRIED_WINDOW_US = 5e6
 
@@ -85,10 +85,10 @@
         while work and work[0][0] <= now_us - self.window_us:
             work.popleft()
         budget_us = self._budget_us(now_us, host, rule)
-        quotas = self._quotas(budget_us, rule)
-        if not self._rank_among_sharers(host) * rule.sharers < quotas:
+        quota_holders = self._quota_holders(budget_us, rule)
+        if not self._rank_among_sharers(host) * rule.sharers < quota_holders:
             return False
-        return sum(sent_us for _, sent_us in work) + sending_time_us <= budget_us / quotas
+        return sum(sent_us for _, sent_us in work) + sending_time_us <= budget_us / quota_holders
 
     def _budget_us(self, now_us: int, host: Host, rule: WarmUpRule) -> float:
         """What all dispatchers together may send the host in a window, as at the window's beginning."""
@@ -97,7 +97,7 @@
         link = self._link_transfers(host)
         return BUDGET_MARGIN * rule.overload_multiple * link * share * self.window_us
 
-    def _quotas(self, budget_us: float, rule: WarmUpRule) -> float:
+    def _quota_holders(self, budget_us: float, rule: WarmUpRule) -> float:
         """Among how many dispatchers the budget is split.
 
         Where an even quota holds no transfer of the class with the longest sending time, as many dispatchers
@@ -110,7 +110,7 @@
 
     def _rank_among_sharers(self, host: Host) -> float:
         """This dispatcher's place among those that share the host, from 0 to 1, evenly spread."""
-        return (self.settings.dispatcher_index * GOLDEN_SECTION + host.salt / 2**64) % 1.0
+        return (self.settings.dispatcher_index * GOLDEN_RATIO_FRACTION + host.salt / 2**64) % 1.0
 
     def _link_transfers(self, host: Host) -> float:
         """A host's link in transfers: as declared, else its part of the zone's or what its tier carries."""
--- a/hoistplank/decision/sources.py
+++ b/hoistplank/decision/sources.py
@@ -9,7 +9,7 @@
 from hoistplank.decision.slow_start import SlowStart
 
 # Slowness is a fill's time over its sending time and this, for the way: so it shows slow links, too.
-FILL_WAY_US = 100_000
+FILL_TRANSIT_US = 100_000
 # The usual slowness settles over 50 fills, the recent one follows 5.
 USUAL_FILLS = 50
 RECENT_FILLS = 5
@@ -17,7 +17,7 @@
 SLOW_FACTOR = 1.5
 SLOW_MARGIN = 0.3
 # One fill a second finds out whether a slow parent has recovered.
-SLOW_TRIAL_US = 1_000_000
+SLOW_TRIAL_INTERVAL_US = 1_000_000
 
 
 class SourceSelector:
@@ -29,10 +29,10 @@
         self.health = health
         self.slow_start = slow_start
 
-    def choose(self, now_us: int, request: Request, otherwise: Host | None) -> Host | None:
+    def choose(self, now_us: int, request: Request, fallback: Host | None) -> Host | None:
         """The first parent in the object's order that may be used, or the second where the first is slow.
 
-        Without a parent the origin, and without that `otherwise`.
+        Without a parent the origin, and without that `fallback`.
         """
         sending_time_us = request.class_state.sending_time_us
         usable = [
@@ -43,7 +43,7 @@
             and self.slow_start.fits_budget(now_us, parent, sending_time_us)
         ]
         if not usable:
-            return self.hosts.usable_origin() or otherwise
+            return self.hosts.usable_origin() or fallback
         if request.failed_hosts:
             usable = [parent for parent in usable if parent not in request.failed_hosts] or usable
         if len(usable) == 1:
@@ -61,12 +61,12 @@
         """
         if not first.recent_slowness > SLOW_FACTOR * first.usual_slowness + SLOW_MARGIN:
             return False
-        tried_lately = now_us - first.slow_trial_us < SLOW_TRIAL_US
-        return tried_lately and second.recent_slowness * SLOW_FACTOR < first.recent_slowness
+        tried_recently = now_us - first.slow_trial_us < SLOW_TRIAL_INTERVAL_US
+        return tried_recently and second.recent_slowness * SLOW_FACTOR < first.recent_slowness
 
     def record_fill(self, parent: Host, took_us: int, sending_time_us: float) -> None:
         """Takes one fill into the slowness of its parent."""
-        slowness = took_us / (sending_time_us + FILL_WAY_US)
+        slowness = took_us / (sending_time_us + FILL_TRANSIT_US)
         parent.fills_seen += 1
         parent.usual_slowness += (slowness - parent.usual_slowness) / min(USUAL_FILLS, parent.fills_seen)
         parent.recent_slowness += (slowness - parent.recent_slowness) / min(RECENT_FILLS, parent.fills_seen)
--- a/hoistplank/decision/stalls.py
+++ b/hoistplank/decision/stalls.py
@@ -49,7 +49,7 @@
             return []
         self.next_check_us = now_us + CHECK_INTERVAL_US
         origin = self.health.hosts.origin
-        candidates = [one for one in in_flight if not one.is_fixed and one.host is not origin]
+        candidates = [one for one in in_flight if not one.is_uncancellable and one.host is not origin]
         return [attempt for attempt in candidates if self.is_stalled(now_us, attempt)]
 
     def is_stalled(self, now_us: int, attempt: Attempt) -> bool:
@@ -65,19 +65,21 @@
         silent = self._is_silent(attempt, host)
         if silent:
             # What lay unread while the loop was late is not the host's silence.
-            patience_us = SILENCE_US + SILENT_SENDING_TIMES * sending_time_us + self.overload.lag_us
+            silence_limit_us = SILENCE_US + SILENT_SENDING_TIMES * sending_time_us + self.overload.lag_us
             lost = False
         else:
-            patience_us = inf
+            silence_limit_us = inf
             lost = waited_us > LOST_SENDING_TIMES * sending_time_us + LOST_MARGIN_US
-            lost = lost and self._is_surely_lost(now_us, attempt)
-        overdue = waited_us > min(patience_us, OVERDUE_OBJECTIVES * request.objective_us(sending_time_us))
+            lost = lost and self._is_lost(now_us, attempt)
+        overdue = waited_us > min(
+            silence_limit_us, OVERDUE_OBJECTIVES * request.objective_us(sending_time_us)
+        )
         if not (lost or overdue or request.closed):
             return False
         if not lost:
             request.failed_hosts.append(host)
         if silent and not request.closed:
-            self._blame(now_us, host, attempt)
+            self._eject(now_us, host, attempt)
         return True
 
     def _is_silent(self, attempt: Attempt, host: Host) -> bool:
@@ -90,14 +92,14 @@
         in_time_share = attempt.request.class_state.in_time_share
         return in_time_share > HEALTHY_IN_TIME_SHARE and self.last_parent_fill_us >= attempt.sent_us
 
-    def _is_surely_lost(self, now_us: int, attempt: Attempt) -> bool:
+    def _is_lost(self, now_us: int, attempt: Attempt) -> bool:
         """Whether an answer was certain to come, and its request gains by another attempt."""
         request = attempt.request
-        if not attempt.is_certain or request.attempts_made >= MAX_ATTEMPTS_AT_LOST_ANSWER:
+        if not attempt.answers_locally or request.attempts_made >= MAX_ATTEMPTS_AT_LOST_ANSWER:
             return False
         return now_us < request.latest_start_us
 
-    def _blame(self, now_us: int, host: Host, attempt: Attempt) -> None:
+    def _eject(self, now_us: int, host: Host, attempt: Attempt) -> None:
         if host.tier == PARENT:
             # A parent that is gone fails its caches' connections: a clearer sign than a silence.
             self.health.eject(now_us, host, MIN_PARENT_EJECTIONS)
