--- a/hoistplank/decision/actions.py
+++ b/hoistplank/decision/actions.py
@@ -1,4 +1,4 @@
-"""What the router asks of the program around it: one type an action, to be carried out in order."""
+"""The actions that the router asks its host program to carry out, in order; one type for each action."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 
 import msgspec
 
-# The middle of the ranks by which a cache host evicts copies: no fill is known to be worth more than others.
+# The middle of the ranks by which a cache host evicts copies: no fill is known to be more valuable than
+# others.
 FILL_RETENTION = 2
 
 
 class SendAttempt(msgspec.Struct, frozen=True, gc=False):
-    """Send a request to a cache host, which is given `timeout_us` for it.
+    """Send a request to a cache host, with a timeout of `timeout_us`.
 
-    `source`: the host to fill from where there is no copy; the host itself if it is to fill nothing, "" where
-    none is named. `max_age_us`: no older copy will do, 0 for the class's own fresh time. `join_fill`: the
-    cache may wait for a fill of the same object. `start_by_us`: it must not begin later; 0 for no such bound.
+    `source`: the host to fill from on a miss; the cache host itself if it must not fill, "" if no source is
+    named. `max_age_us`: the maximum age of the copy, 0 for the fresh time of the traffic class. `join_fill`:
+    the cache host may wait for a fill of the same object that is already running. `start_by_us`: the latest
+    time at which the attempt may begin, 0 for no bound.
     """
 
     request_id: str
@@ -30,16 +32,16 @@
 
 
 class EndReason(StrEnum):
-    """Why a request was given up; the values stand in the log."""
+    """The reason why a request was given up; the values are written to the log."""
 
-    LIST_UNCONFIRMED = "list unconfirmed"  # its time ran out while attempts were held
-    TOO_LATE = "too late"  # no attempt can be in time any more, or the core was full
-    NO_ATTEMPT_LEFT = "no attempt left"  # it may not be attempted again
-    NO_HOST = "no host"  # nobody is listed that could serve it
+    LIST_UNCONFIRMED = "list unconfirmed"  # too late, while attempts were held for an unconfirmed list
+    TOO_LATE = "too late"  # no attempt can be in time any more, or the request was shed
+    NO_ATTEMPT_LEFT = "no attempt left"  # the request may not be attempted again
+    NO_HOST = "no host"  # no listed host could serve the request
 
 
 class Reject(msgspec.Struct, frozen=True, gc=False):
-    """Answer that nothing was done and the client may come again after `retry_after_us`."""
+    """Answer that nothing was done and that the client may retry after `retry_after_us`."""
 
     request_id: str
     retry_after_us: int
@@ -54,7 +56,7 @@
 
 
 class CancelAttempt(msgspec.Struct, frozen=True, gc=False):
-    """Take an attempt back; its end is still to be reported."""
+    """Cancel an attempt; its end must still be reported."""
 
     request_id: str
     attempt: int
@@ -68,7 +70,7 @@
 
 
 class WatchEndpoints(msgspec.Struct, frozen=True, gc=False):
-    """Begin to watch the endpoint list."""
+    """Start to watch the endpoint list."""
 
 
 Action = SendAttempt | Reject | Fail | CancelAttempt | SetTimer | WatchEndpoints
