--- a/hoistplank/decision/events.py
+++ b/hoistplank/decision/events.py
@@ -1,4 +1,4 @@
-"""What is reported to the router: one type an event, times in whole microseconds."""
+"""The events that are reported to the router: one type for each event, times in whole microseconds."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class Outcome:
-    """How an attempt ended; integers rather than an enum, since they are compared on every answer."""
+    """The outcome of an attempt; integers rather than an enum, since they are compared on every answer."""
 
     SUCCEEDED = 0
     ERROR = 1
-    OVERLOADED = 2  # refused by the cache host, or by its source: nothing ran
+    OVERLOADED = 2  # refused by the cache host or by its source: the request did not run
     TIMED_OUT = 3
     CONNECT_FAILED = 4
-    CONNECTION_LOST = 5  # after the attempt was written: it may have run
+    CONNECTION_LOST = 5  # after the attempt was written: the request may have run
     CANCELLED = 6
     NOT_SENT = 7
-    MISS = 8  # the cache host holds no copy and was to fill none
-    CONNECTION_SPOILED = 9  # it may have run, and says nothing of the host
+    MISS = 8  # the cache host holds no copy and was asked not to fill one
+    CONNECTION_SPOILED = 9  # the request may have run; no sign of a fault at the host
 
 
 class CacheStatus:
-    """What an answer says of its copy (as the fields of RFC 9211); `UNKNOWN` says nothing."""
+    """The origin of the copy in an answer (as in RFC 9211); `UNKNOWN` if the answer does not say."""
 
     UNKNOWN = 0
     HIT = 1
@@ -40,12 +40,15 @@
     ORIGIN_UNREACHABLE = 10
 
 
-# The answers for which a copy was fetched from a source.
+# The statuses of answers for which a copy was fetched from a source.
 FETCHED = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
 
 
 class EndpointState:
-    """Whether a host may get new attempts; strings rather than an enum, as the endpoint list spells them."""
+    """The state of a host, which decides whether it gets new attempts.
+
+    Strings rather than an enum, as the endpoint list spells them.
+    """
 
     UP = "up"
     DRAINING = "draining"
@@ -53,16 +56,16 @@
 
 
 class EndpointListForm(StrEnum):
-    """What a list of endpoints says of those that it does not name, and how it was learnt."""
+    """The kind of an endpoint list: what it means for hosts that it does not name, and its source."""
 
-    CHANGES = "changes"  # the others stay as they are
-    SNAPSHOT = "whole"  # the others are removed
-    PERSISTED = "kept"  # a snapshot from before a restart, of the same log
-    UNCONFIRMED = "own"  # a snapshot of another time, while no log tells what was purged since
+    CHANGES = "changes"  # the other hosts stay as they are
+    SNAPSHOT = "whole"  # the other hosts are removed
+    PERSISTED = "kept"  # a snapshot of the same change log, saved before a restart
+    UNCONFIRMED = "own"  # an older snapshot; no change log tells what was purged since
 
 
 class Endpoint(msgspec.Struct, frozen=True, gc=False):
-    """One row of the endpoint list; `host` is the name, `started_us` 0 where the start is not known."""
+    """One row of the endpoint list; `host` is the name, `started_us` is 0 if the start time is unknown."""
 
     host: str
     zone: str
@@ -74,7 +77,7 @@
 
 
 class EndpointsUpdated(msgspec.Struct, frozen=True, gc=False):
-    """A list of endpoints has come."""
+    """An endpoint list was received."""
 
     form: EndpointListForm
     endpoints: list[Endpoint]
@@ -85,39 +88,43 @@
 
 
 class EndpointWatchStage(StrEnum):
-    """Where a watch on the endpoint list stands, as far as it can be relied on; the values stand in the
-    log."""
+    """The stage of a watch on the endpoint list, which decides whether the list can be relied on.
+
+    The values are written to the log.
+    """
 
     CONNECTING = "connecting"
-    REFUSED = "refused"  # nobody listens at the source's address
-    AWAITING_ANSWER = "awaiting answer"  # the source was asked, and has not said that all is known
-    CONFIRMED = "confirmed"  # the source said its number, and everything up to it is known
+    REFUSED = "refused"  # the connection to the source was refused
+    AWAITING_ANSWER = "awaiting answer"  # the source was asked and has not yet confirmed the list
+    CONFIRMED = "confirmed"  # the source sent its sequence number, and all changes up to it are known
 
 
 class EndpointWatchStageChanged(msgspec.Struct, frozen=True, gc=False):
-    """The watch on the endpoint list has come to another stage. Where none is ever reported, the list counts
-    as confirmed."""
+    """The watch on the endpoint list entered another stage.
+
+    If no stage is ever reported, the list counts as confirmed.
+    """
 
     stage: EndpointWatchStage
 
 
 class EventLoopMeasured(msgspec.Struct, frozen=True, gc=False):
-    """How the host program fares: the events that wait for a turn, and by how much its loop runs late."""
+    """A measurement of the host program's event loop: the events that wait, and how late the loop runs."""
 
     events_waiting: int
     lag_us: int
 
 
 class DegradationChanged(msgspec.Struct, frozen=True, gc=False):
-    """Another level of degradation is in force; it counts for requests that arrive from now on."""
+    """Another degradation level is in force; it applies to requests that arrive from now on."""
 
     degradation: Degradation
 
 
 class RequestArrived(msgspec.Struct, frozen=True, gc=False):
-    """A client's request; its client leaves at `deadline_us`. A size of 0 is unknown.
+    """A request of a client that stops waiting at `deadline_us`. A size of 0 is unknown.
 
-    `is_repeat`: the client has asked for the same before, and its latency objective runs from then.
+    `is_repeat`: the client has sent the same request before, and its latency objective runs from then.
     """
 
     request_id: str
@@ -131,7 +138,7 @@
 
 
 class AttemptEnded(msgspec.Struct, frozen=True, gc=False):
-    """An attempt is over after `took_us`; `request_closed`: its request was answered with it, or is over."""
+    """An attempt ended after `took_us`; `request_closed`: it answered its request, or the request is over."""
 
     request_id: str
     attempt: int
@@ -143,20 +150,20 @@
 
 
 class ResponseStarted(msgspec.Struct, frozen=True, gc=False):
-    """The first bytes of an attempt's answer went to the client: it can't be cancelled any more."""
+    """The first bytes of an attempt's answer were sent to the client: it can't be cancelled any more."""
 
     request_id: str
     attempt: int
 
 
 class ClientDisconnected(msgspec.Struct, frozen=True, gc=False):
-    """Nobody waits for the answer of a request any more."""
+    """The client of a request has disconnected: its answer is no longer needed."""
 
     request_id: str
 
 
 class PurgeReceived(msgspec.Struct, frozen=True, gc=False):
-    """Copies from before `age_us` ago are void: of an object, or where it is empty of a purge group."""
+    """Copies older than `age_us` are invalid: those of an object, or of a purge group if the key is empty."""
 
     object_key: str
     purge_group: int
@@ -164,7 +171,7 @@
 
 
 class TimerFired(msgspec.Struct, frozen=True, gc=False):
-    """The time of a `SetTimer` is over."""
+    """The delay of a `SetTimer` action has passed."""
 
     timer_id: int
 
