--- a/hoistplank/decision/settings.py
+++ b/hoistplank/decision/settings.py
@@ -1,18 +1,18 @@
-"""What a router is given at its start: its place in the fleet, its traffic classes, the limits of the rules.
+"""The settings of a router: its place in the fleet, its traffic classes, and the limits of the rules.
 
-Nothing here changes after the start, but for `Degradation`, of which a new value arrives as an event.
+Settings are fixed at the start. Only `Degradation` changes: a new value arrives as an event.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# What may happen to a request whose attempt may have run (RFC 9110, section 9.2.2).
+# Retry semantics of a request whose attempt may have run (RFC 9110, section 9.2.2).
 IDEMPOTENT = "idempotent"  # may run any number of times
 KEYED = "keyed"  # carries an idempotency key: a repeat is dropped within the class's deduplication window
-NON_IDEMPOTENT = "non-idempotent"  # may run once
+NON_IDEMPOTENT = "non-idempotent"  # may run at most once
 
-# Among which hosts the repeats of a keyed request are dropped; any other value means the cell alone.
+# The hosts that drop repeats of a keyed request; any other value means the hosts of the same cell.
 DEDUPLICATED_EVERYWHERE = "all"
 DEDUPLICATED_IN_ZONE = "zone"
 
@@ -21,11 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """The figures of one traffic class.
+    """The settings of one traffic class.
 
-    The latency objective of a request is `latency_objective_us` and `objective_stretch` times its sending
-    time. `priority_weight`: how much one of its requests counts against others. `stale_window_us`: for how
-    long past `fresh_us` a copy may be served stale, at `stale_value_share` of the value of a fresh one.
+    The latency objective of a request is `latency_objective_us` plus `objective_stretch` times its sending
+    time. `priority_weight`: the weight of one request against those of other classes. `stale_window_us`: the
+    time after `fresh_us` in which a copy may be served stale, at `stale_value_share` of the value of a fresh
+    copy.
     """
 
     name: str
@@ -46,10 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleLimits:
-    """The figures of the rules, and what the deployment allows.
+    """The limits of the rules, and the features that the deployment allows.
 
-    A host that is warming up may carry `warm_up_initial_share` of its capacity at its start and all of it
-    after `warm_up_us`; within any `overload_window_us` it is pushed over by `overload_multiple` times that.
+    A host that is warming up can carry `warm_up_initial_share` of its capacity at its start and all of it
+    after `warm_up_us`. It fails if it gets `overload_multiple` times that load within any
+    `overload_window_us`.
     """
 
     drain_grace_us: int
@@ -76,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterSettings:
-    """A dispatcher's place in the fleet and what is known of its surroundings.
+    """A dispatcher's place in the fleet, and the properties of the fleet.
 
-    `links_declared`: whether endpoints state their link as a number of transfers. `cache_status_complete`:
-    whether every answer carries a cache status.
+    `links_declared`: endpoints state the capacity of their link as a number of concurrent transfers.
+    `cache_status_complete`: every answer carries a cache status.
     """
 
     rules: RuleLimits
@@ -102,34 +104,36 @@
 
     @property
     def purge_hold_us(self) -> int:
-        """For how long after a purge a copy from before it may still be asked for.
+        """The time for which a purge is kept: as long as a copy from before it may still be requested.
 
-        Twice the time in which purges are carried out, or the longest fresh and stale time, and a second.
+        Twice the time in which purges are carried out, or the longest fresh plus stale time if that is
+        longer, plus `CLOCK_MARGIN_US`.
         """
         oldest_us = max((row.fresh_us + row.stale_window_us for row in self.traffic_classes), default=0)
         return max(2 * self.rules.purge_delay_us, oldest_us) + CLOCK_MARGIN_US
 
     @property
     def longest_deadline_us(self) -> int:
-        """The longest time that a client of any class waits for its answer."""
+        """The longest time for which a client of any class waits for its answer."""
         return max((row.deadline_us for row in self.traffic_classes), default=0)
 
     @property
     def zone_sharers(self) -> int:
-        """The dispatchers that share what the zone has, this one included."""
+        """The number of dispatchers that share the capacity of the zone, this one included."""
         return max(1, self.dispatchers_in_zone)
 
 
 @dataclass(frozen=True, slots=True)
 class Degradation:
-    """What graceful degradation asks of the router, by class name; the rules hold at every level.
-
-    `reject`: classes whose new requests (first parts) are rejected at once; `every_part`: of those, the ones
-    whose later parts are rejected, too; `stale_first`: classes that take a stale copy within its window
-    before they wait for a fill; `fill_share`: of the limit on fills, above 0 and up to 1; `max_attempts`:
-    attempts a request at most, 0 where the settings decide; `retry_share`: attempts beyond the first, over
-    the last 10 s, as a share of first attempts, by class and by cache host; 0 for no such budget.
-    Raises ValueError where a figure is out of its range.
+    """The limits that a degradation level sets for the router; the rules hold at every level.
+
+    `reject`: names of the classes whose new requests (first parts) are rejected at once; `every_part`: those
+    of them whose later parts are rejected, too; `stale_first`: names of the classes that are served a stale
+    copy within its window before they wait for a fill; `fill_share`: the share of the limit on fills that
+    may be used, above 0 and up to 1; `max_attempts`: the maximum number of attempts of a request, 0 for that
+    of the settings; `retry_share`: the budget of attempts beyond the first, over the last 10 s, as a share
+    of first attempts, by class and by cache host, 0 for no budget.
+    Raises ValueError if a figure is out of its range.
     """
 
     level: str = "full"
@@ -142,15 +146,17 @@
 
     def __post_init__(self) -> None:
         if not 0.0 < self.fill_share <= 1.0:
-            raise ValueError(f"fill_share {self.fill_share} is not above 0 and up to 1")
+            raise ValueError(f"fill_share {self.fill_share} must be above 0 and at most 1")
         if self.max_attempts < 0 or not 0.0 <= self.retry_share <= 16.0:
             figures = f"max_attempts {self.max_attempts} or retry_share {self.retry_share}"
-            raise ValueError(f"{figures} out of range")
+            raise ValueError(
+                f"{figures} is out of range: the first must be at least 0, the second from 0 to 16"
+            )
         if not set(self.every_part) <= set(self.reject):
-            raise ValueError("every_part names a class that reject does not")
+            raise ValueError("every_part names a class that reject does not name")
 
     def joined(self, other: Degradation) -> Degradation:
-        """Both at once: the stricter of each figure, the union of each list, the level of `other`."""
+        """Returns the combination of both: the stricter figures, the unions of the lists, `other`'s level."""
         attempts = [figure for figure in (self.max_attempts, other.max_attempts) if figure]
         retry_shares = [figure for figure in (self.retry_share, other.retry_share) if figure]
         return Degradation(
