--- a/hoistplank/decision/hosts.py
+++ b/hoistplank/decision/hosts.py
@@ -1,7 +1,8 @@
-"""The hosts that the endpoint list names, and the tiers that they belong to.
+"""The hosts of the endpoint list, and their tiers.
 
-A `Host` carries the figures of all concerns; each group of them is changed by the module named beside it.
-A host that is removed and comes back is a new record: a late answer of the old one can't count for it.
+A `Host` holds the state that several modules keep for it; each group of fields is changed by the module
+named above it. A host that is removed and listed again gets a new record, so that a late answer of the old
+process isn't counted for the new one.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from hoistplank.decision.settings import RouterSettings
 
 # Tiers; integers rather than an enum, since they are compared for every candidate of every attempt.
-NO_TIER = 0  # of another zone, or removed
+NO_TIER = 0  # a cache host of another zone, or a removed host
 CACHE = 1
 PARENT = 2
 ORIGIN = 3
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """First attempts and retries, fading over the window of the retry budget."""
+    """Counts of first attempts and retries, which decay over the window of the retry budget."""
 
     counted_us: int
     first_attempts: float = 0.0
@@ -36,7 +37,7 @@
 class Host:
     """One host from its registration to its removal."""
 
-    # What the endpoint list says of it (hosts.py).
+    # From the endpoint list (hosts.py).
     name: str
     salt: int
     zone: str = ""
@@ -45,42 +46,42 @@
     is_up: bool = False  # neither draining nor removed
     state: str = EndpointState.REMOVED
     started_us: int = 0
-    incarnation: int = 0  # counts the starts of its process, seen or suspected
+    incarnation: int = 0  # number of starts of its process, known or suspected
     units: float = 1.0
     hash_weight: float = 1.0
-    # Its outliers' history (health.py).
+    # Outlier detection (health.py).
     answered_us: int = 0
     ejected_until_us: int = 0
     ejections: int = 0
     recovery_limit: float = inf
     loss_signs: int = 0
     last_loss_us: int = 0
-    suspected_us: int = 0  # since when its process may have started anew, 0 for no such suspicion
-    # Its slow start (slow_start.py).
+    suspected_us: int = 0  # time of a suspected restart of its process, 0 for none
+    # Slow start (slow_start.py).
     warming_since_us: int = WARM
-    warm_up_work: deque[tuple[int, float]] = field(default_factory=deque)  # when sent, sending time
+    warm_up_work: deque[tuple[int, float]] = field(default_factory=deque)  # time sent, sending time
     carried_transfers: float = 0.0
     carried_us: int = 0
-    # Its concurrency limit (concurrency.py).
+    # Concurrency limit (concurrency.py).
     attempts_in_flight: int = 0
     concurrency_limit: float = inf
     concurrency_ceiling: float = inf
-    # Its fills' slowness, of a parent (sources.py).
+    # Slowness of the fills from a parent (sources.py).
     fills_seen: int = 0
     usual_slowness: float = 0.0
     recent_slowness: float = 0.0
     slow_trial_us: int = 0
-    # Its retry budget (retries.py).
+    # Retry budget (retries.py).
     attempt_counts: AttemptCounts | None = None
 
     def describes_new_process(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint is a process that was not known before."""
+        """Returns True if the endpoint is up and its process is not known yet."""
         if endpoint.state != EndpointState.UP:
             return False
         return self.state == EndpointState.REMOVED or endpoint.started_us != self.started_us
 
     def begin_incarnation(self) -> None:
-        """What was known of copies at the host no longer holds."""
+        """Invalidates what is known of copies at the host, since its process may be a new one."""
         self.incarnation += 1
 
 
@@ -93,27 +94,27 @@
         self.caches: list[Host] = []
         self.parents: list[Host] = []
         self.origin: Host | None = None
-        self.max_caches = 1  # that were ever listed at once
-        self.version = 0  # of the tiers: kept orders of hosts hold for one version
+        self.max_caches = 1  # the largest number of caches that were listed at once
+        self.version = 0  # of the tiers; cached host orders are valid for one version
 
     @property
     def was_listed(self) -> bool:
-        """Whether any list has come yet."""
+        """True once a list has been received."""
         return self.version > 0
 
     def usable_origin(self) -> Host | None:
-        """The origin, where it is listed up."""
+        """Returns the origin if it is listed as up."""
         origin = self.origin
         return origin if origin is not None and origin.is_up else None
 
     def tier_of(self, host: Host) -> list[Host]:
-        """The hosts of the same tier; none for the origin and for a host that was removed."""
+        """Returns the hosts of the same tier; none for the origin and for a removed host."""
         if host.tier == PARENT:
             return self.parents
         return self.caches if host.tier == CACHE else []
 
     def register(self, now_us: int, name: str, kind: str, zone: str) -> Host:
-        """A host that is not known yet; it has no state until it is described."""
+        """Adds a host that is not known yet; `describe` then sets its state."""
         host = Host(name, hash_key(name), answered_us=now_us, carried_us=now_us)
         self.by_name[name] = host
         if kind == self.settings.origin_kind:
@@ -127,7 +128,7 @@
         return host
 
     def describe(self, host: Host, endpoint: Endpoint) -> None:
-        """Takes over what the list says of a registered host."""
+        """Updates a registered host from its row of the list."""
         host.zone = endpoint.zone
         host.cell = endpoint.cell
         host.started_us = endpoint.started_us
@@ -138,9 +139,9 @@
         host.hash_weight = endpoint.units if weighted else 1.0
 
     def finish_update(self, form: EndpointListForm, endpoints: list[Endpoint]) -> None:
-        """Removes the hosts that are gone or that a complete list does not name.
+        """Removes the hosts whose state is removed or that a complete list does not name.
 
-        Danger: hosts that are replaced all day would fill the memory and every order.
+        Hosts that are replaced all day would otherwise accumulate in memory and in every host order.
         """
         named = {endpoint.host for endpoint in endpoints}
         for name, host in list(self.by_name.items()):
