--- a/hoistplank/decision/hashing.py
+++ b/hoistplank/decision/hashing.py
@@ -1,4 +1,4 @@
-"""Stable 64-bit keys and the weighted rendezvous order of hosts; neither depends on the process."""
+"""64-bit hash keys and weighted rendezvous scores, which are the same in every process."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 def hash_key(text: str) -> int:
-    """A 64-bit key of a text."""
+    """Returns the 64-bit hash key of a text."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def rendezvous_score(key: int, salt: int, weight: float) -> float:
-    """A host's place in the order for a key, least first.
+    """Returns the score of a host for a key; the host with the lowest score comes first.
 
-    Weighted rendezvous hashing: when a host comes or goes, the order of the others stays. `salt` is the key
-    of the host's name.
+    Weighted rendezvous hashing: when a host is added or removed, the order of the others stays the same.
+    `salt` is the hash key of the host's name.
     """
     mixed = (key ^ salt) * 0x9E3779B97F4A7C15 & WORD
     mixed = (mixed ^ mixed >> 29) * 0xBF58476D1CE4E5B9 & WORD
