--- a/hoistplank/decision/ranking.py
+++ b/hoistplank/decision/ranking.py
@@ -1,4 +1,4 @@
-"""The order of caches and parents for an object, by weighted rendezvous hashing."""
+"""The preference order of caches and parents for an object, by weighted rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 
 class HostRanking:
-    """Orders hosts for a request; an order is kept until the endpoint list changes."""
+    """Orders hosts for a request; an order is cached until the endpoint list changes."""
 
     def __init__(self, hosts: HostTable) -> None:
         self.hosts = hosts
 
     def order(self, request: Request) -> HostOrder:
-        """Caches by object and part, parents by the object alone, so that its fills meet at one parent.
+        """Returns the caches ordered by object and part, and the parents ordered by object alone.
 
-        Kept with the request's herd, where it has one: the same order, worked out less often.
+        Parents are ordered by object so that all fills of an object go to one parent. The order is cached in
+        the request's herd, if it has one, so that it is computed once for all requests of the herd.
         """
         order_holder = request.herd or request
         if order_holder.order.version != self.hosts.version:
