--- a/hoistplank/decision/parts.py
+++ b/hoistplank/decision/parts.py
@@ -1,4 +1,4 @@
-"""How the parts of a router are put together: each gets those that it asks, and none is asked in a circle."""
+"""The parts of a router and how they are connected: each gets those that it uses, without any cycle."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartTypes:
-    """What the replaceable parts are made by; a laboratory replaces one to see what a defence gains."""
+    """The constructors of the replaceable parts; ablation experiments replace one to measure its benefit."""
 
     slow_start: Callable[[RouterSettings, HostTable, tuple[TrafficClassState, ...]], SlowStart] = SlowStart
     health: Callable[[HostTable, SlowStart], HealthTracker] = HealthTracker
@@ -36,7 +36,7 @@
 
 
 class Parts:
-    """Everything that a router knows but for its open requests, each part with the state that it changes."""
+    """The state of a router except for its open requests; each part holds the state that it changes."""
 
     def __init__(self, settings: RouterSettings, random: Callable[[], float], types: PartTypes) -> None:
         self.class_states = {row.name: TrafficClassState(row) for row in settings.traffic_classes}
@@ -56,7 +56,7 @@
         self.sources = SourceSelector(self.ranking, self.health, self.slow_start)
 
     def apply_degradation(self, degradation: Degradation) -> None:
-        """Hands what a level of degradation asks to the parts that do it."""
+        """Passes the limits of a degradation level to the parts that enforce them."""
         self.overload.apply_degradation(degradation)
         self.fills.apply_degradation(degradation)
         self.retries.apply_degradation(degradation)
