--- a/hoistplank/decision/feedback.py
+++ b/hoistplank/decision/feedback.py
@@ -1,4 +1,4 @@
-"""The end of an attempt: what the parts learn from it."""
+"""Updates the parts of the router from the end of an attempt."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from hoistplank.decision.requests import Attempt
 from hoistplank.decision.settings import RouterSettings
 
-# The outcomes in which the cache host itself spoke.
+# The outcomes that the cache host itself reported.
 ANSWERED = frozenset((Outcome.SUCCEEDED, Outcome.ERROR, Outcome.OVERLOADED, Outcome.MISS))
-# The outcomes of a fill that tell how long fills take: its success, and the ends that a late one comes to.
+# The outcomes of a fill that measure the duration of fills: success, and the ways in which a late fill ends.
 TIMED_FILL_OUTCOMES = frozenset((Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.CANCELLED))
 
 CONNECT_MARGIN_US = 50_000
-# Signs of a lost process: a connection that can't be made is a clear one, one that breaks may be chance.
+# Weights of the signs of a lost process: a failed connection attempt is a clear sign, a connection that
+# breaks may be chance.
 CONNECT_FAILED_SIGNS = 2
 CONNECTION_LOST_SIGNS = 1
 SOURCE_UNREACHABLE_SIGNS = 2
 
 
 class Feedback:
-    """Takes each end of an attempt to the parts that learn from it."""
+    """Reports each end of an attempt to the parts that depend on it."""
 
     def __init__(self, settings: RouterSettings, parts: Parts) -> None:
         self.connect_timeout_us = settings.rules.connect_timeout_us
@@ -35,7 +36,7 @@
         self.stalls = parts.stalls
 
     def record_end(self, now_us: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """Everything that the end of an attempt tells, but for what its own request does next."""
+        """Records the end of an attempt everywhere except at its own request."""
         self.host_limits.record_end(attempt)
         if attempt.is_fill:
             self._record_fill_end(now_us, attempt, event)
@@ -50,7 +51,7 @@
             self._record_success(now_us, attempt, event)
 
     def _record_fill_end(self, now_us: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """Whether the fill was in time: for its class and for the limit on fills."""
+        """Records for the traffic class and for the limit on fills whether the fill was in time."""
         request, source = attempt.request, attempt.source
         class_state = request.class_state
         self.fills.record_end(class_state)
@@ -61,7 +62,7 @@
         ):
             return
         if event.outcome == Outcome.CANCELLED and source is not None and now_us < source.ejected_until_us:
-            return  # it hung at a source that is blamed for it: no sign of crowded fills
+            return  # the source hung and is ejected: no sign of too many fills
         sending_time_us = request.sending_time_us()
         succeeded = event.outcome == Outcome.SUCCEEDED
         in_time = succeeded and event.took_us <= request.objective_us(sending_time_us)
@@ -69,20 +70,22 @@
         self.fills.adapt(in_time)
 
     def _record_host(self, now_us: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """Whether the cache host is there."""
+        """Records an answer of the cache host, or a sign that its process is lost."""
         host, outcome = attempt.host, event.outcome
         if outcome in ANSWERED:
             self.health.record_answer(now_us, host, attempt.sent_us)
         elif outcome == Outcome.CONNECT_FAILED:
-            # Where only its table of connections was full, a host gets less than it could while it warms up.
+            # If only its connection table was full, the host gets less than it could while it warms up.
             self.health.record_loss(now_us, host, CONNECT_FAILED_SIGNS, attempt.sent_us)
             if self._took_a_connect_timeout(event):
-                self.health.eject(now_us, host)  # as at a vanished machine: the next would wait as long
+                self.health.eject(
+                    now_us, host
+                )  # the machine may be gone: the next attempt would wait as long
         elif outcome == Outcome.CONNECTION_LOST:
             self.health.record_loss(now_us, host, CONNECTION_LOST_SIGNS, attempt.sent_us)
 
     def _record_parent(self, now_us: int, attempt: Attempt, parent: Host, event: AttemptEnded) -> None:
-        """Whether the parent is there, as its cache host tells."""
+        """Records whether the cache host could reach the parent."""
         status = event.cache_status
         if status == CacheStatus.SOURCE_UNREACHABLE or self._implies_unreachable(attempt, event):
             self.health.record_loss(now_us, parent, SOURCE_UNREACHABLE_SIGNS, attempt.sent_us)
@@ -92,7 +95,7 @@
             self.stalls.record_parent_fill(now_us)
 
     def _implies_unreachable(self, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Without a cache status: a fill that is refused after as long as a failed connection takes."""
+        """Returns True if a fill without a cache status was refused only after a connect timeout."""
         if self.cache_status_complete or not attempt.is_fill:
             return False
         return event.outcome == Outcome.OVERLOADED and self._took_a_connect_timeout(event)
@@ -101,7 +104,7 @@
         return 0 < self.connect_timeout_us <= event.took_us + CONNECT_MARGIN_US
 
     def _record_success(self, now_us: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """What hosts carry, where the copy is, and how long hits and fills take."""
+        """Records the load of the hosts, the location of the copy, and the duration of hits and fills."""
         request, host, source, status = attempt.request, attempt.host, attempt.source, event.cache_status
         if request.traffic_class.uncached or status == CacheStatus.STALE:
             return
