--- a/hoistplank/decision/health.py
+++ b/hoistplank/decision/health.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which hosts are ejected, how they recover, and which may have started anew unseen."""
+"""Outlier detection: ejection of hosts, their recovery, and restarts that the endpoint list does not show."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from hoistplank.decision.hosts import Host, HostTable
 from hoistplank.decision.slow_start import SlowStart
 
-EJECTION_BASE_US = 125_000  # of the first ejection twice that, 0.25 s, doubling up to 8 s
+EJECTION_BASE_US = 125_000  # doubled for each ejection: the first lasts 0.25 s, the longest 8 s
 MAX_EJECTIONS = 6
-# After an ejection one attempt, then half an attempt more for each answer, in case the host came back cold;
-# 16 in flight are more than usual.
+# After an ejection a host gets one attempt at a time, and half an attempt more for each answer, since it may
+# be back with a cold cache. At 16 in flight, more than usual, it has recovered.
 FIRST_RECOVERY_LIMIT = 1.0
 RECOVERY_STEP = 0.5
 RECOVERED_LIMIT = 16
 
-# Loss signs that count together: at one host or over its cell or zone, each no older than this.
+# Loss signs, at one host or over its cell or zone and none older than the window, that suggest a restart.
 RESTART_LOSS_SIGNS = 3
 LOSS_WINDOW_US = 4_000_000
 
@@ -28,11 +28,11 @@
         self.slow_start = slow_start
 
     def is_usable(self, now_us: int, host: Host) -> bool:
-        """Whether a host is listed up (rule three) and not ejected."""
+        """Returns True if a host is listed as up (rule three) and not ejected."""
         return host.is_up and now_us >= host.ejected_until_us
 
     def reset(self, host: Host) -> None:
-        """The list names a new process at the host: nothing is held against it."""
+        """Clears the history of a host, since the list names a new process there."""
         host.ejected_until_us = 0
         host.ejections = 0
         host.recovery_limit = inf
@@ -40,24 +40,24 @@
         host.suspected_us = 0
 
     def record_answer(self, now_us: int, host: Host, sent_us: int) -> None:
-        """The host itself answered an attempt that was sent at `sent_us`."""
+        """Records that the host itself answered an attempt that was sent at `sent_us`."""
         host.answered_us = now_us
         host.ejections = 0
         host.loss_signs = 0
         recovering = host.recovery_limit < RECOVERED_LIMIT
         host.recovery_limit = host.recovery_limit + RECOVERY_STEP if recovering else inf
         if sent_us < host.suspected_us:
-            # What it was sent before outlived the silence: it stood still and did not start anew.
+            # The attempt is older than the suspicion and was answered: the process hung and did not restart.
             host.ejected_until_us = 0
             host.suspected_us = 0
             host.recovery_limit = inf
             self.slow_start.end(host)
 
     def eject(self, now_us: int, host: Host, min_ejections: int = 1) -> None:
-        """A host that may be gone gets nothing for a time, longer each time, and then one attempt.
+        """Ejects a host that may be gone: it gets no attempts for a time, longer each time, and then one.
 
-        Answers hosts that vanish or hang: each attempt there would cost its whole time-out. Can harm a host
-        that is merely slow, for a quarter of a second at first.
+        Protects against hosts that vanish or hang, at which each attempt would take its whole timeout. The
+        cost: a host that is merely slow is not used, for a quarter of a second at first.
         """
         if host is self.hosts.origin or now_us < host.ejected_until_us:
             return
@@ -66,11 +66,11 @@
         host.recovery_limit = FIRST_RECOVERY_LIMIT
 
     def record_loss(self, now_us: int, host: Host, signs: int, sent_us: int) -> None:
-        """Signs that a process went away: it may be back, cold and empty, before the list says so.
+        """Records signs that a process is lost; it may be back, with a cold cache, before the list says so.
 
-        A few at a host, or over its cell or zone, with no answer since, make these warm up until the list or
-        an answer to an older attempt shows better. Answers restarts, releases and crashes. Can harm what only
-        hangs, by the time that it takes to warm up.
+        A few signs at a host, or over its cell or zone, put those hosts that have not answered since into
+        slow start, until the list or an answer to an older attempt shows that they did not restart. Protects
+        hosts after restarts, releases and crashes. The cost: a host that only hung warms up once more.
         """
         host.loss_signs += signs
         host.last_loss_us = now_us
