--- a/hoistplank/decision/herds.py
+++ b/hoistplank/decision/herds.py
@@ -1,4 +1,4 @@
-"""Thundering herds: a token bucket, a leader and the place of the last copy, by object part and class."""
+"""Thundering herds: a token bucket, a leader and the location of the last copy, by object part and class."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hoistplank.decision.purges import PurgeWatermarks
 from hoistplank.decision.requests import BUCKET_SIZE, Attempt, Herd, Request
 
-# A bucket is refilled at 8 a second, as the published design begins.
+# A bucket is refilled with 8 tokens a second, the initial rate of the published design.
 REFILL_PER_US = 8e-6
-# For so long after a copy was last seen it should still be there.
+# The time for which a host should still hold a copy after it was last seen there.
 COOLDOWN_US = 8_000_000
-# Past the cooldown, a herd that was not asked for teaches nothing.
+# A herd without requests for longer than the cooldown holds nothing of use.
 HERD_EXPIRY_US = 10_000_000
 
 
@@ -26,13 +26,13 @@
         self.by_fingerprint: OrderedDict[tuple[str, int, str], Herd] = OrderedDict()
 
     def join(self, now_us: int, request: Request) -> Herd:
-        """Takes a request into its herd; one that finds the bucket empty is marked as part of a herd."""
+        """Adds a request to its herd; `in_herd` is set if the token bucket is empty."""
         herds = self.by_fingerprint
         fingerprint = (request.object_key, request.part, request.traffic_class.name)
         herd = herds.get(fingerprint)
         if herd is None:
             herd = herds[fingerprint] = Herd(now_us)
-        # No refill while a fill of any length is in flight.
+        # No refill while the leader's fill is in flight, however long it takes.
         if herd.leader is None:
             elapsed_us = now_us - herd.last_request_us
             herd.tokens = min(BUCKET_SIZE, herd.tokens + elapsed_us * REFILL_PER_US)
@@ -47,24 +47,24 @@
         return herd
 
     def lead(self, attempt: Attempt) -> None:
-        """A fill leads its herd where there is no leader."""
+        """Makes a fill the leader of its herd if the herd has none."""
         herd = attempt.request.herd
         if herd is not None and herd.leader is None:
             herd.leader = attempt
 
     def end_lead(self, attempt: Attempt) -> None:
-        """Any end of the leader counts as its end, so that no herd waits for one that hangs."""
+        """Removes a leader, whatever the outcome of its attempt, so that no herd waits for a lost leader."""
         herd = attempt.request.herd
         if herd is not None and herd.leader is attempt:
             herd.leader = None
 
     def record_copy(self, now_us: int, attempt: Attempt, fetched: bool, hit: bool) -> None:
-        """A copy was seen at the attempt's host; `fetched`: for this attempt, or for one that it joined."""
+        """Records a copy at the attempt's host; `fetched`: for this attempt, or for a fill that it joined."""
         herd, host = attempt.request.herd, attempt.host
         if herd is None:
             return
         if fetched or herd.host is not host or not herd.fetched_us:
-            # Of a hit the age is not known: half its fresh time is the mean.
+            # The age of a hit is unknown: assume the mean, half its fresh time.
             half_fresh_us = attempt.request.traffic_class.fresh_us // 2
             herd.fetched_us = now_us - half_fresh_us if hit else attempt.sent_us
         herd.host = host
@@ -72,10 +72,10 @@
         herd.seen_us = now_us
 
     def copy_holder(self, now_us: int, request: Request, herd: Herd) -> Host | None:
-        """The cooldown: the host where a copy that will do was seen so lately that it should still be there.
+        """Returns the host that should still hold a valid copy, since it had one within the cooldown.
 
-        Answers second copies and looks that cost a fill. Can harm where the host dropped the copy since: then
-        one look misses.
+        Avoids second copies and attempts that cost a fill. The cost: an attempt at a host that has dropped
+        its copy in the meantime is a miss.
         """
         host = herd.host
         if host is None or host.incarnation != herd.host_incarnation:
