--- a/hoistplank/decision/list_confirmation.py
+++ b/hoistplank/decision/list_confirmation.py
@@ -1,8 +1,8 @@
-"""Whether the endpoint list may be acted on: it is confirmed, or nobody can be asked, or the wait is over.
+"""Decides whether the endpoint list may be used: confirmed, its source unreachable, or a wait over.
 
-A list is as old as the last moment at which its source was heard. Drains and purges that were published
-since count as received, so nothing is sent by a list of which sight was lost for longer than a part of a
-drain's grace. An outage of discovery must not stop the fleet either: each wait has a bound.
+A list is as old as the last message from its source. Drains and purges that were published since then count
+as received, so nothing is sent by a list whose watch was lost for longer than a part of a drain's grace time.
+An outage of discovery must not stop the fleet either: each wait is bounded.
 """
 
 from __future__ import annotations
@@ -11,46 +11,50 @@
 
 from hoistplank.decision.events import EndpointWatchStage
 
-# Of a drain's grace, how long a list that was confirmed is still acted on once sight of it is lost. The rest
-# is for a turn, a connection's first byte and the loop's lag.
+# The share of a drain's grace time for which a confirmed list is still used once its watch is lost. The rest
+# is for one turn of the event loop, the first byte on a connection and the lag of the loop.
 CONFIRMED_GRACE_SHARE = 0.6
-# How long requests are held by a process that has just started, until any connection is established.
+# The longest time for which a process that has just started holds requests while it connects to the source.
 MAX_START_WAIT_US = 3_500_000
-# Likewise by one that had a confirmed list: nothing is known to have been missed, as nobody was asked yet.
+# The same for a process that had a confirmed list: as the source was not asked again, no change is known to be
+# missing.
 MAX_CONNECT_WAIT_US = 1_000_000
-# Likewise until the first answer, once asked: a log says its number each second, a crowded one later.
+# The same until the first answer, once the source was asked: a change log sends its sequence number each
+# second, an overloaded one later.
 MAX_ANSWER_WAIT_US = 3_000_000
-# A source that was asked and then gone for so long may be waited for once more.
+# A source that was asked and was then gone for this long may be waited for once more.
 RENEWED_WAIT_US = 2 * MAX_ANSWER_WAIT_US
 NEVER_US = -(10**18)
 
 
 class ListStanding(StrEnum):
-    """How far the endpoint list is to be relied on; the values stand in the log."""
+    """The reliability of the endpoint list; the values are written to the log."""
 
-    UNWATCHED = "unwatched"  # no watch was ever reported: the caller vouches for the list
-    CONFIRMED = "confirmed"  # the source was heard, and everything up to its number is known
-    GRACE = "grace"  # sight was lost a moment ago
-    AWAITED = "awaited"  # sight was lost, or never had: attempts are held
-    UNREACHABLE = "unreachable"  # nobody listens at the source's address
-    UNANSWERED = "unanswered"  # the longest wait is over: the list that is held is acted on
+    UNWATCHED = "unwatched"  # no watch was ever reported: the caller guarantees the list
+    CONFIRMED = "confirmed"  # the source sent its sequence number, and all changes up to it are known
+    GRACE = "grace"  # the watch was lost a moment ago: the list is still used
+    AWAITED = "awaited"  # the watch was lost, or not yet confirmed: attempts are held
+    UNREACHABLE = "unreachable"  # the source refuses connections: the list is used as it is
+    UNANSWERED = "unanswered"  # the longest wait is over: the list is used as it is
 
 
 class ListConfirmation:
-    """Follows the stages of the watch on the endpoint list; `grace_us` is how long a draining host still
-    takes requests."""
+    """Tracks the stages of the watch on the endpoint list.
+
+    `grace_us`: the time for which a draining host still accepts requests.
+    """
 
     def __init__(self, grace_us: int) -> None:
         self.grace_us = int(grace_us * CONFIRMED_GRACE_SHARE)
         self.stage: EndpointWatchStage | None = None
         self.was_confirmed = False
-        self.is_unreachable = False  # nobody listened at the last try
+        self.is_unreachable = False  # the last connection attempt was refused
         self.hold_from_us = 0
         self.hold_until_us = 0
-        self._awaiting_since_us = NEVER_US  # when the present wait for an answer began
+        self._awaiting_since_us = NEVER_US  # start of the current wait for an answer
 
     def observe(self, now_us: int, stage: EndpointWatchStage) -> None:
-        """The watch has come to another stage."""
+        """Records that the watch entered another stage."""
         previous, self.stage = self.stage, stage
         if previous is None:
             self.hold_from_us, self.hold_until_us = now_us, now_us + MAX_START_WAIT_US
@@ -65,17 +69,20 @@
             self._on_asked(now_us)
 
     def _on_refused(self, now_us: int) -> None:
-        """Nobody listens. Danger: one that was asked and has gone without an answer may have had a drain to
-        tell: what it owes is waited for all the same."""
+        """Marks the source as unreachable, unless its answer is still awaited.
+
+        A source that was asked and left without an answer may have had a drain to report, which would be
+        missed if its answer were not awaited all the same.
+        """
         if self._awaiting_since_us == NEVER_US or now_us - self._awaiting_since_us > RENEWED_WAIT_US:
             self.is_unreachable = True
             self._awaiting_since_us = NEVER_US
 
     def _on_asked(self, now_us: int) -> None:
-        """The source has been asked, which counts as notified: from now on it owes an answer.
+        """Starts the wait for an answer of the source; from now on its changes count as received.
 
-        Asked once more before any answer, the wait is not begun anew: a source that accepts connections and
-        says nothing would hold requests for ever.
+        The wait doesn't start again if the source is asked once more before any answer: a source that accepts
+        connections and never answers would hold requests forever.
         """
         was_held = self.standing(now_us) == ListStanding.AWAITED
         self.is_unreachable = False
@@ -87,7 +94,7 @@
         self.hold_until_us = now_us + MAX_ANSWER_WAIT_US
 
     def standing(self, now_us: int) -> ListStanding:
-        """How far the list is to be relied on now."""
+        """Returns the reliability of the list at this time."""
         if self.stage is None:
             return ListStanding.UNWATCHED
         if self.stage == EndpointWatchStage.CONFIRMED:
@@ -99,9 +106,9 @@
         return ListStanding.AWAITED if now_us < self.hold_until_us else ListStanding.UNANSWERED
 
     def permits_attempts(self, now_us: int) -> bool:
-        """Whether anything may be sent by the list that is held."""
+        """Returns True if attempts may be sent by the current list."""
         return self.standing(now_us) != ListStanding.AWAITED
 
     def may_miss_purges(self) -> bool:
-        """Whether purges from before the start may be unknown, since the list was never confirmed."""
+        """Returns True if purges from before the start may be unknown, since the list was never confirmed."""
         return self.stage is not None and not self.was_confirmed
