--- a/hoistplank/decision/list_confirmation.py
+++ b/hoistplank/decision/list_confirmation.py
@@ -16,8 +16,8 @@
 CONFIRMED_GRACE_SHARE = 0.6
 # The longest time for which a process that has just started holds requests while it connects to the source.
 MAX_START_WAIT_US = 3_500_000
-# The same for a process that had a confirmed list: as the source was not asked again, no change is known to be
-# missing.
+# The same for a process that had a confirmed list: as the source was not asked again, no change is known to
+# be missing.
 MAX_CONNECT_WAIT_US = 1_000_000
 # The same until the first answer, once the source was asked: a change log sends its sequence number each
 # second, an overloaded one later.
--- a/hoistplank/decision/purges.py
+++ b/hoistplank/decision/purges.py
@@ -33,8 +33,8 @@
     def receive(self, now_us: int, object_key: str, purge_group: int, age_us: int) -> None:
         """Records a purge made `age_us` ago, of an object or, if the key is empty, of a purge group."""
         self._raise(now_us, object_key or purge_group, now_us - age_us)
-        # Watermarks are kept for `hold_us`: without its watermark, a stale copy from before a purge could still
-        # be requested and served.
+        # Watermarks are kept for `hold_us`: without its watermark, a stale copy from before a purge could
+        # still be requested and served.
         while next(iter(self.by_key.values())).received_us < now_us - self.hold_us:
             self.by_key.popitem(last=False)
         while len(self.by_key) > MAX_WATERMARKS:
