--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -1,6 +1,7 @@
-"""Placement: what a waiting request gets now, a host and a source, a longer wait, or its end.
+"""Placement: chooses a host and a source for a waiting request, or holds it, or gives it up.
 
-Decides only; the router carries out what is decided. All attempts are made by `_attempt_if_permitted`.
+This module only decides; the router carries the decision out. Every planned attempt is checked by
+`_attempt_if_permitted`.
 """
 
 from __future__ import annotations
@@ -15,19 +16,20 @@
 from hoistplank.decision.requests import Herd, Request
 from hoistplank.decision.settings import Degradation, RouterSettings
 
-# A request that is held for its herd's leader goes by itself this much before its latest start.
+# A request that is held for its herd's leader gets an attempt of its own this long before its latest start.
 HOLD_MARGIN_US = 40_000
-# The caches are merely full, not out of reach, while one is past so much of its recovery.
+# A cache with a recovery limit above this counts as reachable, even if it has no capacity now.
 REACHABLE_RECOVERY_LIMIT = 8
 
-# The order of waiting requests: repeats yield, and so do classes whose fills come late, but never wholly.
+# Factors of the order of waiting requests: repeats come later, and so do classes whose fills are late. The
+# lower bounds keep their weight above 0.
 REPEAT_WEIGHT = 0.2
 MIN_IN_TIME_SHARE = 0.02
 MIN_PRIORITY_WEIGHT = 0.001
 
 
 class PlannedAttempt(NamedTuple):
-    """An attempt that every rule permits now; without a source the host is asked as it is."""
+    """An attempt that every rule permits now; without a source, the host gets a plain request."""
 
     host: Host
     source: Host | None
@@ -37,7 +39,7 @@
 
 
 class Verdict(Enum):
-    """What a request gets that gets no attempt now."""
+    """The decision for a request that gets no attempt now."""
 
     HOLD = "hold"
     GIVE_UP = "give up"
@@ -50,7 +52,7 @@
 
 
 class Placement:
-    """Chooses for one waiting request at a time, from what the other parts know."""
+    """Places one waiting request at a time, based on the state of the other parts."""
 
     def __init__(self, settings: RouterSettings, parts: Parts) -> None:
         self.hosts = parts.hosts
@@ -66,18 +68,18 @@
         self.caches_join_fills = settings.caches_join_fills
         self.may_bypass_caches = settings.rules.may_bypass_caches
         self.stale_first: tuple[str, ...] = ()
-        self.purges_unknown = False  # while hosts are known from a list of another time alone
+        self.purges_unknown = False  # True while the hosts are known only from an unconfirmed list
 
     def apply_degradation(self, degradation: Degradation) -> None:
-        """Takes over the classes that take a stale copy before they wait."""
+        """Sets the classes that are served a stale copy before they wait for a fill."""
         self.stale_first = degradation.stale_first
 
     def apply_list_form(self, form: EndpointListForm) -> None:
-        """No stale copy may be asked for while nobody can tell what was purged."""
+        """Disallows stale copies while purges are unknown, as after an unconfirmed list."""
         self.purges_unknown = form == EndpointListForm.UNCONFIRMED
 
     def cost_per_weight(self, request: Request) -> float:
-        """The key by which waiting requests are ordered: most weight in time for the time first."""
+        """Returns the sort key of waiting requests: expected time per priority weight, lowest first."""
         state = request.class_state
         weight = max(MIN_PRIORITY_WEIGHT, state.traffic_class.priority_weight)
         in_time = state.in_time_share + MIN_IN_TIME_SHARE
@@ -85,10 +87,11 @@
         return (request.sending_time_us() + state.fill_excess_us) / weight_in_time
 
     def place(self, now_us: int, request: Request) -> PlacementResult:
-        """An attempt for the request, or whether it is held or given up."""
+        """Returns an attempt for the request, or that it is held or given up."""
         if not self.list_confirmation.permits_attempts(now_us):
-            # Danger: drains and purges from before the list's source has answered count as received, and
-            # whatever is sent by the list as it is may go to a host that left (rules three and five).
+            # Drains and purges from before the answer of the list's source count as received. An attempt by
+            # the current list could go to a host that was drained or ask for a purged copy (rules three and
+            # five).
             return GIVE_UP if now_us > request.latest_start_us else HOLD
         if request.traffic_class.stale_window_us and not request.stale_allowed:
             stale = self._stale_copy(now_us, request)
@@ -103,7 +106,7 @@
         return self._place_cached(now_us, request)
 
     def end_reason(self, now_us: int, request: Request) -> EndReason:
-        """Why a request that is given up now is given up."""
+        """Returns the reason for which a request is given up now."""
         if not self.list_confirmation.permits_attempts(now_us):
             return EndReason.LIST_UNCONFIRMED
         if now_us > request.latest_start_us:
@@ -111,16 +114,16 @@
         return EndReason.NO_HOST if self._may_attempt_again(now_us, request) else EndReason.NO_ATTEMPT_LEFT
 
     def _may_attempt_again(self, now_us: int, request: Request) -> bool:
-        """Whether any further attempt is allowed, at the host where the first may have run at least."""
+        """Returns True if a further attempt is allowed at least at the host where the first may have run."""
         if not self.retries.may_attempt(now_us, request, request.first_run_host):
             return False
         return self.retries.fits_budget(now_us, request)
 
     def _stale_copy(self, now_us: int, request: Request) -> PlannedAttempt | None:
-        """Allows a stale copy where it earns more than a fill that is late, and asks for one that was seen.
+        """Allows a stale copy if it is worth more than a late fill, and asks the host that missed for it.
 
-        At once where fills of the class come in time more seldom than a stale copy earns, or where the level
-        of degradation says so, or else at the very last. Never while purges are not known.
+        A stale copy is allowed at once if the share of fills in time is below its value or if the degradation
+        level says so, else only when the request is out of time, and never while purges are unknown.
         """
         traffic_class = request.traffic_class
         if self.purges_unknown or self.list_confirmation.may_miss_purges():
@@ -138,7 +141,7 @@
         return self._attempt_if_permitted(now_us, request, PlannedAttempt(missed, missed))
 
     def _place_uncached(self, now_us: int, request: Request) -> PlacementResult:
-        """Straight to the origin, where a refusal proves that nothing ran, or else through a cache."""
+        """Goes directly to the origin, whose refusal proves that nothing ran, or through a cache."""
         origin = self.hosts.usable_origin()
         if origin is None:
             return GIVE_UP
@@ -152,7 +155,7 @@
         return self._attempt_if_permitted(now_us, request, planned) or HOLD
 
     def _place_cached(self, now_us: int, request: Request) -> PlacementResult:
-        """At the copy's holder, behind the herd's leader, or at the first cache in the object's order."""
+        """Places a request at the holder of a copy, behind its herd's leader, or at the first cache."""
         herd = request.herd or self.herds.join(now_us, request)
         holder = self.herds.copy_holder(now_us, request, herd)
         if holder is None and request.in_herd:
@@ -168,9 +171,9 @@
         return self._place_at(now_us, request, host, host is holder)
 
     def _follow_leader(self, now_us: int, request: Request, herd: Herd) -> PlacementResult | None:
-        """Behind the leader's fill: joined to it at its cache, or held until just before it is too late.
+        """Joins the leader's fill at its cache, or holds the request until just before it is too late.
 
-        Answers a thundering herd, of which each request would fill. Can harm by the wait for a slow leader.
+        Prevents a thundering herd in which each request starts a fill. The cost: a slow leader delays all.
         """
         leader = herd.leader
         if leader is None or not self.health.is_usable(now_us, leader.host):
@@ -181,7 +184,7 @@
         return HOLD if now_us < request.latest_start_us - HOLD_MARGIN_US else None
 
     def _place_at(self, now_us: int, request: Request, host: Host, has_copy: bool) -> PlacementResult:
-        """At a cache: for its copy, for a look whether there is one, or for a fill."""
+        """Plans an attempt at a cache: for its copy, to check for a copy, or for a fill."""
         source = self.sources.choose(now_us, request, host)
         if not has_copy and self._checks_for_copy_first(request, host, source):
             return self._attempt_if_permitted(now_us, request, PlannedAttempt(host, host)) or HOLD
@@ -194,10 +197,10 @@
         return self._attempt_if_permitted(now_us, request, planned) or HOLD
 
     def _checks_for_copy_first(self, request: Request, host: Host, source: Host | None) -> bool:
-        """Whether a cache is first asked only for what it has.
+        """Returns True if a cache is first asked without a fill, for a copy that it may already have.
 
-        Answers a link that is short: a look costs a millisecond and tells hits, which go on freely, from
-        misses. Can harm by that millisecond.
+        Saves link capacity: such a check takes a millisecond and separates hits, which need no fill, from
+        misses. The cost is that millisecond.
         """
         if request.missed_host is host or host.warming_since_us >= 0:
             return False
@@ -209,10 +212,10 @@
         return self.fills.has_capacity(now_us) and not self.fills.holds_back(request.class_state)
 
     def _bypass_caches(self, now_us: int, request: Request) -> PlacementResult:
-        """Straight to a parent where all caches are gone, silent or out of their warm-up budget.
+        """Goes directly to a parent if all caches are gone, silent or out of their warm-up budget.
 
-        Answers lost zones, releases and mass restarts. Can harm the zone's link, so not where the caches are
-        merely full.
+        Protects against lost zones, releases and mass restarts. It loads the zone's link, so it is not done
+        if the caches are merely full.
         """
         if self._any_cache_reachable(now_us, request):
             return HOLD
@@ -234,7 +237,7 @@
         )
 
     def _first_cache(self, now_us: int, request: Request) -> Host | None:
-        """The first cache in the object's order with capacity; those that failed the request come last."""
+        """Returns the first cache in the object's order with capacity; hosts that failed it come last."""
         order = self.ranking.order(request).caches
         if request.failed_hosts:
             order = sorted(order, key=request.failed_hosts.__contains__)
@@ -249,7 +252,7 @@
     def _attempt_if_permitted(
         self, now_us: int, request: Request, planned: PlannedAttempt
     ) -> PlannedAttempt | None:
-        """The one way to an attempt: drains (rule three), slow start (rule four) and repeats (rule two)."""
+        """Checks an attempt against the rules: drains (three), slow start (four) and repeats (two)."""
         host, source = planned.host, planned.source
         if not self._takes_attempt(now_us, request, host):
             return None
@@ -258,5 +261,5 @@
         return planned if self.retries.may_attempt(now_us, request, host) else None
 
     def _takes_attempt(self, now_us: int, request: Request, host: Host) -> bool:
-        """Whether a host, as target or as source, is neither draining nor beyond its warm-up budget."""
+        """Returns True if a target or source is neither draining nor beyond its warm-up budget."""
         return host.is_up and self.slow_start.fits_budget(now_us, host, request.class_state.sending_time_us)
