--- a/hoistplank/decision/retries.py
+++ b/hoistplank/decision/retries.py
@@ -1,4 +1,4 @@
-"""Retries: what may run again and where (rule two), retry budgets, backoff and the final answer."""
+"""Retries: which requests may run again and where (rule two), retry budgets, backoff, the final answer."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
     RouterSettings,
 )
 
-# The outcomes that prove that an attempt never ran.
+# The outcomes that prove that the request never ran.
 NEVER_RAN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS))
 
-# A repeat begins this much before the end of the time in which it is dropped.
+# A repeat must begin this long before the end of the deduplication window.
 DEDUPLICATION_MARGIN_US = 50_000
 
-# What the host failed by itself; all else may break by chance once, and counts from the second attempt on.
+# The outcomes that are a failure of the host itself; others may occur by chance and count from the second
+# attempt on.
 FAILED_AT_HOST = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.TIMED_OUT))
-# The cache statuses by which the source failed, not the cache host that tells of it.
+# The cache statuses that report a failure of the source, not of the cache host that answers.
 SOURCE_FAILED = frozenset(
     (
         CacheStatus.SOURCE_REFUSED,
@@ -36,17 +37,17 @@
     )
 )
 
-# Attempts are counted over some 10 s; so many retries are within any budget.
+# Attempts are counted with a decay time of 10 s. `FREE_RETRIES` are allowed beyond any budget.
 RETRY_WINDOW_US = 1e7
 FREE_RETRIES = 10
 
-# Backoff: 20 ms doubled for each attempt, up to 16 times, spread by chance over half to one and a half of it.
+# Backoff: 20 ms, doubled for each attempt up to 16 times that, multiplied by a random factor from 0.5 to 1.5.
 BACKOFF_US = 20_000
 MAX_BACKOFF_DOUBLINGS = 4
 
 
 class RetryPolicy:
-    """Decides whether a request may be attempted once more, and how one that may not is answered."""
+    """Decides whether a request may be attempted again, and with which answer it is given up otherwise."""
 
     def __init__(self, settings: RouterSettings, random: Callable[[], float]) -> None:
         self.settings = settings
@@ -56,13 +57,14 @@
         self.class_counts: dict[str, AttemptCounts] = {}
 
     def apply_degradation(self, degradation: Degradation) -> None:
-        """Takes over the bounds on attempts of a level of degradation."""
+        """Sets the limits of a degradation level on attempts and retries."""
         self.degradation = degradation
 
     def may_attempt(self, now_us: int, request: Request, host: Host | None) -> bool:
-        """Rule two: whether the request may be attempted (again) at this host.
+        """Returns True if the request may be attempted (again) at this host (rule two).
 
-        Answers an effect that happens twice. `host` may be None only where no attempt may have run.
+        Prevents the effect of a request from happening twice. `host` may be None only if no attempt may have
+        run.
         """
         traffic_class = request.traffic_class
         attempt_limit = self.rules.max_attempts
@@ -76,7 +78,7 @@
         return self._drops_repeat(now_us, request, host)
 
     def _drops_repeat(self, now_us: int, request: Request, host: Host | None) -> bool:
-        """Whether a repeat at this host, of what may have run, would be dropped there."""
+        """Returns True if this host would drop a repeat of an attempt that may have run."""
         traffic_class, first_host = request.traffic_class, request.first_run_host
         if traffic_class.semantics == NON_IDEMPOTENT:
             return False
@@ -91,16 +93,17 @@
         return first_host.cell == host.cell
 
     def start_by_us(self, request: Request) -> int:
-        """By when an attempt must have begun, a connection's set-up included; 0 for no such bound."""
+        """Returns the latest start of an attempt, connection setup included; 0 for no bound."""
         traffic_class = request.traffic_class
         if request.first_run_us < 0 or traffic_class.semantics == IDEMPOTENT:
             return 0
         return request.first_run_us + traffic_class.deduplication_window_us - DEDUPLICATION_MARGIN_US
 
     def fits_budget(self, now_us: int, request: Request) -> bool:
-        """Whether a retry stays within a share of first attempts, by class and by the host that failed last.
+        """Returns True if a retry is within the budget of its class and of the host that failed last.
 
-        Answers a failing tier that is met by a storm of retries. Can harm where a tier's faults are chance.
+        The budget is a share of first attempts. Prevents a retry storm at a failing tier. The cost: requests
+        that fail by chance may get no retry.
         """
         share = self.degradation.retry_share
         host = request.last_host
@@ -115,7 +118,7 @@
         return True
 
     def record_attempt(self, now_us: int, request: Request, host: Host) -> None:
-        """Counts an attempt by class and by the host that failed last; only while there is a budget."""
+        """Counts an attempt by class and by the host that failed last, while there is a retry budget."""
         if not self.degradation.retry_share:
             return
         is_retry = request.last_host is not None
@@ -130,7 +133,7 @@
             counts.counted_us = now_us
 
     def record_failure(self, now_us: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """What the end of an attempt that did not answer its request means to the request."""
+        """Updates a request after the end of an attempt that did not answer it."""
         request, outcome, status = attempt.request, event.outcome, event.cache_status
         if outcome not in NEVER_RAN and request.first_run_us < 0:
             request.first_run_us = attempt.sent_us
@@ -145,12 +148,12 @@
             self._back_off(now_us, request)
 
     def _back_off(self, now_us: int, request: Request) -> None:
-        """Holds a request that a crowded host or source refused: longer each time, spread by chance."""
+        """Sets the backoff of a request that an overloaded host or source refused."""
         doublings = min(request.attempts_made, MAX_BACKOFF_DOUBLINGS)
         request.not_before_us = now_us + int(BACKOFF_US * 2**doublings * (0.5 + self.random()))
 
     def final_answer(self, request: Request, reason: EndReason) -> Reject | Fail:
-        """The answer of a request that is given up: rejected only where coming again does no harm."""
+        """Returns the answer to a request that is given up: `Reject` only if the client may safely retry."""
         traffic_class = request.traffic_class
         harmless = traffic_class.semantics == IDEMPOTENT or request.first_run_us < 0
         if not harmless:
