--- a/hoistplank/decision/slow_start.py
+++ b/hoistplank/decision/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a host that is warming up may be sent from here (rule four)."""
+"""Slow start: the limit on the load that this dispatcher sends to a host that is warming up (rule four)."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from hoistplank.decision.requests import TrafficClassState
 from hoistplank.decision.settings import RouterSettings
 
-# What is left is for sending times that turn out longer than their class's mean.
+# The rest of the budget is a reserve for sending times above the mean of their class.
 BUDGET_MARGIN = 0.7
-# Multiples of it modulo 1 fall evenly for neighbouring and for spread dispatcher indexes alike.
+# Its multiples modulo 1 are evenly distributed, for consecutive and for scattered dispatcher indexes alike.
 GOLDEN_RATIO_FRACTION = 0.6180339887
-# What a host carries is averaged over some 5 s.
+# The decay time, 5 s, of the average load of a host.
 CARRIED_WINDOW_US = 5e6
 
 
 class WarmUpRule(NamedTuple):
-    """How the hosts of one tier warm up, and among how many dispatchers their budget is shared."""
+    """The warm-up limits of the hosts of one tier; `sharers` dispatchers share the budget of a host."""
 
     initial_share: float
     warm_up_us: int
@@ -28,7 +28,7 @@
 
 
 class SlowStart:
-    """Which hosts are warming up, what each was sent meanwhile, and what each host usually carries."""
+    """Tracks the hosts that are warming up, the load sent to them, and the usual load of each host."""
 
     def __init__(
         self, settings: RouterSettings, hosts: HostTable, class_states: Iterable[TrafficClassState]
@@ -49,11 +49,11 @@
         )
 
     def begin(self, host: Host, since_us: int) -> None:
-        """The host's process has started, or may have: it is warming up since then."""
+        """Starts the warm-up of a host whose process has started, or may have, at `since_us`."""
         host.warming_since_us = since_us
 
     def end(self, host: Host) -> None:
-        """The host is warm."""
+        """Ends the warm-up of a host."""
         host.warming_since_us = WARM
 
     def record_attempt(self, now_us: int, host: Host, sending_time_us: float) -> None:
@@ -62,16 +62,16 @@
             host.warm_up_work.append((now_us, sending_time_us))
 
     def record_carried(self, now_us: int, host: Host, sending_time_us: float) -> None:
-        """Takes an answer into what a host carries for this dispatcher, in transfers."""
+        """Adds an answer to the average load of a host from this dispatcher, in concurrent transfers."""
         kept = host.carried_transfers * exp((host.carried_us - now_us) / CARRIED_WINDOW_US)
         host.carried_transfers = kept + sending_time_us / CARRIED_WINDOW_US
         host.carried_us = now_us
 
     def fits_budget(self, now_us: int, host: Host, sending_time_us: float) -> bool:
-        """Rule four: whether an attempt fits what the host may be sent from here within any window.
+        """Returns True if an attempt is within the budget of a host for any window (rule four).
 
-        Answers a host that starts empty and is pushed over by its full load. Can harm by sending requests to
-        the next cache, at the price of a second copy.
+        Prevents the full load from overloading a host that starts with an empty cache. The cost: requests go
+        to the next cache, which then holds a second copy.
         """
         since_us = host.warming_since_us
         if since_us < 0:
@@ -91,17 +91,20 @@
         return sum(sent_us for _, sent_us in work) + sending_time_us <= budget_us / quota_holders
 
     def _budget_us(self, now_us: int, host: Host, rule: WarmUpRule) -> float:
-        """What all dispatchers together may send the host in a window, as at the window's beginning."""
+        """Returns the sending time that all dispatchers together may send to the host in one window.
+
+        It is the budget as of the beginning of the window.
+        """
         warm_us = max(0, now_us - self.window_us - host.warming_since_us)
         share = rule.initial_share + (1 - rule.initial_share) * warm_us / rule.warm_up_us
         link = self._link_transfers(host)
         return BUDGET_MARGIN * rule.overload_multiple * link * share * self.window_us
 
     def _quota_holders(self, budget_us: float, rule: WarmUpRule) -> float:
-        """Among how many dispatchers the budget is split.
+        """Returns the number of dispatchers among which the budget is split.
 
-        Where an even quota holds no transfer of the class with the longest sending time, as many dispatchers
-        have a quota as there are transfers.
+        If an even quota is too small for a transfer of the class with the longest sending time, only as many
+        dispatchers get a quota as such transfers fit into the budget.
         """
         longest_us = max(
             0.0 if state.traffic_class.uncached else state.sending_time_us for state in self.class_states
@@ -109,11 +112,14 @@
         return min(rule.sharers, budget_us // max(1.0, longest_us))
 
     def _rank_among_sharers(self, host: Host) -> float:
-        """This dispatcher's place among those that share the host, from 0 to 1, evenly spread."""
+        """Returns this dispatcher's rank among those that share the host, evenly distributed from 0 to 1."""
         return (self.settings.dispatcher_index * GOLDEN_RATIO_FRACTION + host.salt / 2**64) % 1.0
 
     def _link_transfers(self, host: Host) -> float:
-        """A host's link in transfers: as declared, else its part of the zone's or what its tier carries."""
+        """Returns the link capacity of a host in concurrent transfers.
+
+        As declared, or else the larger of its share of the zone's link and the mean load of its tier.
+        """
         settings = self.settings
         if settings.links_declared:
             return host.units
@@ -123,6 +129,6 @@
         else:
             tier, sharers = self.hosts.caches, settings.dispatchers_in_zone
             part = part / self.hosts.max_caches
-        # The mean, not the most: of few requests the most is mostly chance, a multiple of what is carried.
+        # The mean, not the maximum: with few requests, the maximum is mostly chance, a multiple of the load.
         carried = sum(neighbour.carried_transfers for neighbour in tier)
         return max(1.0, part, sharers * carried / max(1, len(tier)))
