--- a/hoistplank/decision/sources.py
+++ b/hoistplank/decision/sources.py
@@ -1,4 +1,4 @@
-"""Parents and the origin: the source that a fill comes from, and how slowly each parent fills."""
+"""Selection of the source of a fill: a parent or the origin, by the slowness of each parent."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from hoistplank.decision.requests import Request
 from hoistplank.decision.slow_start import SlowStart
 
-# Slowness is a fill's time over its sending time and this, for the way: so it shows slow links, too.
+# Slowness is the duration of a fill divided by its sending time plus this time for the network path, so that
+# it shows slow links, too.
 FILL_TRANSIT_US = 100_000
-# The usual slowness settles over 50 fills, the recent one follows 5.
+# The usual slowness is averaged over 50 fills, the recent one over 5.
 USUAL_FILLS = 50
 RECENT_FILLS = 5
-# A parent is slow well above its usual and above the second parent: other faults slow both.
+# A parent is slow if it is well above both its usual slowness and the second parent: other faults slow both.
 SLOW_FACTOR = 1.5
 SLOW_MARGIN = 0.3
-# One fill a second finds out whether a slow parent has recovered.
+# A slow parent gets one fill a second, to detect its recovery.
 SLOW_TRIAL_INTERVAL_US = 1_000_000
 
 
 class SourceSelector:
-    """Chooses the source of a fill, and keeps how slow each parent is."""
+    """Chooses the source of a fill, and tracks the slowness of each parent."""
 
     def __init__(self, ranking: HostRanking, health: HealthTracker, slow_start: SlowStart) -> None:
         self.ranking = ranking
@@ -30,9 +31,9 @@
         self.slow_start = slow_start
 
     def choose(self, now_us: int, request: Request, fallback: Host | None) -> Host | None:
-        """The first parent in the object's order that may be used, or the second where the first is slow.
+        """Returns the first usable parent in the object's order, or the second if the first is slow.
 
-        Without a parent the origin, and without that `fallback`.
+        Without a usable parent it returns the origin, and without an origin `fallback`.
         """
         sending_time_us = request.class_state.sending_time_us
         usable = [
@@ -55,9 +56,9 @@
         return first
 
     def _is_slow(self, now_us: int, first: Host, second: Host) -> bool:
-        """Whether the second parent is to fill instead of the first.
+        """Returns True if the second parent should fill instead of the first.
 
-        Answers a parent that is slowed while it answers. Can harm by a second copy at another parent.
+        Avoids a parent that still answers, but slowly. The cost is a second copy at another parent.
         """
         if not first.recent_slowness > SLOW_FACTOR * first.usual_slowness + SLOW_MARGIN:
             return False
@@ -65,7 +66,7 @@
         return tried_recently and second.recent_slowness * SLOW_FACTOR < first.recent_slowness
 
     def record_fill(self, parent: Host, took_us: int, sending_time_us: float) -> None:
-        """Takes one fill into the slowness of its parent."""
+        """Adds one fill to the averages of its parent's slowness."""
         slowness = took_us / (sending_time_us + FILL_TRANSIT_US)
         parent.fills_seen += 1
         parent.usual_slowness += (slowness - parent.usual_slowness) / min(USUAL_FILLS, parent.fills_seen)
