--- a/hoistplank/decision/stalls.py
+++ b/hoistplank/decision/stalls.py
@@ -1,4 +1,4 @@
-"""Stalled attempts: finds what hangs, or is lost, takes it back and ejects the host that it hangs at."""
+"""Stalled attempts: finds attempts that hang or are lost, and ejects the hosts at which they hang."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 from hoistplank.decision.overload import OverloadGuard
 from hoistplank.decision.requests import Attempt
 
-# A silence shows after 0.7 s, so this is fine enough.
+# Short against the 0.7 s after which a silence is detected.
 CHECK_INTERVAL_US = 50_000
-# 0.7 s over twice the sending time: pauses are shorter. Can harm huge answers.
+# A host is silent after 0.7 s plus twice the sending time: pauses are shorter. Very large answers may be
+# cancelled by mistake.
 SILENCE_US = 700_000
 SILENT_SENDING_TIMES = 2
-# A certain answer takes one sending time; at four, while others come, it is lost. Can harm large answers.
+# An answer without a fill takes one sending time. After four, while the host answers other attempts, it
+# counts as lost. Large answers may be cancelled by mistake.
 LOST_SENDING_TIMES = 4
 LOST_MARGIN_US = 5e4
 MAX_ATTEMPTS_AT_LOST_ANSWER = 2
-# Beyond its latency objective by half, an attempt earns little and holds capacity.
+# After one and a half times its latency objective, an attempt has little value left and still holds capacity.
 OVERDUE_OBJECTIVES = 1.5
 
 CACHE_LOSS_SIGNS = 2
-# Of a parent a dispatcher of many has few fills: ejected for 1 s at least, lest each test costs one.
+# One of many dispatchers has few fills from a parent: the parent is ejected for at least 1 s, since otherwise
+# each test of it would cost one of those fills.
 MIN_PARENT_EJECTIONS = 3
 MIN_CACHE_EJECTIONS = 1
-# A parent is only blamed while most fills of the class are in time: a slow origin delays all.
+# A parent is only ejected while most fills of the class are in time, since a slow origin delays all fills.
 HEALTHY_IN_TIME_SHARE = 0.5
 
 
 class StallDetector:
-    """Checks the attempts in flight from time to time."""
+    """Checks the attempts in flight periodically."""
 
     def __init__(self, health: HealthTracker, overload: OverloadGuard) -> None:
         self.health = health
@@ -40,11 +43,11 @@
         self.last_parent_fill_us = 0
 
     def record_parent_fill(self, now_us: int) -> None:
-        """A parent has answered a fill, or refused it."""
+        """Records that a parent has answered a fill or refused it."""
         self.last_parent_fill_us = now_us
 
     def find_if_due(self, now_us: int, in_flight: Iterable[Attempt]) -> list[Attempt]:
-        """The attempts to be taken back; looks for them once each interval."""
+        """Returns the attempts to cancel; checks once in each interval."""
         if now_us < self.next_check_us:
             return []
         self.next_check_us = now_us + CHECK_INTERVAL_US
@@ -53,10 +56,10 @@
         return [attempt for attempt in candidates if self.is_stalled(now_us, attempt)]
 
     def is_stalled(self, now_us: int, attempt: Attempt) -> bool:
-        """Whether an attempt hangs, is lost, or is waited for by nobody; ejects the host that it hangs at.
+        """Returns True if an attempt hangs, is lost, or has no client any more; ejects a host that hangs.
 
-        One such attempt is enough: a dispatcher of many seldom has two at a host. Answers hosts that hang or
-        vanish. Can harm an answer that would have come all the same.
+        One hanging attempt is enough, since one of many dispatchers seldom has two at a host. Protects
+        against hosts that hang or vanish. The cost: an answer that is only late may be cancelled.
         """
         request = attempt.request
         host = attempt.awaited_host()
@@ -64,7 +67,7 @@
         sending_time_us = request.sending_time_us()
         silent = self._is_silent(attempt, host)
         if silent:
-            # What lay unread while the loop was late is not the host's silence.
+            # The lag is added since an answer that is still unread while the loop lags is no silence.
             silence_limit_us = SILENCE_US + SILENT_SENDING_TIMES * sending_time_us + self.overload.lag_us
             lost = False
         else:
@@ -83,17 +86,17 @@
         return True
 
     def _is_silent(self, attempt: Attempt, host: Host) -> bool:
-        """Whether the host has answered nothing since the attempt was sent."""
+        """Returns True if the host has not answered since the attempt was sent."""
         if not host.answered_us < attempt.sent_us:
             return False
         if host.tier != PARENT:
             return True
-        # A parent is only blamed where others filled since, and most fills are in time.
+        # A parent only counts as silent if other fills were answered since then and most fills are in time.
         in_time_share = attempt.request.class_state.in_time_share
         return in_time_share > HEALTHY_IN_TIME_SHARE and self.last_parent_fill_us >= attempt.sent_us
 
     def _is_lost(self, now_us: int, attempt: Attempt) -> bool:
-        """Whether an answer was certain to come, and its request gains by another attempt."""
+        """Returns True if no fill delays the answer and another attempt can still be in time."""
         request = attempt.request
         if not attempt.answers_locally or request.attempts_made >= MAX_ATTEMPTS_AT_LOST_ANSWER:
             return False
@@ -101,7 +104,7 @@
 
     def _eject(self, now_us: int, host: Host, attempt: Attempt) -> None:
         if host.tier == PARENT:
-            # A parent that is gone fails its caches' connections: a clearer sign than a silence.
+            # No loss is recorded: the failed connections of its caches are a clearer sign of a lost parent.
             self.health.eject(now_us, host, MIN_PARENT_EJECTIONS)
             return
         self.health.record_loss(now_us, host, CACHE_LOSS_SIGNS, attempt.sent_us)
