--- a/hoistplank/decision/router.py
+++ b/hoistplank/decision/router.py
@@ -1,8 +1,8 @@
-"""The router: events in, actions out.
+"""The router: takes events and returns actions.
 
-How to use it: make a `Router` from its settings and a seed; report what happens by `handle`, which only
-updates what is known; then call `next_action` until it answers None, and carry out each action in order.
-Times are whole microseconds of one clock, which the caller reads.
+Create a `Router` from its settings and a seed. Report each event by `handle`, which only updates the state.
+Then call `next_action` until it returns None, and carry out the actions in order. Times are whole
+microseconds of one clock, which the caller reads.
 """
 
 from __future__ import annotations
@@ -42,16 +42,18 @@
 from hoistplank.decision.requests import Attempt, Request
 from hoistplank.decision.settings import IDEMPOTENT, RouterSettings
 
-# Held requests wait 20 ms too long at most; else only stalled attempts are to be found.
+# Held requests wait at most 20 ms too long. Without held requests, the timer only serves to find stalled
+# attempts.
 WAITING_TIMER_US = 20_000
 IDLE_TIMER_US = 50_000
-# Danger: the work of looking at all held requests would grow with the square of their number.
+# The interval between two tries to place a held request grows with the number of held requests: the work of
+# trying all of them on each event would grow with the square of their number.
 MAX_RECHECK_INTERVAL_US = 50_000
 RECHECK_INTERVAL_FACTOR_US = 10
 
 
 class Router:
-    """All decisions of one dispatcher: the open requests, the parts that decide, and the actions to take."""
+    """The decisions of one dispatcher: its open requests, the parts that decide, and the pending actions."""
 
     def __init__(self, settings: RouterSettings, seed: int, types: PartTypes = DEFAULT_TYPES) -> None:
         self.settings = settings
@@ -59,11 +61,11 @@
         self.parts = Parts(settings, Random(seed).random, types)
         self.placement = Placement(settings, self.parts)
         self.feedback = Feedback(settings, self.parts)
-        self.requests: dict[str, Request] = {}  # until closed and none of their attempts is in flight
+        self.requests: dict[str, Request] = {}  # not closed, or with an attempt in flight
         self.waiting: dict[str, Request] = {}
         self.in_flight: dict[Attempt, None] = {}
         self.actions: deque[Action] = deque()
-        self.changed = False  # whether anything was reported since the last decisions
+        self.changed = False  # an event was reported since the last decisions
         self.watching = False
         self.timer_id = 0
         self.timer_due_us = 0  # 0 while no timer is set
@@ -82,15 +84,15 @@
         }
 
     def handle(self, now_us: int, event: Event) -> None:
-        """Takes in what has happened; decides nothing."""
+        """Updates the state by an event; decides nothing."""
         self._handlers[type(event)](now_us, event)
 
     def permits_attempts(self, now_us: int) -> bool:
-        """Whether anything may be sent by the endpoint list that is held; asked again at the first byte."""
+        """Returns True if the current endpoint list permits attempts; checked again at the first byte."""
         return self.parts.list_confirmation.permits_attempts(now_us)
 
     def next_action(self, now_us: int) -> Action | None:
-        """The next thing to do, or None where there is nothing left."""
+        """Returns the next action, or None if there is none left."""
         if self.changed:
             self.changed = False
             self._decide(now_us)
@@ -113,7 +115,8 @@
         if host.describes_new_process(endpoint):
             host.begin_incarnation()
             self.parts.health.reset(host)
-            # Old start times soon lapse; a host without one that appears in a later list has just started.
+            # The warm-up of an old start time soon ends. A host without a start time counts as warm in the
+            # first list, and as just started in a later one.
             unknown_start_us = now_us if self.parts.hosts.was_listed else WARM
             self.parts.slow_start.begin(host, endpoint.started_us or unknown_start_us)
         self.parts.hosts.describe(host, endpoint)
@@ -194,7 +197,7 @@
     # Decisions.
 
     def _decide(self, now_us: int) -> None:
-        """One pass over all that may need a decision."""
+        """Makes all decisions that are due."""
         if self.rules.must_watch_endpoints and not self.watching:
             self.watching = True
             self.actions.append(WatchEndpoints())
@@ -205,7 +208,7 @@
         self._set_timer(now_us)
 
     def _place_waiting(self, now_us: int) -> None:
-        """Looks at the waiting requests whose time has come, those with most weight for the time first."""
+        """Tries to place the waiting requests that are due, those with the lowest cost per weight first."""
         recheck_interval_us = min(
             MAX_RECHECK_INTERVAL_US, RECHECK_INTERVAL_FACTOR_US * len(self.waiting) ** 2
         )
@@ -217,7 +220,7 @@
                 self._place(now_us, request)
 
     def _may_be_placeable(self, now_us: int, request: Request) -> bool:
-        """Whether anything may have changed for a request that found no copy and waits for a fill."""
+        """Returns False if a request that missed must wait: no fill capacity, and its herd is unchanged."""
         herd = request.herd
         return (
             request.missed_host is None
@@ -271,7 +274,7 @@
         )
 
     def _record_start(self, now_us: int, attempt: Attempt) -> None:
-        """Counts an attempt wherever attempts are counted."""
+        """Records an attempt at its request and in all parts that count attempts."""
         request, host, source = attempt.request, attempt.host, attempt.source
         self.parts.retries.record_attempt(now_us, request, host)
         request.in_flight[attempt.number] = attempt
@@ -289,8 +292,9 @@
             self.parts.herds.lead(attempt)
 
     def _max_age_us(self, now_us: int, request: Request, planned: PlannedAttempt) -> int:
-        """The oldest copy that will do: a stale one only of a cache that fills nothing, none from before a
-        purge.
+        """Returns the maximum age of the copy.
+
+        A stale copy is allowed only from a cache that does not fill, and no copy from before a purge.
         """
         wanted_us = 0
         if request.stale_allowed and planned.source is planned.host:
@@ -298,7 +302,7 @@
         return self.parts.purges.max_age_us(now_us, request, wanted_us)
 
     def _cancel(self, attempt: Attempt) -> None:
-        """Takes an attempt back, where that is allowed and its effect may happen twice without harm."""
+        """Cancels an attempt if cancelling is allowed and its request is idempotent."""
         request = attempt.request
         idempotent = request.traffic_class.semantics == IDEMPOTENT
         if self.rules.may_cancel and idempotent and not attempt.is_uncancellable:
@@ -306,7 +310,7 @@
             self.actions.append(CancelAttempt(request.id, attempt.number))
 
     def _close(self, request: Request) -> None:
-        """The request is answered or left; it is forgotten once none of its attempts is in flight."""
+        """Closes a request that was answered or abandoned, and removes it once no attempt is in flight."""
         request.closed = True
         self.waiting.pop(request.id, None)
         if not request.in_flight:
