--- a/hoistplank/benchlink/__main__.py
+++ b/hoistplank/benchlink/__main__.py
@@ -13,11 +13,11 @@
     """Until the input ends; 2 where it can't be read, 1 where nobody reads the output."""
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     try:
-        for reply in Hosting().play(source):
+        for reply in Hosting().process(source):
             sys.stdout.write(reply + "\n" if not reply.endswith("\n") else reply)
             sys.stdout.flush()
-    except (FieldError, UnicodeDecodeError) as wrong:
-        print(f"benchlink: {wrong}", file=sys.stderr)
+    except (FieldError, UnicodeDecodeError) as error:
+        print(f"benchlink: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/hoistplank/benchlink/codec.py
+++ b/hoistplank/benchlink/codec.py
@@ -51,14 +51,14 @@
 US_PER_S = 1_000_000
 
 
-def seconds(us: int) -> str:
+def format_seconds(us: int) -> str:
     """Whole microseconds as decimal seconds, exactly and without trailing zeros."""
     sign = "-" if us < 0 else ""
     whole, rest = divmod(abs(us), US_PER_S)
     return f"{sign}{whole}.{rest:06d}".rstrip("0") if rest else f"{sign}{whole}"
 
 
-def endpoint(fields: Fields) -> Endpoint:
+def read_endpoint(fields: Fields) -> Endpoint:
     """One row of a list of endpoints."""
     state = fields.text("health", "U")
     if state not in ENDPOINT_STATES:
@@ -124,30 +124,31 @@
     return PurgeReceived(fields.text("file", ""), fields.integer("bucket", 0), fields.micros("oldness", 0))
 
 
-def line(instance: str, action: Action) -> str:
+def encode_action(instance: str, action: Action) -> str:
     """One action as one line of the wire."""
-    return LINES[type(action)](f"dispatcher_id={instance}", action)
+    return ACTION_ENCODERS[type(action)](f"dispatcher_id={instance}", action)
 
 
 def _send_attempt(instance: str, action: SendAttempt) -> str:
     target = (
-        f"{instance} request_id={action.request_id} host={action.host} within={seconds(action.timeout_us)}"
+        f"{instance} request_id={action.request_id} host={action.host}"
+        f" within={format_seconds(action.timeout_us)}"
     )
     if not action.source:
         return f"SEND {target}"
     bits = JOIN_FILL_BIT if action.join_fill else 0
     return (
         f"SERVE_VIA {target} miss_from={action.source} retain={action.retention}"
-        f" oldness={seconds(action.max_age_us)} bits={bits}"
+        f" oldness={format_seconds(action.max_age_us)} bits={bits}"
     )
 
 
 def _set_timer(instance: str, action: SetTimer) -> str:
-    return f"ARM {instance} tag={action.timer_id} sleep_for={seconds(action.delay_us)}"
+    return f"ARM {instance} tag={action.timer_id} sleep_for={format_seconds(action.delay_us)}"
 
 
 def _reject(instance: str, action: Reject) -> str:
-    wait = seconds(action.retry_after_us)
+    wait = format_seconds(action.retry_after_us)
     return f"DECLINE {instance} request_id={action.request_id} not_before_for={wait}"
 
 
@@ -163,7 +164,7 @@
     return f"FOLLOW {instance} on=1"
 
 
-LINES: dict[type, Callable[[str, Any], str]] = {
+ACTION_ENCODERS: dict[type, Callable[[str, Any], str]] = {
     SendAttempt: _send_attempt,
     SetTimer: _set_timer,
     Reject: _reject,
--- a/hoistplank/benchlink/hosting.py
+++ b/hoistplank/benchlink/hosting.py
@@ -12,7 +12,7 @@
 from hoistplank.wire_fields import FieldError, Fields
 
 # The lines that are for one instance, and the event that each is to it.
-EVENTS: dict[str, Callable[[Fields], Event]] = {
+EVENT_READERS: dict[str, Callable[[Fields], Event]] = {
     "DEMAND": codec.request_arrived,
     "VERDICT": codec.attempt_ended,
     "FLOWING": codec.response_started,
@@ -21,38 +21,38 @@
     "PURGED": codec.purge_received,
 }
 # Lines for one instance that tell it nothing that it uses.
-IGNORED = ("PROBE_RESULT", "PEER")
+IGNORED_LINES = ("PROBE_RESULT", "PEER")
 
-MOST_QUOTED = 40
+MAX_QUOTED_LENGTH = 40
 
 
 class Hosting:
     """All instances of this process. They share nothing but the numbered lists of the current wire."""
 
-    def __init__(self, make: Callable[[RouterSettings, int], Router] = Router) -> None:
-        self.make = make
+    def __init__(self, make_router: Callable[[RouterSettings, int], Router] = Router) -> None:
+        self.make_router = make_router
         self.routers: dict[str, Router] = {}
         self.lists: dict[int, list[Endpoint]] = {}
         self.crashes: dict[str, str] = {}  # what broke each instance whose code broke
-        self.touched: dict[str, None] = {}  # the instances that the open batch names, in its order
+        self.batch_instances: dict[str, None] = {}  # the instances that the open batch names, in its order
         self.now_us = 0
         self.in_batch = False
 
-    def play(self, lines: Iterable[str]) -> Iterator[str]:
+    def process(self, lines: Iterable[str]) -> Iterator[str]:
         """Reads batches, and yields the reply of each as one text."""
-        stream = _Lines(lines)
+        stream = _LineReader(lines)
         try:
             for text in stream:
-                reply = self._line(text, stream)
+                reply = self._handle_line(text, stream)
                 if reply is not None:
                     yield reply
             if self.in_batch:
                 raise FieldError("the input ends inside a batch")
-        except FieldError as wrong:
-            name = stream.text.partition(" ")[0][:MOST_QUOTED]
-            raise FieldError(f"line {stream.number}: {name}: {wrong}") from None
+        except FieldError as error:
+            name = stream.text.partition(" ")[0][:MAX_QUOTED_LENGTH]
+            raise FieldError(f"line {stream.number}: {name}: {error}") from None
 
-    def _line(self, text: str, stream: _Lines) -> str | None:
+    def _handle_line(self, text: str, stream: _LineReader) -> str | None:
         """Takes one line in; returns the reply where it ends a batch."""
         if not text:
             return None
@@ -63,17 +63,17 @@
             self.now_us = Fields(rest.split(" ")).micros("moment")
             self.in_batch = True
         elif not self.in_batch:
-            raise FieldError(f"'{name[:MOST_QUOTED]}' stands outside a batch")
+            raise FieldError(f"'{name[:MAX_QUOTED_LENGTH]}' stands outside a batch")
         elif name == "COMMIT":
             self.in_batch = False
             return self._reply()
         elif name == "SHEET":
             self._read_list(Fields(rest.split(" ")), stream)
         else:
-            self._instance_line(name, Fields(rest.split(" ") if rest else []))
+            self._handle_instance_line(name, Fields(rest.split(" ") if rest else []))
         return None
 
-    def _read_list(self, fields: Fields, stream: _Lines) -> None:
+    def _read_list(self, fields: Fields, stream: _LineReader) -> None:
         count = fields.integer("members_list", 0)
         if count < 0:
             raise FieldError("field 'members_list' is below 0")
@@ -82,19 +82,19 @@
             text = next(stream, "")
             if not text.startswith("ITEM "):
                 raise FieldError("a list ends before its stated number of ITEM lines")
-            endpoints.append(codec.endpoint(Fields(text[5:].split(" "))))
+            endpoints.append(codec.read_endpoint(Fields(text[5:].split(" "))))
         self.lists[fields.integer("buffer", 0)] = endpoints
 
-    def _instance_line(self, name: str, fields: Fields) -> None:
+    def _handle_instance_line(self, name: str, fields: Fields) -> None:
         """A line for one instance: its start, its end or an event of it. Unknown ones are passed over."""
-        read = EVENTS.get(name)
-        if read is None and name not in ("LAUNCH", "HALT", "PEERS_KNOWN", *IGNORED):
+        read = EVENT_READERS.get(name)
+        if read is None and name not in ("LAUNCH", "HALT", "PEERS_KNOWN", *IGNORED_LINES):
             return
         instance = fields.text("dispatcher_id")
         if name == "HALT":
             self._halt(instance)
             return
-        self.touched[instance] = None
+        self.batch_instances[instance] = None
         if name == "LAUNCH":
             self._launch(instance, fields)
             return
@@ -102,7 +102,7 @@
         if router is None:
             if instance not in self.crashes:
                 raise FieldError(
-                    f"field 'dispatcher_id' names no running instance '{instance[:MOST_QUOTED]}'"
+                    f"field 'dispatcher_id' names no running instance '{instance[:MAX_QUOTED_LENGTH]}'"
                 )
             return
         if read is not None:
@@ -114,14 +114,14 @@
         self.crashes.pop(instance, None)
         settings = read_settings(fields)
         try:
-            self.routers[instance] = self.make(settings, fields.integer("salt", 0))
-        except Exception as broken:
-            self._crashed(instance, broken)
+            self.routers[instance] = self.make_router(settings, fields.integer("salt", 0))
+        except Exception as error:
+            self._record_crash(instance, error)
 
     def _halt(self, instance: str) -> None:
         self.routers.pop(instance, None)
         self.crashes.pop(instance, None)
-        self.touched.pop(instance, None)
+        self.batch_instances.pop(instance, None)
 
     def _endpoint_event(self, fields: Fields) -> Event:
         form = fields.text("form")
@@ -137,36 +137,36 @@
     def _handle(self, instance: str, router: Router, event: Event) -> None:
         try:
             router.handle(self.now_us, event)
-        except Exception as broken:
-            self._crashed(instance, broken)
+        except Exception as error:
+            self._record_crash(instance, error)
 
-    def _crashed(self, instance: str, broken: Exception) -> None:
+    def _record_crash(self, instance: str, error: Exception) -> None:
         """The wire wants any break of the decision code declared, with its text; the first one counts."""
-        text = f"{type(broken).__name__}: {broken}".replace("\n", " ")
+        text = f"{type(error).__name__}: {error}".replace("\n", " ")
         self.crashes.setdefault(instance, text)
 
     def _reply(self) -> str:
         """The actions of all instances that the batch named, and its end."""
         out: list[str] = []
-        for instance in self.touched:
+        for instance in self.batch_instances:
             router = self.routers.get(instance)
             if router is not None and instance not in self.crashes:
-                self._pull(instance, router, out)
+                self._collect_actions(instance, router, out)
             if instance in self.crashes:
                 out.append(f"CRASH dispatcher_id={instance} note_text={self.crashes[instance]}")
-        self.touched.clear()
+        self.batch_instances.clear()
         out.append("DONE\n")
         return "\n".join(out)
 
-    def _pull(self, instance: str, router: Router, out: list[str]) -> None:
+    def _collect_actions(self, instance: str, router: Router, out: list[str]) -> None:
         try:
             while (action := router.next_action(self.now_us)) is not None:
-                out.append(codec.line(instance, action))
-        except Exception as broken:
-            self._crashed(instance, broken)
+                out.append(codec.encode_action(instance, action))
+        except Exception as error:
+            self._record_crash(instance, error)
 
 
-class _Lines:
+class _LineReader:
     """The lines of the input, with the number and the text of the last one that was read."""
 
     def __init__(self, lines: Iterable[str]) -> None:
@@ -174,7 +174,7 @@
         self.number = 0
         self.text = ""
 
-    def __iter__(self) -> _Lines:
+    def __iter__(self) -> _LineReader:
         return self
 
     def __next__(self) -> str:
--- a/hoistplank/lab/adapter.py
+++ b/hoistplank/lab/adapter.py
@@ -28,7 +28,7 @@
         return cast(Router, made(site, seed, None))
 
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
-    for reply in Hosting(make).play(source):
+    for reply in Hosting(make).process(source):
         sys.stdout.write(reply if reply.endswith("\n") else reply + "\n")
         sys.stdout.flush()
     return 0
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hoistplank.benchlink.codec import seconds
+from hoistplank.benchlink.codec import format_seconds
 from hoistplank.benchlink.hosting import Hosting
 from hoistplank.wire_fields import FieldError, parse_seconds
 
@@ -23,12 +23,12 @@
 
 
 def play(*lines: str) -> list[str]:
-    return list(Hosting().play(["FRAME moment=2.5", *lines, "COMMIT"]))
+    return list(Hosting().process(["FRAME moment=2.5", *lines, "COMMIT"]))
 
 
 @pytest.mark.parametrize("text", ["0", "0.000001", "392845.868034", "7.5"])
 def test_times_come_back_as_they_were(text: str) -> None:
-    assert seconds(parse_seconds(text, "time")) == text
+    assert format_seconds(parse_seconds(text, "time")) == text
 
 
 def test_request_is_answered_from_its_own_list() -> None:
