--- a/hoistplank/benchlink/__init__.py
+++ b/hoistplank/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's text wire: its codec and the hosting of router instances."""
+"""The simulator's text protocol: its codec, and the hosting of router instances."""
--- a/hoistplank/benchlink/__main__.py
+++ b/hoistplank/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the router instances on standard input and output."""
+"""Runs router instances for the simulator, on standard input and output."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Until the input ends; 2 where it can't be read, 1 where nobody reads the output."""
+    """Runs until the input ends; returns 2 if it can't be read, 1 if the output was closed."""
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     try:
         for reply in Hosting().process(source):
--- a/hoistplank/benchlink/codec.py
+++ b/hoistplank/benchlink/codec.py
@@ -1,4 +1,4 @@
-"""The simulator's wire to events and actions back to it. Nothing here decides."""
+"""Decodes messages of the simulator into events, and encodes actions as its messages."""
 
 from __future__ import annotations
 
@@ -52,17 +52,17 @@
 
 
 def format_seconds(us: int) -> str:
-    """Whole microseconds as decimal seconds, exactly and without trailing zeros."""
+    """Formats whole microseconds as decimal seconds, exactly and without trailing zeros."""
     sign = "-" if us < 0 else ""
     whole, rest = divmod(abs(us), US_PER_S)
     return f"{sign}{whole}.{rest:06d}".rstrip("0") if rest else f"{sign}{whole}"
 
 
 def read_endpoint(fields: Fields) -> Endpoint:
-    """One row of a list of endpoints."""
+    """Reads one row of an endpoint list."""
     state = fields.text("health", "U")
     if state not in ENDPOINT_STATES:
-        raise FieldError(f"field 'health' has no state '{state[:20]}'")
+        raise FieldError(f"field 'health' must be U, L or D, found '{state[:20]}'")
     return Endpoint(
         host=fields.text("host"),
         zone=fields.text("rack_zone", ""),
@@ -75,7 +75,7 @@
 
 
 def request_arrived(fields: Fields) -> RequestArrived:
-    """A client's request."""
+    """Reads a client's request."""
     return RequestArrived(
         request_id=fields.text("request_id"),
         class_name=fields.text("lane"),
@@ -89,10 +89,10 @@
 
 
 def attempt_ended(fields: Fields) -> AttemptEnded:
-    """The end of an attempt."""
+    """Reads the end of an attempt."""
     status = fields.text("status")
     if status not in OUTCOMES:
-        raise FieldError(f"field 'status' has no meaning '{status[:20]}'")
+        raise FieldError(f"field 'status' must be a known outcome, found '{status[:20]}'")
     return AttemptEnded(
         request_id=fields.text("request_id"),
         attempt=fields.integer("trial"),
@@ -105,27 +105,27 @@
 
 
 def response_started(fields: Fields) -> ResponseStarted:
-    """The first bytes of an answer went on to the client."""
+    """Reads that the first bytes of an answer were sent to the client."""
     return ResponseStarted(fields.text("request_id"), fields.integer("trial"))
 
 
 def client_disconnected(fields: Fields) -> ClientDisconnected:
-    """A client that left."""
+    """Reads that a client disconnected."""
     return ClientDisconnected(fields.text("request_id"))
 
 
 def timer_fired(fields: Fields) -> TimerFired:
-    """A timer whose time is over."""
+    """Reads that a timer fired."""
     return TimerFired(fields.integer("tag"))
 
 
 def purge_received(fields: Fields) -> PurgeReceived:
-    """A purge of an object or of a purge group."""
+    """Reads a purge of an object or of a purge group."""
     return PurgeReceived(fields.text("file", ""), fields.integer("bucket", 0), fields.micros("oldness", 0))
 
 
 def encode_action(instance: str, action: Action) -> str:
-    """One action as one line of the wire."""
+    """Encodes an action as one line."""
     return ACTION_ENCODERS[type(action)](f"dispatcher_id={instance}", action)
 
 
--- a/hoistplank/benchlink/hosting.py
+++ b/hoistplank/benchlink/hosting.py
@@ -1,4 +1,4 @@
-"""Hosts router instances on the wire: lines become events of a router, its actions become reply lines."""
+"""Hosts router instances for the simulator: passes lines as events to routers, and replies with actions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hoistplank.settings_reader import read_settings
 from hoistplank.wire_fields import FieldError, Fields
 
-# The lines that are for one instance, and the event that each is to it.
+# The names of the lines that carry an event for one instance, and the readers of these events.
 EVENT_READERS: dict[str, Callable[[Fields], Event]] = {
     "DEMAND": codec.request_arrived,
     "VERDICT": codec.attempt_ended,
@@ -20,26 +20,26 @@
     "TICK_DUE": codec.timer_fired,
     "PURGED": codec.purge_received,
 }
-# Lines for one instance that tell it nothing that it uses.
+# The names of the lines for one instance that a router does not use.
 IGNORED_LINES = ("PROBE_RESULT", "PEER")
 
 MAX_QUOTED_LENGTH = 40
 
 
 class Hosting:
-    """All instances of this process. They share nothing but the numbered lists of the current wire."""
+    """The router instances of this process. They share only the numbered endpoint lists of the input."""
 
     def __init__(self, make_router: Callable[[RouterSettings, int], Router] = Router) -> None:
         self.make_router = make_router
         self.routers: dict[str, Router] = {}
         self.lists: dict[int, list[Endpoint]] = {}
-        self.crashes: dict[str, str] = {}  # what broke each instance whose code broke
-        self.batch_instances: dict[str, None] = {}  # the instances that the open batch names, in its order
+        self.crashes: dict[str, str] = {}  # the first exception of each instance that raised one, as text
+        self.batch_instances: dict[str, None] = {}  # the instances named in the open batch, in order
         self.now_us = 0
         self.in_batch = False
 
     def process(self, lines: Iterable[str]) -> Iterator[str]:
-        """Reads batches, and yields the reply of each as one text."""
+        """Reads batches, and yields the reply to each as one text."""
         stream = _LineReader(lines)
         try:
             for text in stream:
@@ -53,17 +53,17 @@
             raise FieldError(f"line {stream.number}: {name}: {error}") from None
 
     def _handle_line(self, text: str, stream: _LineReader) -> str | None:
-        """Takes one line in; returns the reply where it ends a batch."""
+        """Handles one line; returns the reply if the line ends a batch."""
         if not text:
             return None
         name, _, rest = text.partition(" ")
         if name == "FRAME":
             if self.in_batch:
-                raise FieldError("a batch begins inside another")
+                raise FieldError("a batch begins inside another batch")
             self.now_us = Fields(rest.split(" ")).micros("moment")
             self.in_batch = True
         elif not self.in_batch:
-            raise FieldError(f"'{name[:MAX_QUOTED_LENGTH]}' stands outside a batch")
+            raise FieldError(f"'{name[:MAX_QUOTED_LENGTH]}' is outside a batch")
         elif name == "COMMIT":
             self.in_batch = False
             return self._reply()
@@ -76,17 +76,17 @@
     def _read_list(self, fields: Fields, stream: _LineReader) -> None:
         count = fields.integer("members_list", 0)
         if count < 0:
-            raise FieldError("field 'members_list' is below 0")
+            raise FieldError("field 'members_list' must not be below 0")
         endpoints: list[Endpoint] = []
         for _ in range(count):
             text = next(stream, "")
             if not text.startswith("ITEM "):
-                raise FieldError("a list ends before its stated number of ITEM lines")
+                raise FieldError("a list has fewer ITEM lines than field 'members_list' states")
             endpoints.append(codec.read_endpoint(Fields(text[5:].split(" "))))
         self.lists[fields.integer("buffer", 0)] = endpoints
 
     def _handle_instance_line(self, name: str, fields: Fields) -> None:
-        """A line for one instance: its start, its end or an event of it. Unknown ones are passed over."""
+        """Handles a line for one instance: its start, its end or an event. Unknown lines are ignored."""
         read = EVENT_READERS.get(name)
         if read is None and name not in ("LAUNCH", "HALT", "PEERS_KNOWN", *IGNORED_LINES):
             return
@@ -126,12 +126,12 @@
     def _endpoint_event(self, fields: Fields) -> Event:
         form = fields.text("form")
         if form != codec.WATCH_FAILED and form not in codec.LIST_FORMS:
-            raise FieldError(f"field 'form' has no meaning '{form[:20]}'")
+            raise FieldError(f"field 'form' must be a known form of list, found '{form[:20]}'")
         number = fields.integer("buffer", 0)
         if form == codec.WATCH_FAILED:
             return EndpointWatchFailed()
         if number not in self.lists:
-            raise FieldError("field 'buffer' names no list")
+            raise FieldError("field 'buffer' names a list that was not received")
         return EndpointsUpdated(codec.LIST_FORMS[form], self.lists[number])
 
     def _handle(self, instance: str, router: Router, event: Event) -> None:
@@ -141,12 +141,12 @@
             self._record_crash(instance, error)
 
     def _record_crash(self, instance: str, error: Exception) -> None:
-        """The wire wants any break of the decision code declared, with its text; the first one counts."""
+        """Keeps the text of an instance's first exception, which the protocol requires to be reported."""
         text = f"{type(error).__name__}: {error}".replace("\n", " ")
         self.crashes.setdefault(instance, text)
 
     def _reply(self) -> str:
-        """The actions of all instances that the batch named, and its end."""
+        """Returns the actions of all instances that the batch named, and the end of the reply."""
         out: list[str] = []
         for instance in self.batch_instances:
             router = self.routers.get(instance)
@@ -167,7 +167,7 @@
 
 
 class _LineReader:
-    """The lines of the input, with the number and the text of the last one that was read."""
+    """Iterates over the lines of the input, and keeps the number and the text of the last one."""
 
     def __init__(self, lines: Iterable[str]) -> None:
         self.lines = iter(lines)
