--- a/hoistplank/settings_reader.py
+++ b/hoistplank/settings_reader.py
@@ -1,8 +1,8 @@
-"""Reads what a dispatcher is told at its start into `RouterSettings`, for simulator and sockets alike.
+"""Reads the settings of a dispatcher into `RouterSettings`, for the simulator and for real dispatchers.
 
-This is the one place where the settings' wire names are translated. Both programs hand over the same names
+This is the only module that translates the external names of the settings. Both programs use the same names
 and units: the simulator as flat pairs, the configuration file as nested JSON, which `wire_fields.flatten`
-turns into such pairs. Nothing is decided here; an absent value takes the wire's own default.
+turns into such pairs. A missing value gets the default of the simulator's protocol.
 """
 
 from __future__ import annotations
@@ -19,18 +19,22 @@
 
 SEMANTICS = {"idempotent": IDEMPOTENT, "deduplicated": KEYED, "at_most_once": NON_IDEMPOTENT}
 LOAD_REPORT_NAMES = {"rif": "held", "busy": "busy", "x0": "hit_share", "x1": "link_full", "q": "queued"}
-SITE = "family_info."  # the prefix of the fields that describe caches, parents and origin
+SITE_PREFIX = "family_info."  # the prefix of the fields that describe caches, parents and origin
 
 
 def read_settings(fields: Fields) -> RouterSettings:
-    """All that the router needs to know of its place. Raises FieldError for what can't be read."""
+    """Returns the settings of a router. Raises FieldError if a field is missing or can't be read."""
     zone = fields.text("zone", "")
-    zones = _row(fields, "areas")
+    zones = _list_values(fields, "areas")
     zone_index = zones.index(zone) if zone in zones else -1
-    links = parse_numbers(fields.text(SITE + "zone_link_kb_per_s", ""), SITE + "zone_link_kb_per_s")
-    by_zone = parse_numbers(fields.text(SITE + "instances_by_zone", ""), SITE + "instances_by_zone")
+    links = parse_numbers(
+        fields.text(SITE_PREFIX + "zone_link_kb_per_s", ""), SITE_PREFIX + "zone_link_kb_per_s"
+    )
+    by_zone = parse_numbers(
+        fields.text(SITE_PREFIX + "instances_by_zone", ""), SITE_PREFIX + "instances_by_zone"
+    )
     dispatchers = fields.integer("group_size", 1)
-    report_names = _row(fields, "report.fields")
+    report_names = _list_values(fields, "report.fields")
     return RouterSettings(
         rules=_read_rules(fields),
         traffic_classes=tuple(
@@ -41,13 +45,13 @@
         dispatchers=dispatchers,
         dispatchers_in_zone=int(by_zone[zone_index]) if 0 <= zone_index < len(by_zone) else dispatchers,
         zone_link_kb_per_s=links[zone_index] if 0 <= zone_index < len(links) else 0.0,
-        stream_kb_per_s=fields.number(SITE + "stream_kb_per_s", 0.0),
+        stream_kb_per_s=fields.number(SITE_PREFIX + "stream_kb_per_s", 0.0),
         links_declared=fields.text("weights", "none") == "nominal",
-        caches_join_fills=fields.flag(SITE + "joins"),
-        cache_status_complete=fields.text(SITE + "notes_given", "none") == "all",
-        sideways_sources=fields.text(SITE + "sideways", "none"),
-        parent_kind=_host_kind(fields, SITE + "second_tier_kind"),
-        origin_kind=_host_kind(fields, SITE + "master_kind"),
+        caches_join_fills=fields.flag(SITE_PREFIX + "joins"),
+        cache_status_complete=fields.text(SITE_PREFIX + "notes_given", "none") == "all",
+        sideways_sources=fields.text(SITE_PREFIX + "sideways", "none"),
+        parent_kind=_host_kind(fields, SITE_PREFIX + "second_tier_kind"),
+        origin_kind=_host_kind(fields, SITE_PREFIX + "master_kind"),
         load_report_fields=tuple(LOAD_REPORT_NAMES.get(name, name) for name in report_names),
         load_reports_in_answers=fields.text("report.how", "none") == "answers",
         tick_us=fields.micros("round", 0),
@@ -61,17 +65,17 @@
         warm_up_us=fields.micros("rules.cold", 0),
         overload_window_us=fields.micros("rules.tip_after", 0),
         overload_multiple=fields.number("rules.fall_multiple", 0.0),
-        parent_warm_up_initial_share=fields.number(SITE + "parent_starts_at", 1.0),
-        parent_warm_up_us=fields.micros(SITE + "parent_ramp", 0),
-        parent_overload_multiple=fields.number(SITE + "parent_fall_multiple", 0.0),
-        purge_delay_us=fields.micros(SITE + "purge_takes", 0),
+        parent_warm_up_initial_share=fields.number(SITE_PREFIX + "parent_starts_at", 1.0),
+        parent_warm_up_us=fields.micros(SITE_PREFIX + "parent_ramp", 0),
+        parent_overload_multiple=fields.number(SITE_PREFIX + "parent_fall_multiple", 0.0),
+        purge_delay_us=fields.micros(SITE_PREFIX + "purge_takes", 0),
         answer_slack_us=fields.micros("rules.answer_slack", 0),
         connect_timeout_us=fields.micros("limits.connect_timeout", 0),
         max_attempts=fields.integer("limits.max_attempts", 1),
         may_hedge=fields.flag("limits.parallel_tries"),
         may_cancel=fields.flag("limits.may_cancel"),
         may_health_check=fields.flag("limits.probes"),
-        may_bypass_caches=fields.flag(SITE + "may_pass_by"),
+        may_bypass_caches=fields.flag(SITE_PREFIX + "may_pass_by"),
         may_send_retry_after=fields.flag("limits.retry_after"),
         max_retry_after_us=fields.micros("limits.max_retry_after", 0),
         must_watch_endpoints=fields.text("discovery", "") == "subscribe",
@@ -83,9 +87,12 @@
     prefix = f"classes.{index}."
     semantics = fields.text(prefix + "semantics")
     if semantics not in SEMANTICS:
-        raise FieldError(f"field '{prefix}semantics' has no meaning '{semantics[:20]}'")
-    uncached = _row(fields, SITE + "uncached")
-    stale_shares = _row(fields, SITE + "worth_when_old")
+        raise FieldError(
+            f"field '{prefix}semantics' must be idempotent, deduplicated or at_most_once,"
+            f" found '{semantics[:20]}'"
+        )
+    uncached = _list_values(fields, SITE_PREFIX + "uncached")
+    stale_shares = _list_values(fields, SITE_PREFIX + "worth_when_old")
     return TrafficClass(
         name=fields.text(prefix + "name"),
         latency_objective_us=fields.micros(prefix + "target"),
@@ -96,9 +103,9 @@
         semantics=SEMANTICS[semantics],
         deduplication_scope=fields.text(prefix + "group", ""),
         deduplication_window_us=fields.micros(prefix + "dedup_window", 0),
-        fresh_us=_row_time(fields, SITE + "lifetime_by_class", index),
-        stale_window_us=_row_time(fields, SITE + "class_grace", index),
-        stale_value_share=parse_numbers(stale_shares[index], SITE + "worth_when_old")[0]
+        fresh_us=_list_seconds(fields, SITE_PREFIX + "lifetime_by_class", index),
+        stale_window_us=_list_seconds(fields, SITE_PREFIX + "class_grace", index),
+        stale_value_share=parse_numbers(stale_shares[index], SITE_PREFIX + "worth_when_old")[0]
         if index < len(stale_shares)
         else 0.0,
         uncached=index < len(uncached) and uncached[index] in ("true", "1"),
@@ -106,15 +113,15 @@
     )
 
 
-def _row(fields: Fields, name: str) -> list[str]:
+def _list_values(fields: Fields, name: str) -> list[str]:
     return [value for value in fields.text(name, "").split(",") if value]
 
 
-def _row_time(fields: Fields, name: str, index: int) -> int:
-    row = _row(fields, name)
+def _list_seconds(fields: Fields, name: str, index: int) -> int:
+    row = _list_values(fields, name)
     return parse_seconds(row[index], name) if index < len(row) else 0
 
 
 def _host_kind(fields: Fields, name: str) -> str:
-    kinds, index = _row(fields, "models"), fields.integer(name, -1)
+    kinds, index = _list_values(fields, "models"), fields.integer(name, -1)
     return kinds[index] if 0 <= index < len(kinds) else ""
