--- a/hoistplank/wire_fields.py
+++ b/hoistplank/wire_fields.py
@@ -1,4 +1,4 @@
-"""Fields of a message as the simulator's wire writes them: `name=value` pairs, times in decimal seconds."""
+"""The fields of a simulator message: `name=value` pairs, with times in decimal seconds."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class FieldError(Exception):
-    """A field that is absent or that can't be read; its text names the field."""
+    """A field is missing or can't be read; the message names the field."""
 
 
 class Fields:
-    """The `name=value` pairs of one message. Each getter raises `FieldError`, which names the field."""
+    """The `name=value` pairs of one message. Each getter raises `FieldError` if it can't read a field."""
 
     __slots__ = ("pairs",)
 
@@ -21,53 +21,53 @@
         for part in parts:
             name, equals, value = part.partition("=")
             if not equals:
-                raise FieldError(f"field '{part[:40]}' is no name=value pair")
+                raise FieldError(f"field '{part[:40]}' is not a name=value pair")
             self.pairs[name] = value
 
     def text(self, name: str, default: str | None = None) -> str:
-        """The value as it is; a field without a default must be there."""
+        """Returns the value unchanged; a field without a default is required."""
         value = self.pairs.get(name, default)
         if value is None:
             raise FieldError(f"field '{name}' is absent")
         return value
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """A whole number."""
+        """Returns the value as a whole number."""
         value = self.pairs.get(name)
         if value is None and default is not None:
             return default
         try:
             return int(self.text(name))
         except ValueError as error:
-            raise FieldError(f"field '{name}' is no whole number") from error
+            raise FieldError(f"field '{name}' is not a whole number") from error
 
     def number(self, name: str, default: float | None = None) -> float:
-        """A finite number."""
+        """Returns the value as a finite number."""
         value = self.pairs.get(name)
         if value is None and default is not None:
             return default
         try:
             found = float(self.text(name))
         except ValueError as error:
-            raise FieldError(f"field '{name}' is no number") from error
+            raise FieldError(f"field '{name}' is not a number") from error
         if not isfinite(found):
-            raise FieldError(f"field '{name}' is not finite")
+            raise FieldError(f"field '{name}' is not a finite number")
         return found
 
     def micros(self, name: str, default: int | None = None) -> int:
-        """A time in decimal seconds, as whole microseconds."""
+        """Returns a time in decimal seconds as whole microseconds."""
         value = self.pairs.get(name)
         if value is None and default is not None:
             return default
         return parse_seconds(self.text(name), name)
 
     def flag(self, name: str) -> bool:
-        """Whether the value is 1 or true; an absent one is not."""
+        """Returns True if the value is 1 or true, False for any other or a missing value."""
         return self.pairs.get(name, "0") in ("1", "true")
 
 
 def parse_seconds(text: str, name: str) -> int:
-    """Decimal seconds to whole microseconds, exactly."""
+    """Converts decimal seconds to whole microseconds, exactly or rounded to the nearest."""
     head, dot, tail = text.partition(".")
     if head.isdecimal() and (tail.isdecimal() if dot else True) and len(tail) <= 6:
         return int(head) * 1_000_000 + int(tail.ljust(6, "0") or 0)
@@ -79,15 +79,15 @@
 
 
 def parse_numbers(text: str, name: str) -> list[float]:
-    """The numbers of a comma-separated row."""
+    """Returns the numbers of a comma-separated list."""
     try:
         return [float(value) for value in text.split(",") if value]
     except ValueError as error:
-        raise FieldError(f"field '{name}' is no row of numbers") from error
+        raise FieldError(f"field '{name}' is not a comma-separated list of numbers") from error
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested JSON as the pairs of the simulator's first message: `a.b`, `rows.0.name` with `rows.count`."""
+    """Flattens nested JSON into the pairs of a LAUNCH message: `a.b`, `rows.0.name` with `rows.count`."""
     dot = path + "." if path else ""
     if isinstance(value, dict):
         return {
