--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""A cold host under all processes together: many modules on one virtual clock, what they send it summed."""
+"""A cold host under all processes together: many modules on one virtual clock, event they send it summed."""
 
 from __future__ import annotations
 
@@ -26,114 +26,145 @@
 from tests.helpers import RULES, SITE, VIDEO
 
 S = 1_000_000
-SEND, COLD, WINDOW, MULTIPLE, LEAST = 100_000, 10 * S, 1_500_000, 2.5, 0.2
-HOUSE = replace(
+SENDING_TIME_US, WARM_UP_US, WINDOW_US, OVERLOAD_MULTIPLE, INITIAL_SHARE = (
+    100_000,
+    10 * S,
+    1_500_000,
+    2.5,
+    0.2,
+)
+FLEET_RULES = replace(
     RULES,
-    warm_up_us=COLD,
-    warm_up_initial_share=LEAST,
-    overload_window_us=WINDOW,
-    overload_multiple=MULTIPLE,
-    parent_warm_up_us=COLD,
-    parent_warm_up_initial_share=LEAST,
-    parent_overload_multiple=MULTIPLE,
+    warm_up_us=WARM_UP_US,
+    warm_up_initial_share=INITIAL_SHARE,
+    overload_window_us=WINDOW_US,
+    overload_multiple=OVERLOAD_MULTIPLE,
+    parent_warm_up_us=WARM_UP_US,
+    parent_warm_up_initial_share=INITIAL_SHARE,
+    parent_overload_multiple=OVERLOAD_MULTIPLE,
 )
 PAGE = replace(VIDEO, name="page", latency_objective_us=300_000, deadline_us=2_500_000)
 
 
-def host(uid: str, kind: str, units: float, cold: bool) -> Endpoint:
-    return Endpoint(uid, "z1" if kind == "cache" else "hub", kind, 0, units, 1 if cold else -60 * S, "up")
+def host(name: str, kind: str, units: float, cold: bool) -> Endpoint:
+    return Endpoint(name, "z1" if kind == "cache" else "hub", kind, 0, units, 1 if cold else -60 * S, "up")
 
 
-def played(
+def attempts_at_cold_host(
     count: int,
     units: float,
     cold: str,
-    told: int,
-    restarted: float,
-    uneven: bool,
+    assumed_count: int,
+    restart_share: float,
+    uneven_load: bool,
     seed: int,
-    make: Callable[[RouterSettings, int], Router] = Router,
+    make_router: Callable[[RouterSettings, int], Router] = Router,
 ) -> list[int]:
-    """When each request and each fill was sent to the cold host, over all processes.
+    """Returns the times at which all dispatchers together sent an attempt or a fill to the cold host.
 
-    All of them want it from its first moment on: a fifth more than its link carries comes in. `told` is the
-    number of processes that they are told; a share `restarted` of them starts anew in the midst, with empty
-    accounts.
+    Requests arrive from the start of that host on, a fifth more than its link carries. `assumed_count`:
+    the number of dispatchers in the settings of each. `restart_share`: the share of the dispatchers that
+    restart during the warm-up and lose their state.
     """
-    chance = Random(seed)
-    entries = [
+    random = Random(seed)
+    endpoints = [
         host("c", "cache", units, cold == "cache"),
         host("p", "parent", units, cold == "parent"),
         host("q", "parent", units, False),
         host("o", "origin", units, False),
     ]
 
-    def started(number: int, now: int) -> Router:
+    def start_router(number: int, now: int) -> Router:
         site = replace(
             SITE,
-            rules=HOUSE,
+            rules=FLEET_RULES,
             traffic_classes=(PAGE,),
             dispatcher_index=number,
-            dispatchers=told,
-            dispatchers_in_zone=told,
+            dispatchers=assumed_count,
+            dispatchers_in_zone=assumed_count,
             zone_link_kb_per_s=units * 10_000.0,
             stream_kb_per_s=10_000.0,
         )
-        router = make(site, seed * 1_000 + number)
-        router.handle(now, EndpointsUpdated(EndpointListForm.PERSISTED, entries))
+        router = make_router(site, seed * 1_000 + number)
+        router.handle(now, EndpointsUpdated(EndpointListForm.PERSISTED, endpoints))
         return router
 
-    routers, lives = [started(number, 0) for number in range(count)], [0] * count
-    weights = [chance.expovariate(1) + 0.05 if uneven else 1.0 for _ in range(count)]
-    queue, sent, at, order = list[tuple[int, int, str, int, tuple[int, str, int]]](), list[int](), 0, 0
+    routers, incarnations = [start_router(number, 0) for number in range(count)], [0] * count
+    weights = [random.expovariate(1) + 0.05 if uneven_load else 1.0 for _ in range(count)]
+    queue, sent, arrival_us, order = (
+        list[tuple[int, int, str, int, tuple[int, str, int]]](),
+        list[int](),
+        0,
+        0,
+    )
 
-    def later(now: int, what: str, number: int, of: tuple[int, str, int] = (0, "", 0)) -> None:
+    def schedule(now: int, event: str, number: int, payload: tuple[int, str, int] = (0, "", 0)) -> None:
         nonlocal order
         order += 1
-        heapq.heappush(queue, (now, order, what, number, of))
-
-    while at < COLD:
-        at += int(chance.expovariate(1.2 * units * S / SEND) * S)
-        later(at, "came", chance.choices(range(count), weights)[0])
-    for number in range(int(count * restarted)):
-        later(int(chance.uniform(0.3, 6) * S), "restart", number)
-    while queue and queue[0][0] <= COLD:
-        now, token, what, number, (life, id, attempt) = heapq.heappop(queue)
-        if what == "restart":
-            routers[number], lives[number] = started(number, now), lives[number] + 1
+        heapq.heappush(queue, (now, order, event, number, payload))
+
+    while arrival_us < WARM_UP_US:
+        arrival_us += int(random.expovariate(1.2 * units * S / SENDING_TIME_US) * S)
+        schedule(arrival_us, "request", random.choices(range(count), weights)[0])
+    for number in range(int(count * restart_share)):
+        schedule(int(random.uniform(0.3, 6) * S), "restart", number)
+    while queue and queue[0][0] <= WARM_UP_US:
+        now, token, event, number, (incarnation, id, attempt) = heapq.heappop(queue)
+        if event == "restart":
+            routers[number], incarnations[number] = start_router(number, now), incarnations[number] + 1
         router = routers[number]
-        if what == "came":
+        if event == "request":
             router.handle(
                 now, RequestArrived(str(token), "page", f"t{token}", 0, 0, 0.0, now + 2_500_000, False)
             )
-        elif life != lives[number]:
-            continue  # of a process that is gone
-        elif what == "ended":
-            ended = AttemptEnded(id, attempt, Outcome.SUCCEEDED, True, SEND, CacheStatus.FILLED, [])
+        elif incarnation != incarnations[number]:
+            continue  # sent before a restart of the dispatcher
+        elif event == "attempt_ended":
+            ended = AttemptEnded(
+                id, attempt, Outcome.SUCCEEDED, True, SENDING_TIME_US, CacheStatus.FILLED, []
+            )
             router.handle(now, ended)
-        elif what == "due":
+        elif event == "timer":
             router.handle(now, TimerFired(attempt))
         while (action := router.next_action(now)) is not None:
             if isinstance(action, SetTimer):
-                later(now + action.delay_us, "due", number, (lives[number], "", action.timer_id))
+                schedule(now + action.delay_us, "timer", number, (incarnations[number], "", action.timer_id))
             elif isinstance(action, SendAttempt):
                 sent += [now] * ((action.host if cold == "cache" else action.source) == cold[0])
-                later(now + SEND, "ended", number, (lives[number], action.request_id, action.attempt))
+                schedule(
+                    now + SENDING_TIME_US,
+                    "attempt_ended",
+                    number,
+                    (incarnations[number], action.request_id, action.attempt),
+                )
     return sent
 
 
-def worst(sent: list[int], units: float) -> tuple[float, str]:
-    """By how much a window passes what the host may get in it, 2 x root of N + 2 being chance.
+def worst_window(sent: list[int], units: float) -> tuple[float, str]:
+    """Returns the largest excess of a window excess the budget of the host, and a description of that window.
 
-    The bound for N under 30, 3 x root of N + 3, is wider: what keeps this one keeps that one.
+    Chance is allowed for by 2 x root of N + 2, for a budget of N attempts. The bound for N under 30, 3 x root
+    of N + 3, is wider: what stays within this one stays within that one.
     """
     found, first = (-1e9, ""), 0
     for last, now in enumerate(sent):
-        while sent[first] <= now - WINDOW:
+        while sent[first] <= now - WINDOW_US:
             first += 1
-        most = MULTIPLE * units * (LEAST + (1 - LEAST) * now / COLD) * WINDOW / SEND
-        over = last - first + 1 - (most + 2 * sqrt(most) + 2)
-        found = max(found, (over, f"{last - first + 1} sent of {most:.0f} in a window at {now / S:.2f} s"))
+        budget = (
+            OVERLOAD_MULTIPLE
+            * units
+            * (INITIAL_SHARE + (1 - INITIAL_SHARE) * now / WARM_UP_US)
+            * WINDOW_US
+            / SENDING_TIME_US
+        )
+        excess = last - first + 1 - (budget + 2 * sqrt(budget) + 2)
+        found = max(
+            found,
+            (
+                excess,
+                f"{last - first + 1} attempts for a budget of {budget:.0f} in a window at {now / S:.2f} s",
+            ),
+        )
     return found
 
 
@@ -142,20 +173,25 @@
 )
 @pytest.mark.parametrize("cold", ["cache", "parent"])
 @pytest.mark.parametrize(
-    "told, restarted, uneven", [(1.0, 0.0, False), (1.0, 1.0, False), (0.8, 0.5, False), (1.2, 0.0, True)]
+    "assumed_share, restart_share, uneven_load",
+    [(1.0, 0.0, False), (1.0, 1.0, False), (0.8, 0.5, False), (1.2, 0.0, True)],
 )
-def test_all_processes_together_push_no_cold_host_over(
-    count: int, units: float, cold: str, told: float, restarted: float, uneven: bool
+def test_all_dispatchers_together_stay_within_cold_host_budget(
+    count: int, units: float, cold: str, assumed_share: float, restart_share: float, uneven_load: bool
 ) -> None:
     seed = count * 7 + int(units)
-    sent = played(count, units, cold, max(1, round(count * told)), restarted, uneven, seed)
-    over, where = worst(sent, units)
-    assert sent and over <= 0, f"seed {seed}: {where}"
+    sent = attempts_at_cold_host(
+        count, units, cold, max(1, round(count * assumed_share)), restart_share, uneven_load, seed
+    )
+    excess, where = worst_window(sent, units)
+    assert sent and excess <= 0, f"seed {seed}: {where}"
 
 
-def test_the_sum_shows_a_build_in_which_each_process_takes_the_whole_budget() -> None:
-    def alone(site: RouterSettings, seed: int) -> Router:
+def test_check_fails_if_each_dispatcher_takes_the_whole_budget() -> None:
+    def whole_budget_router(site: RouterSettings, seed: int) -> Router:
         return Router(replace(site, dispatchers=1, dispatchers_in_zone=1), seed)
 
-    over, where = worst(played(20, 6, "cache", 20, 0.0, False, 1, alone), 6)
-    assert over > 0, where
+    excess, where = worst_window(
+        attempts_at_cold_host(20, 6, "cache", 20, 0.0, False, 1, whole_budget_router), 6
+    )
+    assert excess > 0, where
