--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -141,7 +141,7 @@
 
 
 def worst_window(sent: list[int], units: float) -> tuple[float, str]:
-    """Returns the largest excess of a window excess the budget of the host, and a description of that window.
+    """Returns the largest excess of a window over the budget of the host, and a description of that window.
 
     Chance is allowed for by 2 x root of N + 2, for a budget of N attempts. The bound for N under 30, 3 x root
     of N + 3, is wider: what stays within this one stays within that one.
--- a/tests/test_list_confirmation.py
+++ b/tests/test_list_confirmation.py
@@ -1,4 +1,4 @@
-"""How far the endpoint list is relied on, by what its watch reports and by what time."""
+"""The reliability of the endpoint list, by the stages of its watch and by time."""
 
 from __future__ import annotations
 
@@ -9,90 +9,90 @@
 
 GRACE_US = 250_000
 STAGES = {
-    "connects": EndpointWatchStage.CONNECTING,
+    "connecting": EndpointWatchStage.CONNECTING,
     "refused": EndpointWatchStage.REFUSED,
-    "asked": EndpointWatchStage.AWAITING_ANSWER,
+    "awaiting": EndpointWatchStage.AWAITING_ANSWER,
     "confirmed": EndpointWatchStage.CONFIRMED,
 }
 
-# Rows of: time (ms), what the watch reports ("" for nothing), how far the list is relied on then.
+# Rows of: time in ms, the stage that the watch reports ("" for none), the reliability of the list then.
 HISTORIES: dict[str, list[tuple[int, str, str]]] = {
-    "nobody watches": [(0, "", "unwatched")],
-    "a start that is answered": [
-        (0, "connects", "awaited"),
-        (5, "asked", "awaited"),
+    "no watch is reported": [(0, "", "unwatched")],
+    "the first connection is confirmed": [
+        (0, "connecting", "awaited"),
+        (5, "awaiting", "awaited"),
         (9, "confirmed", "confirmed"),
     ],
-    "a start that is refused": [
-        (0, "connects", "awaited"),
+    "the first connection is refused": [
+        (0, "connecting", "awaited"),
         (5, "refused", "unreachable"),
-        (40, "connects", "unreachable"),
+        (40, "connecting", "unreachable"),
     ],
-    "a start whose connection does not come up": [
-        (0, "connects", "awaited"),
-        (1_000, "connects", "awaited"),
+    "the first connection is never established": [
+        (0, "connecting", "awaited"),
+        (1_000, "connecting", "awaited"),
         (3_400, "", "awaited"),
         (3_501, "", "unanswered"),
     ],
-    "a start that is not answered": [
-        (0, "connects", "awaited"),
-        (5, "asked", "awaited"),
+    "the first connection is never answered": [
+        (0, "connecting", "awaited"),
+        (5, "awaiting", "awaited"),
         (2_900, "", "awaited"),
         (3_006, "", "unanswered"),
     ],
-    "silence is waited for once": [
-        (0, "connects", "awaited"),
-        (5, "asked", "awaited"),
-        (2_300, "connects", "awaited"),
-        (2_310, "asked", "awaited"),
+    "a source that never answers is awaited once": [
+        (0, "connecting", "awaited"),
+        (5, "awaiting", "awaited"),
+        (2_300, "connecting", "awaited"),
+        (2_310, "awaiting", "awaited"),
         (3_006, "", "unanswered"),
-        (9_000, "asked", "unanswered"),
+        (9_000, "awaiting", "unanswered"),
         (9_500, "confirmed", "confirmed"),
     ],
-    "a connection that breaks and is back at once": [
+    "a lost connection is back at once": [
         (0, "confirmed", "confirmed"),
-        (10, "connects", "grace"),
-        (40, "asked", "grace"),
+        (10, "connecting", "grace"),
+        (40, "awaiting", "grace"),
         (42, "confirmed", "confirmed"),
     ],
-    "one that is back and answers late": [
+    "a lost connection is back and answered late": [
         (0, "confirmed", "confirmed"),
-        (10, "connects", "grace"),
-        (40, "asked", "grace"),
+        (10, "connecting", "grace"),
+        (40, "awaiting", "grace"),
         (159, "", "grace"),
         (200, "", "awaited"),
         (3_039, "", "awaited"),
         (3_041, "", "unanswered"),
     ],
-    "one that does not come up": [
+    "a lost connection is never established again": [
         (0, "confirmed", "confirmed"),
-        (10, "connects", "grace"),
+        (10, "connecting", "grace"),
         (170, "", "awaited"),
         (1_011, "", "unanswered"),
     ],
-    "an outage that is told by refusals": [
+    "a lost connection is refused, then back": [
         (0, "confirmed", "confirmed"),
-        (10, "connects", "grace"),
+        (10, "connecting", "grace"),
         (40, "refused", "unreachable"),
-        (5_000, "connects", "unreachable"),
-        (5_010, "asked", "grace"),
+        (5_000, "connecting", "unreachable"),
+        (5_010, "awaiting", "grace"),
         (5_161, "", "awaited"),
         (5_200, "confirmed", "confirmed"),
     ],
-    "one that was asked and went without an answer": [
-        (0, "connects", "awaited"),
-        (5, "asked", "awaited"),
-        (500, "connects", "awaited"),
+    "the source is refused while its answer is awaited": [
+        (0, "connecting", "awaited"),
+        (5, "awaiting", "awaited"),
+        (500, "connecting", "awaited"),
         (510, "refused", "awaited"),
         (2_900, "refused", "awaited"),
         (3_006, "", "unanswered"),
     ],
-    "one that was asked, was gone for long and is back": [
-        (0, "connects", "awaited"),
-        (5, "asked", "awaited"),
+    "the source is refused for long while its answer is awaited, then back": [
+        (0, "connecting", "awaited"),
+        (5, "awaiting", "awaited"),
         (500, "refused", "awaited"),
         (6_100, "refused", "unreachable"),
-        (8_000, "asked", "awaited"),
+        (8_000, "awaiting", "awaited"),
         (10_900, "", "awaited"),
         (11_001, "", "unanswered"),
     ],
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("name", HISTORIES)
-def test_how_far_the_list_is_relied_on(name: str) -> None:
+def test_reliability_of_the_list(name: str) -> None:
     confirmation = ListConfirmation(GRACE_US)
     for at_ms, reported, standing in HISTORIES[name]:
         now_us = at_ms * 1_000
@@ -111,8 +111,8 @@
 
 
 @pytest.mark.parametrize("name", HISTORIES)
-def test_no_history_holds_attempts_for_longer_than_its_waits(name: str) -> None:
-    """Whatever a source does, a fleet is not kept from serving by it: 6.5 s is the sum of all waits."""
+def test_attempts_are_held_for_a_bounded_time(name: str) -> None:
+    """A source must not stop the fleet, whatever it does: 6.5 s is the sum of the waits."""
     confirmation = ListConfirmation(GRACE_US)
     for at_ms, reported, _ in HISTORIES[name]:
         if reported:
