--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: times both ways, a launch and a request over the wire, plain messages on what is malformed."""
+"""The simulator adapter: times in both directions, a launch and a request, errors for malformed lines."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     " classes.0.semantics=idempotent family_info.second_tier_kind=1 family_info.master_kind=2"
     " limits.max_attempts=6"
 )
-LIST = [
+LIST_LINES = [
     "SHEET buffer=3 members_list=2",
     "ITEM host=a:1 rack_zone=z1 type=box health=U",
     "ITEM host=o:1 type=origin",
@@ -22,24 +22,24 @@
 REQUEST = "DEMAND request_id=00ff file=ab lane=page give_up_at=4.5 dispatcher_id=d/1"
 
 
-def play(*lines: str) -> list[str]:
+def process_batch(*lines: str) -> list[str]:
     return list(Hosting().process(["FRAME moment=2.5", *lines, "COMMIT"]))
 
 
 @pytest.mark.parametrize("text", ["0", "0.000001", "392845.868034", "7.5"])
-def test_times_come_back_as_they_were(text: str) -> None:
+def test_time_round_trip(text: str) -> None:
     assert format_seconds(parse_seconds(text, "time")) == text
 
 
-def test_request_is_answered_from_its_own_list() -> None:
-    reply = play(LAUNCH, *LIST, REQUEST)[0].split("\n")
+def test_request_is_sent_to_a_host_of_the_list() -> None:
+    reply = process_batch(LAUNCH, *LIST_LINES, REQUEST)[0].split("\n")
     attempt = "SERVE_VIA dispatcher_id=d/1 request_id=00ff host=a:1 within=2 miss_from=o:1 retain=2"
     assert reply[0].startswith(attempt)
     assert reply[-2:] == ["DONE", ""]
 
 
-def test_stopped_instance_says_nothing() -> None:
-    assert play(LAUNCH, *LIST, REQUEST, "HALT dispatcher_id=d/1") == ["DONE\n"]
+def test_stopped_instance_has_no_actions() -> None:
+    assert process_batch(LAUNCH, *LIST_LINES, REQUEST, "HALT dispatcher_id=d/1") == ["DONE\n"]
 
 
 @pytest.mark.parametrize(
@@ -50,6 +50,6 @@
         ("TICK_DUE tag", "line 8: TICK_DUE: field 'tag' is not a name=value pair"),
     ],
 )
-def test_malformed_line_is_named(line: str, message: str) -> None:
+def test_error_names_line_and_field(line: str, message: str) -> None:
     with pytest.raises(FieldError, match=message.replace("=", ".")):
-        play(LAUNCH, *LIST, line)
+        process_batch(LAUNCH, *LIST_LINES, line)
--- a/tests/test_compatibility_simulator.py
+++ b/tests/test_compatibility_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: recorded batches are answered byte for byte as an earlier text answered them."""
+"""The simulator protocol: recorded batches get the recorded answers of an earlier version, byte for byte."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 RECORDINGS = sorted(path.name.removesuffix(".in.xz") for path in (FIXTURES / "wire").glob("*.in.xz"))
 
 
-def test_the_recordings_hold_every_message_that_a_day_may_bring() -> None:
+def test_recordings_contain_every_message_type() -> None:
     lines = [line for name in RECORDINGS for line in fixture_xz(f"wire/{name}.in.xz").split(b"\n")]
     answers = [line for name in RECORDINGS for line in fixture_xz(f"wire/{name}.out.xz").split(b"\n")]
     assert {line.split(b" ")[0] for line in lines if line} == {
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("name", RECORDINGS)
-def test_a_recorded_start_is_answered_byte_for_byte(name: str) -> None:
+def test_recorded_input_gives_recorded_output(name: str) -> None:
     adapter = subprocess.run(
         [sys.executable, "-m", "hoistplank.benchlink"],
         input=fixture_xz(f"wire/{name}.in.xz"),
@@ -35,7 +35,7 @@
     )
     assert (adapter.returncode, adapter.stderr) == (0, b"")
     answers = adapter.stdout.split(b"DONE\n")
-    wanted = fixture_xz(f"wire/{name}.out.xz").split(b"DONE\n")
-    assert len(answers) == len(wanted)
-    for batch, (answer, want) in enumerate(zip(answers, wanted, strict=True), 1):
-        assert answer == want, f"batch {batch}"
+    expected = fixture_xz(f"wire/{name}.out.xz").split(b"DONE\n")
+    assert len(answers) == len(expected)
+    for batch, (answer, expected_answer) in enumerate(zip(answers, expected, strict=True), 1):
+        assert answer == expected_answer, f"batch {batch}"
