--- a/tests/scene_runner.py
+++ b/tests/scene_runner.py
@@ -1,4 +1,4 @@
-"""Runs a test's coroutine to its end, on the event loop that the program serves on."""
+"""Runs a test's coroutine on the event loop that the program uses."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 def run_scene(scene: Coroutine[Any, Any, None], limit_s: float = 20) -> None:
-    """Fails where the scene takes longer than `limit_s`."""
+    """Runs the coroutine to its end; raises TimeoutError after `limit_s`."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(scene, limit_s))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,8 +1,8 @@
-"""Plays every scenario in tests/scenarios: a small script of inputs, and the decisions that must follow.
+"""Plays every scenario in tests/scenarios: a script of inputs, and the decisions that must follow.
 
-A line is `TIME_MS INPUT words...` for an input (after `&` the next input joins its batch), `> act words...`
-for the decision that must come next (wakes left out), `! act words...` for one that must not come, `.` for
-no further decision, `...` to pass over those still unspoken for, `site NAME=VALUE` for other figures.
+A line is `TIME_MS INPUT words...` for an input (after `&`, the next input joins its batch), `> act words...`
+for the decision that must come next (timers are left out), `! act words...` for one that must not follow, `.`
+for no further decision, `...` to skip the decisions not checked yet, `site NAME=VALUE` for other settings.
 """
 
 from pathlib import Path
@@ -11,10 +11,10 @@
 
 from tests.helpers import Stage
 
-SCENES = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
+SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 
 
-@pytest.mark.parametrize("path", SCENES, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
     stage = Stage()
     for number, line in enumerate(path.read_text().splitlines(), 1):
