--- a/hoistplank/benchlink/codec.py
+++ b/hoistplank/benchlink/codec.py
@@ -69,7 +69,7 @@
         kind=fields.text("type", ""),
         cell=fields.integer("stripe", 0),
         units=fields.number("units", 1.0),
-        started_us=fields.micros("online_since", 0),
+        started_us=fields.microseconds("online_since", 0),
         state=ENDPOINT_STATES[state],
     )
 
@@ -83,7 +83,7 @@
         part=fields.integer("piece", 0),
         purge_group=fields.integer("label_no", 0),
         size_kb=fields.number("volume_kb", 0.0),
-        deadline_us=fields.micros("give_up_at"),
+        deadline_us=fields.microseconds("give_up_at"),
         is_repeat=fields.flag("is_retry"),
     )
 
@@ -98,7 +98,7 @@
         attempt=fields.integer("trial"),
         outcome=OUTCOMES[status],
         request_closed=fields.flag("ended"),
-        took_us=fields.micros("time_taken", 0),
+        took_us=fields.microseconds("time_taken", 0),
         cache_status=fields.integer("info", 0),
         load_report=parse_numbers(fields.text("feedback", ""), "feedback"),
     )
@@ -121,7 +121,9 @@
 
 def purge_received(fields: Fields) -> PurgeReceived:
     """Reads a purge of an object or of a purge group."""
-    return PurgeReceived(fields.text("file", ""), fields.integer("bucket", 0), fields.micros("oldness", 0))
+    return PurgeReceived(
+        fields.text("file", ""), fields.integer("bucket", 0), fields.microseconds("oldness", 0)
+    )
 
 
 def encode_action(instance: str, action: Action) -> str:
--- a/hoistplank/benchlink/hosting.py
+++ b/hoistplank/benchlink/hosting.py
@@ -60,7 +60,7 @@
         if name == "FRAME":
             if self.in_batch:
                 raise FieldError("a batch begins inside another batch")
-            self.now_us = Fields(rest.split(" ")).micros("moment")
+            self.now_us = Fields(rest.split(" ")).microseconds("moment")
             self.in_batch = True
         elif not self.in_batch:
             raise FieldError(f"'{name[:MAX_QUOTED_LENGTH]}' is outside a batch")
--- a/hoistplank/decision/feedback.py
+++ b/hoistplank/decision/feedback.py
@@ -40,7 +40,7 @@
         self.host_limits.record_end(attempt)
         if attempt.is_fill:
             self._record_fill_end(now_us, attempt, event)
-        self.herds.end_lead(attempt)
+        self.herds.clear_leader(attempt)
         if attempt.host.tier == CACHE:
             self.fills.record_load_report(now_us, event.load_report)
         self._record_host(now_us, attempt, event)
@@ -109,9 +109,9 @@
         if request.traffic_class.uncached or status == CacheStatus.STALE:
             return
         sending_time_us = request.sending_time_us()
-        self.slow_start.record_carried(now_us, host, sending_time_us)
+        self.slow_start.record_load(now_us, host, sending_time_us)
         if source is not None and not attempt.answers_locally:
-            self.slow_start.record_carried(now_us, source, sending_time_us)
+            self.slow_start.record_load(now_us, source, sending_time_us)
         is_hit = status == CacheStatus.HIT
         if host.tier != PARENT:
             fetched = status in FETCHED or status == CacheStatus.JOINED
--- a/hoistplank/decision/herds.py
+++ b/hoistplank/decision/herds.py
@@ -46,13 +46,13 @@
             herd.tokens -= 1
         return herd
 
-    def lead(self, attempt: Attempt) -> None:
+    def make_leader(self, attempt: Attempt) -> None:
         """Makes a fill the leader of its herd if the herd has none."""
         herd = attempt.request.herd
         if herd is not None and herd.leader is None:
             herd.leader = attempt
 
-    def end_lead(self, attempt: Attempt) -> None:
+    def clear_leader(self, attempt: Attempt) -> None:
         """Removes a leader, whatever the outcome of its attempt, so that no herd waits for a lost leader."""
         herd = attempt.request.herd
         if herd is not None and herd.leader is attempt:
--- a/hoistplank/decision/hosts.py
+++ b/hoistplank/decision/hosts.py
@@ -60,8 +60,8 @@
     # Slow start (slow_start.py).
     warming_since_us: int = WARM
     warm_up_work: deque[tuple[int, float]] = field(default_factory=deque)  # time sent, sending time
-    carried_transfers: float = 0.0
-    carried_us: int = 0
+    mean_transfers: float = 0.0  # average concurrent transfers for this dispatcher
+    mean_updated_us: int = 0
     # Concurrency limit (concurrency.py).
     attempts_in_flight: int = 0
     concurrency_limit: float = inf
@@ -115,7 +115,7 @@
 
     def register(self, now_us: int, name: str, kind: str, zone: str) -> Host:
         """Adds a host that is not known yet; `describe` then sets its state."""
-        host = Host(name, hash_key(name), answered_us=now_us, carried_us=now_us)
+        host = Host(name, hash_key(name), answered_us=now_us, mean_updated_us=now_us)
         self.by_name[name] = host
         if kind == self.settings.origin_kind:
             host.tier, self.origin = ORIGIN, host
--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -38,17 +38,17 @@
     answers_locally: bool = False
 
 
-class Verdict(Enum):
+class NoAttempt(Enum):
     """The decision for a request that gets no attempt now."""
 
     HOLD = "hold"
     GIVE_UP = "give up"
 
 
-HOLD = Verdict.HOLD
-GIVE_UP = Verdict.GIVE_UP
+HOLD = NoAttempt.HOLD
+GIVE_UP = NoAttempt.GIVE_UP
 
-PlacementResult = PlannedAttempt | Verdict
+PlacementResult = PlannedAttempt | NoAttempt
 
 
 class Placement:
--- a/hoistplank/decision/router.py
+++ b/hoistplank/decision/router.py
@@ -289,7 +289,7 @@
             self.parts.slow_start.record_attempt(now_us, source, sending_time_us)
         if attempt.is_fill:
             self.parts.fills.record_start(request.class_state)
-            self.parts.herds.lead(attempt)
+            self.parts.herds.make_leader(attempt)
 
     def _max_age_us(self, now_us: int, request: Request, planned: PlannedAttempt) -> int:
         """Returns the maximum age of the copy.
--- a/hoistplank/decision/settings.py
+++ b/hoistplank/decision/settings.py
@@ -95,7 +95,7 @@
     links_declared: bool
     caches_join_fills: bool
     cache_status_complete: bool
-    sideways_sources: str
+    peer_sources: str
     parent_kind: str
     origin_kind: str
     load_report_fields: tuple[str, ...]
--- a/hoistplank/decision/slow_start.py
+++ b/hoistplank/decision/slow_start.py
@@ -15,7 +15,7 @@
 # Its multiples modulo 1 are evenly distributed, for consecutive and for scattered dispatcher indexes alike.
 GOLDEN_RATIO_FRACTION = 0.6180339887
 # The decay time, 5 s, of the average load of a host.
-CARRIED_WINDOW_US = 5e6
+LOAD_WINDOW_US = 5e6
 
 
 class WarmUpRule(NamedTuple):
@@ -61,11 +61,11 @@
         if host.warming_since_us >= 0:
             host.warm_up_work.append((now_us, sending_time_us))
 
-    def record_carried(self, now_us: int, host: Host, sending_time_us: float) -> None:
+    def record_load(self, now_us: int, host: Host, sending_time_us: float) -> None:
         """Adds an answer to the average load of a host from this dispatcher, in concurrent transfers."""
-        kept = host.carried_transfers * exp((host.carried_us - now_us) / CARRIED_WINDOW_US)
-        host.carried_transfers = kept + sending_time_us / CARRIED_WINDOW_US
-        host.carried_us = now_us
+        decayed = host.mean_transfers * exp((host.mean_updated_us - now_us) / LOAD_WINDOW_US)
+        host.mean_transfers = decayed + sending_time_us / LOAD_WINDOW_US
+        host.mean_updated_us = now_us
 
     def fits_budget(self, now_us: int, host: Host, sending_time_us: float) -> bool:
         """Returns True if an attempt is within the budget of a host for any window (rule four).
@@ -130,5 +130,5 @@
             tier, sharers = self.hosts.caches, settings.dispatchers_in_zone
             part = part / self.hosts.max_caches
         # The mean, not the maximum: with few requests, the maximum is mostly chance, a multiple of the load.
-        carried = sum(neighbour.carried_transfers for neighbour in tier)
-        return max(1.0, part, sharers * carried / max(1, len(tier)))
+        total_transfers = sum(neighbour.mean_transfers for neighbour in tier)
+        return max(1.0, part, sharers * total_transfers / max(1, len(tier)))
--- a/hoistplank/settings_reader.py
+++ b/hoistplank/settings_reader.py
@@ -49,37 +49,37 @@
         links_declared=fields.text("weights", "none") == "nominal",
         caches_join_fills=fields.flag(SITE_PREFIX + "joins"),
         cache_status_complete=fields.text(SITE_PREFIX + "notes_given", "none") == "all",
-        sideways_sources=fields.text(SITE_PREFIX + "sideways", "none"),
+        peer_sources=fields.text(SITE_PREFIX + "sideways", "none"),
         parent_kind=_host_kind(fields, SITE_PREFIX + "second_tier_kind"),
         origin_kind=_host_kind(fields, SITE_PREFIX + "master_kind"),
         load_report_fields=tuple(LOAD_REPORT_NAMES.get(name, name) for name in report_names),
         load_reports_in_answers=fields.text("report.how", "none") == "answers",
-        tick_us=fields.micros("round", 0),
+        tick_us=fields.microseconds("round", 0),
     )
 
 
 def _read_rules(fields: Fields) -> RuleLimits:
     return RuleLimits(
-        drain_grace_us=fields.micros("rules.stop_sending_within", 0),
+        drain_grace_us=fields.microseconds("rules.stop_sending_within", 0),
         warm_up_initial_share=fields.number("rules.cold_from", 1.0),
-        warm_up_us=fields.micros("rules.cold", 0),
-        overload_window_us=fields.micros("rules.tip_after", 0),
+        warm_up_us=fields.microseconds("rules.cold", 0),
+        overload_window_us=fields.microseconds("rules.tip_after", 0),
         overload_multiple=fields.number("rules.fall_multiple", 0.0),
         parent_warm_up_initial_share=fields.number(SITE_PREFIX + "parent_starts_at", 1.0),
-        parent_warm_up_us=fields.micros(SITE_PREFIX + "parent_ramp", 0),
+        parent_warm_up_us=fields.microseconds(SITE_PREFIX + "parent_ramp", 0),
         parent_overload_multiple=fields.number(SITE_PREFIX + "parent_fall_multiple", 0.0),
-        purge_delay_us=fields.micros(SITE_PREFIX + "purge_takes", 0),
-        answer_slack_us=fields.micros("rules.answer_slack", 0),
-        connect_timeout_us=fields.micros("limits.connect_timeout", 0),
+        purge_delay_us=fields.microseconds(SITE_PREFIX + "purge_takes", 0),
+        answer_slack_us=fields.microseconds("rules.answer_slack", 0),
+        connect_timeout_us=fields.microseconds("limits.connect_timeout", 0),
         max_attempts=fields.integer("limits.max_attempts", 1),
         may_hedge=fields.flag("limits.parallel_tries"),
         may_cancel=fields.flag("limits.may_cancel"),
         may_health_check=fields.flag("limits.probes"),
         may_bypass_caches=fields.flag(SITE_PREFIX + "may_pass_by"),
         may_send_retry_after=fields.flag("limits.retry_after"),
-        max_retry_after_us=fields.micros("limits.max_retry_after", 0),
+        max_retry_after_us=fields.microseconds("limits.max_retry_after", 0),
         must_watch_endpoints=fields.text("discovery", "") == "subscribe",
-        poll_interval_us=fields.micros("rules.ask_every", 0),
+        poll_interval_us=fields.microseconds("rules.ask_every", 0),
     )
 
 
@@ -95,14 +95,14 @@
     stale_shares = _list_values(fields, SITE_PREFIX + "worth_when_old")
     return TrafficClass(
         name=fields.text(prefix + "name"),
-        latency_objective_us=fields.micros(prefix + "target"),
+        latency_objective_us=fields.microseconds(prefix + "target"),
         objective_stretch=fields.number(prefix + "aim_stretch", 0.0),
-        deadline_us=fields.micros(prefix + "give_up"),
+        deadline_us=fields.microseconds(prefix + "give_up"),
         priority_weight=fields.number(prefix + "gain", 1.0),
         late_value_share=fields.number(prefix + "late_value", 0.0),
         semantics=SEMANTICS[semantics],
         deduplication_scope=fields.text(prefix + "group", ""),
-        deduplication_window_us=fields.micros(prefix + "dedup_window", 0),
+        deduplication_window_us=fields.microseconds(prefix + "dedup_window", 0),
         fresh_us=_list_seconds(fields, SITE_PREFIX + "lifetime_by_class", index),
         stale_window_us=_list_seconds(fields, SITE_PREFIX + "class_grace", index),
         stale_value_share=parse_numbers(stale_shares[index], SITE_PREFIX + "worth_when_old")[0]
--- a/hoistplank/wire_fields.py
+++ b/hoistplank/wire_fields.py
@@ -54,7 +54,7 @@
             raise FieldError(f"field '{name}' is not a finite number")
         return found
 
-    def micros(self, name: str, default: int | None = None) -> int:
+    def microseconds(self, name: str, default: int | None = None) -> int:
         """Returns a time in decimal seconds as whole microseconds."""
         value = self.pairs.get(name)
         if value is None and default is not None:
