--- a/hoistplank/decision/concurrency.py
+++ b/hoistplank/decision/concurrency.py
@@ -137,10 +137,10 @@
 
         An overloaded origin takes longer for each fill the more fills are in flight: fewer end sooner.
         """
-        crowded = self.in_flight >= self.limit - USED_UP_MARGIN
-        if in_time and (crowded or self.ceiling < inf):
+        nearly_used_up = self.in_flight >= self.limit - USED_UP_MARGIN
+        if in_time and (nearly_used_up or self.ceiling < inf):
             self.limit = min(self.ceiling, self.limit + FILL_LIMIT_INCREASE)
-        elif crowded and not in_time:
+        elif nearly_used_up and not in_time:
             self.limit = max(self.min_limit, self.limit * FILL_LIMIT_DECREASE)
 
     def record_load_report(self, now_us: int, report: list[float]) -> None:
@@ -179,10 +179,10 @@
         )
 
     def is_half_used(self) -> bool:
-        """Returns True if half the limit is used, so that checking for a copy before a fill pays."""
+        """Returns True if at least half the limit is used, so that fills should follow a check for a copy."""
         return self.in_flight * 2 >= self.limit
 
-    def holds_back(self, class_state: TrafficClassState) -> bool:
+    def is_class_limited(self, class_state: TrafficClassState) -> bool:
         """Returns True if a class whose fills are late has used up its share of the limit.
 
         One fill more than the share is always allowed, so that the class can recover.
--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -209,7 +209,7 @@
         return request.stale_allowed or self.fills.is_half_used()
 
     def _may_fill(self, now_us: int, request: Request) -> bool:
-        return self.fills.has_capacity(now_us) and not self.fills.holds_back(request.class_state)
+        return self.fills.has_capacity(now_us) and not self.fills.is_class_limited(request.class_state)
 
     def _bypass_caches(self, now_us: int, request: Request) -> PlacementResult:
         """Goes directly to a parent if all caches are gone, silent or out of their warm-up budget.
@@ -237,7 +237,7 @@
         )
 
     def _first_cache(self, now_us: int, request: Request) -> Host | None:
-        """Returns the first cache in the object's order with capacity; hosts that failed it come last."""
+        """Returns the first cache with capacity in the object's order, with hosts that failed at the end."""
         order = self.ranking.order(request).caches
         if request.failed_hosts:
             order = sorted(order, key=request.failed_hosts.__contains__)
--- a/hoistplank/decision/purges.py
+++ b/hoistplank/decision/purges.py
@@ -63,7 +63,7 @@
     def max_age_us(self, now_us: int, request: Request, wanted_us: int) -> int:
         """Returns the maximum age of a copy that may answer the request; 0 for that of its class.
 
-        Without a purge of the request's object it is `wanted_us`.
+        Without a watermark that applies to the request, it is `wanted_us`.
         """
         watermark_us = self.watermark_us(request)
         if not watermark_us:
--- a/hoistplank/decision/requests.py
+++ b/hoistplank/decision/requests.py
@@ -128,7 +128,7 @@
     last_request_us: int
     tokens: float = BUCKET_SIZE
     leader: Attempt | None = None  # the fill that the other requests wait for
-    # The last known copy.
+    # The last known copy: its host, the incarnation of that host, and the time at which it was last seen.
     host: Host | None = None
     host_incarnation: int = 0
     seen_us: int = 0
--- a/hoistplank/decision/slow_start.py
+++ b/hoistplank/decision/slow_start.py
@@ -91,9 +91,9 @@
         return sum(sent_us for _, sent_us in work) + sending_time_us <= budget_us / quota_holders
 
     def _budget_us(self, now_us: int, host: Host, rule: WarmUpRule) -> float:
-        """Returns the sending time that all dispatchers together may send to the host in one window.
+        """Returns the budget of a host for one window, as of the beginning of the window.
 
-        It is the budget as of the beginning of the window.
+        It is the total sending time of the attempts that all dispatchers together may send to the host.
         """
         warm_us = max(0, now_us - self.window_us - host.warming_since_us)
         share = rule.initial_share + (1 - rule.initial_share) * warm_us / rule.warm_up_us
