--- a/hoistplank/decision/placement.py
+++ b/hoistplank/decision/placement.py
@@ -237,7 +237,10 @@
         )
 
     def _first_cache(self, now_us: int, request: Request) -> Host | None:
-        """Returns the first cache with capacity in the object's order, with hosts that failed at the end."""
+        """Returns the first cache with capacity in the object's order.
+
+        The caches that failed this request come last.
+        """
         order = self.ranking.order(request).caches
         if request.failed_hosts:
             order = sorted(order, key=request.failed_hosts.__contains__)
