--- a/hoistplank/benchlink/__main__.py
+++ b/hoistplank/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the router instances on standard input and output."""
+"""Runs router instances for the simulator, on standard input and output."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def main() -> int:
-    """Until the input ends; 2 where it can't be read, 1 where nobody reads the output."""
+    """Runs until the input ends; returns 2 if it can't be read, 1 if the output was closed."""
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     try:
-        for reply in Hosting().play(source):
+        for reply in Hosting().process(source):
             sys.stdout.write(reply + "\n" if not reply.endswith("\n") else reply)
             sys.stdout.flush()
-    except (FieldError, UnicodeDecodeError) as wrong:
-        print(f"benchlink: {wrong}", file=sys.stderr)
+    except (FieldError, UnicodeDecodeError) as error:
+        print(f"benchlink: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/hoistplank/benchlink/codec.py
+++ b/hoistplank/benchlink/codec.py
@@ -1,4 +1,4 @@
-"""The simulator's wire to events and actions back to it. Nothing here decides."""
+"""Decodes messages of the simulator into events, and encodes actions as its messages."""
 
 from __future__ import annotations
 
@@ -51,31 +51,31 @@
 US_PER_S = 1_000_000
 
 
-def seconds(us: int) -> str:
-    """Whole microseconds as decimal seconds, exactly and without trailing zeros."""
+def format_seconds(us: int) -> str:
+    """Formats whole microseconds as decimal seconds, exactly and without trailing zeros."""
     sign = "-" if us < 0 else ""
     whole, rest = divmod(abs(us), US_PER_S)
     return f"{sign}{whole}.{rest:06d}".rstrip("0") if rest else f"{sign}{whole}"
 
 
-def endpoint(fields: Fields) -> Endpoint:
-    """One row of a list of endpoints."""
+def read_endpoint(fields: Fields) -> Endpoint:
+    """Reads one row of an endpoint list."""
     state = fields.text("health", "U")
     if state not in ENDPOINT_STATES:
-        raise FieldError(f"field 'health' has no state '{state[:20]}'")
+        raise FieldError(f"field 'health' must be U, L or D, found '{state[:20]}'")
     return Endpoint(
         host=fields.text("host"),
         zone=fields.text("rack_zone", ""),
         kind=fields.text("type", ""),
         cell=fields.integer("stripe", 0),
         units=fields.number("units", 1.0),
-        started_us=fields.micros("online_since", 0),
+        started_us=fields.microseconds("online_since", 0),
         state=ENDPOINT_STATES[state],
     )
 
 
 def request_arrived(fields: Fields) -> RequestArrived:
-    """A client's request."""
+    """Reads a client's request."""
     return RequestArrived(
         request_id=fields.text("request_id"),
         class_name=fields.text("lane"),
@@ -83,71 +83,74 @@
         part=fields.integer("piece", 0),
         purge_group=fields.integer("label_no", 0),
         size_kb=fields.number("volume_kb", 0.0),
-        deadline_us=fields.micros("give_up_at"),
+        deadline_us=fields.microseconds("give_up_at"),
         is_repeat=fields.flag("is_retry"),
     )
 
 
 def attempt_ended(fields: Fields) -> AttemptEnded:
-    """The end of an attempt."""
+    """Reads the end of an attempt."""
     status = fields.text("status")
     if status not in OUTCOMES:
-        raise FieldError(f"field 'status' has no meaning '{status[:20]}'")
+        raise FieldError(f"field 'status' must be a known outcome, found '{status[:20]}'")
     return AttemptEnded(
         request_id=fields.text("request_id"),
         attempt=fields.integer("trial"),
         outcome=OUTCOMES[status],
         request_closed=fields.flag("ended"),
-        took_us=fields.micros("time_taken", 0),
+        took_us=fields.microseconds("time_taken", 0),
         cache_status=fields.integer("info", 0),
         load_report=parse_numbers(fields.text("feedback", ""), "feedback"),
     )
 
 
 def response_started(fields: Fields) -> ResponseStarted:
-    """The first bytes of an answer went on to the client."""
+    """Reads that the first bytes of an answer were sent to the client."""
     return ResponseStarted(fields.text("request_id"), fields.integer("trial"))
 
 
 def client_disconnected(fields: Fields) -> ClientDisconnected:
-    """A client that left."""
+    """Reads that a client disconnected."""
     return ClientDisconnected(fields.text("request_id"))
 
 
 def timer_fired(fields: Fields) -> TimerFired:
-    """A timer whose time is over."""
+    """Reads that a timer fired."""
     return TimerFired(fields.integer("tag"))
 
 
 def purge_received(fields: Fields) -> PurgeReceived:
-    """A purge of an object or of a purge group."""
-    return PurgeReceived(fields.text("file", ""), fields.integer("bucket", 0), fields.micros("oldness", 0))
+    """Reads a purge of an object or of a purge group."""
+    return PurgeReceived(
+        fields.text("file", ""), fields.integer("bucket", 0), fields.microseconds("oldness", 0)
+    )
 
 
-def line(instance: str, action: Action) -> str:
-    """One action as one line of the wire."""
-    return LINES[type(action)](f"dispatcher_id={instance}", action)
+def encode_action(instance: str, action: Action) -> str:
+    """Encodes an action as one line."""
+    return ACTION_ENCODERS[type(action)](f"dispatcher_id={instance}", action)
 
 
 def _send_attempt(instance: str, action: SendAttempt) -> str:
     target = (
-        f"{instance} request_id={action.request_id} host={action.host} within={seconds(action.timeout_us)}"
+        f"{instance} request_id={action.request_id} host={action.host}"
+        f" within={format_seconds(action.timeout_us)}"
     )
     if not action.source:
         return f"SEND {target}"
     bits = JOIN_FILL_BIT if action.join_fill else 0
     return (
         f"SERVE_VIA {target} miss_from={action.source} retain={action.retention}"
-        f" oldness={seconds(action.max_age_us)} bits={bits}"
+        f" oldness={format_seconds(action.max_age_us)} bits={bits}"
     )
 
 
 def _set_timer(instance: str, action: SetTimer) -> str:
-    return f"ARM {instance} tag={action.timer_id} sleep_for={seconds(action.delay_us)}"
+    return f"ARM {instance} tag={action.timer_id} sleep_for={format_seconds(action.delay_us)}"
 
 
 def _reject(instance: str, action: Reject) -> str:
-    wait = seconds(action.retry_after_us)
+    wait = format_seconds(action.retry_after_us)
     return f"DECLINE {instance} request_id={action.request_id} not_before_for={wait}"
 
 
@@ -163,7 +166,7 @@
     return f"FOLLOW {instance} on=1"
 
 
-LINES: dict[type, Callable[[str, Any], str]] = {
+ACTION_ENCODERS: dict[type, Callable[[str, Any], str]] = {
     SendAttempt: _send_attempt,
     SetTimer: _set_timer,
     Reject: _reject,
--- a/hoistplank/decision/ranking.py
+++ b/hoistplank/decision/ranking.py
@@ -1,4 +1,4 @@
-"""The order of caches and parents for an object, by weighted rendezvous hashing."""
+"""The preference order of caches and parents for an object, by weighted rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 
 
 class HostRanking:
-    """Orders hosts for a request; an order is kept until the endpoint list changes."""
+    """Orders hosts for a request; an order is cached until the endpoint list changes."""
 
     def __init__(self, hosts: HostTable) -> None:
         self.hosts = hosts
 
     def order(self, request: Request) -> HostOrder:
-        """Caches by object and part, parents by the object alone, so that its fills meet at one parent.
+        """Returns the caches ordered by object and part, and the parents ordered by object alone.
 
-        Kept with the request's herd, where it has one: the same order, worked out less often.
+        Parents are ordered by object so that all fills of an object go to one parent. The order is cached in
+        the request's herd, if it has one, so that it is computed once for all requests of the herd.
         """
-        keeper = request.herd or request
-        if keeper.order.version != self.hosts.version:
-            keeper.order = HostOrder(
+        order_holder = request.herd or request
+        if order_holder.order.version != self.hosts.version:
+            order_holder.order = HostOrder(
                 self.hosts.version,
                 _ranked(self.hosts.caches, hash_key(f"{request.object_key}/{request.part}")),
                 _ranked(self.hosts.parents, hash_key(request.object_key)),
             )
-        return keeper.order
+        return order_holder.order
 
 
 def _ranked(hosts: list[Host], key: int) -> list[Host]:
