--- a/hoistplank/routing/attempt_ending.py
+++ b/hoistplank/routing/attempt_ending.py
@@ -55,7 +55,7 @@
     RequestFailure.REFUSED: AttemptEnding.CONNECTION_REFUSED,
     RequestFailure.CONNECT_TIMED_OUT: AttemptEnding.CONNECT_TIMED_OUT,
     RequestFailure.NOT_WRITTEN: AttemptEnding.NOT_WRITTEN,
-    RequestFailure.WITHHELD: AttemptEnding.NOT_STARTED,
+    RequestFailure.NOT_STARTED: AttemptEnding.NOT_STARTED,
     RequestFailure.CONNECTION_LOST: AttemptEnding.CONNECTION_LOST,
     RequestFailure.ANSWER_SPOILED: AttemptEnding.ANSWER_SPOILED,
 }
--- a/hoistplank/routing/router_task.py
+++ b/hoistplank/routing/router_task.py
@@ -322,7 +322,7 @@
         if self.pool is not None and registered is not None:
             attempt.connection = self.pool.send(action.host, registered.address, attempt)
         if attempt.connection is None:
-            attempt.failed(RequestFailure.WITHHELD)
+            attempt.failed(RequestFailure.NOT_STARTED)
 
     def _reject(self, _now: int, action: Reject) -> None:
         request = self.requests.by_id[action.request_id]
--- a/hoistplank/transport/pooled_connection.py
+++ b/hoistplank/transport/pooled_connection.py
@@ -75,7 +75,7 @@
                 return False  # cancelled before its first byte
             if not request.may_begin():
                 self.finish(request_id)
-                request.failed(RequestFailure.WITHHELD)
+                request.failed(RequestFailure.NOT_STARTED)
                 return False
             self._started.add(request_id)
             return True
--- a/hoistplank/transport/pooled_request.py
+++ b/hoistplank/transport/pooled_request.py
@@ -12,7 +12,7 @@
     REFUSED = "refused"  # the cache host's machine refused the connection
     CONNECT_TIMED_OUT = "not up"  # the connection was not established in time
     NOT_WRITTEN = "unwritten"  # the connection ended before the whole request was written
-    WITHHELD = "withheld"  # `may_begin` returned False when it was next to be written
+    NOT_STARTED = "withheld"  # `may_begin` returned False when it was next to be written
     CONNECTION_LOST = "broken"  # the connection ended after it was written
     # The connection ended after it was written, without counting against the host: it ended inside an answer
     # or by malformed input, or the loss is already counted for another request on it.
@@ -25,7 +25,7 @@
     id: str
 
     def may_begin(self) -> bool:
-        """Called just before its first byte is written; on False it is not sent and fails as WITHHELD."""
+        """Called just before its first byte is written; on False it is not sent and fails as NOT_STARTED."""
 
     def encode(self) -> bytes:
         """Returns the bytes to write; called after `may_begin` has returned True."""
