--- a/hoistplank/decision/events.py
+++ b/hoistplank/decision/events.py
@@ -35,7 +35,7 @@
     STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_UNREACHABLE = 7
-    SOURCE_LACKS = 8
+    SOURCE_MISS = 8
     NOT_STORED = 9
     ORIGIN_UNREACHABLE = 10
 
--- a/hoistplank/decision/retries.py
+++ b/hoistplank/decision/retries.py
@@ -32,7 +32,7 @@
     (
         CacheStatus.SOURCE_REFUSED,
         CacheStatus.SOURCE_UNREACHABLE,
-        CacheStatus.SOURCE_LACKS,
+        CacheStatus.SOURCE_MISS,
         CacheStatus.ORIGIN_UNREACHABLE,
     )
 )
--- a/hoistplank/lab/backends/server_port.py
+++ b/hoistplank/lab/backends/server_port.py
@@ -38,7 +38,7 @@
     CacheStatus.STALE: "stale",
     CacheStatus.SOURCE_REFUSED: "src_refused",
     CacheStatus.SOURCE_UNREACHABLE: "src_broke",
-    CacheStatus.SOURCE_LACKS: "src_lacks",
+    CacheStatus.SOURCE_MISS: "src_lacks",
     CacheStatus.NOT_STORED: "no_slot",
     CacheStatus.ORIGIN_UNREACHABLE: "origin_failed",
 }
--- a/hoistplank/lab/model/caching_server.py
+++ b/hoistplank/lab/model/caching_server.py
@@ -18,7 +18,7 @@
 # What the requests that waited are answered with; SOURCE_UNREACHABLE for all other results of a fill.
 FAILED_FILL_STATUS = {
     Outcome.OVERLOADED: CacheStatus.SOURCE_REFUSED,
-    Outcome.MISS: CacheStatus.SOURCE_LACKS,
+    Outcome.MISS: CacheStatus.SOURCE_MISS,
 }
 
 
--- a/hoistplank/protocol/cachewire.py
+++ b/hoistplank/protocol/cachewire.py
@@ -40,7 +40,7 @@
     "stale": CacheStatus.STALE,
     "src_refused": CacheStatus.SOURCE_REFUSED,
     "src_broke": CacheStatus.SOURCE_UNREACHABLE,
-    "src_lacks": CacheStatus.SOURCE_LACKS,
+    "src_lacks": CacheStatus.SOURCE_MISS,
     "no_slot": CacheStatus.NOT_STORED,
     "origin_failed": CacheStatus.ORIGIN_UNREACHABLE,
 }
