--- a/hoistplank/decision/settings.py
+++ b/hoistplank/decision/settings.py
@@ -155,7 +155,7 @@
         if not set(self.every_part) <= set(self.reject):
             raise ValueError("every_part names a class that reject does not name")
 
-    def joined(self, other: Degradation) -> Degradation:
+    def combined_with(self, other: Degradation) -> Degradation:
         """Returns the combination of both: the stricter figures, the unions of the lists, `other`'s level."""
         attempts = [figure for figure in (self.max_attempts, other.max_attempts) if figure]
         retry_shares = [figure for figure in (self.retry_share, other.retry_share) if figure]
--- a/hoistplank/degradation/state_machine.py
+++ b/hoistplank/degradation/state_machine.py
@@ -128,7 +128,7 @@
         """Combines the effects of the level in force and all below it with `base`, those of full service."""
         combined = base
         for level in self.levels[: self.rank]:
-            combined = combined.joined(level.effects)
+            combined = combined.combined_with(level.effects)
         return replace(combined, level=self.level_name)
 
     def dwell_us(self, now: int) -> int:
