--- a/hoistplank/lab/scale/role_requests.py
+++ b/hoistplank/lab/scale/role_requests.py
@@ -36,7 +36,7 @@
     """Requests told to a `Router` that knows so many hosts; each is for another object."""
 
     def __init__(self, hosts: int) -> None:
-        entries = [told.entry() for told in _targets(hosts)]
+        entries = [told.to_endpoint() for told in _targets(hosts)]
         self.router = Router(planned_site(), SEED)
         self.now = FRESH_US
         self.router.handle(self.now, EndpointsUpdated(EndpointListForm.SNAPSHOT, entries))
--- a/hoistplank/protocol/changelog.py
+++ b/hoistplank/protocol/changelog.py
@@ -30,7 +30,7 @@
     capacity_hint: float = 1.0
     boot_ms: float = 0
 
-    def entry(self) -> Endpoint:
+    def to_endpoint(self) -> Endpoint:
         """Returns the host as an `Endpoint` of the decision logic, with times in microseconds."""
         return Endpoint(
             self.uid,
--- a/hoistplank/routing/endpoint_registry.py
+++ b/hoistplank/routing/endpoint_registry.py
@@ -51,7 +51,7 @@
 
     def update(self, form: EndpointListForm, targets: list[Target]) -> list[Endpoint]:
         """Applies an endpoint list and returns its entries for the decision logic."""
-        announced = [target.entry() for target in targets]
+        announced = [target.to_endpoint() for target in targets]
         endpoints = [self._with_local_start(endpoint) for endpoint in announced]
         if form is not EndpointListForm.CHANGES:
             self._remove_all_but({endpoint.host for endpoint in endpoints})
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -173,7 +173,7 @@
 
 def test_change_log_lines_split_anywhere_are_decoded() -> None:
     for listed, position, purged in read_split_anywhere(changelog.ChangeLogReader, CHANGE_LOG_LINES):
-        entry = listed.fleet.targets[0].entry()
+        entry = listed.fleet.targets[0].to_endpoint()
         assert entry == Endpoint(
             "s-1", "east", "std", 2, 4.0, 17_000, "draining"
         ) and position == changelog.Position(41)
