--- a/hoistplank/protocol/fastcgi/reader.py
+++ b/hoistplank/protocol/fastcgi/reader.py
@@ -108,7 +108,7 @@
             self.held_bytes -= request.held_bytes
         self.complete.discard(number)
 
-    def forget_all(self) -> None:
+    def release_all(self) -> None:
         """Drops all requests, once nothing more is read on this connection."""
         self.requests.clear()
         self.complete.clear()
--- a/hoistplank/routing/client_session.py
+++ b/hoistplank/routing/client_session.py
@@ -229,7 +229,7 @@
         self.has_failed = True
         self.frontend.rate_limited_log.warning("unusable input, closing client connection", wrong=reason)
         self._fail_open_requests()
-        self.reader.forget_all()
+        self.reader.release_all()
         self._count_held_bytes()
         self.connection.stop_reading()
         self.connection.close_gracefully()
