--- a/hoistplank/degradation/condition_parser.py
+++ b/hoistplank/degradation/condition_parser.py
@@ -7,7 +7,7 @@
 from hoistplank.degradation.conditions import Condition
 from hoistplank.degradation.signals import FAMILY_SEPARATOR, SIGNALS, default_half_life_us
 from hoistplank.operator_configuration.errors import Diagnostic, SourceLocation
-from hoistplank.operator_configuration.schema import suggestion
+from hoistplank.operator_configuration.schema import suggest_name
 from hoistplank.operator_configuration.syntax import Atom
 from hoistplank.operator_configuration.values import duration
 
@@ -68,7 +68,7 @@
     except KeyError as error:
         families = [name for name in SIGNALS if name.endswith(FAMILY_SEPARATOR)]
         known = [name for name in SIGNALS if name not in families] + [f"{name}NAME" for name in families]
-        expected = suggestion(atom.text, known)
+        expected = suggest_name(atom.text, known)
         raise _AtomError(atom, f"the signal {_quoted(atom)}", expected) from error
     return atom.text
 
@@ -107,7 +107,7 @@
         default_half_life_us(signal.text)
         return HalfLifeOverride(signal.text, HALF_LIFE.parse(half_life))
     except KeyError:
-        expected = suggestion(signal.text, list(SIGNALS))
+        expected = suggest_name(signal.text, list(SIGNALS))
         diagnostics.append(Diagnostic(signal.location, f"the signal {_quoted(signal)}", expected))
     except ValueError:
         expected = "a time from 10ms to 1h, as 5s"
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -14,7 +14,7 @@
 from hoistplank.operator_configuration import schema
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
 from hoistplank.operator_configuration.parser import parse
-from hoistplank.operator_configuration.schema import Field, Section, suggestion
+from hoistplank.operator_configuration.schema import Field, Section, suggest_name
 from hoistplank.operator_configuration.syntax import Form
 from hoistplank.operator_configuration.values import integer, matching, number, one_of
 
@@ -121,7 +121,7 @@
         Diagnostic(
             section.location_of("days"),
             f"the unknown day '{name}'",
-            suggestion(name, [*DAYS, "calm", "any"]),
+            suggest_name(name, [*DAYS, "calm", "any"]),
         )
         for day in days
         for name in day.split("+")
@@ -134,7 +134,7 @@
         Diagnostic(
             section.location_of("policies"),
             f"the unknown policy '{name}'",
-            suggestion(name, policy_names()),
+            suggest_name(name, policy_names()),
         )
         for name in section["policies"] or []
         if name is not None and not name.startswith("text-") and name not in policy_names()
--- a/hoistplank/lab/fleet/scene_reader.py
+++ b/hoistplank/lab/fleet/scene_reader.py
@@ -16,7 +16,7 @@
 from hoistplank.operator_configuration import schema
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic, SourceLocation
 from hoistplank.operator_configuration.parser import parse
-from hoistplank.operator_configuration.schema import Field, suggestion
+from hoistplank.operator_configuration.schema import Field, suggest_name
 from hoistplank.operator_configuration.syntax import Atom, Form
 from hoistplank.operator_configuration.values import (
     NAME,
@@ -69,7 +69,7 @@
             Diagnostic(
                 atoms[0].location if atoms else place,
                 found,
-                suggestion(words[0] if words else "", sorted(MEASURES)),
+                suggest_name(words[0] if words else "", sorted(MEASURES)),
             )
         )
         return None
--- a/hoistplank/lab/model/faults.py
+++ b/hoistplank/lab/model/faults.py
@@ -16,7 +16,7 @@
 from hoistplank.lab.model.world_settings import HUB, WorldSettings
 from hoistplank.operator_configuration.errors import ConfigurationError, Diagnostic
 from hoistplank.operator_configuration.parser import parse
-from hoistplank.operator_configuration.schema import suggestion
+from hoistplank.operator_configuration.schema import suggest_name
 from hoistplank.operator_configuration.syntax import Atom, Form, quote
 from hoistplank.operator_configuration.values import ValueType, duration, integer, matching, number
 
@@ -104,7 +104,7 @@
     if words is None:
         faults.append(
             Diagnostic(
-                form.location, f"the unknown fault '{form.name[:40]}'", suggestion(form.name, list(kinds))
+                form.location, f"the unknown fault '{form.name[:40]}'", suggest_name(form.name, list(kinds))
             )
         )
         return None
--- a/hoistplank/operator_configuration/schema.py
+++ b/hoistplank/operator_configuration/schema.py
@@ -68,7 +68,7 @@
         return self.locations.get(name, self.location)
 
 
-def suggestion(name: str, known: list[str]) -> str:
+def suggest_name(name: str, known: list[str]) -> str:
     """Returns the known name that is most similar to an unknown one, or else all known names."""
     close = get_close_matches(name, known, 1, SIMILARITY_CUTOFF)
     if close:
@@ -122,7 +122,7 @@
         schema_field = self.fields.get(item.name)
         if schema_field is None:
             found = f"the unknown form '{item.name[:MAX_SHOWN_NAME]}'"
-            self._report(item.location, found, suggestion(item.name, list(self.fields)))
+            self._report(item.location, found, suggest_name(item.name, list(self.fields)))
             return
         if item.name in self.section.locations and not schema_field.may_repeat:
             self._report(item.location, f"'{item.name}' a second time", "it once")
