--- a/hoistplank/cli/distribution.py
+++ b/hoistplank/cli/distribution.py
@@ -114,7 +114,7 @@
         task.cancel()
     await asyncio.gather(running, waiting, return_exceptions=True)
     if not running.cancelled() and running.exception() is not None:
-        log.error("broken", exc_info=running.exception())
+        log.error("task failed", exc_info=running.exception())
         sys.exit(1)
 
 
--- a/hoistplank/lab/fleet/soak/dispatcher.py
+++ b/hoistplank/lab/fleet/soak/dispatcher.py
@@ -31,7 +31,7 @@
 NEW_CONNECTIONS_S = 0.3  # for which the front still sends new connections after SIGTERM
 SIGNALS_AFTER_SIGTERM = ((0.05, signal.SIGHUP), (0.1, signal.SIGTERM), (1.5, signal.SIGTERM))
 HEALTH_CHECK_S = 0.02
-ERRORS_IN_LOG = ("event='broken'", "event='event loop error unhandled'", "Traceback")
+ERRORS_IN_LOG = ("event='task failed'", "event='event loop error unhandled'", "Traceback")
 
 
 class SoakDispatcher:
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -138,7 +138,7 @@
             error = task.exception()
             if error is not None:
                 # Without the failed task the program would go on accepting requests that it can't answer.
-                log.error("broken", part=task.get_name(), exc_info=error)
+                log.error("task failed", part=task.get_name(), exc_info=error)
                 self.exit_code = 1
                 await self._fail_open_requests()
         for task in tasks:
