--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -119,7 +119,7 @@
         """End the process: all that it has open is gone."""
         self.alive = False
         for attempt in self.attempts.values():
-            attempt.is_over = True
+            attempt.is_finished = True
             attempt.cancel()
         self.queue, self.requests, self.ended_requests, self.attempts = [], {}, set(), {}
 
@@ -183,7 +183,7 @@
             self._answer(now, action.request_id, FAILED)
         elif isinstance(action, CancelAttempt):
             attempt = self.attempts.get((action.request_id, action.attempt))
-            if attempt is not None and not attempt.is_over:
+            if attempt is not None and not attempt.is_finished:
                 attempt.cancel()
                 attempt.end(Outcome.CANCELLED, 0, -1)
 
--- a/hoistplank/lab/backends/virtual_attempt.py
+++ b/hoistplank/lab/backends/virtual_attempt.py
@@ -15,15 +15,15 @@
 
 
 class Attempt:
-    """One attempt in flight; `is_over` once its outcome was passed to the policy, or is on its way to it."""
+    """One attempt in flight; `is_finished` once its outcome is passed, or on its way, to the policy."""
 
-    __slots__ = ("action", "dispatcher", "is_over", "request", "sent_at", "server", "server_request")
+    __slots__ = ("action", "dispatcher", "is_finished", "request", "sent_at", "server", "server_request")
 
     def __init__(
         self, dispatcher: VirtualDispatcher, request: Request, action: SendAttempt, sent: int
     ) -> None:
         self.dispatcher, self.request, self.action, self.sent_at = dispatcher, request, action, sent
-        self.is_over = False
+        self.is_finished = False
         self.server_request: ServerRequest | None = None
         self.server: Server | None = None
 
@@ -45,15 +45,15 @@
 
     def end(self, result: int, note: int, created: int) -> None:
         """Hand the outcome to the dispatcher's queue, once."""
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_finished:
+            self.is_finished = True
             self.dispatcher.enqueue(
                 self.dispatcher.attempt_ended, self, result, note, created, self.dispatcher.world.events.now
             )
 
     def timed_out(self) -> None:
         """End an attempt that took longer than it was given."""
-        if not self.is_over:
+        if not self.is_finished:
             self.cancel()
             self.end(Outcome.TIMED_OUT, 0, -1)
 
