--- a/hoistplank/program/graceful_shutdown.py
+++ b/hoistplank/program/graceful_shutdown.py
@@ -71,5 +71,5 @@
         return (
             not self.router_task.requests.open_count
             and not self.router_task.queue
-            and self.frontend.all_sent()
+            and self.frontend.all_answers_written()
         )
--- a/hoistplank/program/service.py
+++ b/hoistplank/program/service.py
@@ -262,7 +262,7 @@
         """Fails the open requests after a task has failed, as far as that still works."""
         self.router_task.requests.fail_all()
         deadline = self.loop.time() + FAILED_ANSWERS_TIMEOUT_S
-        while not self.frontend.all_sent() and self.loop.time() < deadline:  # noqa: ASYNC110  no event reports it
+        while not self.frontend.all_answers_written() and self.loop.time() < deadline:  # noqa: ASYNC110  no event reports it
             await asyncio.sleep(0.01)
 
     def _log_limits(self) -> None:
--- a/hoistplank/routing/frontend.py
+++ b/hoistplank/routing/frontend.py
@@ -152,7 +152,7 @@
 
     # Shutdown.
 
-    def all_sent(self) -> bool:
+    def all_answers_written(self) -> bool:
         """Returns whether all answers were passed to the system."""
         return all(not session.connection.unsent_bytes for session in self.sessions)
 
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -122,7 +122,7 @@
             assert (
                 router_task.requests.open_count == 0
                 and not router_task.requests.by_id
-                and session.frontend.all_sent()
+                and session.frontend.all_answers_written()
             )
 
     run_scene(scene())
