--- a/hoistplank/wire_fields.py
+++ b/hoistplank/wire_fields.py
@@ -75,7 +75,7 @@
         scaled = Decimal(text) * 1_000_000
         return int(scaled.to_integral_value())
     except (InvalidOperation, ValueError, OverflowError) as error:
-        raise FieldError(f"field '{name}' is no time") from error
+        raise FieldError(f"field '{name}' is not a time in decimal seconds") from error
 
 
 def parse_numbers(text: str, name: str) -> list[float]:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -24,7 +24,7 @@
         ("limits.memory_mb", 0, r"\$.limits.memory_mb"),
         ("seed", "xyz", "seed: 'xyz'"),
         ("settings.classes", [], "'classes' is absent or empty"),
-        ("settings.rules.cold", "soon", "settings: field 'rules.cold' is no time"),
+        ("settings.rules.cold", "soon", "settings: field 'rules.cold' is not a time in decimal seconds"),
         ("settings.limits.streams_per_conn", 0, "'limits.streams_per_conn' is 0, below 1"),
         (
             "known",
