--- a/hoistplank/xds/broadcaster.py
+++ b/hoistplank/xds/broadcaster.py
@@ -1,4 +1,4 @@
-"""The resources and the streams that follow them: changes reach each stream as names of resources."""
+"""Notifies all follower streams of changed resources, by name."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 from hoistplank.xds.resources import ResourceCache, ResourceChange
 from hoistplank.xds.subscription import Subscription
 
-LATE_US = 800_000  # a purge or a drain that is not accepted by then: the stream is ended and comes anew
+# A stream that has not accepted a purge or a drain by then is ended, so that its follower reconnects.
+ACCEPTANCE_TIMEOUT_US = 800_000
 
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """`streams` at most at once; `starting`: of them, how many may be getting their first whole state."""
+    """Bounds on concurrent streams: all of them, and those that are receiving their first full state."""
 
     streams: int = 1_024
     starting: int = 64
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True)
 class StreamCounts:
-    """What has happened to streams so far."""
+    """Counts of stream events since the start of the process."""
 
     streams: int = 0
     refused_streams: int = 0
@@ -31,16 +32,19 @@
     renewed: int = 0
 
     def log_fields(self) -> dict[str, int]:
-        """The counts as they stand in a log line."""
+        """Returns the counts under the names that they have in a log line."""
         return {name.replace("_", " "): count for name, count in asdict(self).items()}
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionStatus:
-    """One type of one stream: how many resources are accepted, owed, pending, and of an older version."""
+    """Numbers of resources of one type on one stream; `behind`: accepted ones that are not current.
+
+    `error` is the message of the last refusal, until a response is accepted.
+    """
 
     accepted: int
-    owed: int
+    unsent: int
     pending: int
     error: str
     behind: int
@@ -48,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerStatus:
-    """What one follower has, wants, refused and is owed; `types` by the short name of the type."""
+    """The state of one follower's stream; `types` by the short name of the resource type."""
 
     node: str
     peer: str
@@ -60,27 +64,30 @@
 
 
 class FollowerStream:
-    """A follower's stream while it lasts."""
+    """An open stream of one follower."""
 
     def __init__(self, resources: ResourceCache, peer: str, *, is_incremental: bool) -> None:
         self.peer = peer
         self.follower = Follower(resources, is_incremental=is_incremental)
-        self.wake = asyncio.Event()  # something may have to be sent
+        self.wake = asyncio.Event()  # set when something may have to be sent
         self.writer: asyncio.Task[None] | None = None
 
     @property
     def name(self) -> str:
-        """Who it says it is, or else its address."""
+        """The node name that the follower gave, or else its address."""
         return self.follower.node or self.peer
 
     def end(self) -> None:
-        """Ends the stream. Danger: a follower that reads nothing holds its writer in a write for ever."""
+        """Ends the stream by cancelling its writer.
+
+        A writer whose follower does not read is blocked in a write and would not end by itself.
+        """
         if self.writer is not None:
             self.writer.cancel()
 
 
 class Broadcaster:
-    """Tells all streams what changed. `now` returns whole microseconds."""
+    """Notifies all streams of changes. `now` returns whole microseconds."""
 
     def __init__(
         self, resources: ResourceCache, now: Callable[[], int], limits: StreamLimits | None = None
@@ -94,11 +101,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no more streams are accepted."""
+        """True if no more streams are accepted."""
         return len(self.streams) >= self.limits.streams
 
     def publish(self, changes: set[ResourceChange], *, urgent: bool = False) -> None:
-        """Tells all who want it what changed; `urgent`: drains and purges, which go before all else."""
+        """Queues changes on each stream that subscribes to them; `urgent`: drains and purges, sent first."""
         if not changes:
             return
         now_us = self.now()
@@ -112,13 +119,14 @@
                     stream.wake.set()
 
     def end_late_streams(self) -> list[str]:
-        """Ends streams that have not accepted a drain or a purge in time; returns who they are.
+        """Ends streams that have not accepted a drain or a purge in time; returns their names.
 
-        Danger: a proxy that hangs half-way serves a stale pool, and its last state would count as given.
+        Otherwise a proxy that hangs while it applies a response would go on with a stale pool, and the
+        state last sent to it would count as delivered.
         """
         now_us, late = self.now(), list[str]()
         for stream in list(self.streams):
-            if stream.follower.is_late(now_us, LATE_US):
+            if stream.follower.is_late(now_us, ACCEPTANCE_TIMEOUT_US):
                 late.append(stream.name)
                 self.counts.renewed += 1
                 self.streams.discard(stream)
@@ -126,7 +134,7 @@
         return late
 
     def status(self) -> list[FollowerStatus]:
-        """The status of each follower, by node and address."""
+        """Returns the status of each follower, sorted by node and address."""
         statuses = [self._follower_status(stream) for stream in self.streams]
         return sorted(statuses, key=lambda status: (status.node, status.peer))
 
@@ -148,7 +156,7 @@
     def _subscription_status(self, type_url: str, subscription: Subscription) -> SubscriptionStatus:
         return SubscriptionStatus(
             accepted=len(subscription.accepted),
-            owed=len(subscription.owed),
+            unsent=len(subscription.unsent),
             pending=len(subscription.pending),
             error=subscription.error,
             behind=sum(
--- a/hoistplank/xds/discovery_service.py
+++ b/hoistplank/xds/discovery_service.py
@@ -1,7 +1,7 @@
 """The aggregated discovery service on grpc.aio, state of the world and incremental.
 
-For each stream one task reads requests, another writes what the follower is owed, one message at a time: no
-message is made before the transport has taken the previous one.
+For each stream one task reads requests, another writes responses, one message at a time: no message is built
+before the transport has accepted the previous one.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 log = structlog.get_logger()
 MAX_REQUEST_BYTES = 4_194_304
 KEEPALIVE_MS = 10_000
-START_S = 2.0  # for a follower's first whole state, before the next may begin theirs
+FIRST_STATE_SLOT_S = 2.0  # for a follower's first full state; then its slot is free for another
 HEARTBEAT_S = 1.0
 MAX_NODE_CHARACTERS = 200
 MAX_LOGGED_ERROR_CHARACTERS = 300
 SERVICE_NAME = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 
-# Whether a caller may be a node by its certificate, given the node's name and the call's context: "" if so,
-# else the reason why not.
+# Checks a caller's certificate, given the node's name and the call's context: returns "" if the caller may be
+# that node, else the reason why not.
 AuthorizeNode: TypeAlias = Callable[[str, Any], str]
 _HandleRequest: TypeAlias = Callable[[Follower, Any], None]
 
 
 class AggregatedDiscoveryService:
-    """The service's two methods, for all streams of a broadcaster."""
+    """Implements the service's two methods, for all streams of a broadcaster."""
 
     def __init__(self, broadcaster: Broadcaster, authorize_node: AuthorizeNode | None = None) -> None:
         self.broadcaster = broadcaster
@@ -45,7 +45,7 @@
         self.encoder = ResponseEncoder()
 
     def handlers(self) -> Any:
-        """The methods by the service's published names; responses are sent as the bytes they are."""
+        """Returns the methods by the service's published names; responses are already encoded."""
         return grpc.method_handlers_generic_handler(
             SERVICE_NAME,
             {
@@ -77,7 +77,10 @@
         broadcaster = self.broadcaster
         if broadcaster.is_full:
             broadcaster.counts.refused_streams += 1
-            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "as many followers as this process takes")
+            await context.abort(
+                grpc.StatusCode.RESOURCE_EXHAUSTED,
+                "this process serves its maximum number of followers",
+            )
         stream = FollowerStream(broadcaster.resources, context.peer(), is_incremental=is_incremental)
         broadcaster.streams.add(stream)
         broadcaster.counts.streams += 1
@@ -93,7 +96,10 @@
             await asyncio.wait((reader, writer), return_when=asyncio.FIRST_COMPLETED)
             await self._abort_if_failed(stream, reader, context)
             if writer.done():
-                await context.abort(grpc.StatusCode.UNAVAILABLE, "renewed: come again with what you hold")
+                await context.abort(
+                    grpc.StatusCode.UNAVAILABLE,
+                    "drain or purge not accepted in time: reconnect with the held versions",
+                )
         finally:
             self.broadcaster.streams.discard(stream)
             stream.follower.close()
@@ -107,7 +113,7 @@
         error = reader.exception() if reader.done() and not reader.cancelled() else None
         if isinstance(error, InvalidRequestError):
             self.broadcaster.counts.bad_requests += 1
-            log.warning("follower's request can't be used", peer=stream.peer, wrong=str(error))
+            log.warning("follower's request invalid, stream ended", peer=stream.peer, wrong=str(error))
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
 
     async def _read(
@@ -131,11 +137,11 @@
             raise InvalidRequestError(reason)
 
     async def _write(self, stream: FollowerStream, context: Any) -> None:
-        """Sends what the follower is owed, and heartbeats, until it is cancelled."""
-        await stream.wake.wait()  # one that has sent nothing yet takes nobody's place
+        """Sends responses and heartbeats until it is cancelled."""
+        await stream.wake.wait()  # a follower that has sent no request yet takes up no slot for a first state
         await self._send_first_state(stream, context)
         while True:
-            await self._send_owed(stream, context)
+            await self._send_responses(stream, context)
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
                     await stream.wake.wait()
@@ -144,23 +150,24 @@
                     await context.write(self.encoder.encode(heartbeat, is_incremental=True))
 
     async def _send_first_state(self, stream: FollowerStream, context: Any) -> None:
-        """Sends a follower's first state, one of a bounded number at a time.
+        """Sends a follower's first state; only a bounded number of followers get theirs at a time.
 
-        Danger: 500 followers that come back at once would all get a whole state in the same second, and a
-        drain meanwhile would stand behind it. One that reads nothing gives its place back after a time.
+        If 500 followers that reconnect at once all got a full state in the same second, a drain meanwhile
+        would be queued behind it. The slot of a follower that does not read is freed after
+        `FIRST_STATE_SLOT_S`.
         """
         await self.broadcaster.starting.acquire()
-        place = contextlib.ExitStack()
-        place.callback(self.broadcaster.starting.release)
-        timer = asyncio.get_running_loop().call_later(START_S, place.close)
+        slot = contextlib.ExitStack()
+        slot.callback(self.broadcaster.starting.release)
+        timer = asyncio.get_running_loop().call_later(FIRST_STATE_SLOT_S, slot.close)
         try:
-            await self._send_owed(stream, context)
+            await self._send_responses(stream, context)
         finally:
             timer.cancel()
-            place.close()
+            slot.close()
 
-    async def _send_owed(self, stream: FollowerStream, context: Any) -> None:
-        """Sends everything that is owed now."""
+    async def _send_responses(self, stream: FollowerStream, context: Any) -> None:
+        """Sends all responses that may be sent now."""
         stream.wake.clear()
         follower = stream.follower
         while (response := follower.next_response()) is not None:
@@ -193,7 +200,7 @@
 
 def _log_refusal(stream: FollowerStream, request: Any) -> None:
     log.warning(
-        "refused by a follower",
+        "response refused by follower",
         node=stream.follower.node,
         peer=stream.peer,
         type=request.type_url,
@@ -202,7 +209,7 @@
 
 
 def discovery_server(broadcaster: Broadcaster, authorize_node: AuthorizeNode | None = None) -> Any:
-    """A grpc.aio server of the service; the caller adds its port and starts it."""
+    """Returns a grpc.aio server of the service; the caller adds its port and starts it."""
     server = grpc.aio.server(
         options=[
             ("grpc.max_receive_message_length", MAX_REQUEST_BYTES),
--- a/hoistplank/xds/errors.py
+++ b/hoistplank/xds/errors.py
@@ -8,4 +8,4 @@
 
 
 class InvalidRequestError(XdsError):
-    """What a follower sent can't be used; the text says why. It costs that stream and no other."""
+    """A request of a follower is invalid; the text says why. Only that follower's stream is ended."""
--- a/hoistplank/xds/follower.py
+++ b/hoistplank/xds/follower.py
@@ -1,21 +1,21 @@
-"""One follower's stream: what it has, wants, refused and is owed. No I/O: requests in, responses out.
+"""The protocol state of one follower's stream. No I/O: requests in, responses out.
 
 The rules of the xDS transport protocol, v3 (state of the world and incremental): each response has a nonce; a
 request with that nonce accepts it, or refuses it if it carries an error. A state-of-the-world request with an
-older nonce is stale and ignored: its sender comes again with the newer one. What is owed is stored as names,
-never as messages: a slow follower gets the newest state, not a queue of old ones.
+older nonce is stale and ignored: its sender repeats it with the newer one. Unsent changes are stored as
+names, never as messages: a slow follower gets the newest state, not a queue of old ones.
 
     state of a type   event                           next            effect
-    quiet             a change, a new subscription    owed            -
-    owed              its turn, nothing pending       pending         the response, with a nonce
-    pending           accepted (its nonce)            quiet/owed      accepted versions are stored
-    pending           refused (its nonce, an error)   quiet/owed      these versions are not sent again
-    pending           another change                  pending + owed  sent after the answer; drains and purges
+    idle              a change, a new subscription    unsent          -
+    unsent            its turn, nothing pending       pending         the response, with a nonce
+    pending           accepted (its nonce)            idle/unsent     accepted versions are stored
+    pending           refused (its nonce, an error)   idle/unsent     these versions are not sent again
+    pending           another change                  pending+unsent  sent after the answer; drains and purges
                                                                       at once, four responses pending at most
     any               a stale nonce                   the same        -
 
-Order, so that a proxy makes before it breaks: clusters, then endpoints, routes, virtual hosts; a removed
-cluster is sent only once no route is owed or pending. Urgent endpoints and purges go before all else.
+Responses are sent in make-before-break order: clusters, then endpoints, routes, virtual hosts; a removed
+cluster is sent only once no route is unsent or pending. Urgent endpoints and purges are sent before all else.
 """
 
 from __future__ import annotations
@@ -38,12 +38,12 @@
 MAX_NAMES = 20_000  # subscriptions of one follower and type
 ON_DEMAND_TYPES = (VIRTUAL_HOST_TYPE,)
 TYPES_WITH_TTL = (ENDPOINT_TYPE, RUNTIME_TYPE)
-WILDCARD_TYPES = (CLUSTER_TYPE,)  # a first request without names means all
+WILDCARD_TYPES = (CLUSTER_TYPE,)  # a first request without names subscribes to all
 WILDCARD = "*"
 
 
 class _Contents(NamedTuple):
-    """What a response could hold, and the names that must wait."""
+    """Contents for a response, and the names that can't be sent yet."""
 
     resources: list[VersionedResource]
     removed: list[str]
@@ -56,7 +56,7 @@
     def __init__(self, resources: ResourceCache, *, is_incremental: bool) -> None:
         self.resources = resources
         self.is_incremental = is_incremental
-        self.node = ""  # who it says it is
+        self.node = ""  # the node name that the follower gave
         self.subscriptions: dict[str, Subscription] = {}  # by type
         self.response_count = 0
         self.refusal_count = 0
@@ -65,12 +65,12 @@
     # Requests.
 
     def handle_state_request(self, request: StateRequest) -> None:
-        """Takes a state-of-the-world request; raises InvalidRequestError."""
+        """Handles a state-of-the-world request; raises InvalidRequestError."""
         type_url = request.type_url
         is_first = type_url not in self.subscriptions
         subscription = self._subscription(type_url)
         if not is_first and request.nonce != subscription.last_nonce:
-            return  # stale: what it says of names will come again with the newest nonce
+            return  # stale: the follower will send its names again with the newest nonce
         self._take_answer(subscription, request.nonce, request.error)
         wanted = set(request.names)
         if is_first and not wanted and type_url in WILDCARD_TYPES:
@@ -82,15 +82,15 @@
             subscription.is_full_response_due = True
 
     def handle_delta_request(self, request: DeltaRequest) -> None:
-        """Takes an incremental request; raises InvalidRequestError."""
+        """Handles an incremental request; raises InvalidRequestError."""
         type_url = request.type_url
         is_first = type_url not in self.subscriptions
         subscription = self._subscription(type_url)
         self._take_answer(subscription, request.nonce, request.error)
-        means_all = is_first and not request.subscribe and type_url in WILDCARD_TYPES
+        subscribes_to_all = is_first and not request.subscribe and type_url in WILDCARD_TYPES
         if is_first:
             subscription.accepted.update(request.initial_versions)
-        if means_all or WILDCARD in request.subscribe:
+        if subscribes_to_all or WILDCARD in request.subscribe:
             subscription.is_wildcard = True
         if WILDCARD in request.unsubscribe:
             subscription.is_wildcard = False
@@ -98,20 +98,20 @@
         removed = set(request.unsubscribe) - {WILDCARD}
         self._update_names(type_url, subscription, added, removed)
         if is_first:
-            self._owe_initial(type_url, subscription)
+            self._queue_initial(type_url, subscription)
 
-    def _owe_initial(self, type_url: str, subscription: Subscription) -> None:
-        """What a new stream is owed besides the names that it subscribed to."""
+    def _queue_initial(self, type_url: str, subscription: Subscription) -> None:
+        """Queues what a new stream needs besides the names that it subscribed to."""
         if subscription.is_wildcard:
             names = set(self.resources.names(type_url))
-            subscription.owed |= names | (set(subscription.accepted) - names)
-        # What an earlier stream held and no longer exists is sent as removed.
+            subscription.unsent |= names | (set(subscription.accepted) - names)
+        # Resources held from an earlier stream that no longer exist are sent as removed.
         held = subscription.accepted
-        subscription.owed |= {name for name in held if self.resources.get(type_url, name) is None}
+        subscription.unsent |= {name for name in held if self.resources.get(type_url, name) is None}
 
     def _subscription(self, type_url: str) -> Subscription:
         if type_url not in RESOURCE_TYPES:
-            raise InvalidRequestError(f"the type '{type_url[:80]}' is none of this service's")
+            raise InvalidRequestError(f"resource type '{type_url[:80]}' is not served")
         return self.subscriptions.setdefault(type_url, Subscription())
 
     def _take_answer(self, subscription: Subscription, nonce: str, error: str) -> None:
@@ -122,21 +122,21 @@
         self, type_url: str, subscription: Subscription, added: set[str], removed: set[str]
     ) -> None:
         if len(subscription.names) + len(added) > MAX_NAMES:
-            raise InvalidRequestError(f"more than {MAX_NAMES} names of one type")
+            raise InvalidRequestError(f"subscription to more than {MAX_NAMES} names of one resource type")
         for name in sorted(removed & subscription.names):
             subscription.names.discard(name)
-            subscription.owed.discard(name)
+            subscription.unsent.discard(name)
             subscription.accepted.pop(name, None)
             if type_url in ON_DEMAND_TYPES:
                 self.resources.unfollow(name)
         for name in sorted(added - subscription.names):
             subscription.names.add(name)
-            subscription.owed.add(name)
+            subscription.unsent.add(name)
             if type_url in ON_DEMAND_TYPES and not self.resources.follow(name):
                 subscription.names.discard(name)  # sent as removed: no such resource exists
 
     def close(self) -> None:
-        """The stream has ended: the names that it had on demand are released."""
+        """Releases the names on demand of a stream that has ended."""
         for type_url in ON_DEMAND_TYPES:
             subscription = self.subscriptions.get(type_url)
             for name in subscription.names if subscription is not None else ():
@@ -146,16 +146,16 @@
     # Responses.
 
     def mark_changed(self, now_us: int, type_url: str, names: set[str], *, urgent: bool = False) -> bool:
-        """Resources of a type changed (`urgent`: a drain or a purge); returns whether any are owed here."""
+        """Queues changed resources (`urgent`: a drain or a purge); returns True if any are subscribed to."""
         subscription = self.subscriptions.get(type_url)
         wanted = subscription.wanted(names) if subscription is not None else set()
         if subscription is None or not wanted:
             return False
-        subscription.mark_owed(now_us, wanted, urgent=urgent)
+        subscription.mark_unsent(now_us, wanted, urgent=urgent)
         return True
 
     def next_response(self) -> Response | None:
-        """The most urgent response that may be sent now, or None."""
+        """Returns the most urgent response that may be sent now, or None."""
         for type_url, subscription in self.subscriptions.items():
             if subscription.can_send_urgent:
                 response = self._response(type_url, subscription)
@@ -174,7 +174,7 @@
         names = self._names_to_send(type_url, subscription)
         contents = self._contents(type_url, subscription, names)
         is_new = self._is_new(type_url, subscription, names, contents.resources)
-        subscription.owed = contents.held_back
+        subscription.unsent = contents.held_back
         is_filled = bool(contents.resources or contents.removed)
         if not is_new or not (is_filled or subscription.is_full_response_due):
             return None
@@ -187,10 +187,10 @@
         )
 
     def _names_to_send(self, type_url: str, subscription: Subscription) -> set[str]:
-        """The owed names; for state of the world, all names as soon as anything is owed."""
-        is_owed = bool(subscription.owed) or subscription.is_full_response_due
-        if self.is_incremental or not is_owed:
-            return subscription.owed
+        """Returns the unsent names; for state of the world, all names as soon as anything is unsent."""
+        has_unsent = bool(subscription.unsent) or subscription.is_full_response_due
+        if self.is_incremental or not has_unsent:
+            return subscription.unsent
         if subscription.is_wildcard:
             return set(self.resources.names(type_url))
         return set(subscription.names)
@@ -210,20 +210,20 @@
 
     @staticmethod
     def _is_known(subscription: Subscription, name: str) -> bool:
-        """Whether a removal is to be sent: the follower holds it, or asked for what can't be served."""
+        """True if a removal is to be sent: of a resource that is held, or of a name that can't be served."""
         return name in subscription.accepted or name not in subscription.names
 
     def _may_remove(self, type_url: str) -> bool:
-        """Whether a cluster's removal may be sent now: no route that could name it is owed or pending."""
+        """True if a removal may be sent now; a cluster's only once no route is unsent or pending."""
         if type_url != CLUSTER_TYPE:
             return True
         routes = [self.subscriptions.get(route_type) for route_type in (ROUTE_TYPE, VIRTUAL_HOST_TYPE)]
-        return not any(route.owed or route.pending for route in routes if route is not None)
+        return not any(route.unsent or route.pending for route in routes if route is not None)
 
     def _is_new(
         self, type_url: str, subscription: Subscription, names: set[str], resources: list[VersionedResource]
     ) -> bool:
-        """Whether a response would tell the follower anything new; for state of the world it may not."""
+        """True if a response has something new for the follower; for state of the world it may not."""
         if self.is_incremental or subscription.is_full_response_due:
             return True
         if any(subscription.lacks(resource.name, resource.version) for resource in resources):
@@ -236,7 +236,7 @@
         versions.update(dict.fromkeys(contents.removed, ""))
         if not self.is_incremental:
             versions.update({name: "" for name in subscription.accepted if name not in versions})
-            # Each response holds everything: the newest answer speaks for the older ones.
+            # Each response holds the full state, so the answer to the newest one covers the older ones.
             subscription.pending.clear()
         subscription.pending[nonce] = PendingResponse(versions, subscription.urgent_since_us)
         subscription.last_nonce = nonce
@@ -246,16 +246,16 @@
         return f"{self.response_count:x}"
 
     def heartbeats(self) -> list[Response]:
-        """Says that what the follower has accepted of types with a time to live is still current.
+        """Returns heartbeats for the accepted resources with a time to live that are still current.
 
-        Heartbeats wait for no answer, and nothing waits for theirs. Danger: a follower that is cut off keeps
-        its last state, and would serve a stale pool for ever.
+        Heartbeats are not acknowledged, and are sent regardless of pending responses. They renew a
+        short time to live, without which a follower that is cut off would use its last pool for ever.
         """
         responses = []
         for type_url in TYPES_WITH_TTL if self.is_incremental else ():
             subscription = self.subscriptions.get(type_url)
-            if subscription is None or subscription.owed:
-                continue  # a response that is owed says the same
+            if subscription is None or subscription.unsent:
+                continue  # the response that is due renews the time to live as well
             current = [
                 VersionedResource(name, version, b"")
                 for name, version in sorted(subscription.accepted.items())
@@ -266,18 +266,18 @@
         return responses
 
     def _is_current(self, subscription: Subscription, type_url: str, name: str, version: str) -> bool:
-        """Whether what a follower holds is the newest, or the last good one before what it refused."""
+        """True if the held version is the newest, or the one before a version that the follower refused."""
         resource = self.resources.get(type_url, name)
         refused = subscription.refused.get(name)
         return resource is not None and refused != version and resource.version in (version, refused)
 
     def is_late(self, now_us: int, limit_us: int) -> bool:
-        """Whether a drain or a purge has been owed or unanswered for longer than the limit."""
+        """True if a drain or a purge has been unsent or unanswered for longer than the limit."""
         times = [time for each in self.subscriptions.values() for time in each.urgent_times_us()]
         return bool(times) and now_us - min(times) > limit_us
 
 
 def _system_version(resources: list[VersionedResource]) -> str:
-    """A version of the whole response: the digest of its resources' versions."""
+    """Returns the version of a whole response: the digest of its resources' versions."""
     rows = sorted(f"{resource.name}={resource.version};" for resource in resources)
     return digest("".join(rows).encode())
--- a/hoistplank/xds/stream_messages.py
+++ b/hoistplank/xds/stream_messages.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """A state-of-the-world request; `error` is empty unless it refuses the response `nonce`."""
+    """A state-of-the-world request; `error` is empty unless it refuses the response with this nonce."""
 
     type_url: str
     names: list[str]
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response to be sent; as a heartbeat it only says that what the follower holds is current."""
+    """A response to be sent; a heartbeat only confirms that the follower's versions are current."""
 
     type_url: str
     nonce: str
--- a/hoistplank/xds/subscription.py
+++ b/hoistplank/xds/subscription.py
@@ -1,4 +1,4 @@
-"""One resource type of one follower's stream: what it wants, accepted, refused and is owed. No I/O."""
+"""The state of one resource type on one follower's stream. No I/O."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingResponse:
-    """A response that waits for its answer."""
+    """A response that has not been accepted or refused yet."""
 
     versions: dict[str, str]  # by name; "" if the resource is removed
-    urgent_since_us: int  # since when a drain or a purge in it is owed; 0 without one
+    urgent_since_us: int  # when a drain or a purge in it became due; 0 if it has none
 
 
 @dataclass(slots=True)
@@ -22,41 +22,41 @@
 
     is_wildcard: bool = False
     names: set[str] = field(default_factory=set)
-    owed: set[str] = field(default_factory=set)
-    is_full_response_due: bool = False  # state of the world: an answer is owed even if nothing changed
+    unsent: set[str] = field(default_factory=set)  # names of changed resources that are still to be sent
+    is_full_response_due: bool = False  # state of the world: a response is due even if nothing changed
     accepted: dict[str, str] = field(default_factory=dict)  # name -> version that the follower holds
     refused: dict[str, str] = field(default_factory=dict)  # name -> version that is not sent again
     pending: dict[str, PendingResponse] = field(default_factory=dict)  # by nonce
     last_nonce: str = ""
     error: str = ""  # of the last refusal, until a response is accepted
-    urgent_since_us: int = 0  # since when a drain or a purge is owed; 0: none is
+    urgent_since_us: int = 0  # when an unsent drain or purge became due; 0 if there is none
 
     @property
     def can_send_urgent(self) -> bool:
-        """Whether a drain or a purge is owed and may be sent now."""
+        """True if a drain or a purge is unsent and may be sent now."""
         return self.urgent_since_us > 0 and len(self.pending) < MAX_PENDING_RESPONSES
 
     def wanted(self, names: set[str]) -> set[str]:
-        """Which of these names the follower wants."""
+        """Returns those of these names that the follower subscribes to."""
         return names if self.is_wildcard else names & self.names
 
-    def mark_owed(self, now_us: int, names: set[str], *, urgent: bool) -> None:
-        """These names changed and are to be sent."""
-        self.owed |= names
+    def mark_unsent(self, now_us: int, names: set[str], *, urgent: bool) -> None:
+        """Marks these names as changed and still to be sent."""
+        self.unsent |= names
         if urgent and not self.urgent_since_us:
             self.urgent_since_us = now_us
 
     def lacks(self, name: str, version: str) -> bool:
-        """Whether a version is to be sent: it is neither accepted nor refused."""
+        """True if a version has been neither accepted nor refused, so that it is to be sent."""
         return self.accepted.get(name) != version and self.refused.get(name) != version
 
     def answer(self, nonce: str, error: str) -> bool:
-        """Takes the answer to a pending response; returns whether the response was refused (NACK)."""
+        """Applies the answer to a pending response; returns True if the response was refused (NACK)."""
         response = self.pending.pop(nonce, None)
         if response is None:
             return False
         if error:
-            # Danger: a refused version that is sent again unchanged comes back for ever.
+            # A refused version that was sent again unchanged would be refused again, without end.
             self.error = error[:MAX_ERROR_CHARACTERS]
             self.refused.update(response.versions)
             return True
@@ -70,6 +70,6 @@
         return False
 
     def urgent_times_us(self) -> list[int]:
-        """Since when each drain or purge is owed or unanswered."""
+        """Returns when each unsent or unanswered drain or purge became due."""
         times = [self.urgent_since_us, *(response.urgent_since_us for response in self.pending.values())]
         return [time for time in times if time]
