--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -1,4 +1,4 @@
-"""Follows the change log and keeps resources and followers in step with it: `hoistplank control run`."""
+"""Follows the change log and updates resources and followers from it: `hoistplank control run`."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from hoistplank.xds.resources import ResourceCache
 
 log = structlog.get_logger()
-TICK_S = 0.25
+WARMING_UPDATE_INTERVAL_S = 0.25
 CONFIRMATION_CHECK_S = 0.02
-STOP_S = 0.2  # for streams to end
+STOP_TIMEOUT_S = 0.2  # for streams to end
 CACHES_TIER = "caches"
-MIN_SHARE = 0.05  # of a cold host's weight: it always gets some requests
+MIN_SHARE = 0.05  # of its weight, so that a cold host always gets some requests
 
 
 def host_of(settings: RouterSettings, target: Target, now_us: int) -> Host:
-    """A target of the change log as followers are to see it."""
+    """Returns a target of the change log as it is sent to followers."""
     address, port = target.address()
     tiers = {settings.origin_kind: ORIGIN_CLUSTER, settings.parent_kind: PARENTS_CLUSTER}
     is_weighted = settings.links_declared and target.capacity_hint > 0
@@ -56,10 +56,10 @@
 
 
 def slow_start_share(settings: RouterSettings, host: Host, now_us: int) -> float:
-    """The share of its weight that a host may have now, by the settings of slow start.
+    """Returns the share of a host's weight that followers may use now, by the settings of slow start.
 
-    It rises in tenths, so that warming up is some ten changes and not one each tick. Danger: all followers
-    together would overload a cold host.
+    Without slow start all followers together would overload a cold host. The share rises in tenths, so that
+    a host's warm-up takes about ten changes and not one at each update.
     """
     rules = settings.rules
     start_share, duration_us = rules.warm_up_initial_share, rules.warm_up_us
@@ -73,7 +73,7 @@
 
 
 class ControlService:
-    """One control process: the change log in, resources out. It receives its watcher's events."""
+    """One control process: turns events of the change log, from its watcher, into resources."""
 
     def __init__(self, configuration: Configuration, limits: StreamLimits | None = None) -> None:
         self.settings = configuration.router_settings
@@ -87,7 +87,7 @@
         self.endpoint_watcher = EndpointWatcher(self, configuration.changelog, configuration.known, random)
 
     def submit(self, event: Event) -> None:
-        """Takes an event of the change log and publishes its changes at once, drains and purges first."""
+        """Applies an event of the change log and publishes its changes at once, drains and purges first."""
         if isinstance(event, PurgeReceived):
             now = self.clock.now()
             changes = self.resources.add_purge(now, event.object_key, event.purge_group, event.made_us)
@@ -98,10 +98,10 @@
             self.list_confirmation.observe(self.clock.now(), event.stage)
 
     async def wait_until_confirmed(self) -> None:
-        """Returns once the list may be handed out: the log has confirmed it, or the longest wait for that is
-        over. The log has to be followed meanwhile (`run`)."""
+        """Returns once the endpoint list may be sent: the log has confirmed it, or the maximum wait for that
+        is over. The log has to be followed meanwhile (`run`)."""
         while not self.list_confirmation.permits_attempts(self.clock.now()):  # noqa: ASYNC110
-            await asyncio.sleep(CONFIRMATION_CHECK_S)  # no event tells that a wait is over
+            await asyncio.sleep(CONFIRMATION_CHECK_S)  # no event signals the end of the wait
 
     def _update_hosts(self, event: EndpointsUpdated) -> None:
         now = self.clock.now()
@@ -116,7 +116,7 @@
         self.broadcaster.publish(self.resources.update_hosts(hosts, removed), urgent=is_urgent)
 
     def update_warming_hosts(self) -> None:
-        """Gives warming hosts the share that their time allows by now, and drops expired purges."""
+        """Updates the slow-start share of warming hosts, and drops expired purges."""
         now = self.clock.now()
         self.resources.remove_expired_purges(now)
         warming = [host for host in self.resources.hosts.values() if host.share < 1.0]
@@ -124,7 +124,7 @@
         self.broadcaster.publish(self.resources.update_hosts(updated, []))
 
     async def serve(self, address: str, credentials: Any = None) -> int:
-        """Starts to serve followers at HOST:PORT; returns the port. Raises OSError."""
+        """Starts serving followers at HOST:PORT; returns the port. Raises OSError."""
         self.server = discovery_server(self.broadcaster)
         try:
             port = (
@@ -143,10 +143,10 @@
         following = asyncio.create_task(self.endpoint_watcher.run(), name="change log")
         try:
             while not following.done():
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(WARMING_UPDATE_INTERVAL_S)
                 self.update_warming_hosts()
                 for node in self.broadcaster.end_late_streams():
-                    log.warning("follower renewed: it did not accept a drain or a purge in time", node=node)
+                    log.warning("follower's stream ended: drain or purge not accepted in time", node=node)
         finally:
             following.cancel()
             await asyncio.gather(following, return_exceptions=True)
@@ -154,4 +154,4 @@
     async def close(self) -> None:
         """Stops serving followers."""
         if self.server is not None:
-            await self.server.stop(STOP_S)
+            await self.server.stop(STOP_TIMEOUT_S)
