--- a/hoistplank/xds/purge_watermarks.py
+++ b/hoistplank/xds/purge_watermarks.py
@@ -9,7 +9,7 @@
 
 
 class PurgeWatermarks:
-    """The purge times by name, which is an object's key or `group.N`."""
+    """Purge times by name, which is an object's key or `group.N`."""
 
     def __init__(self, retention_us: int) -> None:
         """`retention_us`: how long a purge is sent after it was last received."""
@@ -27,7 +27,8 @@
     def remove_expired(self, now_us: int) -> None:
         """Drops purges received longer ago than the retention: no copy can be older.
 
-        Danger: a purge received late, after a cut, and dropped by its own time would never reach a follower.
+        The time of receipt counts and not the purge time: a purge that is received late, after a lost
+        connection, would otherwise be dropped before it reaches a follower.
         """
         while self.received_us and next(iter(self.received_us.values())) < now_us - self.retention_us:
             name, _ = self.received_us.popitem(last=False)
--- a/hoistplank/xds/ranking_cache.py
+++ b/hoistplank/xds/ranking_cache.py
@@ -1,7 +1,7 @@
-"""The order in which a follower tries cache hosts: the decision module's own, from what xDS carries.
+"""Ranks cache hosts for followers as the decision module does, from data that xDS carries.
 
-No I/O, no clock. The formula is in `decision.hashing`; here is only the index that keeps the first host of
-each followed object and part, so that a host that is added or removed affects only the names ranked at it.
+No I/O, no clock. The formula is in `decision.hashing`; this module keeps an index of the first host of each
+followed object and part, so that a host that is added or removed affects only the names that it is first for.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 def ranking_key(object_key: str, part: int) -> int:
-    """The key of an object's part, by which the decision module ranks caches."""
+    """Returns the key of an object's part, by which the decision module ranks caches."""
     return hash_key(f"{object_key}/{part}")
 
 
 def ranked_hosts(key: int, weights: dict[str, float]) -> list[str]:
-    """All hosts in the order for a key; `weights`: uid -> weight above 0."""
+    """Returns all hosts in the order for a key; `weights`: uid -> weight above 0."""
     return sorted(weights, key=lambda uid: rendezvous_score(key, hash_key(uid), weights[uid]))
 
 
@@ -36,17 +36,17 @@
     """The first host of each followed name, maintained as hosts are added and removed.
 
     A name's first host changes only if that host is removed or one that ranks before it is added: `add_host`
-    computes one rank for each name, `remove_host` searches again for the names whose first host it was.
+    computes one rank for each name, `remove_host` ranks all hosts again for the names that lost their first.
     """
 
     def __init__(self) -> None:
         self.weights: dict[str, float] = {}  # by uid
         self.first_hosts: dict[str, RankedHost] = {}  # by name
-        self.names_by_host: dict[str, set[str]] = {}  # the names whose first host it is, by uid
+        self.names_by_host: dict[str, set[str]] = {}  # by uid: the names whose first host it is
         self._host_hashes: dict[str, int] = {}  # by uid
         self._keys: dict[str, int] = {}  # by name
 
-    def _search(self, name: str) -> None:
+    def _find_first(self, name: str) -> None:
         key, hashes = self._keys[name], self._host_hashes
         ranked = (
             RankedHost(rendezvous_score(key, hashes[uid], weight), uid)
@@ -62,10 +62,10 @@
         self.names_by_host.setdefault(first.uid, set()).add(name)
 
     def follow(self, name: str, key: int) -> str:
-        """Starts to maintain the name's first host; returns its uid, "" if there is no host."""
+        """Starts maintaining the name's first host; returns its uid, "" if there is no host."""
         if name not in self._keys:
             self._keys[name] = key
-            self._search(name)
+            self._find_first(name)
         return self.first_hosts[name].uid
 
     def unfollow(self, names: Iterable[str]) -> None:
@@ -89,12 +89,12 @@
         return changed
 
     def remove_host(self, uid: str) -> set[str]:
-        """Removes a host that is not usable any more; returns the names whose first host it was."""
+        """Removes a host that is no longer usable; returns the names whose first host it was."""
         if self.weights.pop(uid, None) is None:
             return set()
         self._host_hashes.pop(uid, None)
         changed = self.names_by_host.pop(uid, set())
         for name in changed:
             del self.first_hosts[name]
-            self._search(name)
+            self._find_first(name)
         return set(changed)
--- a/hoistplank/xds/resource_messages.py
+++ b/hoistplank/xds/resource_messages.py
@@ -15,15 +15,15 @@
 from hoistplank.xds.resource_types import CACHES_PREFIX, PURGES_NAME, ROUTES_NAME, VirtualHostName
 
 CONNECT_TIMEOUT_MS = 400
-FROM_ADS = {"ads": {}, "resource_api_version": "V3"}
+ADS_CONFIG_SOURCE = {"ads": {}, "resource_api_version": "V3"}
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A cache host, parent or origin as followers are to see it.
+    """A cache host, parent or origin as it is sent to followers.
 
-    `tier`: caches, parents or origin; `weight` above 0, as the decision module ranks with; `share`: of its
-    weight that followers may use now, 1 once it is warm.
+    `tier`: caches, parents or origin; `weight`: above 0, used for ranking as in the decision module; `share`:
+    the part of its weight that followers may use now, 1 once it is warm.
     """
 
     uid: str
@@ -39,17 +39,17 @@
 
     @property
     def cluster(self) -> str:
-        """The name of the cluster that it belongs to."""
+        """The name of the host's cluster."""
         return CACHES_PREFIX + self.zone if self.tier == "caches" else self.tier
 
 
 def serialized(message: Any) -> bytes:
-    """A message's bytes, the same for equal messages."""
+    """Returns a message's bytes, the same for equal messages."""
     return bytes(message.SerializeToString(deterministic=True))
 
 
 def endpoint_message(host: Host) -> Any:
-    """A host as an endpoint, with its uid, cell, weight and share as metadata."""
+    """Returns a host as an endpoint, with its uid, cell, weight, share and start time as metadata."""
     endpoint = endpoint_components_pb2.LbEndpoint(
         endpoint={"address": {"socket_address": {"address": host.address, "port_value": host.port}}},
         health_status="HEALTHY" if host.up else "DRAINING",
@@ -63,12 +63,12 @@
 
 
 def endpoint_bytes(host: Host) -> bytes:
-    """A host as the only endpoint of a locality: a fragment for `assignment_message`."""
+    """Returns a host as the only endpoint of a locality: a fragment for `assignment_message`."""
     return serialized(endpoint_components_pb2.LocalityLbEndpoints(lb_endpoints=[endpoint_message(host)]))
 
 
 def assignment_message(cluster: str, fragments: Iterable[bytes]) -> Any:
-    """A cluster's endpoints, put together from `endpoint_bytes`.
+    """Returns a cluster's endpoints, assembled from results of `endpoint_bytes`.
 
     Concatenated protobuf messages are one message with all their repeated fields: no endpoint is built again.
     """
@@ -82,12 +82,12 @@
 
 
 def cluster_message(name: str) -> Any:
-    """A cluster from EDS: ring hash for a proxy without a route for a name, subsets by uid for routes."""
+    """Returns a cluster from EDS: ring hash for names without a route, subsets by uid for routes."""
     cluster = cluster_pb2.Cluster(
         name=name,
         type="EDS",
         lb_policy="RING_HASH",
-        eds_cluster_config={"eds_config": FROM_ADS},
+        eds_cluster_config={"eds_config": ADS_CONFIG_SOURCE},
         lb_subset_config={"fallback_policy": "ANY_ENDPOINT", "subset_selectors": [{"keys": ["uid"]}]},
     )
     cluster.connect_timeout.FromMilliseconds(CONNECT_TIMEOUT_MS)
@@ -95,7 +95,7 @@
 
 
 def virtual_host_message(name: str, parsed: VirtualHostName, uid: str) -> Any:
-    """A virtual host whose route names the host `uid`, or no host if that is empty."""
+    """Returns a virtual host whose route names the host `uid`, or no host if that is empty."""
     action = route_components_pb2.RouteAction(cluster=parsed.cluster)
     if uid:
         action.metadata_match.filter_metadata["envoy.lb"].update({"uid": uid})
@@ -108,12 +108,12 @@
 
 
 def routes_message() -> Any:
-    """The route configuration: virtual hosts on demand (VHDS)."""
-    return route_pb2.RouteConfiguration(name=ROUTES_NAME, vhds={"config_source": FROM_ADS})
+    """Returns the route configuration: virtual hosts on demand (VHDS)."""
+    return route_pb2.RouteConfiguration(name=ROUTES_NAME, vhds={"config_source": ADS_CONFIG_SOURCE})
 
 
 def purges_message(purged_us: Mapping[str, int]) -> Any:
-    """The runtime layer of purges: name -> purge time in ms since 1970."""
+    """Returns the runtime layer of purges: name -> purge time in ms since 1970."""
     runtime = rtds_pb2.Runtime(name=PURGES_NAME)
     runtime.layer.update({name: purged_us[name] // 1_000 for name in sorted(purged_us)})
     return runtime
--- a/hoistplank/xds/resource_types.py
+++ b/hoistplank/xds/resource_types.py
@@ -13,22 +13,22 @@
 ROUTE_TYPE = _TYPE_PREFIX + "envoy.config.route.v3.RouteConfiguration"
 VIRTUAL_HOST_TYPE = _TYPE_PREFIX + "envoy.config.route.v3.VirtualHost"
 RUNTIME_TYPE = _TYPE_PREFIX + "envoy.service.runtime.v3.Runtime"
-# In the order in which a proxy makes before it breaks.
+# In make-before-break order: the order in which a follower is sent them.
 RESOURCE_TYPES = (CLUSTER_TYPE, ENDPOINT_TYPE, ROUTE_TYPE, VIRTUAL_HOST_TYPE, RUNTIME_TYPE)
 
-# Danger: proxies are configured with these names (docs/operations/xds.md).
+# Proxies are configured with these names (docs/operations/xds.md), and would not find renamed resources.
 ROUTES_NAME = "visits"
 PURGES_NAME = "purges"
 ORIGIN_CLUSTER = "origin"
 PARENTS_CLUSTER = "parents"
-CACHES_PREFIX = "caches-"  # of the cluster of a zone's cache hosts
+CACHES_PREFIX = "caches-"  # then the zone: the name of the cluster of its cache hosts
 
 MAX_NAME_CHARACTERS = 200
 MAX_PART_DIGITS = 5
 
 
 class VirtualHostName(NamedTuple):
-    """What the name of a virtual host on demand says: `visits/OBJECT.PART@ZONE`."""
+    """The parts of the name of a virtual host on demand, `visits/OBJECT.PART@ZONE`."""
 
     object_key: str
     part: int
@@ -41,7 +41,7 @@
 
 
 def parse_virtual_host_name(name: str) -> VirtualHostName | None:
-    """The parts of a virtual host's name; None if it is not of this service."""
+    """Returns the parts of a virtual host's name; None if it is not a name of this service."""
     if len(name) > MAX_NAME_CHARACTERS or not name.startswith(ROUTES_NAME + "/"):
         return None
     object_and_part, at, zone = name[len(ROUTES_NAME) + 1 :].partition("@")
--- a/hoistplank/xds/resources.py
+++ b/hoistplank/xds/resources.py
@@ -1,9 +1,9 @@
-"""The xDS resources that followers are sent, kept in step with hosts, purges and followed names.
+"""The xDS resources that are sent to followers, built from hosts, purges and followed names.
 
 Decision logic without I/O except protobuf's own encoding: state changes in, names of changed resources out. A
 resource's version is the digest of its bytes, so a change without effect sends nothing, and two control
 processes with the same state serve the same bytes. A change of one host encodes one endpoint; the assignment
-around it is put together from the stored bytes of the others.
+around it is assembled from the stored bytes of the others.
 
 Resources:
 
@@ -11,7 +11,7 @@
 - ClusterLoadAssignment, one for each cluster.
 - RouteConfiguration `visits`, and a VirtualHost on demand (VHDS) for each object and part that is followed:
   `visits/OBJECT.PART@ZONE`, whose route names the host that the dispatcher ranks first.
-- Runtime `purges`: for each object or group purged lately, when (ms since 1970) it was purged.
+- Runtime `purges`: the purge time (ms since 1970) of each recently purged object or group.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
     parse_virtual_host_name,
 )
 
-MAX_FOLLOWED_NAMES = 100_000  # names on demand; beyond them a proxy keeps to the ring
+MAX_FOLLOWED_NAMES = 100_000  # names on demand; for further ones a proxy uses its hash ring
 PURGE_RETENTION_US = 60_000_000
 
 
@@ -67,7 +67,7 @@
 
 
 def digest(data: bytes) -> str:
-    """A version for these bytes."""
+    """Returns a version for these bytes."""
     return blake2b(data, digest_size=8).hexdigest()
 
 
@@ -77,24 +77,24 @@
     def __init__(self, purge_retention_us: int = PURGE_RETENTION_US) -> None:
         self.hosts: dict[str, Host] = {}  # by uid
         self.rankings: dict[str, RankingCache] = {}  # by cluster
-        self.follower_counts: dict[str, int] = {}  # how many followers have a name on demand
+        self.follower_counts: dict[str, int] = {}  # number of followers of each name on demand
         self.purges = PurgeWatermarks(purge_retention_us)
         self.by_type: dict[str, dict[str, Resource]] = {type_url: {} for type_url in RESOURCE_TYPES}
-        self.endpoints_encoded = 0  # so far: what a change costs
+        self.endpoints_encoded = 0  # since the start, as a measure of the cost of changes
         self._endpoints: dict[str, dict[str, bytes]] = {}  # cluster -> uid -> its endpoint's bytes
         self._store(ROUTE_TYPE, ROUTES_NAME, routes_message)
         self._store(RUNTIME_TYPE, PURGES_NAME, self._purges_message)
 
     def get(self, type_url: str, name: str) -> Resource | None:
-        """The resource of this type and name."""
+        """Returns the resource of this type and name; None if there is none."""
         return self.by_type.get(type_url, {}).get(name)
 
     def names(self, type_url: str) -> list[str]:
-        """The names of all resources of a type, sorted."""
+        """Returns the names of all resources of a type, sorted."""
         return sorted(self.by_type.get(type_url, {}))
 
     def _store(self, type_url: str, name: str, build: Callable[[], Any]) -> bool:
-        """Encodes a resource; returns whether that changed it."""
+        """Encodes and stores a resource; returns True if that changed it."""
         data = serialized(build())
         stored = self.by_type[type_url].get(name)
         if stored is not None and stored.data == data:
@@ -109,11 +109,17 @@
         return self.update_hosts([host], [])
 
     def remove_host(self, uid: str) -> set[ResourceChange]:
-        """Removes a host. Its cluster stays, empty if it was the last: routes may still name it."""
+        """Removes a host; returns the changed resources.
+
+        Its cluster stays, empty if it was the last host: routes may still name it.
+        """
         return self.update_hosts([], [uid])
 
     def update_hosts(self, hosts: Iterable[Host], removed: Iterable[str]) -> set[ResourceChange]:
-        """Adds, changes and removes hosts; each affected assignment is put together once."""
+        """Adds, changes and removes hosts; returns the changed resources.
+
+        Each affected assignment is built once.
+        """
         changes, clusters, names = set[ResourceChange](), set[str](), set[str]()
         for uid in removed:
             self._remove(uid, clusters, names)
@@ -141,7 +147,8 @@
             changes.add(ResourceChange(CLUSTER_TYPE, cluster))
         ranking = self._ranking(cluster)
         if host.up:
-            # Danger: routes that name a cold host send it all requests of its names: it gets a share of them.
+            # Ranked by its share of its weight: a route sends all requests of a name to one host, and a cold
+            # host that was first for its full weight would be overloaded.
             names |= ranking.add_host(host.uid, host.weight * host.share)
         else:
             names |= ranking.remove_host(host.uid)
@@ -173,13 +180,13 @@
     # Purges.
 
     def add_purge(self, now_us: int, object_key: str, group: int, purged_us: int) -> set[ResourceChange]:
-        """An object, or a group if `object_key` is empty, was purged at `purged_us`."""
+        """Adds a purge at `purged_us` of an object, or of a group if `object_key` is empty."""
         self.purges.add(now_us, object_key or f"group.{group}", purged_us)
         is_changed = self._store(RUNTIME_TYPE, PURGES_NAME, self._purges_message)
         return {ResourceChange(RUNTIME_TYPE, PURGES_NAME)} if is_changed else set()
 
     def remove_expired_purges(self, now_us: int) -> None:
-        """Drops purges that no copy can be older than; followers learn of it with the next purge."""
+        """Drops purges that no copy can be older than; followers receive the removal with the next purge."""
         self.purges.remove_expired(now_us)
 
     def _purges_message(self) -> Any:
@@ -188,7 +195,7 @@
     # Names on demand.
 
     def follow(self, name: str) -> bool:
-        """One more follower wants a virtual host; False if it can't be served."""
+        """Counts one more follower of a virtual host; returns False if it can't be served."""
         if name in self.follower_counts:
             self.follower_counts[name] += 1
             return True
@@ -201,7 +208,7 @@
         return True
 
     def unfollow(self, name: str) -> None:
-        """One follower less wants a virtual host; it is dropped with the last."""
+        """Counts one follower less of a virtual host, which is dropped with its last follower."""
         if name not in self.follower_counts:
             return
         self.follower_counts[name] -= 1
@@ -209,16 +216,16 @@
             return
         del self.follower_counts[name]
         self.by_type[VIRTUAL_HOST_TYPE].pop(name, None)
-        self.rankings[_followed(name).cluster].unfollow([name])
+        self.rankings[_parse_followed_name(name).cluster].unfollow([name])
 
     def _virtual_host_message(self, name: str) -> Any:
-        parsed = _followed(name)
+        parsed = _parse_followed_name(name)
         uid = self.rankings[parsed.cluster].first_hosts[name].uid
         return virtual_host_message(name, parsed, uid)
 
 
-def _followed(name: str) -> VirtualHostName:
-    """The parts of a followed name, which was parsed before it was followed."""
+def _parse_followed_name(name: str) -> VirtualHostName:
+    """Returns the parts of a followed name, which `follow` has parsed before."""
     parsed = parse_virtual_host_name(name)
     assert parsed is not None
     return parsed
--- a/hoistplank/xds/response_encoder.py
+++ b/hoistplank/xds/response_encoder.py
@@ -11,15 +11,15 @@
 from hoistplank.xds.follower import TYPES_WITH_TTL
 from hoistplank.xds.stream_messages import Response
 
-TTL_S = 3  # how long endpoints and purges are valid without a heartbeat
+TTL_S = 3  # of endpoints and purges, unless a heartbeat renews it
 MAX_CACHED_MESSAGES = 64
-MAX_CACHED_RESOURCES = 16  # a message of more resources is one follower's own
+MAX_CACHED_RESOURCES = 16  # longer messages are hardly ever the same for two followers
 INVALID_ARGUMENT = 3  # google.rpc.Code
 _TTL = duration_pb2.Duration(seconds=TTL_S)
 
 
 def state_message(response: Response) -> Any:
-    """A state-of-the-world message without its nonce."""
+    """Returns a state-of-the-world message without its nonce."""
     return discovery_pb2.DiscoveryResponse(
         version_info=response.version,
         type_url=response.type_url,
@@ -30,7 +30,7 @@
 
 
 def delta_message(response: Response) -> Any:
-    """An incremental message without its nonce."""
+    """Returns an incremental message without its nonce."""
     type_url = response.type_url
     return discovery_pb2.DeltaDiscoveryResponse(
         system_version_info=response.version,
@@ -51,7 +51,7 @@
 
 
 class _CacheKey(NamedTuple):
-    """Responses with equal keys are the same message, except for their nonces."""
+    """The identity of a message: responses with equal keys differ only in their nonces."""
 
     is_incremental: bool
     type_url: str
@@ -61,9 +61,9 @@
 
 
 class ResponseEncoder:
-    """Responses as bytes.
+    """Encodes responses, with a cache of messages.
 
-    The last messages are cached without their nonce, which is appended: concatenated protobuf messages are
+    Messages are cached without their nonce, which is appended: concatenated protobuf messages are
     one message.
     """
 
@@ -71,7 +71,7 @@
         self._cache: dict[_CacheKey, bytes] = {}
 
     def encode(self, response: Response, *, is_incremental: bool) -> bytes:
-        """The response as a message of its kind of stream."""
+        """Returns the bytes of a response as a message of its kind of stream."""
         versions = tuple((resource.name, resource.version) for resource in response.resources)
         removed = tuple(response.removed)
         key = _CacheKey(is_incremental, response.type_url, response.is_heartbeat, versions, removed)
@@ -93,5 +93,5 @@
 
 
 def error_detail(message: str) -> Any:
-    """An error detail as a follower sends it when it refuses a response."""
+    """Returns an error detail as a follower sends it with the refusal of a response."""
     return status_pb2.Status(code=INVALID_ARGUMENT, message=message)
