--- a/hoistplank/fakes/fault_proxy.py
+++ b/hoistplank/fakes/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy with faults: it delays, withholds or cuts what a server answers, or refuses connections."""
+"""A TCP proxy with faults: it delays, withholds or cuts off answers, or refuses connections."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class FaultProxy:
-    """Stands before the server at `target_port`; use it as an async context manager.
+    """Relays connections to the server at `target_port`; use it as an async context manager.
 
-    `answer_delay_s`: from the first bytes of a connection's client to the first byte that comes back.
-    `connect_delay_s`: before a connection that was accepted is passed on. `is_silent`: nothing comes back.
-    `piece_bytes` and `piece_pause_s`: what comes back is cut into pieces with a pause after each.
+    `answer_delay_s`: from the client's first bytes on a connection to the first byte of an answer.
+    `connect_delay_s`: before an accepted connection is relayed. `is_silent`: answers are withheld.
+    `piece_bytes` and `piece_pause_s`: answers are split into pieces with a pause after each.
     """
 
     def __init__(self, target_port: int) -> None:
@@ -26,9 +26,11 @@
         self.piece_bytes = CHUNK_BYTES
         self.piece_pause_s = 0.0
         self.connection_count = 0
-        self.on_connection: Callable[[], None] | None = None  # called as a connection's client has asked
-        self._speaks = asyncio.Event()
-        self._speaks.set()
+        self.on_connection: Callable[[], None] | None = (
+            None  # called at the first bytes of each connection's client
+        )
+        self._answers_allowed = asyncio.Event()
+        self._answers_allowed.set()
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
 
@@ -41,32 +43,32 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether what the server sends is withheld for now."""
-        return not self._speaks.is_set()
+        """True if the server's answers are withheld."""
+        return not self._answers_allowed.is_set()
 
     @is_silent.setter
     def is_silent(self, silent: bool) -> None:
         if silent:
-            self._speaks.clear()
+            self._answers_allowed.clear()
         else:
-            self._speaks.set()
+            self._answers_allowed.set()
 
     async def listen(self) -> None:
-        """Accept connections, at the same port each time; nothing changes where it does already."""
+        """Accept connections, at the same port each time; does nothing if it accepts them already."""
         if self._server is not None:
             return
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     async def refuse(self) -> None:
-        """Refuse connections from now on, and cut those that stand."""
+        """Refuse connections from now on, and close the open ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
         await self.cut()
 
     async def cut(self) -> None:
-        """Close all connections that stand; new ones are accepted as before."""
+        """Close all open connections; new ones are accepted as before."""
         connections = list(self._connections)
         for task in connections:
             task.cancel()
@@ -78,20 +80,24 @@
         self._connections.add(task)
         self.connection_count += 1
         try:
-            await self._pass_on(reader, writer)
+            await self._relay(reader, writer)
         except (OSError, asyncio.CancelledError):
-            pass  # a connection ends with either side, or by `cut`
+            pass  # either side closed the connection, or `cut` did
         finally:
             self._connections.discard(task)
             writer.close()
 
-    async def _pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(self.connect_delay_s)
         server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
-        asked = asyncio.Event()
+        client_sent = asyncio.Event()
         directions = [
-            asyncio.create_task(self._pass_requests(reader, server_writer, asked), name="proxy: requests"),
-            asyncio.create_task(self._pass_answers(server_reader, writer, asked), name="proxy: answers"),
+            asyncio.create_task(
+                self._relay_requests(reader, server_writer, client_sent), name="proxy: requests"
+            ),
+            asyncio.create_task(
+                self._relay_answers(server_reader, writer, client_sent), name="proxy: answers"
+            ),
         ]
         try:
             await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
@@ -101,26 +107,26 @@
             await asyncio.gather(*directions, return_exceptions=True)
             server_writer.close()
 
-    async def _pass_requests(
-        self, reader: asyncio.StreamReader, server_writer: asyncio.StreamWriter, asked: asyncio.Event
+    async def _relay_requests(
+        self, reader: asyncio.StreamReader, server_writer: asyncio.StreamWriter, client_sent: asyncio.Event
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                if not asked.is_set():
-                    asked.set()
+                if not client_sent.is_set():
+                    client_sent.set()
                     if self.on_connection is not None:
                         self.on_connection()
                 server_writer.write(data)
                 await server_writer.drain()
 
-    async def _pass_answers(
-        self, server_reader: asyncio.StreamReader, writer: asyncio.StreamWriter, asked: asyncio.Event
+    async def _relay_answers(
+        self, server_reader: asyncio.StreamReader, writer: asyncio.StreamWriter, client_sent: asyncio.Event
     ) -> None:
-        await asked.wait()
+        await client_sent.wait()
         await asyncio.sleep(self.answer_delay_s)
         with contextlib.suppress(OSError):
             while data := await server_reader.read(self.piece_bytes):
-                await self._speaks.wait()
+                await self._answers_allowed.wait()
                 writer.write(data)
                 await writer.drain()
                 await asyncio.sleep(self.piece_pause_s)
--- a/hoistplank/fakes/first_choice.py
+++ b/hoistplank/fakes/first_choice.py
@@ -1,4 +1,4 @@
-"""What the decision module chooses for a first request, for those that are held against it."""
+"""The decision module's choice for a first request, as a reference for other implementations."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def first_choice(router: Router, now: int, number: int, class_name: str, object_key: str, part: int) -> str:
-    """The cache host to which a first request for an object's part goes at `now` (us); "" for none.
+    """Return the cache host that gets a first request for an object's part at `now` (us); "" for none.
 
-    The request is taken back at once: attempts that never end would use up a host's capacity, and the module
-    would turn to the next.
+    The request is cancelled at once: attempts that never end would use up a host's capacity, and the router
+    would choose the next host.
     """
     request_id, found, attempt = f"first-{number}", "", -1
     deadline = now + DEADLINE_US
--- a/hoistplank/fakes/proxy.py
+++ b/hoistplank/fakes/proxy.py
@@ -1,8 +1,8 @@
 """Fake xDS proxies that follow a control service over incremental aggregated discovery (v3, delta).
 
 A proxy without the extension has standard policies only: a virtual host on demand (VHDS) for each object,
-whose route names a host as a subset, and a hash ring over healthy endpoints until that route is there. One
-with the extension reads the endpoints' metadata `hoistplank` and ranks hosts by the core's own formula.
+whose route names a host as a subset, and a hash ring over healthy endpoints until it has that route. One with
+the extension reads the endpoints' metadata `hoistplank` and ranks hosts by the formula of `decision.hashing`.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from hoistplank.xds.response_encoder import error_detail
 
 HEALTHY = 1  # of an endpoint's health status
-POINTS_PER_HOST = 64  # on the hash ring, of a host whose share is 1
+POINTS_PER_HOST = 64  # on the hash ring, for a host whose share is 1
 RECONNECT_S = 0.05
 
 
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class ProxyCounts:
-    """What a proxy has received: responses and their bytes, refused ones, and streams it has opened."""
+    """Counts of a proxy's responses, their bytes, refused responses and opened streams."""
 
     responses: int = 0
     bytes: int = 0
@@ -66,7 +66,7 @@
 
 
 class FakeProxy:
-    """One proxy. `refuses(type_url, response)` returns why it refuses a response, or "" to accept it."""
+    """One proxy. `refuses(type_url, response)` returns why a response is refused, or "" to accept it."""
 
     def __init__(
         self,
@@ -89,23 +89,26 @@
         self.fresh_until = 0.0  # endpoints may be used until then (monotonic s)
         self.ring: list[tuple[int, str]] = []
         self.counts = ProxyCounts()
-        self.changed = asyncio.Event()  # set after each response that was accepted
+        self.changed = asyncio.Event()  # set after each accepted response
         self.may_read = asyncio.Event()  # cleared by a test to stall the stream
         self.may_read.set()
         self.call: Any = None
         self.dropped = False
-        self._out: asyncio.Queue[Any] = asyncio.Queue()
+        self._outgoing: asyncio.Queue[Any] = asyncio.Queue()
 
     # Choices.
 
     def _pool(self) -> dict[str, float]:
-        """The weight of each host that may be used. Danger: a stale pool is used for ever after a cut."""
+        """Return the weight of each usable host by uid; none once the time to live is over.
+
+        A proxy that is cut off would otherwise use a stale pool for ever.
+        """
         if time.monotonic() > self.fresh_until:
             return {}
         return {uid: host.weight * host.share for uid, host in self.hosts.items() if host.is_healthy}
 
     def choose(self, object_key: str, part: int) -> str:
-        """The cache host for an object's part; "" where it may use none."""
+        """Return the cache host for an object's part; "" if there is no usable host."""
         pool = self._pool()
         if not pool:
             return ""
@@ -116,8 +119,8 @@
             return uid
         if not self.ring:
             self.ring = self._build_ring()
-        at = bisect(self.ring, (_hash(f"{object_key}/{part}"), ""))
-        return self.ring[at % len(self.ring)][1] if self.ring else ""
+        position = bisect(self.ring, (_hash(f"{object_key}/{part}"), ""))
+        return self.ring[position % len(self.ring)][1] if self.ring else ""
 
     def _build_ring(self) -> list[tuple[int, str]]:
         points = []
@@ -128,7 +131,7 @@
         return sorted(points)
 
     def request_virtual_host(self, object_key: str, part: int) -> None:
-        """Subscribe to an object's virtual host, as a proxy does at the first request for it."""
+        """Subscribe to the virtual host of an object's part, as a proxy does at the first request for it."""
         name = virtual_host_name(object_key, part, self.zone)
         if name not in self.virtual_hosts:
             self._send(VIRTUAL_HOST_TYPE, more=[name])
@@ -143,7 +146,7 @@
         error: str = "",
         held: dict[str, str] | None = None,
     ) -> None:
-        self._out.put_nowait(
+        self._outgoing.put_nowait(
             discovery_pb2.DeltaDiscoveryRequest(
                 node={"id": self.node, "locality": {"zone": self.zone}},
                 type_url=type_url,
@@ -156,10 +159,10 @@
 
     async def _requests(self) -> Any:
         while True:
-            yield await self._out.get()
+            yield await self._outgoing.get()
 
     async def run(self) -> None:
-        """Follow until it is cancelled; after a stream's end, resume with the versions that are held."""
+        """Follow until cancelled; after a stream's end, open another one with the held versions."""
         while True:
             try:
                 with contextlib.suppress(grpc.RpcError):
@@ -171,10 +174,12 @@
             await asyncio.sleep(RECONNECT_S)
 
     async def follow(self) -> None:
-        """Follow over one stream. Raises grpc.RpcError when it ends with an error."""
-        self._out = asyncio.Queue()
+        """Follow over one stream. Raises grpc.RpcError if it ends with an error."""
+        self._outgoing = asyncio.Queue()
         self.counts.streams += 1
-        options = [("grpc.use_local_subchannel_pool", 1)]  # a connection of its own, as another process has
+        options = [
+            ("grpc.use_local_subchannel_pool", 1)
+        ]  # a separate connection, as another process would have
         async with grpc.aio.insecure_channel(self.address, options=options) as channel:
             self.call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources(
                 self._requests()
@@ -191,22 +196,22 @@
                 )
             async for response in self.call:
                 await self.may_read.wait()
-                self._take(response)
+                self._handle_response(response)
 
     def drop_stream(self) -> None:
-        """End the stream now, whatever is under way."""
+        """End the stream now, without waiting for messages in flight."""
         if self.call is not None:
             self.dropped = True
             self.call.cancel()
 
-    def _take(self, response: Any) -> None:
+    def _handle_response(self, response: Any) -> None:
         type_url = response.type_url
         self.counts.responses += 1
         self.counts.bytes += response.ByteSize()
-        problem = self.refuses(type_url, response)
-        if problem:
+        refusal = self.refuses(type_url, response)
+        if refusal:
             self.counts.refused += 1
-            self._send(type_url, nonce=response.nonce, error=problem)
+            self._send(type_url, nonce=response.nonce, error=refusal)
             return
         held = self.versions.setdefault(type_url, {})
         for resource in response.resources:
@@ -239,13 +244,15 @@
         for locality in assignment.endpoints:
             for endpoint in locality.lb_endpoints:
                 metadata = endpoint.metadata.filter_metadata
-                own = metadata["hoistplank"]
+                extension_metadata = metadata["hoistplank"]
                 is_healthy = endpoint.health_status == HEALTHY
                 uid = metadata["envoy.lb"]["uid"]
-                self.hosts[uid] = ProxyEndpoint(is_healthy, own["weight"], own["share"])
-        self.ring = []  # built when a choice needs it
+                self.hosts[uid] = ProxyEndpoint(
+                    is_healthy, extension_metadata["weight"], extension_metadata["share"]
+                )
+        self.ring = []  # rebuilt by the next choice that needs it
 
 
 def virtual_host_name(object_key: str, part: int, zone: str) -> str:
-    """The name of the virtual host of an object's part for the proxies of a zone."""
+    """Return the name of the virtual host of an object's part for the proxies of a zone."""
     return f"{ROUTES_NAME}/{object_key}.{part}@{zone}"
