--- a/hoistplank/fakes/change_log.py
+++ b/hoistplank/fakes/change_log.py
@@ -1,4 +1,4 @@
-"""A fake change log: it sends each follower the events after the number that the follower asks for."""
+"""A fake change log: it sends each follower the events after the sequence number that it asks for."""
 
 from __future__ import annotations
 
@@ -7,25 +7,27 @@
 from typing import Any
 
 HEARTBEAT_S = 1.0
-MAX_BATCH_BYTES = 65_536  # bytes handed to a follower before it is waited for
+MAX_BATCH_BYTES = 65_536  # written before the connection is drained
 
 
 class FakeChangeLog:
     """`serve_connection` serves a follower, `publish` adds an event; both in one event loop.
 
-    `epoch`: sent in each line where it is above 0, as by a log that says when it counts anew.
+    `epoch`: sent in each line if it is above 0, as by a log that marks each restart of its numbers.
     """
 
     def __init__(self, epoch: int = 0) -> None:
         self.epoch = epoch
-        self._incarnation = 0  # rises with each restart: connections of an earlier one end
+        self._incarnation = 0  # incremented by each restart: older connections end
         self.events: list[dict[str, Any]] = []
-        self.requested_positions: list[int] = []  # the numbers from which those that connected asked
+        self.requested_positions: list[int] = []  # sequence numbers, one for each connection
         self._changed = asyncio.Event()
-        self._lines: dict[int, bytes] = {}  # by number: each event is encoded once, for all followers
+        self._lines: dict[
+            int, bytes
+        ] = {}  # by sequence number: each event is encoded once, for all followers
 
     def publish(self, event: dict[str, Any]) -> None:
-        """Add an event, with its number under `seq`, and send it to all followers."""
+        """Add an event, with its sequence number under `seq`, and send it to all followers."""
         if self.epoch:
             event = event | {"epoch": self.epoch}
         self.events.append(event)
@@ -33,7 +35,7 @@
         self._changed.clear()
 
     def restart(self, epoch: int) -> None:
-        """Begin anew with no events, counting from 1 again; all connections end."""
+        """Restart without events, with sequence numbers from 1 again; all connections end."""
         self.epoch, self._incarnation = epoch, self._incarnation + 1
         self.events.clear()
         self._lines.clear()
@@ -41,38 +43,41 @@
         self._changed.clear()
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send one follower its events, and a heartbeat a second after the last line, until it is gone."""
-        at = int((await reader.readline()).split()[1])
-        self.requested_positions.append(at)
+        """Send one follower its events, and heartbeats in between, until it disconnects."""
+        position = int((await reader.readline()).split()[1])
+        self.requested_positions.append(position)
         incarnation = self._incarnation
         index, loop = 0, asyncio.get_running_loop()
-        # A follower to which there is nothing to say is told so at once.
-        last = self.events[-1]["seq"] if self.events else at
-        heartbeat_at = loop.time() + (HEARTBEAT_S if last > at else 0)
+        # If there are no events for the follower, it gets a heartbeat at once.
+        last = self.events[-1]["seq"] if self.events else position
+        heartbeat_at = loop.time() + (HEARTBEAT_S if last > position else 0)
         while incarnation == self._incarnation:
-            # Danger: a scan of the whole log for each event makes an hour of events cost its square.
+            # `index` avoids a scan of the whole log for each event, whose cost would grow with the square of
+            # the number of events.
             while index < len(self.events):
                 if writer.is_closing():
                     return
-                index, at, lines = self._next_lines(index, at)
+                index, position, lines = self._next_lines(index, position)
                 if lines:
                     writer.write(lines)
                     await writer.drain()
                     heartbeat_at = loop.time() + HEARTBEAT_S
             try:
-                # A second after the last line one with the last number alone: without it the log counts as
-                # lost. Danger: counted from the last event, a follower that is ahead of a log that began
-                # anew would receive nothing at all while that publishes events.
-                # Danger: `wait_for` would begin to wait a turn later, and miss what is published meanwhile.
+                # The heartbeat is a line with only the last sequence number; without it the follower takes
+                # the log as lost. It is due `HEARTBEAT_S` after the last line, not after the last event: a
+                # follower that is ahead of a restarted log would otherwise receive nothing at all as long as
+                # the log publishes events.
+                # `wait_for` would start to wait one iteration of the event loop later, and miss an event that
+                # is published meanwhile.
                 async with asyncio.timeout_at(heartbeat_at):
                     await self._changed.wait()
             except TimeoutError:
                 if writer.is_closing():
                     return
                 if index < len(self.events):
-                    continue  # an event was published in the turn in which the time was over
-                # Its own number, also where the follower's is above it: so a log that began anew is noticed.
-                last = self.events[-1]["seq"] if self.events else at
+                    continue  # an event was published in the same iteration as the timeout
+                # The log's own number, even if the follower's is above it, so that a restart is detected.
+                last = self.events[-1]["seq"] if self.events else position
                 writer.write(json.dumps({"seq": last} | self._epoch_field()).encode() + b"\n")
                 heartbeat_at = loop.time() + HEARTBEAT_S
 
@@ -83,17 +88,17 @@
     def _epoch_field(self) -> dict[str, int]:
         return {"epoch": self.epoch} if self.epoch else {}
 
-    def _next_lines(self, index: int, at: int) -> tuple[int, int, bytes]:
-        """The lines that follow number `at`, with the index and number up to which they lead."""
+    def _next_lines(self, index: int, position: int) -> tuple[int, int, bytes]:
+        """Return the next lines after number `position`, with the index and number to go on from."""
         lines, size = list[bytes](), 0
         while index < len(self.events) and size < MAX_BATCH_BYTES:
             event = self.events[index]
             index += 1
-            if event["seq"] > at:
-                at = event["seq"]
+            if event["seq"] > position:
+                position = event["seq"]
                 lines.append(self._encoded(event))
                 size += len(lines[-1])
-        return index, at, b"".join(lines)
+        return index, position, b"".join(lines)
 
     def _encoded(self, event: dict[str, Any]) -> bytes:
         line = self._lines.get(event["seq"])
--- a/hoistplank/fakes/deployment.py
+++ b/hoistplank/fakes/deployment.py
@@ -21,19 +21,18 @@
 from hoistplank.fakes.wire import FastCgiClient, connect, serve
 
 READY_S = 15.0  # within which a dispatcher must serve
-STOP_S = 8.0  # within which it must end after SIGTERM
+STOP_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL
 
 LOWEST_PORT = 10_000
 PORT_COUNT = 22_000
-_drawn = count()
+_port_counter = count()
 
 
 def reserve_port() -> socket.socket:
-    """A socket that is bound to a free port of loopback and never listens.
+    """Return a socket that is bound to a free port of loopback and never listens.
 
-    Connections are refused, and a server may take the port with `reuse_port` and leave it again.
-
-    Danger: a port that nobody holds may become the near end of anybody's connection, and is gone.
+    Connections are refused, and a server may listen on the port with `reuse_port` and close it again. A port
+    that no socket is bound to could be taken as the local port of any process's outgoing connection.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -42,21 +41,22 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens on, below those that the system gives away by itself.
+    """Return a port that is not in use, below the system's ephemeral ports.
 
-    Danger: one of the system's own is taken by anybody's next connection before it is listened on; and two
-    processes that draw at a time would draw the same. Each begins where its number puts it.
+    An ephemeral port could be taken by any process's next connection before the caller listens on it. Each
+    process starts the search at a port that depends on its process id, so that two processes that search at
+    the same time don't find the same port.
     """
     for _ in range(PORT_COUNT):
-        port = LOWEST_PORT + (os.getpid() * 97 + next(_drawn)) % PORT_COUNT
+        port = LOWEST_PORT + (os.getpid() * 97 + next(_port_counter)) % PORT_COUNT
         with contextlib.suppress(OSError), socket.socket() as probe:
             probe.bind(("127.0.0.1", port))
             return port
-    raise RuntimeError(f"no free port from {LOWEST_PORT} on")
+    raise RuntimeError(f"expected a free port from {LOWEST_PORT} on, found none")
 
 
 def deployment_settings(**changes: Any) -> dict[str, Any]:
-    """The small site's settings with a parent; `changes` by dotted paths, as `limits.open_cap`."""
+    """Return the small site's settings with a parent; `changes` by dotted paths, as `limits.open_cap`."""
     out = copy.deepcopy(SETTINGS)
     out["family_info"]["second_tier_kind"] = 1
     out["limits"]["open_cap"] = 400
@@ -70,7 +70,7 @@
 
 
 def dispatcher_environment(configuration: Path) -> dict[str, str]:
-    """The environment of a dispatcher's process: ours, without what would name another one's files."""
+    """Return this process's environment for a dispatcher, without variables that name other files."""
     own_prefixes = ("EDGE_", "HOISTPLANK_")
     environment = {name: value for name, value in os.environ.items() if not name.startswith(own_prefixes)}
     return environment | {"EDGE_CONFIG": str(configuration)}
@@ -79,7 +79,7 @@
 class Deployment:
     """All servers and one dispatcher process; `folder` holds the dispatcher's configuration and log.
 
-    Use it as an async context manager: all is ended when the context is left.
+    Use it as an async context manager: the dispatcher is stopped at the end of the context.
     """
 
     def __init__(
@@ -103,11 +103,11 @@
         self.address = ("127.0.0.1", 0)
         self.capacity_hint = 100.0
         self.command = command
-        self.extra_environment: dict[str, str] = {}  # of the dispatcher's process
+        self.extra_environment: dict[str, str] = {}  # for the dispatcher's process
         self.process: asyncio.subprocess.Process | None = None
 
     def endpoint_entries(self, states: dict[str, str] | None = None) -> list[dict[str, Any]]:
-        """All servers as the change log lists them; `states` names those that are not ready."""
+        """Return all servers as the change log lists them; `states`: by uid, of those that are not ready."""
         rows = [
             endpoint_entry(one.uid, one.kind, one.port, (states or {}).get(one.uid, "ready"))
             for one in self.servers
@@ -160,13 +160,13 @@
             )
 
     async def wait_until_ready(self) -> None:
-        """Wait until the dispatcher's health check says that it is to get requests.
+        """Wait until the dispatcher's health check succeeds.
 
         Raises RuntimeError with the end of its log if it does not within `READY_S`.
         """
         assert self.process is not None
-        until = time.monotonic() + READY_S
-        while time.monotonic() < until and self.process.returncode is None:
+        deadline = time.monotonic() + READY_S
+        while time.monotonic() < deadline and self.process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 client = await self.client()
                 client.send(1, "", script="/-/healthy")
@@ -176,7 +176,7 @@
                     return
             await asyncio.sleep(0.02)
         log_text = (self.folder / "dispatcher.log").read_text()[-2_000:]
-        raise RuntimeError(f"the dispatcher did not come up: {log_text}")
+        raise RuntimeError(f"the dispatcher ended or was not ready in time: {log_text}")
 
     async def kill(self) -> None:
         """End the dispatcher's process with SIGKILL."""
@@ -185,11 +185,11 @@
         await self.process.wait()
 
     def caches_received(self) -> list[ReceivedRequest]:
-        """The requests that came to any of the cache hosts."""
+        """Return the requests that any of the cache hosts received."""
         return [received for cache in self.caches for received in cache.received]
 
     def log_text(self) -> str:
-        """What the dispatcher's processes have logged so far."""
+        """Return the log of the dispatcher's processes so far."""
         return (self.folder / "dispatcher.log").read_text()
 
     async def client(self) -> FastCgiClient:
@@ -212,7 +212,7 @@
         )
 
     async def reload(self) -> None:
-        """Have the dispatcher read its files again."""
+        """Make the dispatcher read its files again."""
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
 
@@ -220,7 +220,7 @@
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
             try:
-                async with asyncio.timeout(STOP_S):
+                async with asyncio.timeout(STOP_TIMEOUT_S):
                     await self.process.wait()
             except TimeoutError:
                 self.process.kill()
--- a/hoistplank/fakes/settings.py
+++ b/hoistplank/fakes/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a small site and events of its change log, by the platform's own names and units."""
+"""Settings of a small site and events of its change log, with the platform's names and units."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def endpoint_entry(uid: str, model: str, port: int, state: str = "ready") -> dict[str, Any]:
-    """A host as the change log lists it; `model` is `box` (a cache host), `parent` or `origin`."""
+    """Return a host as the change log lists it; `model` is `box` (a cache host), `parent` or `origin`."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -77,5 +77,5 @@
 
 
 def fleet_event(seq: int, targets: list[dict[str, Any]], whole: bool = False) -> dict[str, Any]:
-    """A change-log event with endpoints: only those that changed, or with `whole` all there are."""
+    """Return a change-log event with endpoints: the changed ones, or with `whole` the full list."""
     return {"seq": seq, "fleet": {"rev": seq, "all": whole, "targets": targets}}
