--- a/hoistplank/fakes/cache_host.py
+++ b/hoistplank/fakes/cache_host.py
@@ -12,21 +12,21 @@
 from hoistplank.fakes.wire import serve
 
 FILL_ID = "fill"  # the request id of a fill, which no dispatcher sends
-BOOKING_WINDOW_S = 3.0  # in which the origin runs a booking with one key once
+BOOKING_WINDOW_S = 3.0  # within which the origin runs bookings with the same key only once
 COPY_BYTES = 20_000
 
 PartKey = tuple[str, str]  # an object's key and the number of its part
 
 
 class StoredCopy(NamedTuple):
-    """A part's bytes, and when the origin gave them out (Unix ms)."""
+    """A part's bytes, and when the origin sent them (Unix ms)."""
 
     body: bytes
     dated_ms: int
 
 
 class SentAnswer(NamedTuple):
-    """An answer as it was sent: when (Unix s), to which request, with which cache status."""
+    """An answer that was sent: its time (Unix s), request id and cache status."""
 
     at: float
     request_id: str
@@ -34,7 +34,7 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request as it came: when (Unix s), its id, and the source to fill from ("" where none is named)."""
+    """A received request: its time (Unix s), id, and the source to fill from ("" if it names none)."""
 
     at: float
     request_id: str
@@ -43,17 +43,17 @@
 
 @dataclass(slots=True)
 class ServerDirectory:
-    """The servers of a deployment: a fill goes to a source that is named by its uid."""
+    """The ports of a deployment's servers by uid, for fills, and its purges."""
 
     ports: dict[str, int] = field(default_factory=dict)
-    # By object: when it was purged (Unix ms), and until when (Unix s) older copies may still be served.
+    # By object: its purge time (Unix ms), and the time (Unix s) until which older copies may be served.
     purged: dict[str, tuple[int, float]] = field(default_factory=dict)
-    # The requests that got a copy older than its purge after that time.
+    # The ids of requests that got a copy older than its purge after that time.
     stale_answers: list[str] = field(default_factory=list)
 
 
 def content(object_key: str, part: str, size: int) -> bytes:
-    """An object's bytes: the same wherever it is asked for, so that what is served can be checked."""
+    """Return an object's bytes, which all servers generate alike, so that answers can be checked."""
     block = hashlib.sha256(f"{object_key}/{part}".encode()).digest()
     return (block * (size // len(block) + 1))[:size]
 
@@ -63,10 +63,10 @@
 
 
 class FakeCacheServer:
-    """One cache host (`box`), `parent` or `origin`. `work_s`: how long it works on an answer of its own.
+    """One cache host (`box`), `parent` or `origin`. `work_s`: processing time of an answer without a fill.
 
     Bookings (requests with `uniq`) run at the origin once for each key within `BOOKING_WINDOW_S`;
-    `runs_by_key` holds the times of the runs, which a checker compares with what was answered.
+    `runs_by_key` holds the times of the runs (monotonic s), which a checker compares with the answers.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.max_copies = max_copies
         self.copies: OrderedDict[PartKey, StoredCopy] = OrderedDict()
         self.fills: dict[PartKey, asyncio.Future[StoredCopy]] = {}
-        self.received: list[ReceivedRequest] = []  # of dispatchers, not the fills of other servers
+        self.received: list[ReceivedRequest] = []  # from dispatchers, without the fills of other servers
         self.answers: list[SentAnswer] = []
         self.runs_by_key: dict[str, list[float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -88,11 +88,11 @@
         self.copy_bytes = COPY_BYTES
 
     async def start(self) -> None:
-        """Listen on a free port, which the directory then names."""
+        """Listen on a free port, and enter it in the directory."""
         self.port = self.directory.ports[self.uid] = await serve(self.serve_connection)
 
     def store_copy(self, object_key: str, part: str = "0") -> None:
-        """Store a copy, as if it had been filled now."""
+        """Store a copy as if it had just been filled."""
         self.copies[object_key, part] = self._new_copy((object_key, part))
 
     def _new_copy(self, key: PartKey) -> StoredCopy:
@@ -145,22 +145,22 @@
         return StoredCopy(hashlib.sha256(idempotency_key.encode() + body).digest(), _now_ms())
 
     def _check_purge(self, request_id: str, object_key: str, copy: StoredCopy) -> None:
-        made_ms, until = self.directory.purged.get(object_key, (0, 0.0))
-        if copy.dated_ms < made_ms and time.time() > until and request_id != FILL_ID:
+        purged_ms, until = self.directory.purged.get(object_key, (0, 0.0))
+        if copy.dated_ms < purged_ms and time.time() > until and request_id != FILL_ID:
             self.directory.stale_answers.append(request_id)
 
     def _fresh_copy(self, key: PartKey, fields: dict[str, str]) -> StoredCopy | None:
-        """The copy in the cache, if it is no older than the request accepts."""
+        """Return the cached copy, if it is no older than the request accepts."""
         copy, max_age_ms = self.copies.get(key), int(fields.get("accept", "0"))
         if copy is not None and max_age_ms and time.time() * 1e3 - copy.dated_ms > max_age_ms:
             return None
         return copy
 
     async def _fill_or_join(self, key: PartKey, fields: dict[str, str]) -> tuple[StoredCopy | None, str]:
-        """A copy from the source, and the answer's cache status; joins a fill that is under way."""
-        under_way = self.fills.get(key)
-        if under_way is not None:
-            return await asyncio.shield(under_way), "joined"
+        """Return a copy and the answer's cache status; join a fill that is in progress, or start one."""
+        in_progress = self.fills.get(key)
+        if in_progress is not None:
+            return await asyncio.shield(in_progress), "joined"
         source = fields.get("parent", "")
         if self.kind != "origin" and source not in self.directory.ports:
             return None, ""
@@ -170,7 +170,7 @@
             copy = self._new_copy(key) if self.kind == "origin" else await self._fetch(source, key, fields)
         except (OSError, ValueError, asyncio.IncompleteReadError) as error:
             fill.set_exception(error)
-            fill.exception()  # marks it as retrieved: those that joined raise it themselves
+            fill.exception()  # marks it as retrieved: requests that joined the fill raise it themselves
             return None, ""
         finally:
             self.fills.pop(key, None)
@@ -181,7 +181,7 @@
         return copy, "filled"
 
     async def _fetch(self, source: str, key: PartKey, fields: dict[str, str]) -> StoredCopy:
-        """One fill over a connection of its own; a parent fills from the origin."""
+        """Fetch a copy over a new connection; a parent is told to fill from the origin."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.directory.ports[source])
         try:
             origin = next(uid for uid in self.directory.ports if uid.startswith("origin"))
@@ -193,7 +193,7 @@
             line = (await reader.readline()).decode().split()
             body = (await reader.readexactly(int(line[3]) + 2))[:-2]
             if line[1] != "served":
-                raise ValueError(f"the source said {line[1]}")
+                raise ValueError(f"expected 'served' from the source, got '{line[1]}'")
             details = dict(part.split("=") for part in line[2].split(","))
             return StoredCopy(body, int(details["dated"]))
         finally:
--- a/hoistplank/fakes/certificate_authority.py
+++ b/hoistplank/fakes/certificate_authority.py
@@ -1,6 +1,6 @@
 """Fake issuers of credentials: a certificate authority with revocation lists, and a signer of tokens.
 
-The signer builds tokens by hand, without the library that the program uses, so that it can build wrong ones
+The signer builds tokens itself, without the library that the program uses, so that it can build invalid ones
 too.
 """
 
@@ -24,19 +24,19 @@
 
 
 def private_key_pem(key: PrivateKey) -> bytes:
-    """A private key as unencrypted PKCS #8 in PEM."""
+    """Return a private key as unencrypted PKCS #8 in PEM."""
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
 
 
 def base64url(data: bytes) -> str:
-    """Base64 in the URL-safe alphabet, without padding (RFC 7515, section 2)."""
+    """Encode as Base64 in the URL-safe alphabet, without padding (RFC 7515, section 2)."""
     return base64.urlsafe_b64encode(data).rstrip(b"=").decode()
 
 
 class FakeCertificateAuthority:
-    """A CA whose files are in a folder: `ca.pem`, `server.pem` and `server.key`, `clients.crl`."""
+    """A CA that writes its files into a folder: `ca.pem`, `server.pem` and `server.key`, `clients.crl`."""
 
     def __init__(self, folder: Path, name: str = "fake CA") -> None:
         self.folder, self.key = folder, ec.generate_private_key(ec.SECP256R1())
@@ -57,7 +57,7 @@
         days: float = 30,
     ) -> x509.Certificate:
         now = datetime.now(UTC)
-        made = (
+        builder = (
             x509.CertificateBuilder()
             .subject_name(subject)
             .issuer_name(self.name)
@@ -68,8 +68,8 @@
             .add_extension(x509.BasicConstraints(authority, None), critical=True)
         )
         if names:
-            made = made.add_extension(x509.SubjectAlternativeName(names), critical=False)
-        return made.sign(self.key, hashes.SHA256())
+            builder = builder.add_extension(x509.SubjectAlternativeName(names), critical=False)
+        return builder.sign(self.key, hashes.SHA256())
 
     def issue(self, file: str, names: list[str], days: float = 30) -> tuple[Path, int]:
         """Issue a certificate for `uri:…` and `dns:…` names, with its key in the same file.
@@ -78,49 +78,51 @@
         """
         key = ec.generate_private_key(ec.SECP256R1())
         self.serial += 1
-        listed: list[x509.GeneralName] = [
+        alternative_names: list[x509.GeneralName] = [
             x509.UniformResourceIdentifier(name[4:]) if name.startswith("uri:") else x509.DNSName(name[4:])
             for name in names
         ]
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, file)])
-        made = self._signed(subject, key.public_key(), listed, self.serial, days=days)
+        certificate = self._signed(subject, key.public_key(), alternative_names, self.serial, days=days)
         path = self.folder / file
-        path.write_bytes(private_key_pem(key) + made.public_bytes(serialization.Encoding.PEM))
+        path.write_bytes(private_key_pem(key) + certificate.public_bytes(serialization.Encoding.PEM))
         path.chmod(0o600)
         return path, self.serial
 
     def renew_server(self) -> None:
-        """Replace the chain and key in the files that the server is started with, each file at once."""
+        """Replace the server's certificate chain and key, each file atomically."""
         path, _ = self.issue("server.both", ["dns:localhost"])
         key, _, chain = path.read_bytes().partition(b"-----BEGIN CERTIFICATE-----")
         for file, data in (("server.key", key), ("server.pem", b"-----BEGIN CERTIFICATE-----" + chain)):
-            beside = self.folder / f".{file}"
-            beside.write_bytes(data)
-            beside.chmod(0o600)
-            beside.replace(self.folder / file)
+            temporary_path = self.folder / f".{file}"
+            temporary_path.write_bytes(data)
+            temporary_path.chmod(0o600)
+            temporary_path.replace(self.folder / file)
 
     def write_revocation_list(self, serials: list[int], lasts_s: float = 86_400) -> None:
-        """Replace `clients.crl` by a list of these serial numbers that is valid for so long from now."""
+        """Replace `clients.crl` by a list of these serial numbers that is valid for `lasts_s` from now."""
         now = datetime.now(UTC)
-        made = x509.CertificateRevocationListBuilder().issuer_name(self.name)
-        made = made.last_update(now - timedelta(days=2)).next_update(now + timedelta(seconds=lasts_s))
+        builder = x509.CertificateRevocationListBuilder().issuer_name(self.name)
+        builder = builder.last_update(now - timedelta(days=2)).next_update(now + timedelta(seconds=lasts_s))
         for serial in serials:
-            row = (
+            entry = (
                 x509.RevokedCertificateBuilder()
                 .serial_number(serial)
                 .revocation_date(now - timedelta(days=1))
             )
-            made = made.add_revoked_certificate(row.build())
-        beside = self.folder / ".clients.crl"
-        beside.write_bytes(made.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
-        beside.replace(self.folder / "clients.crl")
+            builder = builder.add_revoked_certificate(entry.build())
+        temporary_path = self.folder / ".clients.crl"
+        temporary_path.write_bytes(
+            builder.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+        )
+        temporary_path.replace(self.folder / "clients.crl")
 
     def client_context(self, certificate: Path | None = None) -> ssl.SSLContext:
-        """A TLS context that trusts this CA, with a client's certificate where one is given."""
-        made = ssl.create_default_context(cafile=str(self.folder / "ca.pem"))
+        """Return a TLS context that trusts this CA, with the client's certificate if one is given."""
+        context = ssl.create_default_context(cafile=str(self.folder / "ca.pem"))
         if certificate is not None:
-            made.load_cert_chain(certificate)
-        return made
+            context.load_cert_chain(certificate)
+        return context
 
 
 class TokenSigner:
@@ -135,29 +137,29 @@
         )
 
     def jwk(self, state: str = "signing") -> dict[str, Any]:
-        """The public key as a row of a key set (RFC 7517), with its lifecycle state."""
+        """Return the public key as an entry of a key set (RFC 7517), with its lifecycle state."""
         public = self.key.public_key()
         if isinstance(public, ed25519.Ed25519PublicKey):
-            shape = {"kty": "OKP", "crv": "Ed25519", "x": base64url(public.public_bytes_raw())}
+            key_fields = {"kty": "OKP", "crv": "Ed25519", "x": base64url(public.public_bytes_raw())}
         else:
-            at = public.public_numbers()
-            shape = {
+            point = public.public_numbers()
+            key_fields = {
                 "kty": "EC",
                 "crv": "P-256",
-                "x": base64url(at.x.to_bytes(32)),
-                "y": base64url(at.y.to_bytes(32)),
+                "x": base64url(point.x.to_bytes(32)),
+                "y": base64url(point.y.to_bytes(32)),
             }
-        return {"kid": self.kid, "alg": self.algorithm, "use": "sig", "state": state, **shape}
+        return {"kid": self.kid, "alg": self.algorithm, "use": "sig", "state": state, **key_fields}
 
     def sign(self, data: bytes) -> bytes:
-        """The signature in the form of RFC 7518 (for ES256, r and s of 32 bytes each)."""
+        """Return a signature in the form of RFC 7518 (for ES256, r and s of 32 bytes each)."""
         if isinstance(self.key, ed25519.Ed25519PrivateKey):
             return self.key.sign(data)
         r, s = decode_dss_signature(self.key.sign(data, ec.ECDSA(hashes.SHA256())))
         return r.to_bytes(32) + s.to_bytes(32)
 
     def raw(self, header: str, claims: str) -> str:
-        """A signed token over any two texts, valid or not."""
+        """Return a signed token of any header and claims, which need not be valid JSON."""
         signed = f"{base64url(header.encode())}.{base64url(claims.encode())}"
         return f"{signed}.{base64url(self.sign(signed.encode()))}"
 
@@ -170,7 +172,7 @@
         header: dict[str, Any] | None = None,
         **claims: Any,
     ) -> str:
-        """A token; `header` and `claims` override a good token's fields, None leaves a field out."""
+        """Return a token; `header` and `claims` override a valid token's; claims of None are left out."""
         head = {"alg": self.algorithm, "kid": self.kid} | (header or {})
         payload = {"iss": issuer, "aud": audience, "sub": subject, "exp": int(time.time() + lasts_s)} | claims
         present = {name: value for name, value in payload.items() if value is not None}
@@ -178,11 +180,11 @@
 
 
 def write_key_set(path: Path, *rows: dict[str, Any]) -> None:
-    """Replace a key set's file at once."""
+    """Replace a key set's file atomically."""
     path.parent.mkdir(parents=True, exist_ok=True)
-    beside = path.with_name(f".{path.name}")
-    beside.write_text(json.dumps({"keys": list(rows)}))
-    beside.replace(path)
+    temporary_path = path.with_name(f".{path.name}")
+    temporary_path.write_text(json.dumps({"keys": list(rows)}))
+    temporary_path.replace(path)
 
 
 def operator_text(
@@ -194,9 +196,11 @@
     tenants: str | None = None,
     keys: str = "ring.json",
 ) -> str:
-    """An operator's file for two members and an operator, over the files that `Authority` and `write_keys`
-    write."""
-    members = """
+    """Return an operator file with two tenants and an operator.
+
+    It names the files that `FakeCertificateAuthority` and `write_key_set` write.
+    """
+    default_tenants = """
   (tenant coast (subjects "https://id.example" (names coast-*)) (names uri:hoistplank:coast)
     (groups 0-31) (rights read book purge) (operation-keys c0))
   (tenant inland (subjects "https://id.example" (names inland-*)) (names uri:hoistplank:inland)
@@ -207,5 +211,5 @@
   (tls (listen 127.0.0.1:{listen}) (certificate "server.pem") (key "server.key") (client-ca "ca.pem")
     {'(crl "clients.crl")' if crl else ""})
   (control (listen 127.0.0.1:{control}))
-  (revoked "revoked.jsonl") {extra} {members if tenants is None else tenants})
+  (revoked "revoked.jsonl") {extra} {default_tenants if tenants is None else tenants})
 """
--- a/hoistplank/fakes/faulty_system.py
+++ b/hoistplank/fakes/faulty_system.py
@@ -1,8 +1,8 @@
-"""Runs a dispatcher whose clock, sockets and disk calls fail as a plan says.
+"""Runs a dispatcher with planned faults of its clock, sockets and disk calls.
 
-`python -m hoistplank.fakes.faulty_system` takes the place of `python -m hoistplank`.
+Run `python -m hoistplank.fakes.faulty_system` instead of `python -m hoistplank`.
 `HOISTPLANK_FAULTS` names the plan, a JSON file; it is read at the start and again at each SIGUSR1. Only this
-process is touched: its Python functions are replaced, the system's clock and files are left alone.
+process is affected: its Python functions are replaced, the system's clock and files are not changed.
 """
 
 from __future__ import annotations
@@ -24,9 +24,12 @@
 
 
 class FaultPlan(msgspec.Struct):
-    """`failures`: by call (`accept`, `socket`, `connect`, `send`, `recv_into`, `write`, `fsync`), the names
-    of the errors that its next calls raise, in their order. `clock_step_s`: what the wall clock is ahead.
-    `max_io_bytes`: the most that one read or write of a socket takes; 0: no bound."""
+    """The faults to inject.
+
+    `failures`: by call (`accept`, `socket`, `connect`, `send`, `recv_into`, `write`, `fsync`), the names of
+    the errors that its next calls raise, in order. `clock_step_s`: added to the wall clock. `max_io_bytes`:
+    limit of one read or write of a socket; 0: no limit.
+    """
 
     clock_step_s: float = 0.0
     max_io_bytes: int = 0
@@ -34,7 +37,7 @@
 
 
 class FaultySystem:
-    """The calls in place of the system's own."""
+    """Replacements of system calls, which fail as planned."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -42,11 +45,11 @@
         self._time, self._time_ns = time.time, time.time_ns
 
     def read_plan(self) -> None:
-        """Takes the plan up as it stands in its file now."""
+        """Reads the plan from its file."""
         self.plan = msgspec.json.decode(self._path.read_bytes(), type=FaultPlan)
 
     def install(self) -> None:
-        """Replaces the calls, and follows SIGUSR1."""
+        """Replaces the calls, and reads the plan again at each SIGUSR1."""
         self.read_plan()
         signal.signal(signal.SIGUSR1, lambda *_: self.read_plan())
         time.time = lambda: self._time() + self.plan.clock_step_s
@@ -58,17 +61,17 @@
         os.fsync = self._failing("fsync", os.fsync)
 
     def _failing(self, name: str, call: Callable[..., Any]) -> Callable[..., Any]:
-        def replaced(*words: Any, **named: Any) -> Any:
-            # An object for a descriptor that is there, as `accept` makes one, asks the system for nothing.
-            wraps_descriptor = name == "socket" and (len(words) > 4 or named.get("fileno") is not None)
+        def replaced(*arguments: Any, **keywords: Any) -> Any:
+            # A socket object for an existing descriptor, as `accept` makes one, needs no system call.
+            wraps_descriptor = name == "socket" and (len(arguments) > 4 or keywords.get("fileno") is not None)
             planned = self.plan.failures.get(name)
             if planned and not wraps_descriptor:
                 number = getattr(errno, planned.pop(0))
                 raise OSError(number, os.strerror(number))
             if self.plan.max_io_bytes and name in ("send", "recv_into"):
-                sock, data = words[:2]
-                return call(sock, memoryview(data)[: self.plan.max_io_bytes], *words[2:], **named)
-            return call(*words, **named)
+                sock, data = arguments[:2]
+                return call(sock, memoryview(data)[: self.plan.max_io_bytes], *arguments[2:], **keywords)
+            return call(*arguments, **keywords)
 
         return replaced
 
--- a/hoistplank/fakes/flood.py
+++ b/hoistplank/fakes/flood.py
@@ -1,4 +1,4 @@
-"""Clients that misbehave: tokens with wrong signatures, and TLS handshakes that are never finished."""
+"""Misbehaving clients: tokens with invalid signatures, and TLS handshakes that are never finished."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from hoistplank.fakes.certificate_authority import base64url
 from hoistplank.fakes.load import LoadConnection, call_at_rate, open_connections
 
-CONNECTIONS = 4  # over which the tokens are sent
-CLIENT_ADDRESSES = 200  # from so many addresses, by their parameters
-PARTIAL_HELLO_BYTES = 20  # of every second handshake
+CONNECTIONS = 4  # for the tokens
+CLIENT_ADDRESSES = 200  # number of different values of REMOTE_ADDR
+PARTIAL_HELLO_BYTES = 20  # all that every second handshake sends
 
 
 @dataclass(frozen=True, slots=True)
 class FloodPlan:
-    """What is sent, to where, and how often a second.
+    """The targets, rates and duration of a flood.
 
-    `claims` are a good token's, as JSON; `kid` names a key that the server knows.
+    `claims`: the claims of a valid token, as JSON; `kid` names a key that the server knows.
     """
 
     address: tuple[str, int]
@@ -35,7 +35,7 @@
 
 
 class Flood:
-    """One flood. All tokens differ, so that no cache of verdicts helps the server."""
+    """Sends one flood. All tokens differ, so that a cache of verified tokens does not help the server."""
 
     def __init__(self, plan: FloodPlan) -> None:
         self.plan = plan
@@ -50,7 +50,7 @@
         self._opening: set[asyncio.Task[None]] = set()
 
     async def run(self) -> dict[str, int]:
-        """Send for the plan's seconds; return how many of each kind were sent."""
+        """Run for the duration of the plan; return the number of tokens and handshakes sent."""
         plan = self.plan
         self._connections = await open_connections(plan.address, CONNECTIONS)
         await asyncio.gather(
@@ -89,7 +89,7 @@
 
 
 def _client_hello() -> bytes:
-    """A whole ClientHello: what costs a server most to answer, by a client that then says no more."""
+    """Return a complete ClientHello, the most costly for a server to answer; nothing follows it."""
     context = ssl.create_default_context()
     output = ssl.MemoryBIO()
     handshake = context.wrap_bio(ssl.MemoryBIO(), output, server_hostname="localhost")
--- a/hoistplank/fakes/load.py
+++ b/hoistplank/fakes/load.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request: when it was sent (monotonic s), and how it was answered (status 0: not yet, or never)."""
+    """One request: its time of sending (monotonic s) and its answer (status 0: not answered)."""
 
     id: str
     kind: str
@@ -40,7 +40,7 @@
         self.task = asyncio.create_task(self._read(), name="load reader")
 
     def send(self, kind: str, request_id: str, class_name: str, fields: dict[str, str]) -> SentRequest:
-        """Send a request; the record that is returned is filled in by its answer."""
+        """Send a request; its answer is entered in the returned record."""
         self.number = self.number % MAX_REQUEST_ID + 1
         sent = self.open_requests[self.number] = SentRequest(request_id, kind, time.monotonic())
         self.client.send(self.number, class_name, fields | {"HTTP_X_CORRELATION_ID": request_id})
@@ -70,14 +70,14 @@
 async def open_connections(
     address: tuple[str, int], count: int, context: ssl.SSLContext | None = None
 ) -> list[LoadConnection]:
-    """Open so many connections, with TLS where a context is given."""
+    """Open `count` connections, with TLS if a context is given."""
     return [LoadConnection(await connect(address, context)) for _ in range(count)]
 
 
 async def call_at_rate(rate: float, seconds: float, send: Callable[[int], Any]) -> int:
-    """Call `send` with 0, 1, 2 … at `rate` calls a second, and return how many calls were made.
+    """Call `send` with 0, 1, 2 … at `rate` calls a second, and return the number of calls.
 
-    A call that is late is made at once, so that a slow machine sends no less.
+    Overdue calls are made at once, so that a slow machine sends as many.
     """
     began, count = time.monotonic(), 0
     while (now := time.monotonic() - began) < seconds:
@@ -89,7 +89,7 @@
 
 
 async def wait_answered(sent: list[SentRequest], within_s: float = 5.0) -> None:
-    """Wait until all are answered, at most so long. Requests that nobody answers stay without a status."""
+    """Wait until all are answered, at most `within_s`. Unanswered requests keep the status 0."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(within_s):
             for request in sent:
--- a/hoistplank/fakes/wire.py
+++ b/hoistplank/fakes/wire.py
@@ -9,7 +9,7 @@
 
 from hoistplank.protocol import fastcgi
 
-RESET = b"reset"  # an answer that stands for the end of its connection
+RESET = b"reset"  # closes the connection in place of an answer
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -21,7 +21,7 @@
         try:
             await handle(reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # a fake's connection ends with its loop, and nobody waits for it
+            pass  # the connection ended, or the event loop did; no task awaits this one
         finally:
             writer.close()
 
@@ -42,7 +42,7 @@
         self.answer = answer
         self.pending: set[asyncio.Task[None]] = set()
         self.requests: list[tuple[str, dict[str, str], bytes]] = []  # id, fields, body
-        self.dropped: list[str] = []  # ids of requests that were taken back
+        self.dropped: list[str] = []  # ids of cancelled requests
         self.connections = 0
         self.health = "green"
 
@@ -74,7 +74,7 @@
 
 
 class FastCgiClient:
-    """A web server's side of FastCGI: sends requests, reads answers as they come."""
+    """The web server's side of FastCGI: sends requests and reads answers."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -88,7 +88,7 @@
         body: bytes = b"",
         script: str = "/api/v2/",
     ) -> None:
-        """Send a whole request under a FastCGI request number; `fields` add to its parameters."""
+        """Send a whole request under a FastCGI request number; `fields` add to or replace its parameters."""
         parameters = {
             "SCRIPT_NAME": script + class_name,
             "HTTP_X_CORRELATION_ID": f"{number:016x}",
@@ -107,7 +107,7 @@
         self.writer.write(b"".join([*parts, fastcgi.encode_record(fastcgi.STDIN, number)]))
 
     async def read_answer(self) -> tuple[int, int, bytes, bytes]:
-        """Await the next whole answer: its request number, status, head and body."""
+        """Wait for the next whole answer; return its request number, status, head and body."""
         while True:
             _, kind, number, length, padding = fastcgi.HEADER.unpack(await self.reader.readexactly(8))
             content = (await self.reader.readexactly(length + padding))[:length]
@@ -119,6 +119,6 @@
 
 
 async def connect(address: tuple[str, int], context: ssl.SSLContext | None = None) -> FastCgiClient:
-    """Open a client on a connection of its own, with TLS where a context is given."""
+    """Open a client on a new connection, with TLS if a context is given."""
     host = "localhost" if context is not None else None
     return FastCgiClient(*await asyncio.open_connection(*address, ssl=context, server_hostname=host))
