--- a/tests/test_compatibility_xds.py
+++ b/tests/test_compatibility_xds.py
@@ -1,4 +1,4 @@
-"""The control service's resources: names, versions and bytes as an earlier text made them."""
+"""The control service's resources have the names, versions and bytes that an earlier version recorded."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 FACTS: dict[str, Any] = FIXTURE["facts"]
 
 
-def test_the_same_facts_give_the_same_resources_byte_for_byte() -> None:
+def test_recorded_state_gives_the_recorded_resources_byte_for_byte() -> None:
     cache = ResourceCache()
     for host in FACTS["hosts"]:
         cache.put_host(Host(*host))
@@ -30,5 +30,5 @@
 
 
 @pytest.mark.parametrize("name", FACTS["refused"])
-def test_a_name_that_was_refused_is_refused(name: str) -> None:
+def test_recorded_invalid_names_are_not_followed(name: str) -> None:
     assert not ResourceCache().follow(name)
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -1,4 +1,4 @@
-"""The control service's resources, made from hosts and purges."""
+"""The control service's resources, built from hosts, purges and followed names."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tests.xds_rig import S, host, run
 
 
-def test_the_same_facts_are_the_same_bytes_whatever_came_before() -> None:
+def test_equal_hosts_give_equal_bytes_regardless_of_history() -> None:
     one, two, rows = ResourceCache(), ResourceCache(), [host(f"h{n}") for n in range(12)]
     for row in rows:
         one.put_host(row)
@@ -41,7 +41,7 @@
     assert one.by_type[CLUSTER_TYPE] == two.by_type[CLUSTER_TYPE]
 
 
-def test_a_change_that_changes_nothing_is_none_and_one_host_costs_one_host() -> None:
+def test_changes_without_effect_are_not_reported_and_one_host_encodes_one_endpoint() -> None:
     resources = ResourceCache()
     for n in range(1_000):
         resources.put_host(host(f"h{n}", zone=f"z{n % 10}"))
@@ -59,37 +59,37 @@
     )
 
 
-def test_purges_are_told_as_long_as_copies_may_be_older() -> None:
+def test_purges_are_kept_for_the_retention() -> None:
     resources = ResourceCache(purge_retention_us=10 * S)
     assert resources.add_purge(5 * S, "", 7, 5 * S) == {(RUNTIME_TYPE, "purges")}
-    assert resources.add_purge(6 * S, "", 7, 4 * S) == set()  # an older one says nothing new
+    assert resources.add_purge(6 * S, "", 7, 4 * S) == set()  # the purge time is not lowered
     assert resources.add_purge(20 * S, "aa", 0, 20 * S) == {
         (RUNTIME_TYPE, "purges")
     } and resources.purges.purged_us == {"aa": 20 * S}
 
 
-def test_a_purge_heard_late_is_told_for_as_long_as_any_other() -> None:
+def test_purge_received_late_is_kept_for_the_whole_retention() -> None:
     resources = ResourceCache(purge_retention_us=10 * S)
     assert resources.add_purge(3_600 * S, "aa", 0, 5 * S) == {(RUNTIME_TYPE, "purges")}
     assert resources.purges.purged_us == {"aa": 5 * S}
     for second in range(3_601, 3_610):
-        resources.add_purge(second * S, "often", 0, second * S)
+        resources.add_purge(second * S, "repeated", 0, second * S)
         assert resources.purges.purged_us["aa"] == 5 * S
-    resources.add_purge(3_611 * S, "often", 0, 3_611 * S)
-    assert resources.purges.purged_us == {"often": 3_611 * S} and list(resources.purges.received_us) == [
-        "often"
+    resources.add_purge(3_611 * S, "repeated", 0, 3_611 * S)
+    assert resources.purges.purged_us == {"repeated": 3_611 * S} and list(resources.purges.received_us) == [
+        "repeated"
     ]
 
 
 @given(st.text(max_size=40))
-def test_names_on_demand_are_parsed_or_refused(text: str) -> None:
+def test_names_on_demand_are_parsed_or_not_followed(text: str) -> None:
     assert ResourceCache().follow(text) is (parse_virtual_host_name(text) is not None)
     found = parse_virtual_host_name(f"{ROUTES_NAME}/{text}")
     assert found is None or parse_virtual_host_name(virtual_host_name(*found)) == found
 
 
-def test_the_name_of_a_virtual_host_on_the_wire_stays() -> None:
-    """Proxies are configured with it (docs/operations/xds.md)."""
+def test_virtual_host_names_are_unchanged_on_the_wire() -> None:
+    """Proxies are configured with these names (docs/operations/xds.md)."""
     assert virtual_host_name("00aa", 3, "z1") == "visits/00aa.3@z1"
     assert (
         parse_virtual_host_name("visits/00aa.3@z1") == ("00aa", 3, "z1")
@@ -97,7 +97,7 @@
     )
 
 
-def test_routes_follow_the_hosts_they_name() -> None:
+def test_virtual_hosts_change_with_the_first_host() -> None:
     resources = ResourceCache()
     for n in range(5):
         resources.put_host(host(f"h{n}"))
@@ -117,27 +117,29 @@
     assert not resources.by_type[VIRTUAL_HOST_TYPE] and not resources.follower_counts
 
 
-def test_cold_hosts_get_their_share_and_warm_up(tmp_path: Path) -> None:
-    async def scene() -> None:
-        made = ControlService(configuration(tmp_path))
-        now = made.clock.now()
+def test_cold_hosts_get_their_slow_start_share_until_warm(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        control = ControlService(configuration(tmp_path))
+        now = control.clock.now()
         rows = [Target(f"box-{n}", f"127.0.0.1:{9_000 + n}", "z1", "box", 0, "ready", 1.0) for n in range(5)]
         cold = Target("box-9", "127.0.0.1:9009", "z1", "box", 0, "ready", 1.0, now / 1_000)
-        made.submit(EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, cold]))
-        assert made.resources.hosts["box-9"].share == pytest.approx(
-            made.settings.rules.warm_up_initial_share, abs=0.1
+        control.submit(EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, cold]))
+        assert control.resources.hosts["box-9"].share == pytest.approx(
+            control.settings.rules.warm_up_initial_share, abs=0.1
         )
         keys = [ranking_key(f"{n:016x}", 0) for n in range(2_000)]
-        weights = made.resources.rankings["caches-z1"].weights
+        weights = control.resources.rankings["caches-z1"].weights
         got = sum(ranked_hosts(key, weights)[0] == "box-9" for key in keys) / len(keys)
-        assert got < 1.5 * made.settings.rules.warm_up_initial_share / 5.2
-        made.clock.offset_ns += made.settings.rules.warm_up_us * 1_000
-        made.update_warming_hosts()
-        assert made.resources.hosts["box-9"].share == 1.0
-        now = made.clock.now()
-        made.submit(PurgeReceived("", 3, now))
-        made.submit(EndpointWatchFailed())
-        made.submit(EndpointsUpdated(EndpointListForm.SNAPSHOT, rows))
-        assert "box-9" not in made.resources.hosts and made.resources.purges.purged_us == {"group.3": now}
-
-    run(scene())
+        assert got < 1.5 * control.settings.rules.warm_up_initial_share / 5.2
+        control.clock.offset_ns += control.settings.rules.warm_up_us * 1_000
+        control.update_warming_hosts()
+        assert control.resources.hosts["box-9"].share == 1.0
+        now = control.clock.now()
+        control.submit(PurgeReceived("", 3, now))
+        control.submit(EndpointWatchFailed())
+        control.submit(EndpointsUpdated(EndpointListForm.SNAPSHOT, rows))
+        assert "box-9" not in control.resources.hosts and control.resources.purges.purged_us == {
+            "group.3": now
+        }
+
+    run(scenario())
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -23,18 +23,18 @@
 from tests.xds_rig import OBJECTS, PARENT_AND_ORIGIN, ControlRig, S, run, until
 
 
-def test_both_proxies_land_where_the_dispatcher_does_through_a_drain_and_back(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path) as place:
-            plain, extension = place.proxy("n1", False), place.proxy("n2", True)
+def test_proxies_choose_the_dispatchers_host_during_and_after_drains(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path) as rig:
+            plain, extension = rig.proxy("n1", False), rig.proxy("n2", True)
             await until(lambda: len(plain.hosts) == len(extension.hosts) == 6)
             for object_key, part in OBJECTS:
                 plain.request_virtual_host(object_key, part)
             await until(lambda: len(plain.virtual_hosts) == len(OBJECTS))
-            router, now = Router(place.control.settings, 1), 100 * S
+            router, now = Router(rig.control.settings, 1), 100 * S
             names = [f"box-{n}" for n in range(6)]
 
-            def told(states: dict[str, str]) -> None:
+            def publish_states(states: dict[str, str]) -> None:
                 rows = [Endpoint(uid, "z1", "box", 0, 100.0, 0, states.get(uid, "up")) for uid in names]
                 router.handle(now, EndpointsUpdated(EndpointListForm.SNAPSHOT, [*rows, *PARENT_AND_ORIGIN]))
 
@@ -43,207 +43,209 @@
                 for uid in names:
                     up = states.get(uid, "up") == "up"
                     if plain.hosts[uid][0] != up:
-                        place.say(uid, "ready" if up else "draining")
-                want = {uid: states.get(uid, "up") == "up" for uid in names}
+                        rig.publish_state(uid, "ready" if up else "draining")
+                expected = {uid: states.get(uid, "up") == "up" for uid in names}
                 await until(
-                    lambda w=want: all(  # type: ignore[misc]
+                    lambda w=expected: all(  # type: ignore[misc]
                         {u: row[0] for u, row in p.hosts.items()} == w for p in (plain, extension)
                     )
                 )
                 await until(
                     lambda: all(
-                        place.control.resources.get(VIRTUAL_HOST_TYPE, name).version == version  # type: ignore[union-attr]
+                        rig.control.resources.get(VIRTUAL_HOST_TYPE, name).version == version  # type: ignore[union-attr]
                         for name, version in plain.versions[VIRTUAL_HOST_TYPE].items()
                     )
                 )
-                told(states)
+                publish_states(states)
                 for n, (object_key, part) in enumerate(OBJECTS):
                     at = first_choice(router, now, step * 100 + n, "page", object_key, part)
                     assert (
                         extension.choose(object_key, part) == at and plain.choose(object_key, part) == at
                     ), (step, n)
 
-    run(scene())
+    run(scenario())
 
 
-def test_a_purge_and_a_drain_in_one_tick_reach_a_stalled_streams_neighbours_in_time(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path) as place:
-            quick, hung = place.proxy("quick", True), place.proxy("hung", True)
+def test_stalled_stream_does_not_delay_drains_and_purges_of_others(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path) as rig:
+            quick, hung = rig.proxy("quick", True), rig.proxy("hung", True)
             await until(lambda: len(quick.hosts) == len(hung.hosts) == 6)
             hung.may_read.clear()
             began = asyncio.get_running_loop().time()
-            place.say("box-1", "draining")
-            place.purge(40, 1_000.0)
+            rig.publish_state("box-1", "draining")
+            rig.purge(40, 1_000.0)
             await until(lambda: not quick.hosts["box-1"][0] and "group.40" in quick.purge_watermarks, 0.25)
             assert asyncio.get_running_loop().time() - began < 0.25
-            # The one that hangs is found, its stream ended; back, it gets what it missed.
-            await until(lambda: place.control.broadcaster.counts.renewed >= 1)
+            # The stalled stream is ended; on a new one the proxy gets the changes it missed.
+            await until(lambda: rig.control.broadcaster.counts.renewed >= 1)
             hung.may_read.set()
             await until(lambda: not hung.hosts["box-1"][0] and "group.40" in hung.purge_watermarks)
             await until(lambda: hung.counts.streams >= 2)
 
-    run(scene())
+    run(scenario())
 
 
-def test_a_follower_that_is_cut_off_stops_using_what_it_has(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path, hosts=2) as place:
-            proxy = place.proxy("n", True)
+def test_heartbeats_renew_the_time_to_live_and_expired_hosts_are_not_used(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path, hosts=2) as rig:
+            proxy = rig.proxy("n", True)
             await until(lambda: len(proxy.hosts) == 2)
             first = proxy.fresh_until
-            await until(lambda: proxy.fresh_until > first)  # heartbeats, with nothing new to say
-            assert proxy.choose("00" * 8, 0) and place.control.broadcaster.status()[0].responses >= 3
+            await until(lambda: proxy.fresh_until > first)  # renewed by heartbeats without changes
+            assert proxy.choose("00" * 8, 0) and rig.control.broadcaster.status()[0].responses >= 3
             proxy.fresh_until = 0.0
             assert proxy.choose("00" * 8, 0) == ""
 
-    run(scene())
+    run(scenario())
 
 
-def test_refusals_are_shown_and_cost_nobody_else(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path) as place:
+def test_refusals_are_in_the_status_and_do_not_affect_other_followers(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path) as rig:
 
-            def too_large(kind: str, response: Any) -> str:
+            def too_large(type_url: str, response: Any) -> str:
                 return (
                     "too large"
-                    if kind == ENDPOINT_TYPE and proxy.hosts and response.resources[0].HasField("resource")
+                    if type_url == ENDPOINT_TYPE
+                    and proxy.hosts
+                    and response.resources[0].HasField("resource")
                     else ""
                 )
 
-            other = place.proxy("other", True)
-            proxy = place.proxy("refuses", True, refuses=too_large)
+            other = rig.proxy("other", True)
+            proxy = rig.proxy("refuses", True, refuses=too_large)
             await until(lambda: len(proxy.hosts) == len(other.hosts) == 6)
-            place.say("box-3", "draining")
+            rig.publish_state("box-3", "draining")
             await until(lambda: proxy.counts.refused > 0 and not other.hosts["box-3"][0])
             await asyncio.sleep(0.3)
             assert proxy.counts.refused == 1 and proxy.hosts["box-3"][0]
-            row = next(row for row in place.control.broadcaster.status() if row.node == "refuses")
+            row = next(row for row in rig.control.broadcaster.status() if row.node == "refuses")
             assert row.refused == 1
             assert row.types["ClusterLoadAssignment"].error == "too large"
 
-    run(scene())
+    run(scenario())
 
 
-def test_a_stream_cut_half_way_goes_on_at_another_control_process(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path) as place:
-            second = await place.another()
-            proxy = place.proxy("n", False)
+def test_dropped_stream_resumes_at_another_control_process(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path) as rig:
+            second = await rig.start_control()
+            proxy = rig.proxy("n", False)
             await until(lambda: len(proxy.hosts) == 6)
             for object_key, part in OBJECTS[:20]:
                 proxy.request_virtual_host(object_key, part)
             await until(lambda: len(proxy.virtual_hosts) == 20)
             before = proxy.counts.bytes
-            place.say("box-0", "draining")
+            rig.publish_state("box-0", "draining")
             proxy.address = f"127.0.0.1:{second.port}"
             proxy.drop_stream()
             await until(lambda: not proxy.hosts["box-0"][0])
             await until(lambda: "box-0" not in proxy.virtual_hosts.values())
-            assert second.resources.by_type[ENDPOINT_TYPE] == place.control.resources.by_type[ENDPOINT_TYPE]
-            assert proxy.counts.bytes - before < before  # what it held was not told again
+            assert second.resources.by_type[ENDPOINT_TYPE] == rig.control.resources.by_type[ENDPOINT_TYPE]
+            assert proxy.counts.bytes - before < before  # the held resources were not sent again
             await second.close()
 
-    run(scene())
+    run(scenario())
 
 
-def test_bad_requests_and_too_many_streams_cost_their_sender_only(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path, limits=StreamLimits(streams=2)) as place:
-            proxy = place.proxy("good", True)
+def test_invalid_requests_and_excess_streams_are_rejected_without_effect_on_others(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path, limits=StreamLimits(streams=2)) as rig:
+            proxy = rig.proxy("good", True)
             await until(lambda: len(proxy.hosts) == 6)
 
-            async def asked(kind: str) -> Any:
+            async def send_request(type_url: str) -> Any:
                 async def requests() -> Any:
-                    if kind:
-                        yield discovery_pb2.DeltaDiscoveryRequest(node={"id": "x"}, type_url=kind)
+                    if type_url:
+                        yield discovery_pb2.DeltaDiscoveryRequest(node={"id": "x"}, type_url=type_url)
                     await asyncio.sleep(5)
 
-                async with grpc.aio.insecure_channel(f"127.0.0.1:{place.control.port}") as way:
-                    stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(way)
+                async with grpc.aio.insecure_channel(f"127.0.0.1:{rig.control.port}") as channel:
+                    stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
                     async for _ in stub.DeltaAggregatedResources(requests()):
                         pass
 
-            with pytest.raises(grpc.aio.AioRpcError) as wrong:
-                await asked("type.googleapis.com/nonsense")
-            assert wrong.value.code() == grpc.StatusCode.INVALID_ARGUMENT
-            place.proxy("second", True)
-            await until(lambda: len(place.control.broadcaster.streams) == 2)
-            with pytest.raises(grpc.aio.AioRpcError) as wrong:
-                # It is refused before it asks: a message that crosses the refusal fails with INTERNAL at the
-                # client.
-                await asked("")
-            assert wrong.value.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
-            place.say("box-1", "draining")
+            with pytest.raises(grpc.aio.AioRpcError) as error:
+                await send_request("type.googleapis.com/nonsense")
+            assert error.value.code() == grpc.StatusCode.INVALID_ARGUMENT
+            rig.proxy("second", True)
+            await until(lambda: len(rig.control.broadcaster.streams) == 2)
+            with pytest.raises(grpc.aio.AioRpcError) as error:
+                # The stream is rejected without a request: one that crosses the rejection fails with INTERNAL
+                # at the client.
+                await send_request("")
+            assert error.value.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
+            rig.publish_state("box-1", "draining")
             await until(lambda: not proxy.hosts["box-1"][0])
 
-    run(scene())
+    run(scenario())
 
 
-def test_silent_streams_hold_nobodys_place_and_one_that_reads_nothing_is_cut_once(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path, hosts=2_500, limits=StreamLimits(starting=2)) as place:
-            address = f"127.0.0.1:{place.control.port}"
+def test_silent_streams_take_no_first_state_slot_and_unread_streams_are_ended_once(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path, hosts=2_500, limits=StreamLimits(starting=2)) as rig:
+            address = f"127.0.0.1:{rig.control.port}"
             ended = asyncio.Event()
 
-            async def requests(kinds: list[tuple[str, str]]) -> Any:
-                for kind, name in kinds:
+            async def requests(subscriptions: list[tuple[str, str]]) -> Any:
+                for type_url, name in subscriptions:
                     yield discovery_pb2.DeltaDiscoveryRequest(
-                        node={"id": "mute"}, type_url=kind, resource_names_subscribe=[name]
+                        node={"id": "unread"}, type_url=type_url, resource_names_subscribe=[name]
                     )
                 await ended.wait()
 
-            ways = [
+            channels = [
                 grpc.aio.insecure_channel(address, options=[("grpc.use_local_subchannel_pool", 1), ("n", n)])
                 for n in range(4)
             ]
-            stubs = [ads_pb2_grpc.AggregatedDiscoveryServiceStub(way) for way in ways]
+            stubs = [ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel) for channel in channels]
             silent = [stub.DeltaAggregatedResources(requests([])) for stub in stubs[:3]]
-            mute = stubs[3].DeltaAggregatedResources(
+            unread = stubs[3].DeltaAggregatedResources(
                 requests([(ENDPOINT_TYPE, "caches-z1"), (RUNTIME_TYPE, "purges")])
             )
-            await until(lambda: len(place.control.broadcaster.streams) == 4)
+            await until(lambda: len(rig.control.broadcaster.streams) == 4)
             await until(
-                lambda: sum(bool(s.follower.subscriptions) for s in place.control.broadcaster.streams) == 1
+                lambda: sum(bool(s.follower.subscriptions) for s in rig.control.broadcaster.streams) == 1
             )
-            proxy = place.proxy("good", True)
+            proxy = rig.proxy("good", True)
             await until(lambda: len(proxy.hosts) == 2_500)
-            # What comes to the mute one is never read: its writer stands in a write.
+            # The unread stream's follower reads no response, so that its writer is blocked in a write.
             for n in range(8):
-                place.say(f"box-{n}", "draining")
+                rig.publish_state(f"box-{n}", "draining")
             await until(lambda: not proxy.hosts["box-7"][0])
-            await until(lambda: place.control.broadcaster.counts.renewed == 1)
+            await until(lambda: rig.control.broadcaster.counts.renewed == 1)
             await until(
-                lambda: len(place.control.broadcaster.streams) == 4
-            )  # three silent ones and the good one
-            await asyncio.sleep(0.6)  # two more looks at who is late
-            assert place.control.broadcaster.counts.renewed == 1 and proxy.counts.streams == 1
+                lambda: len(rig.control.broadcaster.streams) == 4
+            )  # the three silent ones and the proxy's
+            await asyncio.sleep(0.6)  # two more checks for late streams
+            assert rig.control.broadcaster.counts.renewed == 1 and proxy.counts.streams == 1
             ended.set()
-            for call in (*silent, mute):
+            for call in (*silent, unread):
                 call.cancel()
-            for way in ways:
-                await way.close()
+            for channel in channels:
+                await channel.close()
 
-    run(scene())
+    run(scenario())
 
 
-def test_the_commands_serve_and_tell(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with ControlRig(tmp_path, hosts=3) as place:
-            known = {"seq": 1, "results": [fleet_event(1, place.endpoint_entries, whole=True)]}
-            configuration(tmp_path, changelog=f"127.0.0.1:{place.log_port}", known=known)
+def test_control_commands_serve_and_dump_resources(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path, hosts=3) as rig:
+            known = {"seq": 1, "results": [fleet_event(1, rig.endpoint_entries, whole=True)]}
+            configuration(tmp_path, changelog=f"127.0.0.1:{rig.log_port}", known=known)
             port = free_port()
-            words = (sys.executable, "-m", "hoistplank.cli.main", "control")
+            command = (sys.executable, "-m", "hoistplank.cli.main", "control")
 
             async def dumped(zone: str) -> tuple[int, Any]:
                 process = await asyncio.create_subprocess_exec(
-                    *words, "dump", f"127.0.0.1:{port}", "--zone", zone, stdout=asyncio.subprocess.PIPE
+                    *command, "dump", f"127.0.0.1:{port}", "--zone", zone, stdout=asyncio.subprocess.PIPE
                 )
                 out, _ = await process.communicate()
                 return process.returncode or 0, json.loads(out) if out else None
 
             serving = await asyncio.create_subprocess_exec(
-                *words,
+                *command,
                 "run",
                 "--config",
                 str(tmp_path / "config.json"),
@@ -254,21 +256,21 @@
             assert serving.stdout is not None
             while b"control service" not in await serving.stdout.readline():
                 pass
-            code, told = await dumped("z1")
-            rows = told["endpoints"]["caches-z1"][0]["lbEndpoints"]
-            assert code == 0 and told["clusters"] == ["caches-z1"] and told["purges"] == {}
+            code, dump = await dumped("z1")
+            rows = dump["endpoints"]["caches-z1"][0]["lbEndpoints"]
+            assert code == 0 and dump["clusters"] == ["caches-z1"] and dump["purges"] == {}
             assert sorted(row["metadata"]["filterMetadata"]["envoy.lb"]["uid"] for row in rows) == [
                 "box-0",
                 "box-1",
                 "box-2",
             ]
-            code, told = await dumped("nowhere")
-            assert code == 0 and told["clusters"] == [] and "endpoints" not in told
+            code, dump = await dumped("nowhere")
+            assert code == 0 and dump["clusters"] == [] and "endpoints" not in dump
             serving.terminate()
             assert await serving.wait() == 0
             assert (await dumped("z1"))[0] == 1
             outside = await asyncio.create_subprocess_exec(
-                *words,
+                *command,
                 "run",
                 "--config",
                 str(tmp_path / "config.json"),
@@ -276,7 +278,7 @@
                 "192.0.2.1:18000",
                 stderr=asyncio.subprocess.PIPE,
             )
-            _, wrong = await outside.communicate()
-            assert outside.returncode == 2 and b"only a loopback address" in wrong
+            _, error = await outside.communicate()
+            assert outside.returncode == 2 and b"only a loopback address" in error
 
-    run(scene())
+    run(scenario())
--- a/tests/test_xds_unconfirmed_list.py
+++ b/tests/test_xds_unconfirmed_list.py
@@ -1,4 +1,4 @@
-"""The control service serves nobody by a list that the change log has not confirmed."""
+"""The control service serves no endpoint list before the change log has confirmed it."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from tests.helpers import configuration
 from tests.xds_rig import ControlRig, run
 
-ANSWER_DELAY_S = 2.5  # a start takes less
+ANSWER_DELAY_S = 2.5  # longer than the start of the control service
 
 
-def test_a_follower_is_told_nothing_before_the_log_has_answered(tmp_path: Path) -> None:
-    """A host that drained before the service started would be handed out as ready, as it stands in the
-    configuration's list."""
+def test_followers_get_no_resources_before_the_change_log_has_answered(tmp_path: Path) -> None:
+    """A host that drained before the service started is still ready in the configuration's list: a service
+    that sent that list at once would send the host as ready."""
 
-    async def scene() -> None:
-        async with ControlRig(tmp_path, hosts=3) as place, FaultProxy(place.log_port) as log_proxy:
+    async def scenario() -> None:
+        async with ControlRig(tmp_path, hosts=3) as rig, FaultProxy(rig.log_port) as log_proxy:
             log_proxy.answer_delay_s = ANSWER_DELAY_S
-            known = {"seq": 1, "results": [fleet_event(1, place.endpoint_entries, whole=True)]}
+            known = {"seq": 1, "results": [fleet_event(1, rig.endpoint_entries, whole=True)]}
             configuration(tmp_path, changelog=f"127.0.0.1:{log_proxy.port}", known=known)
             address = f"127.0.0.1:{free_port()}"
             started_at = asyncio.get_running_loop().time()
-            serving = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "hoistplank.cli.main", "control", "run", "--listen", address),
                 *("--config", str(tmp_path / "config.json")),
                 stdout=asyncio.subprocess.PIPE,
@@ -45,7 +45,7 @@
                     assert len(answer.resources) > 0
                     assert asyncio.get_running_loop().time() - started_at > ANSWER_DELAY_S
             finally:
-                serving.terminate()
-                await serving.wait()
+                process.terminate()
+                await process.wait()
 
-    run(scene())
+    run(scenario())
--- a/tests/xds_rig.py
+++ b/tests/xds_rig.py
@@ -32,7 +32,7 @@
 
 
 class ControlRig:
-    """A control process that follows a stand-in change log, and proxies."""
+    """A control process that follows a fake change log, and fake proxies."""
 
     def __init__(self, folder: Path, hosts: int = 6, limits: StreamLimits | None = None) -> None:
         self.folder, self.log, self.limits = folder, FakeChangeLog(), limits
@@ -42,18 +42,18 @@
 
     async def __aenter__(self) -> ControlRig:
         self.log_port = await serve(self.log.serve_connection)
-        self.control = await self.another()
+        self.control = await self.start_control()
         return self
 
-    async def another(self) -> ControlService:
-        """One more control process on the same log."""
+    async def start_control(self) -> ControlService:
+        """Starts a control process that follows the change log."""
         known = {"seq": 1, "results": [fleet_event(1, self.endpoint_entries, whole=True)]}
-        made = ControlService(
+        control = ControlService(
             configuration(self.folder, changelog=f"127.0.0.1:{self.log_port}", known=known), self.limits
         )
-        await made.serve("127.0.0.1:0")
-        self.tasks.append(asyncio.create_task(made.run()))
-        return made
+        await control.serve("127.0.0.1:0")
+        self.tasks.append(asyncio.create_task(control.run()))
+        return control
 
     async def __aexit__(self, *_: object) -> None:
         for task in self.tasks:
@@ -69,26 +69,26 @@
         refuses: Callable[[str, Any], str] | None = None,
     ) -> FakeProxy:
         port = (control or self.control).port
-        made = FakeProxy(f"127.0.0.1:{port}", node, "z1", extension, refuses)
-        self.tasks.append(asyncio.create_task(made.run()))
-        return made
+        proxy = FakeProxy(f"127.0.0.1:{port}", node, "z1", extension, refuses)
+        self.tasks.append(asyncio.create_task(proxy.run()))
+        return proxy
 
-    def say(self, uid: str, state: str) -> None:
+    def publish_state(self, uid: str, state: str) -> None:
         self.seq += 1
-        row = next(row for row in self.endpoint_entries if row["uid"] == uid) | {"state": state}
-        self.log.publish(fleet_event(self.seq, [row]))
+        entry = next(entry for entry in self.endpoint_entries if entry["uid"] == uid) | {"state": state}
+        self.log.publish(fleet_event(self.seq, [entry]))
 
     def purge(self, group: int, at_ms: float) -> None:
         self.seq += 1
         self.log.publish({"seq": self.seq, "invalidate": {"bucket": group, "time": at_ms}})
 
 
-async def until(true: Callable[[], bool], seconds: float = 5.0) -> None:
-    end = asyncio.get_running_loop().time() + seconds
-    while not true():
-        assert asyncio.get_running_loop().time() < end, "it did not come about"
+async def until(condition: Callable[[], bool], seconds: float = 5.0) -> None:
+    deadline = asyncio.get_running_loop().time() + seconds
+    while not condition():
+        assert asyncio.get_running_loop().time() < deadline, "the condition did not become true in time"
         await asyncio.sleep(0.002)
 
 
-def run(scene: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(scene, 30))
+def run(scenario: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 30))
