--- a/hoistplank/fakes/proxy.py
+++ b/hoistplank/fakes/proxy.py
@@ -134,14 +134,14 @@
         """Subscribe to the virtual host of an object's part, as a proxy does at the first request for it."""
         name = virtual_host_name(object_key, part, self.zone)
         if name not in self.virtual_hosts:
-            self._send(VIRTUAL_HOST_TYPE, more=[name])
+            self._send(VIRTUAL_HOST_TYPE, added=[name])
 
     # The stream.
 
     def _send(
         self,
         type_url: str,
-        more: list[str] | None = None,
+        added: list[str] | None = None,
         nonce: str = "",
         error: str = "",
         held: dict[str, str] | None = None,
@@ -150,7 +150,7 @@
             discovery_pb2.DeltaDiscoveryRequest(
                 node={"id": self.node, "locality": {"zone": self.zone}},
                 type_url=type_url,
-                resource_names_subscribe=more or [],
+                resource_names_subscribe=added or [],
                 initial_resource_versions=held or {},
                 response_nonce=nonce,
                 error_detail=error_detail(error) if error else None,
@@ -186,12 +186,12 @@
             )
             self._send(CLUSTER_TYPE, held=self.versions.get(CLUSTER_TYPE))
             names = [f"caches-{self.zone}"]
-            self._send(ENDPOINT_TYPE, more=names, held=self.versions.get(ENDPOINT_TYPE))
-            self._send(RUNTIME_TYPE, more=[PURGES_NAME], held=self.versions.get(RUNTIME_TYPE))
+            self._send(ENDPOINT_TYPE, added=names, held=self.versions.get(ENDPOINT_TYPE))
+            self._send(RUNTIME_TYPE, added=[PURGES_NAME], held=self.versions.get(RUNTIME_TYPE))
             if self.virtual_hosts:
                 self._send(
                     VIRTUAL_HOST_TYPE,
-                    more=sorted(self.virtual_hosts),
+                    added=sorted(self.virtual_hosts),
                     held=self.versions.get(VIRTUAL_HOST_TYPE),
                 )
             async for response in self.call:
--- a/tests/dispatcher_scene.py
+++ b/tests/dispatcher_scene.py
@@ -1,4 +1,4 @@
-"""What the tests of a running dispatcher share: a scene's loop, hosts' answers, a client's bytes."""
+"""Shared by tests of a running dispatcher: a steady dispatcher, answers of hosts, bytes of requests."""
 
 from __future__ import annotations
 
@@ -21,14 +21,17 @@
 
 
 class SteadyDispatcher(Running):
-    """A dispatcher that takes no notice of its loop's lag: one whose machine holds it up rejects what comes
-    then, before any attempt, and nothing of what these tests are about begins."""
+    """A dispatcher that ignores the lag of its event loop.
+
+    On a busy machine a dispatcher that measures its lag rejects requests before any attempt, and the tests
+    that need attempts would fail.
+    """
 
     async def __aenter__(self) -> Running:
         await super().__aenter__()
         owner = self.service.router_task
         owner.router.parts.overload.measure = lambda event: None  # type: ignore[method-assign]
-        owner.admission.controller.observe = lambda *told: None  # type: ignore[method-assign]
+        owner.admission.controller.observe = lambda *arguments: None  # type: ignore[method-assign]
         await until(lambda: self.service.phase is Phase.SERVING)
         return self
 
@@ -50,10 +53,10 @@
     return served(id, {}, b"")
 
 
-def recorded_call(call: Callable[..., None], told: list[Any]) -> Callable[..., None]:
-    def inner(*words: Any) -> None:
-        told.append(words)
-        call(*words)
+def recorded_call(call: Callable[..., None], calls: list[Any]) -> Callable[..., None]:
+    def inner(*arguments: Any) -> None:
+        calls.append(arguments)
+        call(*arguments)
 
     return inner
 
@@ -61,7 +64,7 @@
 def request_bytes(
     number: int, name: str = "page", fields: dict[str, str] | None = None, body: bytes = b""
 ) -> bytes:
-    """The bytes of a request, for those who send them themselves."""
+    """Returns the bytes of a request, for tests that send them over their own connection."""
     sent: list[bytes] = []
 
     class Writer:
@@ -72,21 +75,21 @@
 
 
 class ConnectionGate:
-    """Holds up connections to hosts until it is opened."""
+    """Delays connections to hosts until it is opened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.open, self.waiting = asyncio.Event(), list[str]()
-        plain = PooledConnection._connect
+        original_connect = PooledConnection._connect
 
-        async def connect(line: PooledConnection) -> RequestFailure | None:
-            self.waiting.append(line.host)
+        async def connect(connection: PooledConnection) -> RequestFailure | None:
+            self.waiting.append(connection.host)
             await self.open.wait()
-            return await plain(line)
+            return await original_connect(connection)
 
         monkeypatch.setattr(PooledConnection, "_connect", connect)
 
 
 async def session_of_the_client(dispatcher: Running) -> Any:
-    """The session of the one client that has sent requests."""
+    """Returns the session of the only client that has sent requests."""
     await until(lambda: any(each.has_sent_request for each in dispatcher.service.frontend.sessions))
     return next(each for each in dispatcher.service.frontend.sessions if each.has_sent_request)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What tests share: the stage for scenarios, and small stand-ins on loopback around a running dispatcher."""
+"""Shared by tests: a player of decision scenarios, and a running dispatcher with fakes on loopback."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 )
 OUTCOMES = {name.lower(): value for name, value in vars(Outcome).items() if name.isupper()}
 
-# The words for actions in the scenarios.
+# Actions by their names in scenarios.
 ACTIONS = {"attempt": SendAttempt, "reject": Reject, "fail": Fail, "cancel": CancelAttempt}
 
 
@@ -117,27 +117,31 @@
     return dict(word.split("=", 1) for word in words)
 
 
-class Stage:
+class ScenarioPlayer:
+    """Plays a scenario's lines at a router; `test_scenarios` describes their syntax."""
+
     def __init__(self) -> None:
         self.site, self.now = SITE, 0
         self.router = Router(SITE, 1)
         self.pending: list[Action] = []
 
-    def play(self, words: list[str], where: str) -> None:
+    def play_line(self, words: list[str], where: str) -> None:
         if words[0] == "site":
             for name, value in pairs(words[1:]).items():
                 kind = type(getattr(RULES if hasattr(RULES, name) else SITE, name))
-                figure: dict[str, Any] = {name: value == "yes" if kind is bool else kind(value)}
+                change: dict[str, Any] = {name: value == "yes" if kind is bool else kind(value)}
                 if hasattr(RULES, name):
-                    self.site = replace(self.site, rules=replace(self.site.rules, **figure))
+                    self.site = replace(self.site, rules=replace(self.site.rules, **change))
                 else:
-                    self.site = replace(self.site, **figure)
+                    self.site = replace(self.site, **change)
             self.router = Router(self.site, 1)
         elif words[0] == ">":
-            assert self.pending, f"{where}: nothing was decided"
-            self.match(self.pending.pop(0), words[1:], where)
+            assert self.pending, f"{where}: expected an action, none is pending"
+            self.expect_action(self.pending.pop(0), words[1:], where)
         elif words[0] == "!":
-            assert not any(self.fits(d, words[1:]) for d in self.pending), f"{where}: {self.pending}"
+            assert not any(
+                self.matches(action, words[1:]) for action in self.pending
+            ), f"{where}: {self.pending}"
         elif words[0] == "...":
             self.pending.clear()
         elif words[0] == ".":
@@ -150,7 +154,7 @@
                     self.pending.append(action)
 
     def input(self, name: str, words: list[str]) -> None:
-        r, now = self.router, self.now
+        router, now = self.router, self.now
         words = [word for word in words if word != "&"]
         if name == "hosts":  # hosts FORM host:kind:zone:state[:started_ms] ...
             entries = []
@@ -158,73 +162,75 @@
                 host, kind, zone, state, *started = word.split(":")
                 since = int(started[0]) * 1000 if started else 0
                 entries.append(Endpoint(host, zone, kind, 0, 5.0, since, state))
-            r.handle(now, EndpointsUpdated(EndpointListForm(words[0]), entries))
+            router.handle(now, EndpointsUpdated(EndpointListForm(words[0]), entries))
         elif name == "request":  # request ID CLASS OBJECT [part= group= kb= until_ms= again=yes]
-            p = pairs(words[3:])
-            until = int(p.get("until_ms", now // 1000 + 2_500)) * 1000
+            options = pairs(words[3:])
+            until = int(options.get("until_ms", now // 1000 + 2_500)) * 1000
             arrived = RequestArrived(
                 request_id=words[0],
                 class_name=words[1],
                 object_key=words[2],
-                part=int(p.get("part", 0)),
-                purge_group=int(p.get("group", 0)),
-                size_kb=float(p.get("kb", 100)),
+                part=int(options.get("part", 0)),
+                purge_group=int(options.get("group", 0)),
+                size_kb=float(options.get("kb", 100)),
                 deadline_us=until,
-                is_repeat=p.get("again") == "yes",
+                is_repeat=options.get("again") == "yes",
+            )
+            router.handle(now, arrived)
+        elif name == "end":  # end ID ATTEMPT OUTCOME [note=CACHE_STATUS closed=1 took_ms=]
+            options = pairs(words[3:])
+            closed = bool(int(options.get("closed", int(words[2] == "succeeded"))))
+            note = int(options.get("note", 0))
+            took = int(options.get("took_ms", 50)) * 1000
+            router.handle(
+                now, AttemptEnded(words[0], int(words[1]), OUTCOMES[words[2]], closed, took, note, [])
             )
-            r.handle(now, arrived)
-        elif name == "end":  # end ID SHOT RESULT [note= closed=1 took_ms=]
-            p = pairs(words[3:])
-            closed = bool(int(p.get("closed", int(words[2] == "succeeded"))))
-            note = int(p.get("note", 0))
-            took = int(p.get("took_ms", 50)) * 1000
-            r.handle(now, AttemptEnded(words[0], int(words[1]), OUTCOMES[words[2]], closed, took, note, []))
         elif name == "left":
-            r.handle(now, ClientDisconnected(words[0]))
-        elif name == "purge":  # purge THING|- GROUP AGE_MS
+            router.handle(now, ClientDisconnected(words[0]))
+        elif name == "purge":  # purge OBJECT|- GROUP TIME_MS
             key = "" if words[0] == "-" else words[0]
-            r.handle(now, PurgeReceived(key, int(words[1]), int(words[2]) * 1000))
+            router.handle(now, PurgeReceived(key, int(words[1]), int(words[2]) * 1000))
         elif name == "loop":  # loop WAITS LATE_MS
-            r.handle(now, EventLoopMeasured(int(words[0]), int(words[1]) * 1000))
+            router.handle(now, EventLoopMeasured(int(words[0]), int(words[1]) * 1000))
         elif name == "tick":
-            r.handle(now, TimerFired(r.timer_id))
+            router.handle(now, TimerFired(router.timer_id))
         elif name == "reduced":  # reduced [reject=a+b every_part= stale_first= fills= attempts= retries=]
-            p = pairs(words)
-            back, every, old = (
-                tuple(p[key].split("+")) if p.get(key) else ()
+            options = pairs(words)
+            rejected, every_part, stale_first = (
+                tuple(options[key].split("+")) if options.get(key) else ()
                 for key in ("reject", "every_part", "stale_first")
             )
-            told = Degradation(
+            degradation = Degradation(
                 "told",
-                back,
-                every,
-                old,
-                float(p.get("fills", 1)),
-                int(p.get("attempts", 0)),
-                float(p.get("retries", 0)),
+                rejected,
+                every_part,
+                stale_first,
+                float(options.get("fills", 1)),
+                int(options.get("attempts", 0)),
+                float(options.get("retries", 0)),
             )
-            r.handle(now, DegradationChanged(told))
+            router.handle(now, DegradationChanged(degradation))
         else:
-            raise AssertionError(f"no input is called {name}")
+            raise AssertionError(f"unknown input {name}")
 
-    def fits(self, action: Action, words: list[str]) -> bool:
+    def matches(self, action: Action, words: list[str]) -> bool:
         if type(action) is not ACTIONS[words[0]]:
             return False
         return all(str(getattr(action, name)) == value for name, value in pairs(words[1:]).items())
 
-    def match(self, action: Action, words: list[str], where: str) -> None:
-        assert self.fits(action, words), f"{where}: decided {action}"
+    def expect_action(self, action: Action, words: list[str], where: str) -> None:
+        assert self.matches(action, words), f"{where}: got {action}"
 
     def close(self, where: str) -> None:
-        assert not self.pending, f"{where}: more was decided: {self.pending}"
+        assert not self.pending, f"{where}: unexpected actions: {self.pending}"
 
 
-# A dispatcher on loopback, and what stands around it.
+# A dispatcher on loopback, with fakes around it.
 
 
 def configuration(folder: Path, **changes: Any) -> Configuration:
-    """The configuration with some keys changed; None takes a key out. A dot in a name goes one deeper."""
-    written: dict[str, Any] = {
+    """Returns a configuration with changed keys; None removes a key. Dots in a name separate nested keys."""
+    raw_configuration: dict[str, Any] = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "changelog": "127.0.0.1:9",
@@ -233,27 +239,27 @@
         "settings": copy.deepcopy(SETTINGS),
     }
     for path, value in changes.items():
-        *way, last = path.split(".")
-        place = written
-        for step in way:
-            place = place[step]
-        place[last] = value
+        *parents, last = path.split(".")
+        section = raw_configuration
+        for parent in parents:
+            section = section[parent]
+        section[last] = value
         if value is None:
-            del place[last]
+            del section[last]
     file = folder / "config.json"
-    file.write_text(json.dumps(written))
+    file.write_text(json.dumps(raw_configuration))
     return read_configuration({"EDGE_CONFIG": str(file)})
 
 
 class Running:
-    """A dispatcher that serves, a change log that tells what it is given, and a client."""
+    """A running dispatcher with scripted cache hosts, a fake change log and a client."""
 
-    operator = False  # whether `folder/op.sexp` says who may call
+    operator = False  # True if the dispatcher reads the operator file `folder/op.sexp`
 
     def __init__(self, folder: Path, hosts: dict[str, ScriptedCacheHost], **changes: Any) -> None:
         self.folder, self.hosts, self.changes = folder, hosts, changes
         self.changelog = FakeChangeLog()
-        self.tell, self.log, self.since = (
+        self.publish_event, self.log, self.log_positions = (
             self.changelog.publish,
             self.changelog.events,
             self.changelog.requested_positions,
@@ -267,10 +273,10 @@
         known = {"seq": 1, "results": [fleet_event(1, self.targets, whole=True)]}
         port = await serve(self.changelog.serve_connection)
         changes = {"changelog": f"127.0.0.1:{port}", "known": known} | self.changes
-        made = configuration(self.folder, **changes)
-        self.additions = load_extensions(str(self.folder / "op.sexp"), made) if self.operator else None
+        loaded = configuration(self.folder, **changes)
+        self.additions = load_extensions(str(self.folder / "op.sexp"), loaded) if self.operator else None
         self.service = Service(
-            made,
+            loaded,
             lambda: reread_configuration({"EDGE_CONFIG": str(self.folder / "config.json")}),
             (),
             self.additions,
@@ -290,14 +296,14 @@
 
     async def ask(self, number: int, class_name: str, **more: Any) -> tuple[int, bytes, bytes]:
         self.client.send(number, class_name, **more)
-        came, status, head, body = await asyncio.wait_for(self.client.read_answer(), 5)
-        assert came == number
+        answered_number, status, head, body = await asyncio.wait_for(self.client.read_answer(), 5)
+        assert answered_number == number
         return status, head, body
 
 
-async def until(true: Callable[[], bool], patience_s: float = 5) -> None:
-    """Waits for something that will come about by itself; gives up after a time that never passes."""
+async def until(condition: Callable[[], bool], patience_s: float = 5) -> None:
+    """Waits until a condition becomes true; fails after `patience_s`, which is far longer than it takes."""
     deadline = time.monotonic() + patience_s
-    while not true():
+    while not condition():
         assert time.monotonic() < deadline
         await asyncio.sleep(0.001)
--- a/tests/test_cache_host_attempts.py
+++ b/tests/test_cache_host_attempts.py
@@ -62,7 +62,7 @@
                     unused.bind(("127.0.0.1", 0))
                     port = unused.getsockname()[1]
                 gone = [endpoint_entry("a", "box", port), endpoint_entry("o", "origin", port)]
-                dispatcher.tell(fleet_event(2, gone, whole=True))
+                dispatcher.publish_event(fleet_event(2, gone, whole=True))
                 await until(lambda: router_task.endpoints.by_host["a"].address[1] == port)
             monkeypatch.setattr(
                 router_task.router, "handle", recorded_call(router_task.router.handle, handled)
@@ -96,7 +96,7 @@
                 if action.host == "a":  # before the first byte: the connection is not established yet
                     registered = router_task.endpoints.by_host["a"]
                     registered.endpoint = msgspec.structs.replace(registered.endpoint, state="draining")
-                    dispatcher.tell(draining)
+                    dispatcher.publish_event(draining)
 
             router_task._action_handlers[SendAttempt] = send_then_drain
             status, _, body = await dispatcher.ask(1, "page")
@@ -111,7 +111,7 @@
         async with Running(tmp_path, {"a": cache, "o": ScriptedCacheHost(served)}) as dispatcher:
             await dispatcher.ask(1, "page")
             old = dispatcher.targets[0]
-            dispatcher.tell(fleet_event(2, [old | {"state": "gone"}, old | {"uid": "b"}]))
+            dispatcher.publish_event(fleet_event(2, [old | {"state": "gone"}, old | {"uid": "b"}]))
             await until(lambda: "b" in dispatcher.service.router_task.endpoints.by_host)
             await dispatcher.ask(2, "page")
             assert cache.connections == 2 and len(cache.requests) == 2
@@ -132,7 +132,7 @@
             short = {"HTTP_X_DEADLINE_MS": "800"}
             for turn in range(30):
                 new = old | {"uid": f"b{turn}"}
-                dispatcher.tell(fleet_event(2 + turn, [old | {"state": "gone"}, new]))
+                dispatcher.publish_event(fleet_event(2 + turn, [old | {"state": "gone"}, new]))
                 await until(lambda uid=new["uid"]: uid in router_task.endpoints.by_host)  # type: ignore[misc]
                 assert (await dispatcher.ask(1 + turn, "page", fields=short))[0] == 200
                 old = new
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -154,10 +154,10 @@
             await until(lambda: bool(gate.waiting))
             if change.endswith("drains"):
                 entry = dispatcher.targets[0 if change == "host drains" else 1]
-                dispatcher.tell(fleet_event(2, [entry | {"state": "draining"}]))
+                dispatcher.publish_event(fleet_event(2, [entry | {"state": "draining"}]))
                 await until(lambda: router_task.endpoints.by_host[entry["uid"]].endpoint.state == "draining")
             elif change == "host no longer named":
-                dispatcher.tell(fleet_event(2, dispatcher.targets[1:], whole=True))
+                dispatcher.publish_event(fleet_event(2, dispatcher.targets[1:], whole=True))
                 await until(lambda: "a" not in router_task.endpoints.by_host)
             elif change == "client leaves":
                 client.writer.write(fastcgi.encode_record(fastcgi.ABORT_REQUEST, 1))
--- a/tests/test_degradation.py
+++ b/tests/test_degradation.py
@@ -20,7 +20,7 @@
 from hoistplank.degradation.readings import STALE_HALF_LIVES, DecayingMean, Reading, SignalReadings
 from hoistplank.degradation.state_machine import TRANSITIONS, Effect, Event, LevelStateMachine, State
 from hoistplank.lab.model.core import Core, Costs
-from tests.helpers import Stage
+from tests.helpers import ScenarioPlayer
 
 S = 1_000_000
 
@@ -333,23 +333,25 @@
 
 def run_failing_attempts(retries: str) -> tuple[int, int]:
     """Returns how many of 60 requests were retried and how many rejected, when every first attempt fails."""
-    stage = Stage()
-    stage.play("0 hosts kept a:cache:z1:up b:cache:z1:up p:parent:hub:up o:origin:hub:up".split(), "storm")
-    stage.play(f"0 reduced retries={retries}".split(), "storm")
+    player = ScenarioPlayer()
+    player.play_line(
+        "0 hosts kept a:cache:z1:up b:cache:z1:up p:parent:hub:up o:origin:hub:up".split(), "storm"
+    )
+    player.play_line(f"0 reduced retries={retries}".split(), "storm")
     rejected = retried = 0
     for n in range(60):
         at = 10 + n * 20
-        stage.play(f"{at} request v{n} page x{n}".split(), "storm")
-        assert [type(action) for action in stage.pending] == [SendAttempt], stage.pending
-        stage.pending.clear()
+        player.play_line(f"{at} request v{n} page x{n}".split(), "storm")
+        assert [type(action) for action in player.pending] == [SendAttempt], player.pending
+        player.pending.clear()
         # Each attempt may have been executed, and each request may be retried.
-        stage.play(f"{at + 5} end v{n} 0 connection_spoiled".split(), "storm")
-        for action in stage.pending:
+        player.play_line(f"{at + 5} end v{n} 0 connection_spoiled".split(), "storm")
+        for action in player.pending:
             rejected += isinstance(action, Reject)
             retried += isinstance(action, SendAttempt)
             if isinstance(action, SendAttempt):
-                stage.play(f"{at + 8} end v{n} {action.attempt} succeeded".split(), "storm")
-        stage.pending.clear()
+                player.play_line(f"{at + 8} end v{n} {action.attempt} succeeded".split(), "storm")
+        player.pending.clear()
     return retried, rejected
 
 
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -363,12 +363,12 @@
             submitted: list[Any] = []
             router_task = dispatcher.service.router_task
             monkeypatch.setattr(router_task, "submit", recorded_call(router_task.submit, submitted))
-            dispatcher.tell({"seq": 2, "invalidate": {"object": "ab", "time": 1}})
-            dispatcher.tell({"seq": 4, "invalidate": {"bucket": 9, "time": 2}})  # 3 is missing
-            await until(lambda: len(dispatcher.since) > 1)
+            dispatcher.publish_event({"seq": 2, "invalidate": {"object": "ab", "time": 1}})
+            dispatcher.publish_event({"seq": 4, "invalidate": {"bucket": 9, "time": 2}})  # 3 is missing
+            await until(lambda: len(dispatcher.log_positions) > 1)
             dispatcher.log.insert(1, {"seq": 3, "invalidate": {"bucket": 8, "time": 3}})
             await until(lambda: dispatcher.service.endpoint_watcher.last_seq == 4)
-            assert dispatcher.since[:2] == [1, 2]
+            assert dispatcher.log_positions[:2] == [1, 2]
             purges = [
                 (event.object_key, event.purge_group)
                 for (event,) in submitted
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -283,7 +283,7 @@
                 endpoint_entry("a", "box", int(registry.hosts["a"].host.endpoint.split(":")[1])),
                 endpoint_entry("n", "origin", await serve(new.serve_connection)),
             ]
-            running.tell(fleet_event(1, targets, whole=True))
+            running.publish_event(fleet_event(1, targets, whole=True))
             running.service.endpoint_watcher.set_address(
                 ("127.0.0.1", await serve(running.changelog.serve_connection))
             )
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -42,7 +42,7 @@
             lambda id, fields, body: None if fields["blk"] == "1" else served(id, fields, body)
         )
         async with Running(tmp_path, {"a": cache_host, "o": ScriptedCacheHost(silent)}) as dispatcher:
-            dispatcher.tell({"seq": 2, "invalidate": {"bucket": 2, "time": 1}})
+            dispatcher.publish_event({"seq": 2, "invalidate": {"bucket": 2, "time": 1}})
             watcher = dispatcher.service.endpoint_watcher
             await until(lambda: watcher.last_seq == 2)
             await until(lambda: dispatcher.service.phase is Phase.SERVING)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,16 +9,16 @@
 
 import pytest
 
-from tests.helpers import Stage
+from tests.helpers import ScenarioPlayer
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
-    stage = Stage()
+    player = ScenarioPlayer()
     for number, line in enumerate(path.read_text().splitlines(), 1):
         words = line.split("#")[0].split()
         if words:
-            stage.play(words, f"{path.name}:{number}")
-    stage.close(path.name)
+            player.play_line(words, f"{path.name}:{number}")
+    player.close(path.name)
--- a/tests/test_xds_credentials.py
+++ b/tests/test_xds_credentials.py
@@ -29,7 +29,7 @@
         await call.write(discovery_pb2.DiscoveryRequest(node=node, type_url=CLUSTER_TYPE))
         return await asyncio.wait_for(call.read(), 5)
 
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path, hosts=3) as rig:
             known = {"seq": 1, "results": [fleet_event(1, rig.endpoint_entries, whole=True)]}
             configuration(tmp_path, changelog=f"127.0.0.1:{rig.log_port}", known=known)
@@ -63,4 +63,4 @@
                 exit_code = await process.wait()
             assert exit_code == 0
 
-    run(scenario())
+    run(scene())
--- a/tests/test_xds_resources.py
+++ b/tests/test_xds_resources.py
@@ -118,7 +118,7 @@
 
 
 def test_cold_hosts_get_their_slow_start_share_until_warm(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         control = ControlService(configuration(tmp_path))
         now = control.clock.now()
         rows = [Target(f"box-{n}", f"127.0.0.1:{9_000 + n}", "z1", "box", 0, "ready", 1.0) for n in range(5)]
@@ -142,4 +142,4 @@
             "group.3": now
         }
 
-    run(scenario())
+    run(scene())
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -24,7 +24,7 @@
 
 
 def test_proxies_choose_the_dispatchers_host_during_and_after_drains(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path) as rig:
             plain, extension = rig.proxy("n1", False), rig.proxy("n2", True)
             await until(lambda: len(plain.hosts) == len(extension.hosts) == 6)
@@ -63,11 +63,11 @@
                         extension.choose(object_key, part) == at and plain.choose(object_key, part) == at
                     ), (step, n)
 
-    run(scenario())
+    run(scene())
 
 
 def test_stalled_stream_does_not_delay_drains_and_purges_of_others(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path) as rig:
             quick, hung = rig.proxy("quick", True), rig.proxy("hung", True)
             await until(lambda: len(quick.hosts) == len(hung.hosts) == 6)
@@ -83,11 +83,11 @@
             await until(lambda: not hung.hosts["box-1"][0] and "group.40" in hung.purge_watermarks)
             await until(lambda: hung.counts.streams >= 2)
 
-    run(scenario())
+    run(scene())
 
 
 def test_heartbeats_renew_the_time_to_live_and_expired_hosts_are_not_used(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path, hosts=2) as rig:
             proxy = rig.proxy("n", True)
             await until(lambda: len(proxy.hosts) == 2)
@@ -97,11 +97,11 @@
             proxy.fresh_until = 0.0
             assert proxy.choose("00" * 8, 0) == ""
 
-    run(scenario())
+    run(scene())
 
 
 def test_refusals_are_in_the_status_and_do_not_affect_other_followers(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path) as rig:
 
             def too_large(type_url: str, response: Any) -> str:
@@ -124,11 +124,11 @@
             assert row.refused == 1
             assert row.types["ClusterLoadAssignment"].error == "too large"
 
-    run(scenario())
+    run(scene())
 
 
 def test_dropped_stream_resumes_at_another_control_process(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path) as rig:
             second = await rig.start_control()
             proxy = rig.proxy("n", False)
@@ -146,11 +146,11 @@
             assert proxy.counts.bytes - before < before  # the held resources were not sent again
             await second.close()
 
-    run(scenario())
+    run(scene())
 
 
 def test_invalid_requests_and_excess_streams_are_rejected_without_effect_on_others(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path, limits=StreamLimits(streams=2)) as rig:
             proxy = rig.proxy("good", True)
             await until(lambda: len(proxy.hosts) == 6)
@@ -179,11 +179,11 @@
             rig.publish_state("box-1", "draining")
             await until(lambda: not proxy.hosts["box-1"][0])
 
-    run(scenario())
+    run(scene())
 
 
 def test_silent_streams_take_no_first_state_slot_and_unread_streams_are_ended_once(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path, hosts=2_500, limits=StreamLimits(starting=2)) as rig:
             address = f"127.0.0.1:{rig.control.port}"
             ended = asyncio.Event()
@@ -226,11 +226,11 @@
             for channel in channels:
                 await channel.close()
 
-    run(scenario())
+    run(scene())
 
 
 def test_control_commands_serve_and_dump_resources(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path, hosts=3) as rig:
             known = {"seq": 1, "results": [fleet_event(1, rig.endpoint_entries, whole=True)]}
             configuration(tmp_path, changelog=f"127.0.0.1:{rig.log_port}", known=known)
@@ -281,4 +281,4 @@
             _, error = await outside.communicate()
             assert outside.returncode == 2 and b"only a loopback address" in error
 
-    run(scenario())
+    run(scene())
--- a/tests/test_xds_unconfirmed_list.py
+++ b/tests/test_xds_unconfirmed_list.py
@@ -23,7 +23,7 @@
     """A host that drained before the service started is still ready in the configuration's list: a service
     that sent that list at once would send the host as ready."""
 
-    async def scenario() -> None:
+    async def scene() -> None:
         async with ControlRig(tmp_path, hosts=3) as rig, FaultProxy(rig.log_port) as log_proxy:
             log_proxy.answer_delay_s = ANSWER_DELAY_S
             known = {"seq": 1, "results": [fleet_event(1, rig.endpoint_entries, whole=True)]}
@@ -48,4 +48,4 @@
                 process.terminate()
                 await process.wait()
 
-    run(scenario())
+    run(scene())
--- a/tests/xds_rig.py
+++ b/tests/xds_rig.py
@@ -90,5 +90,5 @@
         await asyncio.sleep(0.002)
 
 
-def run(scenario: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(scenario, 30))
+def run(scene: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scene, 30))
