--- a/hoistplank/fakes/deployment.py
+++ b/hoistplank/fakes/deployment.py
@@ -44,8 +44,8 @@
     """Return a port that is not in use, below the system's ephemeral ports.
 
     An ephemeral port could be taken by any process's next connection before the caller listens on it. Each
-    process starts the search at a port that depends on its process id, so that two processes that search at
-    the same time don't find the same port.
+    process starts the search at a port that depends on its process id, so that processes that search at the
+    same time don't all find the same port.
     """
     for _ in range(PORT_COUNT):
         port = LOWEST_PORT + (os.getpid() * 97 + next(_port_counter)) % PORT_COUNT
--- a/hoistplank/fakes/fault_proxy.py
+++ b/hoistplank/fakes/fault_proxy.py
@@ -26,9 +26,7 @@
         self.piece_bytes = CHUNK_BYTES
         self.piece_pause_s = 0.0
         self.connection_count = 0
-        self.on_connection: Callable[[], None] | None = (
-            None  # called at the first bytes of each connection's client
-        )
+        self.on_connection: Callable[[], None] | None = None  # called at the client's first bytes
         self._answers_allowed = asyncio.Event()
         self._answers_allowed.set()
         self._server: asyncio.Server | None = None
--- a/hoistplank/fakes/load.py
+++ b/hoistplank/fakes/load.py
@@ -79,8 +79,8 @@
 
     Overdue calls are made at once, so that a slow machine sends as many.
     """
-    began, count = time.monotonic(), 0
-    while (now := time.monotonic() - began) < seconds:
+    started_at, count = time.monotonic(), 0
+    while (now := time.monotonic() - started_at) < seconds:
         while count < rate * now:
             send(count)
             count += 1
--- a/hoistplank/fakes/proxy.py
+++ b/hoistplank/fakes/proxy.py
@@ -177,9 +177,7 @@
         """Follow over one stream. Raises grpc.RpcError if it ends with an error."""
         self._outgoing = asyncio.Queue()
         self.counts.streams += 1
-        options = [
-            ("grpc.use_local_subchannel_pool", 1)
-        ]  # a separate connection, as another process would have
+        options = [("grpc.use_local_subchannel_pool", 1)]  # a separate connection for each proxy
         async with grpc.aio.insecure_channel(self.address, options=options) as channel:
             self.call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources(
                 self._requests()
--- a/hoistplank/xds/control.py
+++ b/hoistplank/xds/control.py
@@ -29,7 +29,7 @@
 from hoistplank.xds.resources import ResourceCache
 
 log = structlog.get_logger()
-WARMING_UPDATE_INTERVAL_S = 0.25
+UPDATE_INTERVAL_S = 0.25
 CONFIRMATION_CHECK_S = 0.02
 STOP_TIMEOUT_S = 0.2  # for streams to end
 CACHES_TIER = "caches"
@@ -143,7 +143,7 @@
         following = asyncio.create_task(self.endpoint_watcher.run(), name="change log")
         try:
             while not following.done():
-                await asyncio.sleep(WARMING_UPDATE_INTERVAL_S)
+                await asyncio.sleep(UPDATE_INTERVAL_S)
                 self.update_warming_hosts()
                 for node in self.broadcaster.end_late_streams():
                     log.warning("follower's stream ended: drain or purge not accepted in time", node=node)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -187,7 +187,7 @@
             )
         elif name == "left":
             router.handle(now, ClientDisconnected(words[0]))
-        elif name == "purge":  # purge OBJECT|- GROUP TIME_MS
+        elif name == "purge":  # purge OBJECT|- GROUP AGE_MS
             key = "" if words[0] == "-" else words[0]
             router.handle(now, PurgeReceived(key, int(words[1]), int(words[2]) * 1000))
         elif name == "loop":  # loop WAITS LATE_MS
@@ -302,7 +302,7 @@
 
 
 async def until(condition: Callable[[], bool], patience_s: float = 5) -> None:
-    """Waits until a condition becomes true; fails after `patience_s`, which is far longer than it takes."""
+    """Waits until a condition becomes true; fails after `patience_s`, which passing tests never reach."""
     deadline = time.monotonic() + patience_s
     while not condition():
         assert time.monotonic() < deadline
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -108,11 +108,11 @@
             for number in range(2 * descriptors.limits[ConnectionKind.CLIENT]):
                 open_clients.append(await dispatcher.connect())
                 open_clients[-1].send(number + 1, "", script="/-/healthy")
-            positions_before = len(dispatcher.log_positions)
+            connections_before = len(dispatcher.log_positions)
             dispatcher.service.endpoint_watcher.set_address(
                 ("127.0.0.1", await serve(dispatcher.changelog.serve_connection))
             )
-            await until(lambda: len(dispatcher.log_positions) == positions_before + 1)
+            await until(lambda: len(dispatcher.log_positions) == connections_before + 1)
             late_client = await dispatcher.connect()
             late_client.send(1, "page")
             assert (await asyncio.wait_for(late_client.read_answer(), 2))[1] == 200
--- a/tests/test_xds_follower.py
+++ b/tests/test_xds_follower.py
@@ -95,7 +95,7 @@
     for type_url, name in resources.put_host(host("a", up=False)):
         follower.mark_changed(100 * S, type_url, {name}, urgent=True)
     assert not follower.is_late(100 * S + 700_000, 800_000) and follower.is_late(100 * S + 900_000, 800_000)
-    assert follower.heartbeats() == []  # the unsent response takes their place
+    assert follower.heartbeats() == []  # an unsent response is due instead
     drain = follower.next_response()
     assert drain is not None and follower.is_late(
         100 * S + 900_000, 800_000
--- a/tests/test_xds_ranking.py
+++ b/tests/test_xds_ranking.py
@@ -16,7 +16,7 @@
 from tests.xds_rig import PARENT_AND_ORIGIN, S
 
 
-def test_ranking_is_the_decision_modules(tmp_path: Path) -> None:
+def test_ranking_gives_the_routers_first_choice(tmp_path: Path) -> None:
     router_settings, random = configuration(tmp_path).router_settings, Random(3)
     weights = {f"box-{n}": 100.0 for n in range(30)}
     router, now = Router(router_settings, 1), 100 * S
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -72,11 +72,11 @@
             quick, hung = rig.proxy("quick", True), rig.proxy("hung", True)
             await until(lambda: len(quick.hosts) == len(hung.hosts) == 6)
             hung.may_read.clear()
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             rig.publish_state("box-1", "draining")
             rig.purge(40, 1_000.0)
             await until(lambda: not quick.hosts["box-1"][0] and "group.40" in quick.purge_watermarks, 0.25)
-            assert asyncio.get_running_loop().time() - began < 0.25
+            assert asyncio.get_running_loop().time() - started_at < 0.25
             # The stalled stream is ended; on a new one the proxy gets the changes it missed.
             await until(lambda: rig.control.broadcaster.counts.renewed >= 1)
             hung.may_read.set()
