--- a/hoistplank/distribution/assignment.py
+++ b/hoistplank/distribution/assignment.py
@@ -1,7 +1,7 @@
-"""Which control replica a dispatcher follows. Decision logic: pure functions; randomness is passed in.
+"""Assignment of dispatchers to control replicas. Decision logic: pure functions; randomness is passed in.
 
 Rendezvous hashing over the replicas of the dispatcher's own region, then over the others: each dispatcher
-computes its order without asking anyone, and the dispatchers of a lost replica spread evenly over the rest.
+computes its order without communication, and the dispatchers of a lost replica spread evenly over the rest.
 A bound on a replica's load evens out regions of different size and the spread of the hash.
 """
 
@@ -15,13 +15,14 @@
 
 # A replica accepts its even share and a tenth more.
 MAX_LOAD_PERCENT = 110
-# Up to this many dispatchers are always accepted: at a start few are known, and a share of few rejects most.
+# Up to this many dispatchers are always accepted: after a start few are known, and an even share of few
+# would reject most of the fleet.
 UNBOUNDED_LOAD = 16
 RETURN_PERIOD_US = 60_000_000  # over which dispatchers return to a preferred replica that is back
 
 
 class ReplicaAddress(NamedTuple):
-    """Where a control replica listens, as configured in dispatchers and peers."""
+    """Name, region and address of a control replica, as configured in dispatchers and peers."""
 
     name: str
     region: str
@@ -31,7 +32,7 @@
 def preference(
     dispatcher: str, region: str, replicas: Iterable[ReplicaAddress]
 ) -> tuple[ReplicaAddress, ...]:
-    """All replicas in the order in which `dispatcher` tries them, those of its region first."""
+    """Returns all replicas in the order in which `dispatcher` tries them, those of its region first."""
     key = hash_key(dispatcher)
 
     def rank(replica: ReplicaAddress) -> tuple[bool, float, str]:
@@ -41,19 +42,19 @@
 
 
 def load_bound(total: int, living: int) -> int:
-    """How many of `total` dispatchers may follow one of `living` replicas."""
+    """Returns how many of `total` dispatchers may follow one of `living` replicas."""
     return max(UNBOUNDED_LOAD, -(-MAX_LOAD_PERCENT * total // (100 * max(1, living))))
 
 
 def may_accept(own: int, total: int, living: int) -> bool:
-    """Whether a replica that has `own` dispatchers accepts one more.
+    """Returns True if a replica that has `own` dispatchers accepts one more.
 
-    `total`: the known dispatchers of the fleet, including the new one; `living`: the replicas heard,
+    `total`: the known dispatchers of the fleet, including the new one; `living`: the reachable replicas,
     including this one.
     """
     return own < load_bound(total, living)
 
 
 def return_delay_us(random: Random) -> int:
-    """How long a dispatcher waits before it checks for a preferred replica, uniform over the period."""
+    """Returns the wait before a dispatcher checks for a preferred replica, uniform over the period."""
     return int(random.random() * RETURN_PERIOD_US)
--- a/hoistplank/distribution/configuration_applier.py
+++ b/hoistplank/distribution/configuration_applier.py
@@ -23,17 +23,17 @@
     """
 
     def __call__(self, version: Version, text: str, /) -> Awaitable[ApplyConfiguration]:
-        """The call that applies the configuration."""
+        """Returns the call that applies the configuration."""
 
 
 class ConfigurationListener(Protocol):
     """Is notified of the decision on each configuration."""
 
     def configuration_applied(self, version: Version) -> None:
-        """The configuration was applied."""
+        """Called after the configuration was applied."""
 
     def configuration_refused(self, version: Version, reason: str) -> None:
-        """The configuration can't be used; the one in force stays."""
+        """Called if the configuration can't be used; the one in force stays."""
 
 
 class PendingConfiguration(NamedTuple):
@@ -53,12 +53,12 @@
         self._is_available = asyncio.Event()
 
     def submit(self, version: Version, text: str) -> None:
-        """A configuration that is newer than all before."""
+        """Submits a configuration that is newer than all earlier ones."""
         self._newest = PendingConfiguration(version, text)
         self._is_available.set()
 
     async def run(self) -> None:
-        """Runs until cancelled, which leaves what is in force whole."""
+        """Runs until cancelled; cancelling never leaves a configuration partly applied."""
         while True:
             await self._is_available.wait()
             self._is_available.clear()
@@ -73,14 +73,14 @@
             self._refuse(pending.version, str(error))
             return
         except Exception as error:
-            # Danger: a fault in a section's check would end this task, and with it all later configurations.
-            log.exception("configuration can't be checked", version=str(pending.version))
+            # An exception in a section's check must not end this task, and with it all later configurations.
+            log.exception("configuration check failed", version=str(pending.version))
             self._refuse(pending.version, f"{type(error).__name__}: {error}")
             return
         if self._newest is not None:
             return  # a newer one has arrived: applied now, this one would be in force for a moment
         apply()
-        log.info("configuration taken up", version=str(pending.version), bytes=len(pending.text))
+        log.info("configuration applied", version=str(pending.version), bytes=len(pending.text))
         self.listener.configuration_applied(pending.version)
 
     def _refuse(self, version: Version, reason: str) -> None:
@@ -89,7 +89,7 @@
 
 
 async def accept_any_configuration(version: Version, text: str) -> ApplyConfiguration:  # noqa: ARG001 protocol
-    """For a follower that has nothing to configure: each text is valid and changes nothing."""
+    """Accepts each text and changes nothing: for a follower that has nothing to configure."""
     return _do_nothing
 
 
--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -1,8 +1,8 @@
 """A dispatcher's connection to a control replica, which replaces its connection to the change log.
 
-What it receives goes to the receiver as if from the change log itself. It follows the first replica of
-its order that accepts it, acknowledges what is in force, and marks the list as stale while no replica that is
-up to date is heard.
+Received events are forwarded to the receiver as if from the change log itself. The follower follows the first
+replica of its order that accepts it, acknowledges what is in force, and marks the list as stale while no
+up-to-date replica sends heartbeats.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class FollowerSettings:
-    """Who a dispatcher is and which replicas exist; `incarnation` increases with each start of it."""
+    """Identity of a dispatcher, and the known replicas; `incarnation` increases with each of its starts."""
 
     name: str
     region: str
@@ -68,7 +68,7 @@
 
 
 class ReplicaFollower(EndpointWatcher):
-    """Follows control replicas for a dispatcher; `run` and `configurations.run` go on until cancelled."""
+    """Follows control replicas for a dispatcher; `run` and `configurations.run` run until cancelled."""
 
     def __init__(
         self,
@@ -91,25 +91,29 @@
         self.acknowledgements = AcknowledgementSender(self.state, lambda: self.connection)
         self.loop = asyncio.get_running_loop()
         self.epoch = 0
-        self.behind_lines = 0  # heartbeats and events older than what is held
+        self.behind_lines = 0  # number of heartbeats and events older than what was received
         self._started_us = receiver.clock.now()
         self._is_silence_logged = False
 
     @property
     def replica(self) -> ReplicaAddress:
-        """The replica that is followed or tried."""
+        """The replica that is followed or being tried."""
         return self.selection.current
 
     def detail(self) -> str:
-        """For the health answer: empty while a replica is heard. It is called between turns, too."""
+        """Returns the detail for the health answer, empty while a replica sends heartbeats.
+
+        It is called between turns of the router task, too.
+        """
         if not (self.hosts.is_stale or self.state.is_silent(self.receiver.clock.now())):
             return ""
         return f"no control replica heard; in force: {self.state.resume_at}"
 
     def check_silence(self, now_us: int) -> EndpointsUpdated | None:
-        """The list marked as stale, once no replica was heard for too long; called before each turn.
+        """Returns the list marked as stale once no replica was heard for too long; None otherwise.
 
-        Danger: after the whole process was suspended, requests are read before any timer runs.
+        It is called before each turn: after the whole process was suspended, requests are read before any
+        timer runs.
         """
         if self.hosts.is_stale or not self.state.is_silent(now_us):
             return None
@@ -117,8 +121,8 @@
 
     # Lines from the replica.
 
-    def _should_ask_again(self, connection: Connection) -> bool:  # noqa: ARG002  a replica's heartbeats come
-        """Never: each connection costs a replica a catch-up's turn."""
+    def _should_ask_again(self, connection: Connection) -> bool:  # noqa: ARG002  replicas send heartbeats
+        """Returns False always: each new connection costs a replica a turn of catch-up."""
         return False
 
     def _first_line(self) -> bytes:
@@ -129,7 +133,7 @@
         return encode(RequestLine(follow=request))
 
     def make_consumer(self) -> Consume:
-        """What handles the lines of one connection to a replica."""
+        """Returns the function that handles the lines of one connection to a replica."""
         reader = LineReader(MAX_LINE_BYTES)
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
@@ -166,7 +170,7 @@
 
     def _forward(self, event: ReplicatedEvent) -> None:
         if event.epoch != self.epoch:
-            # A restarted log has a list from before the drains that were received.
+            # The list of a restarted log may predate drains that were already received.
             self.numbering_restarted = self.numbering_restarted or self.epoch > 0
             self.epoch = event.epoch
         if event.configuration is not None and self.state.is_new_configuration(event):
@@ -175,7 +179,7 @@
             self._apply(Event(event.seq, event.fleet, event.invalidate, epoch=event.epoch))
 
     def _batch_received(self) -> None:
-        """All lines that were read together have been forwarded to the receiver."""
+        """Called after all lines that were read together have been forwarded to the receiver."""
         self.receiver.submit(Checkpoint(partial(self._turn_ended, self.state.received)))
         if self.hosts.is_stale and not self.state.is_silent(self.receiver.clock.now()):
             self.hosts.mark_current()
@@ -184,19 +188,23 @@
     def _log_silence_over(self) -> None:
         if self._is_silence_logged:
             self._is_silence_logged = False
-            log.info("control replica heard again", replica=self.replica.name, told=str(self.state.received))
+            log.info(
+                "control replica reachable again, list no longer stale",
+                replica=self.replica.name,
+                told=str(self.state.received),
+            )
 
-    # What is in force.
+    # Versions in force.
 
     def _turn_ended(self, received: Version) -> None:
-        """The router task's turn is over in which everything up to `received` was applied."""
+        """Called at the end of the router task's turn in which everything up to `received` was applied."""
         before = self.state.acknowledgement()
         self.state.mark_applied(received)
         if self.state.acknowledgement() != before:
             self.acknowledgements.schedule()
 
     def configuration_applied(self, version: Version) -> None:
-        """A configuration was applied: it is in force after the router task's next turn."""
+        """Records that a configuration was applied: it is in force after the router task's next turn."""
         self.receiver.submit(Checkpoint(partial(self._configuration_in_force, version)))
 
     def _configuration_in_force(self, version: Version) -> None:
@@ -204,14 +212,14 @@
         self.acknowledgements.schedule()
 
     def configuration_refused(self, version: Version, reason: str) -> None:
-        """A configuration can't be used: the replica is sent the reason."""
+        """Records that a configuration can't be used: the replica is sent the reason."""
         self.state.mark_configuration_refused(version, reason)
         self.acknowledgements.schedule()
 
     # Timers.
 
     async def _run_timers(self) -> None:
-        """Sends heartbeats to the replica and checks how long none was heard."""
+        """Sends heartbeats to the replica and checks for how long none was received."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self.acknowledgements.send_heartbeat(tolerance_s=CHECK_INTERVAL_S / 2)
@@ -226,7 +234,7 @@
         if now_us - self._started_us > self.settings.silence_us:
             self._is_silence_logged = True
             log.warning(
-                "no control replica heard: old copies are not asked for",
+                "no control replica heard, list is stale: old copies are not requested",
                 silence_s=self.settings.silence_us / 1e6,
                 in_force=str(self.state.resume_at),
             )
@@ -247,7 +255,7 @@
             await asyncio.gather(timers, return_exceptions=True)
 
     async def _follow_each(self) -> None:
-        """Follows one replica after another: the next one where one is lost or rejects this dispatcher."""
+        """Follows one replica after another, advancing when one is lost or rejects this dispatcher."""
         backoff_s = MIN_BACKOFF_S
         while True:
             self.is_current = False
@@ -260,12 +268,13 @@
                 backoff_s = MIN_BACKOFF_S
             self.selection.advance()
             if self.selection.is_preferred or self.is_current:
-                # Danger: a replica that accepts all and ends each connection would be asked without a pause.
+                # Without a pause, a replica that accepts and then ends each connection would be retried in a
+                # busy loop.
                 await asyncio.sleep(backoff_s * (0.5 + self.chance() / 2))
                 backoff_s = min(self.max_backoff_s, backoff_s * 2)
 
     async def _follow_current(self) -> bool:
-        """Follows the current replica until it is lost; returns True if a preferred one is back."""
+        """Follows the current replica until it is lost; returns True if a preferred one is reachable."""
         following = asyncio.create_task(self._follow(self.replica.address), name="control replica")
         try:
             while not following.done():
@@ -292,7 +301,9 @@
             if not self.selection.may_try(replica, self.loop.time()):
                 continue
             if await _accepts_connections(replica.address):
-                log.info("back to a control replica", replica=replica.name, before=self.replica.name)
+                log.info(
+                    "returning to a preferred control replica", replica=replica.name, before=self.replica.name
+                )
                 return True
         return False
 
--- a/hoistplank/distribution/follower_state.py
+++ b/hoistplank/distribution/follower_state.py
@@ -1,4 +1,4 @@
-"""A dispatcher's side of the distribution: what to do with a replica's lines, and what is then in force.
+"""A dispatcher's side of the distribution: decides on a replica's lines and tracks what is in force.
 
 Decision logic: no I/O, no clock; times are whole microseconds. Nothing older ever replaces what is newer,
 whoever sends it. The version in force advances only when everything up to it has been applied; within a
@@ -23,7 +23,7 @@
 
 
 class Verdict(enum.Enum):
-    """What is to be done with a line."""
+    """The decision on a received line."""
 
     APPLY = "apply"
     HEARTBEAT = "heartbeat"  # nothing to apply
@@ -32,7 +32,7 @@
 
 
 class Phase(enum.Enum):
-    """What a connection to a replica carries."""
+    """The state of a connection to a replica."""
 
     LIVE = "live"  # single events and heartbeats
     CATCHING_UP = "catching up"
@@ -56,19 +56,19 @@
         return cls.HEARTBEAT if event.is_heartbeat else cls.EVENT
 
 
-# Takes a line in one phase and returns its verdict.
+# Processes a line in one phase and returns its verdict.
 _Transition: TypeAlias = "Callable[[FollowerState, ReplicatedEvent], Verdict]"
 
 
 class FollowerState:
-    """What a dispatcher holds, over all its connections to replicas in this incarnation."""
+    """The versions that a dispatcher holds, over all its connections to replicas in this incarnation."""
 
     def __init__(self, silence_us: int = SILENCE_US, configuration_version: Version = NOTHING) -> None:
         self.silence = SilenceDetector(silence_us)
         self.received = NOTHING  # everything up to it was returned to the caller to be applied
         self._phase = Phase.LIVE
         self._in_force = NOTHING  # everything up to it is applied and its configurations are decided
-        self._newest_part = NOTHING  # of anything returned to be applied, also in an interrupted catch-up
+        self._newest_part = NOTHING  # newest version returned to be applied, also in an interrupted catch-up
         # The versions strictly between these belong to a catch-up that is not applied yet.
         self._catch_up_after = NOTHING
         self._catch_up_end = NOTHING
@@ -79,16 +79,16 @@
 
     @property
     def resume_at(self) -> Version:
-        """Everything up to it is in force: what `FollowRequest.resume_at` is to say."""
+        """The version up to which everything is in force, for `FollowRequest.resume_at`."""
         return self._in_force
 
     def connection_opened(self, now_us: int) -> None:
-        """A new connection to a replica: lines on it are sent later than now."""
+        """Starts a new connection to a replica: lines on it are sent later than now."""
         self._phase = Phase.LIVE
         self.silence.connection_opened(now_us)
 
     def receive(self, now_us: int, event: ReplicatedEvent) -> Verdict:
-        """What is to be done with a line that was read at `now_us`.
+        """Returns the verdict on a line that was read at `now_us`.
 
         An event with the verdict APPLY counts as received.
         """
@@ -128,7 +128,7 @@
     def _begin_catch_up(self, event: ReplicatedEvent) -> Verdict:
         if event.after > 0 and not self._continues(event):
             return Verdict.GAP
-        # Danger: an interrupted catch-up has brought newer changes than this replica may know.
+        # An interrupted catch-up may have delivered changes that this replica does not have yet.
         if event.version < self._newest:
             self._phase = Phase.SKIPPING
             return Verdict.BEHIND
@@ -161,14 +161,14 @@
         return max(self.received, self._newest_part)
 
     def _continues(self, event: ReplicatedEvent) -> bool:
-        """Whether nothing is missing between what was received and this line."""
+        """Returns True if nothing is missing between what was received and this line."""
         is_same_epoch = event.epoch == self.received.epoch
         return is_same_epoch and 0 < event.after <= self.received.number
 
-    # What is in force.
+    # Versions in force.
 
     def is_new_configuration(self, event: ReplicatedEvent) -> bool:
-        """Whether an event's configuration is newer than all that were applied or refused."""
+        """Returns True if an event's configuration is newer than all that were applied or refused."""
         return event.configuration is not None and event.version > self._decided
 
     @property
@@ -177,20 +177,20 @@
         return max(self._configuration, refused)
 
     def mark_configuration_applied(self, version: Version) -> None:
-        """This configuration is in force."""
+        """Records that this configuration is in force."""
         if version > self._decided:
             self._configuration = version
             self._refusal = None
             self._advance()
 
     def mark_configuration_refused(self, version: Version, reason: str) -> None:
-        """This configuration can't be used; the one in force stays."""
+        """Records that this configuration can't be used; the one in force stays."""
         if version > self._decided:
             self._refusal = Refusal(VersionFields(*version), reason[:MAX_REASON_CHARACTERS])
             self._advance()
 
     def mark_applied(self, version: Version) -> None:
-        """Everything is applied that had been received when `received` was `version`.
+        """Records that everything is applied that had been received when `received` was `version`.
 
         Versions inside a catch-up change nothing: an early part does not hold all events up to its number.
         """
@@ -200,18 +200,18 @@
             self._advance()
 
     def _advance(self) -> None:
-        """What is applied is in force once the newest received configuration is decided, too."""
+        """Advances the version in force to the applied one, once the newest configuration is decided."""
         if self._undecided <= self._decided:
             self._in_force = max(self._in_force, self._applied)
 
     def acknowledgement(self) -> Acknowledgement:
-        """What to acknowledge; no part of it ever goes back."""
+        """Returns the acknowledgement to send; no version in it ever decreases."""
         return Acknowledgement(
             VersionFields(*self._in_force), VersionFields(*self._configuration), self._refusal
         )
 
     def is_silent(self, now_us: int) -> bool:
-        """Whether no replica that is up to date was heard for longer than the limit, or ever."""
+        """Returns True if no up-to-date replica was heard for longer than the limit, or ever."""
         return self.silence.is_silent(now_us)
 
     # The state table, after the methods that it names.
--- a/hoistplank/distribution/host_record.py
+++ b/hoistplank/distribution/host_record.py
@@ -1,4 +1,4 @@
-"""The hosts that a dispatcher was sent, so that the full list can be sent again as a stale one."""
+"""Records the hosts that a dispatcher was sent, so that the full list can be sent again as stale."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class HostRecord:
     """Forwards a follower's events to its receiver, recording the list and marking it as stale where it is.
 
-    A stale list has the form UNCONFIRMED, for which the Router asks for no copy past its fresh time: purges
+    A stale list has the form UNCONFIRMED, for which the Router requests no copy past its fresh time: purges
     may have been missed (docs/design.md, "An own list").
     """
 
@@ -29,7 +29,7 @@
         if isinstance(event, EndpointsUpdated):
             self._record(event)
             if self.is_stale:
-                # Danger: any other form claims that purges are received, while missed ones are still to come.
+                # Any other form claims that purges are received, while missed ones may still be pending.
                 event = self._stale_list()
         self.receiver.submit(event)
 
@@ -47,12 +47,12 @@
         return EndpointsUpdated(EndpointListForm.UNCONFIRMED, list(self._targets.values()))
 
     def mark_stale(self) -> EndpointsUpdated | None:
-        """No replica is heard any more: returns the event for the receiver, None if no list is known."""
+        """Marks the list as stale; returns the event for the receiver, None if no list is known."""
         self.is_stale = True
         return self._stale_list() if self._is_listed else None
 
     def mark_current(self) -> None:
-        """Everything has been forwarded to the receiver: says so to it."""
+        """Marks the list as current, once everything has been forwarded, and notifies the receiver."""
         self.is_stale = False
         if self._is_listed:
             self.receiver.submit(EndpointsUpdated(EndpointListForm.CHANGES, []))
--- a/hoistplank/distribution/replica_selection.py
+++ b/hoistplank/distribution/replica_selection.py
@@ -1,4 +1,4 @@
-"""Which replica a dispatcher follows now, and whether a preferred one may be tried again."""
+"""Selects the replica that a dispatcher follows, and decides if a preferred one may be tried again."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 from hoistplank.distribution.assignment import ReplicaAddress
 
-# Danger: a dispatcher rejected for load by its preferred replica would leave another each minute for nothing.
+# Without it, a dispatcher that its preferred replica rejects for load would leave its current replica each
+# minute, only to be rejected again.
 REDIRECT_HOLD_S = 120.0
 
 
@@ -20,30 +21,30 @@
 
     @property
     def current(self) -> ReplicaAddress:
-        """The replica that is followed or tried."""
+        """The replica that is followed or being tried."""
         return self.order[self.position]
 
     @property
     def is_preferred(self) -> bool:
-        """Whether the current replica is the first of the order."""
+        """True if the current replica is the first of the order."""
         return self.position == 0
 
     def restart(self) -> None:
-        """Goes back to the first replica."""
+        """Selects the first replica again."""
         self.position = 0
 
     def advance(self) -> None:
-        """Goes on to the next replica, and from the last to the first."""
+        """Selects the next replica, and after the last the first."""
         self.position = (self.position + 1) % len(self.order)
 
     def mark_redirected(self, now_s: float) -> None:
-        """The current replica rejected this dispatcher."""
+        """Records that the current replica rejected this dispatcher."""
         self._redirected_at[self.current.name] = now_s
 
     def preferred_to_current(self) -> Sequence[ReplicaAddress]:
-        """The replicas that come before the current one in the order."""
+        """Returns the replicas that precede the current one in the order."""
         return self.order[: self.position]
 
     def may_try(self, replica: ReplicaAddress, now_s: float) -> bool:
-        """Whether a replica has not rejected this dispatcher lately."""
+        """Returns True if a replica has not rejected this dispatcher within the last REDIRECT_HOLD_S."""
         return now_s - self._redirected_at.get(replica.name, -REDIRECT_HOLD_S) >= REDIRECT_HOLD_S
--- a/hoistplank/distribution/service.py
+++ b/hoistplank/distribution/service.py
@@ -20,12 +20,13 @@
 from hoistplank.routing.frontend import Frontend
 from hoistplank.routing.router_task import RouterTask
 
-# Parses a text, given the name that its faults are reported under; the result checks it against what runs.
+# Parses a text, given the name that its faults are reported under; calling the result checks it against the
+# running configuration.
 ParseConfiguration: TypeAlias = Callable[[bytes, str], Callable[[], ApplyConfiguration]]
 
 
-class Host(Protocol):
-    """What the service uses of the program that it extends."""
+class DispatcherProgram(Protocol):
+    """The interface of the dispatcher program that the service extends."""
 
     router_task: RouterTask
     frontend: Frontend
@@ -43,7 +44,7 @@
         self.follower: ReplicaFollower | None = None
 
     def settings(self) -> FollowerSettings:
-        """Who this dispatcher is. Each start has a higher incarnation than the one before."""
+        """Returns this dispatcher's settings. Each start has a higher incarnation than the one before."""
         replicas = [
             ReplicaAddress(row.title, row["region"], row["endpoint"]) for row in self.section["replica"]
         ]
@@ -53,27 +54,27 @@
             name, self.section["region"], incarnation, replicas, silence_us=self.section["silence"]
         )
 
-    def attach(self, host: Host) -> list[tuple[str, Coroutine[Any, Any, None]]]:
+    def attach(self, program: DispatcherProgram) -> list[tuple[str, Coroutine[Any, Any, None]]]:
         """Replaces the change log's watcher, before anything else refers to it.
 
         Returns the names and coroutines of the tasks that the program is to run.
         """
         configuration = self.configuration
         follower = ReplicaFollower(
-            host.router_task,
+            program.router_task,
             self.settings(),
             configuration.known,
             Random(configuration.seed),
             configuration.router_settings.rules.drain_grace_us / 1e6,
             self._prepare,
         )
-        self.follower = host.endpoint_watcher = follower
-        host.router_task.before_turn = follower.check_silence
-        host.frontend.intake.health_detail = follower.detail
+        self.follower = program.endpoint_watcher = follower
+        program.router_task.before_turn = follower.check_silence
+        program.frontend.intake.health_detail = follower.detail
         return [("distributed configuration", follower.configurations.run())]
 
     async def _prepare(self, version: Version, text: str) -> ApplyConfiguration:
-        # Danger: a megabyte takes seconds to parse, in which no request would be answered: a thread does it.
+        # In a thread: a megabyte takes seconds to parse, in which the event loop would answer no request.
         try:
             check = await asyncio.to_thread(self.parse, text.encode(), f"configuration {version}")
             return check()
@@ -81,4 +82,4 @@
             raise ConfigurationRefusedError(str(error)) from error
 
     def close(self) -> None:
-        """Nothing to release: the program owns the tasks."""
+        """Releases nothing: the program owns the tasks."""
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -301,7 +301,7 @@
             assert status_code == 200 and detail == f"no control replica heard; in force: {at(2)}"
             await made.in_force(0, at(4), 2)
             await frozen.logged(
-                lambda line: line.get("event") == "configuration taken up" and line["version"] == "7/4"
+                lambda line: line.get("event") == "configuration applied" and line["version"] == "7/4"
             )
 
     run_scene(scene(), limit_s=60)
@@ -320,13 +320,13 @@
             made.log.publish_configuration(2, LEVELS.format(0.25) + "\n" + padding)
             leaving.send(signal.SIGTERM)
             assert await leaving.ended() == 0
-            taken = [line for line in leaving.lines if line.get("event") == "configuration taken up"]
+            taken = [line for line in leaving.lines if line.get("event") == "configuration applied"]
             assert not [line for line in leaving.lines if line.get("level") == "error"]
             status = await made.in_force(0, at(2), 1 + len(taken))
             assert status.change is not None and status.change.total == 2
             # Its next start gets it whole.
             again = await made.dispatcher("d0")
-            await again.logged(lambda line: line.get("event") == "configuration taken up")
+            await again.logged(lambda line: line.get("event") == "configuration applied")
             await made.in_force(0, at(2), 2)
 
     run_scene(scene(), limit_s=60)
