--- a/hoistplank/distribution/dispatcher_session.py
+++ b/hoistplank/distribution/dispatcher_session.py
@@ -18,12 +18,12 @@
 log = structlog.get_logger()
 SMALL_CATCH_UP_BYTES = 32_768  # sent without waiting for a turn
 CHUNK_BYTES = 65_536  # of a catch-up that are passed to the connection at once
-# Danger: what is pending for a dispatcher that reads nothing takes this replica's memory from all others.
+# Bounds the memory of this replica that a dispatcher which reads nothing can take from all others.
 MAX_PENDING_BYTES = 1_048_576
 
 
 class SessionPhase(enum.Enum):
-    """What a dispatcher is sent."""
+    """The phases of sending to a dispatcher."""
 
     WAITING = "waiting"  # for its turn to catch up
     CATCHING_UP = "catching up"
@@ -31,13 +31,13 @@
 
 
 class SessionReplica(Protocol):
-    """What a session uses of its replica."""
+    """The interface of a replica that a session uses."""
 
     state: ReplicatedState
     queue: CatchUpQueue[DispatcherSession]
 
     def now(self) -> int:
-        """The time in microseconds."""
+        """Returns the time in microseconds."""
 
     def count_slow_reader(self) -> None:
         """Counts a connection that was closed because the dispatcher reads too slowly."""
@@ -91,10 +91,10 @@
         self._send_next_chunk()
 
     def _catch_up_lines(self) -> list[bytes]:
-        """What is missing, as a catch-up even if it is a single event.
+        """Returns what is missing as a catch-up, even if it is a single event.
 
-        Danger: while waiting, the dispatcher was sent the begin of a catch-up; an event outside of one would
-        be a gap then.
+        While waiting, the dispatcher was sent the begin of a catch-up; it would treat an event outside of one
+        as a gap.
         """
         state = self.replica.state
         lines = state.lines_since(self.sent)
@@ -131,7 +131,7 @@
             self.start()
 
     def send_heartbeat(self) -> None:
-        """Says that nothing is newer than what was sent; while a catch-up is awaited, that it will come."""
+        """Sends a heartbeat: nothing is newer than what was sent, or a pending catch-up will follow."""
         if self.phase is not SessionPhase.CATCHING_UP:
             self._send(encode(self.replica.state.heartbeat_for(self.sent)))
 
@@ -140,12 +140,12 @@
         pending = self.connection.unsent_bytes
         if pending > MAX_PENDING_BYTES + len(data):
             self.replica.count_slow_reader()
-            log.warning("dispatcher reads too slowly, connection ended", peer=self.name, waiting=pending)
+            log.warning("dispatcher reads too slowly, connection closed", peer=self.name, waiting=pending)
             self.connection.close()
 
 
 def _join_to_chunks(lines: list[bytes]) -> list[bytes]:
-    """Joins lines to chunks of some size: a write for each line would cost more than its bytes."""
+    """Joins lines to chunks of CHUNK_BYTES or more: a write for each line would cost more than its bytes."""
     chunks, current, size = list[bytes](), list[bytes](), 0
     for line in lines:
         current.append(line)
--- a/hoistplank/distribution/log_follower.py
+++ b/hoistplank/distribution/log_follower.py
@@ -19,9 +19,11 @@
 from hoistplank.transport.connection import Consume
 
 log = structlog.get_logger()
-# A log that sends events all the time may send no bare number: so long after its first event it is read.
+# A log that sends events all the time may send no bare number: this long after its first event, what it held
+# at the start counts as read.
 INITIAL_READ_US = 500_000
-# After this process was suspended for so long, pending lines say nothing of the present for some time.
+# After a suspension of this process longer than SUSPENSION_US, lines that were pending are read for up to
+# DISTRUST_US, and do not prove that the log is up to date.
 SUSPENSION_US, DISTRUST_US = 1_000_000, 500_000
 
 _configuration_decoder = msgspec.json.Decoder(Configuration)
@@ -31,20 +33,20 @@
     """Receives the change log's events."""
 
     def apply_event(self, event: ReplicatedEvent) -> None:
-        """The next event, in order."""
+        """Applies the next event, in order."""
 
     def report_unreadable(self, version: Version, reason: str) -> None:
-        """The event of this version holds a configuration that can't be read: it is not forwarded."""
+        """Reports an event that holds an unreadable configuration, which is not forwarded."""
 
 
-class _DiscardingOwner:
-    """Takes the place of a dispatcher's router task: a replica applies whole events instead."""
+class _DiscardingReceiver:
+    """Replaces a dispatcher's router task as receiver: a replica applies whole events instead."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
 
     def submit(self, event: RouterTaskEvent) -> None:
-        """Discards the event; that the log is lost shows in its silence."""
+        """Discards the event; a lost log is detected by its silence."""
 
 
 class LogFollower(EndpointWatcher):
@@ -53,7 +55,7 @@
     def __init__(
         self, listener: ChangeLogListener, address: tuple[str, int], random: Random, clock: Clock
     ) -> None:
-        super().__init__(_DiscardingOwner(clock), address, Snapshot(), random)
+        super().__init__(_DiscardingReceiver(clock), address, Snapshot(), random)
         self.listener = listener
         self.epoch = 0
         self.last_heard_us = 0  # when an event or a number last arrived in order; 0: never
@@ -63,9 +65,9 @@
         self._has_number = False
 
     def check_suspension(self) -> None:
-        """Notices that this process was suspended; to be called several times a second.
+        """Detects that this process was suspended; to be called several times a second.
 
-        Danger: lines that were pending meanwhile are old, and would say that nothing was missed since.
+        Lines that were pending meanwhile are old, and do not prove that nothing was missed since.
         """
         now = self.receiver.clock.now()
         if now - self._running_us > SUSPENSION_US:
@@ -74,21 +76,21 @@
 
     @property
     def version(self) -> Version:
-        """How far the log is, as received on this connection or the last."""
+        """The newest version of the log that was received, on this connection or an earlier one."""
         return Version(self.epoch, self.last_seq)
 
     def silence_us(self) -> int | None:
-        """For how long nothing has arrived in order; None if nothing ever has."""
+        """Returns the time since something last arrived in order; None if nothing ever has."""
         return self.receiver.clock.now() - self.last_heard_us if self.last_heard_us else None
 
     def is_caught_up(self) -> bool:
-        """Whether everything that the log held at the start has arrived, as far as can be known."""
+        """Returns True if everything that the log held at the start has arrived, as far as can be known."""
         since_first_us = self.receiver.clock.now() - self._first_heard_us
         has_settled = self._first_heard_us > 0 and since_first_us > INITIAL_READ_US
         return self._has_number or has_settled
 
     def make_consumer(self) -> Consume:
-        """What handles the lines of one connection, checking the epoch of each."""
+        """Returns the function that handles the lines of one connection, checking the epoch of each."""
         reader = changelog.ChangeLogReader()
 
         def consume(buffer: bytearray, start: int, end: int) -> int:
@@ -107,24 +109,24 @@
     def _check_epoch(self, epoch: int) -> None:
         """Raises ProtocolError if the epoch has changed, so that everything is requested again.
 
-        Danger: a restarted log may be past our number, and would seem to continue from it.
+        Without that, a restarted log that is already past our number would seem to continue from it.
         """
         if epoch == self.epoch:
             return
         if epoch < self.epoch:
-            raise ProtocolError(f"the change log is in epoch {epoch}, {self.epoch} is known")
+            raise ProtocolError(f"the change log sent epoch {epoch}, expected at least {self.epoch}")
         is_restart = self.last_seq > 0
         self.epoch = epoch
         if is_restart:
             self.last_seq, self.is_log_behind, self.numbering_restarted = 0, False, True
-            raise ProtocolError(f"the change log began anew in epoch {epoch}: all is asked for")
+            raise ProtocolError(f"the change log restarted in epoch {epoch}: all events are requested again")
 
     def receive(self, message: Event | Position) -> None:
-        """Takes an event or a position, and notes when something arrived in order."""
+        """Handles an event or a position, and records when something arrived in order."""
         progress_count, was_behind = self.progress_count, self.is_log_behind
         super().receive(message)
         if self.is_log_behind and not was_behind:
-            log.error("change log began anew without an epoch", epoch=self.epoch, last=self.last_seq)
+            log.error("change log restarted without a new epoch", epoch=self.epoch, last=self.last_seq)
         if self.progress_count == progress_count:
             return
         now = self.receiver.clock.now()
@@ -143,7 +145,7 @@
             try:
                 configuration = _configuration_decoder.decode(event.configuration)
             except msgspec.MsgspecError as error:
-                # Danger: an unreadable one must not stop the purges behind it: its number is passed.
+                # An unreadable configuration must not stop the purges behind it: forward the number.
                 self.listener.report_unreadable(Version(event.epoch, event.seq), str(error))
         return ReplicatedEvent(
             event.seq, event.epoch, 0, event.fleet, event.invalidate, configuration=configuration
--- a/hoistplank/distribution/peer_link.py
+++ b/hoistplank/distribution/peer_link.py
@@ -24,28 +24,28 @@
 from hoistplank.transport.connection import Connection, Consume
 
 log = structlog.get_logger()
-CONNECT_S = 1.0
-SILENCE_S = 3.2  # a peer sends something each second
+PEER_CONNECT_TIMEOUT_S = 1.0
+PEER_SILENCE_TIMEOUT_S = 3.2  # a peer sends something each second
 CHECK_INTERVAL_S = 0.2
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0  # between attempts to connect
 MAX_PENDING_BYTES = 65_536
-KEEPALIVE = b"\n"  # a blank line: the peer is alive and has no row to report
+KEEPALIVE = b"\n"  # a blank line: the replica is alive and has no row to report
 
 _row_decoder = msgspec.json.Decoder(AcknowledgementRow)
 
 
 class PeerReplica(Protocol):
-    """What the exchange of rows uses of its replica."""
+    """The interface of a replica that the exchange of rows uses."""
 
     table: AcknowledgementTable
     name: str
 
     def now(self) -> int:
-        """The time in microseconds."""
+        """Returns the time in microseconds."""
 
 
 class PeerSession:
-    """A peer that subscribed to this replica's rows: it is sent all of them, then those that change."""
+    """Sends this replica's rows to a peer that subscribed: first all of them, then those that change."""
 
     def __init__(self, replica: PeerReplica, connection: Connection, subscription: PeerSubscription) -> None:
         self.replica = replica
@@ -64,7 +64,7 @@
             self.connection.send(b"".join(map(encode, rows)))
 
     def send_keepalive(self) -> None:
-        """Tells the peer that this replica is alive."""
+        """Sends the peer a sign that this replica is alive."""
         if self.connection.unsent_bytes <= MAX_PENDING_BYTES:
             self.connection.send(KEEPALIVE)
 
@@ -80,8 +80,8 @@
         self.last_heard_us = 0  # on this connection; 0: never
 
     @property
-    def is_heard(self) -> bool:
-        """Whether the peer is connected and has sent something on this connection."""
+    def is_alive(self) -> bool:
+        """True if the peer is connected and has sent something on this connection."""
         return self.connection is not None and self.last_heard_us > 0
 
     async def run(self) -> None:
@@ -100,7 +100,7 @@
     async def _follow(self) -> BaseException | str:
         """Receives rows on one connection; returns why it ended."""
         try:
-            sock = await connect(self.peer.address, CONNECT_S)
+            sock = await connect(self.peer.address, PEER_CONNECT_TIMEOUT_S)
         except (OSError, ValueError) as error:
             return error
         connection = Connection(sock, self._consumer(), MAX_REQUEST_LINE_BYTES * 2, MAX_PENDING_BYTES)
@@ -123,8 +123,8 @@
             silent_s += CHECK_INTERVAL_S
             if connection.last_read_at != last_read_at:
                 silent_s, last_read_at = 0.0, connection.last_read_at
-            if silent_s > SILENCE_S:
-                return "it says nothing"
+            if silent_s > PEER_SILENCE_TIMEOUT_S:
+                return "nothing received within the silence limit"
         return task.result() or "closed by the other side"
 
     def _consumer(self) -> Consume:
--- a/hoistplank/distribution/replica.py
+++ b/hoistplank/distribution/replica.py
@@ -44,7 +44,7 @@
 TICK_S = 0.05
 HEARTBEAT_S = 1.0
 PEER_CHANGES_S = 0.1
-# Danger: while the change log is silent nobody knows that nothing is newer, and a heartbeat would say so.
+# While the change log is silent, newer events may exist: a heartbeat would wrongly claim that none do.
 LOG_SILENCE_US = int(SILENCE_TIMEOUT_S * 1e6)
 RETENTION_US = 86_400_000_000  # how long a disconnected dispatcher is still listed as missing
 MAX_DESCRIPTORS = 8_192
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class ReplicaSettings:
-    """What a replica is started with; `purge_horizon_us`: for how long a purge is forwarded."""
+    """Settings of a replica at its start; `purge_horizon_us`: for how long a purge is forwarded."""
 
     name: str
     listen: tuple[str, int]
@@ -91,17 +91,17 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address that it listens on."""
         host, port = self.listener.sock.getsockname()[:2]
         return str(host), int(port)
 
     def now(self) -> int:
-        """The time in microseconds."""
+        """Returns the time in microseconds."""
         return self.clock.now()
 
     @property
     def region(self) -> str:
-        """The region that it is in."""
+        """The region of this replica."""
         return self.settings.region
 
     def follow_peers(self, peers: Iterable[ReplicaAddress]) -> None:
@@ -139,7 +139,7 @@
         previous = self.state.version
         if not self.state.apply(self.now(), event):
             return
-        log.info("change", version=str(event.version), **_log_fields(event))
+        log.info("change log event applied", version=str(event.version), **_log_fields(event))
         if not self.state.is_listed:
             return
         data = b"".join(self.state.lines_since(previous))
@@ -151,10 +151,10 @@
         log.error("configuration of the change log can't be read", version=str(version), wrong=reason)
         self.unreadable_changes.add(version, reason)
 
-    def is_log_heard(self) -> bool:
-        """Whether this replica knows that nothing is newer than what it holds.
+    def is_log_current(self) -> bool:
+        """Returns True if this replica knows that nothing is newer than what it holds.
 
-        Danger: a log restarted without an epoch is heard, but what it sends counts as old.
+        A log that restarted without a new epoch does send events, but they count as old.
         """
         silence_us = self.log_follower.silence_us()
         is_silent = silence_us is None or silence_us > LOG_SILENCE_US
@@ -180,21 +180,25 @@
             del self.sessions[session.name]
 
     def rejection(self, request: FollowRequest) -> str:
-        """Why this replica does not accept a dispatcher now; empty if it does."""
+        """Returns why this replica does not accept a dispatcher now; empty if it does."""
         if not (self.state.is_listed and self.log_follower.is_caught_up()):
             return "the change log has not been read yet"
         known = self.table.latest_incarnation(request.dispatcher)
         if known is not None and known > request.incarnation:
-            return f"incarnation {known} of {request.dispatcher} is known, this is {request.incarnation}"
+            return (
+                f"incarnation {known} of {request.dispatcher} is known, the request has {request.incarnation}"
+            )
         if request.dispatcher in self.sessions:
-            return ""  # it reconnects: its place is counted already
-        living = 1 + sum(link.is_heard for link in self.links)
+            return ""  # it reconnects: it is counted already
+        living = 1 + sum(link.is_alive for link in self.links)
         if not may_accept(len(self.sessions), self.table.connected_count() + 1, living):
-            return f"{len(self.sessions)} dispatchers follow here, and {living} replicas are there"
+            return (
+                f"{len(self.sessions)} dispatchers follow this replica, and {living} replicas are reachable"
+            )
         return ""
 
     def accept(self, session: DispatcherSession) -> None:
-        """A dispatcher follows this replica from now on; raises ProtocolError if it can't."""
+        """Registers a dispatcher and starts sending to it; raises ProtocolError if it can't follow."""
         registration = self.table.register(self.now(), self.name, session.request)
         if registration is not Registration.ACCEPTED:
             raise ProtocolError(f"{session.name} can't follow: {registration.value}")
@@ -203,7 +207,7 @@
         if earlier is not None:
             earlier.connection.close()
         session.start()
-        if session.phase is SessionPhase.LIVE and self.is_log_heard():
+        if session.phase is SessionPhase.LIVE and self.is_log_current():
             session.send_heartbeat()
 
     def acknowledge(self, session: DispatcherSession, acknowledgement: Acknowledgement) -> None:
@@ -213,7 +217,12 @@
         refusal = acknowledgement.refusal
         if is_accepted and refusal is not None and refusal != session.last_refusal:
             version = str(refusal.version.to_version())
-            log.warning("configuration refused", version=version, by=session.name, reason=refusal.reason)
+            log.warning(
+                "configuration refused by a dispatcher",
+                version=version,
+                by=session.name,
+                reason=refusal.reason,
+            )
             session.last_refusal = refusal
 
     def count_slow_reader(self) -> None:
@@ -241,7 +250,7 @@
         now = self.now()
         for session in self.queue.remove_overdue(now):
             self.count_slow_reader()
-            log.warning("dispatcher takes its catch-up too slowly, connection ended", peer=session.name)
+            log.warning("dispatcher receives its catch-up too slowly, connection closed", peer=session.name)
             session.connection.close()
         for session in self.queue.start_ready(now):
             session.begin_turn()
@@ -250,24 +259,24 @@
         now = self.now()
         self.state.remove_expired(now)
         for name in self.table.remove_expired(now):
-            log.info("dispatcher forgotten: not heard for the time of retention", peer=name)
+            log.info("dispatcher removed: silent for longer than the retention", peer=name)
         for connection in list(self.connections):
             if connection.is_lost():
                 connection.close()
         for peer in list(self.peer_sessions):
             peer.send_keepalive()
-        is_log_heard = self.is_log_heard()
+        is_log_current = self.is_log_current()
         for session in list(self.sessions.values()):
-            if is_log_heard or session.phase is SessionPhase.WAITING:
+            if is_log_current or session.phase is SessionPhase.WAITING:
                 session.send_heartbeat()
 
     def status(self, request: StatusRequest) -> StatusResponse:
-        """How far this replica is, and what is in force where; also of one change, if it is asked for."""
+        """Returns this replica's version and what is in force at dispatchers; see `replica_status`."""
         return replica_status(self, request)
 
 
 def _log_fields(event: ReplicatedEvent) -> dict[str, str | int | bool]:
-    """What the log line of a change says of it."""
+    """Returns the fields of the log line of an event."""
     fields: dict[str, str | int | bool] = {}
     if event.fleet is not None:
         fields |= {"hosts": len(event.fleet.targets), "whole": event.fleet.all}
--- a/hoistplank/distribution/request_connection.py
+++ b/hoistplank/distribution/request_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a replica from a dispatcher, a peer or an operator: its requests and who handles them."""
+"""A connection to a replica from a dispatcher, a peer or an operator: dispatches its requests."""
 
 from __future__ import annotations
 
@@ -29,35 +29,36 @@
 from hoistplank.transport.connection import Connection
 
 log = structlog.get_logger()
-# A connection without input for so long ends; peers, who send one line only, are dropped once stuck.
+# A connection without input for this long is closed; peers, which send one line only, are closed once writes
+# to them stall.
 IDLE_TIMEOUT_S = 30.0
 MAX_PENDING_BYTES = 65_536  # output pending before nothing more is read
 
 
 class RequestHandler(SessionReplica, PeerReplica, Protocol):
-    """What a connection uses of its replica."""
+    """The interface of a replica that a connection uses."""
 
     rate_limited_log: RateLimitedLog
     peer_sessions: dict[PeerSession, None]
 
     def rejection(self, request: FollowRequest) -> str:
-        """Why the dispatcher is not accepted now; empty if it is."""
+        """Returns why the dispatcher is not accepted now; empty if it is."""
 
     def accept(self, session: DispatcherSession) -> None:
-        """The dispatcher follows this replica from now on; raises ProtocolError if it can't."""
+        """Registers a dispatcher and starts sending to it; raises ProtocolError if it can't follow."""
 
     def acknowledge(self, session: DispatcherSession, acknowledgement: Acknowledgement) -> None:
         """Records what a dispatcher has in force."""
 
     def status(self, request: StatusRequest) -> StatusResponse:
-        """The response to an operator."""
+        """Returns the response to an operator."""
 
     def connection_closed(self, connection: RequestConnection) -> None:
-        """The connection has ended."""
+        """Called after the connection has ended."""
 
 
 class RequestConnection:
-    """One connection to a replica; its first line says who connects."""
+    """One connection to a replica; its first line identifies the other side."""
 
     def __init__(self, replica: RequestHandler, sock: socket.socket) -> None:
         self.replica = replica
@@ -80,7 +81,7 @@
         elif isinstance(request, Acknowledgement):
             self._acknowledge(request)
         elif self.dispatcher is not None or self.peer is not None:
-            raise ProtocolError("a connection says a second time whose it is")
+            raise ProtocolError("a connection sent a second 'follow' or 'report', expected at most one")
         elif isinstance(request, FollowRequest):
             self._follow(request)
         else:
@@ -89,7 +90,7 @@
     def _follow(self, request: FollowRequest) -> None:
         rejection = self.replica.rejection(request)
         if rejection:
-            log.info("dispatcher sent on", peer=request.dispatcher, why=rejection)
+            log.info("dispatcher rejected and redirected", peer=request.dispatcher, why=rejection)
             self.connection.send(encode(ReplicaLine(redirect=Redirect(rejection))))
             self.connection.close_gracefully()
             return
@@ -104,21 +105,23 @@
 
     def _acknowledge(self, acknowledgement: Acknowledgement) -> None:
         if self.dispatcher is None:
-            raise ProtocolError("an acknowledgement comes before 'follow'")
+            raise ProtocolError("an acknowledgement arrived before 'follow'")
         self.replica.acknowledge(self.dispatcher, acknowledgement)
 
     def is_lost(self) -> bool:
-        """Whether its other side counts as gone: a machine that is cut off closes no connection."""
+        """Returns True if the other side counts as lost: an unreachable machine closes no connection."""
         idle_s = asyncio.get_running_loop().time() - self.connection.last_read_at
         is_idle = self.peer is None and idle_s > IDLE_TIMEOUT_S
         return is_idle or self.connection.is_write_stalled()
 
     def close(self) -> None:
-        """Ends the connection now."""
+        """Closes the connection now."""
         self.connection.close()
 
     def _ended(self, task: asyncio.Task[BaseException | None]) -> None:
         error = None if task.cancelled() else task.result()
         if error is not None and not isinstance(error, OSError):
-            self.replica.rate_limited_log.warning("connection ended", wrong=str(error))
+            self.replica.rate_limited_log.warning(
+                "connection to the replica ended with an error", wrong=str(error)
+            )
         self.replica.connection_closed(self)
--- a/hoistplank/distribution/status_report.py
+++ b/hoistplank/distribution/status_report.py
@@ -34,7 +34,7 @@
 
 
 class ReportingReplica(Protocol):
-    """What a status says of its replica."""
+    """The interface of a replica that a status report uses."""
 
     name: str
     state: ReplicatedState
@@ -48,14 +48,14 @@
 
     @property
     def region(self) -> str:
-        """The region that it is in."""
+        """The region of this replica."""
 
     def now(self) -> int:
-        """The time in microseconds."""
+        """Returns the time in microseconds."""
 
 
 def replica_status(replica: ReportingReplica, request: StatusRequest) -> StatusResponse:
-    """How far a replica is, and what is in force where; also of one change, if it is asked for."""
+    """Returns a replica's version and what is in force at dispatchers, also for one requested change."""
     now, state = replica.now(), replica.state
     fleet = replica.table.fleet_status(now, state.version, state.configuration_version, DISPATCHER_SILENCE_US)
     version = request.version.to_version() if request.version is not None else None
@@ -95,7 +95,7 @@
     reason = replica.unreadable_changes.reason(version)
     if reason is None:
         return row
-    # Danger: all dispatchers are past its number, but none was ever sent it.
+    # All dispatchers are past its number, but none was ever sent it: it must not count as in force.
     return replace(row, in_force=0, unreadable=reason)
 
 
@@ -119,4 +119,4 @@
 
 
 def _peer_row(now_us: int, link: PeerLink) -> PeerRow:
-    return PeerRow(link.peer.name, now_us - link.last_heard_us if link.is_heard else None)
+    return PeerRow(link.peer.name, now_us - link.last_heard_us if link.is_alive else None)
--- a/tests/test_distribution_log.py
+++ b/tests/test_distribution_log.py
@@ -61,7 +61,7 @@
                 patience_s=10,
             )
             await until(lambda: one.owner.is_blind, patience_s=10)
-            assert not replica.is_log_heard() and replica.state.version == Version(0, 3)
+            assert not replica.is_log_current() and replica.state.version == Version(0, 3)
             assert [text for _, text in one.configurations] == ["one"]
 
     run_scene(scene(), limit_s=60)
@@ -80,7 +80,7 @@
             rig.connect_peers()
             await until(replica.log_follower.is_caught_up)
             relay.cut()
-            await until(lambda: not replica.is_log_heard())
+            await until(lambda: not replica.is_log_current())
             rig.purge(3, "ab")
             one = rig.dispatcher("d1", [rig.addresses[1]])
             await until(lambda: one.in_force == at(2))
@@ -102,13 +102,13 @@
             rig.hosts(1, whole=True, a="ready")
             replica = rig.replicas[0]
             await until(replica.log_follower.is_caught_up)
-            assert replica.is_log_heard()
+            assert replica.is_log_current()
             replica.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
             rig.purge(2, "ab")
-            assert not replica.is_log_heard()
+            assert not replica.is_log_current()
             await until(lambda: replica.state.version == at(2))
-            assert not replica.is_log_heard(), "what waited in the buffer says nothing of now"
-            await until(replica.is_log_heard)
+            assert not replica.is_log_current(), "what waited in the buffer says nothing of now"
+            await until(replica.is_log_current)
 
     run_scene(scene(), limit_s=60)
 
