--- a/hoistplank/distribution/acknowledgements.py
+++ b/hoistplank/distribution/acknowledgements.py
@@ -1,9 +1,9 @@
-"""Which dispatcher has which version in force, and when each was last heard from.
+"""Table of the version that each dispatcher has in force, and of when each last sent something.
 
 Decision logic: no I/O, no clock; times are whole microseconds. An acknowledgement counts for the incarnation
-(the start of a dispatcher) that sent it. Within an incarnation, what is in force never goes back, so
-acknowledgements that are lost, duplicated or reordered never count for what was not applied; a new
-incarnation begins with what it reports.
+(the start of a dispatcher) that sent it. Within an incarnation, what is in force never decreases, so
+acknowledgements that are lost, duplicated or reordered never count a version that was not applied; a new
+incarnation starts from the version that it reports.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class _Row:
-    """What is known of one dispatcher."""
+    """State of one dispatcher, as known to this replica."""
 
     incarnation: int
     region: str
@@ -58,12 +58,12 @@
     """The progress of all dispatchers known to this replica, directly or through its peers."""
 
     def __init__(self, retention_us: int, max_dispatchers: int = MAX_DISPATCHERS) -> None:
-        """`retention_us`: how long a dispatcher that is not connected here is kept unheard."""
+        """`retention_us`: how long a dispatcher that is not connected here is kept after its last message."""
         self.retention_us = retention_us
         self.max_dispatchers = max_dispatchers
         self.revision = 0  # increases with each change of a row that this replica itself received
         self._rows: dict[str, _Row] = {}
-        self._own = OrderedDict[str, None]()  # dispatchers heard directly, in order of their rows' revisions
+        self._own = OrderedDict[str, None]()  # dispatchers of this replica, in order of their rows' revisions
 
     def __len__(self) -> int:
         return len(self._rows)
@@ -94,7 +94,7 @@
         return Registration.ACCEPTED
 
     def latest_incarnation(self, dispatcher: str) -> int | None:
-        """The newest known incarnation of a dispatcher."""
+        """Returns the newest known incarnation of a dispatcher, None if the dispatcher is unknown."""
         row = self._rows.get(dispatcher)
         return row.incarnation if row is not None else None
 
@@ -148,7 +148,7 @@
         return True
 
     def mark_peer_lost(self, replica: str) -> None:
-        """A peer is not heard any more: its dispatchers are not known to be connected."""
+        """Marks the dispatchers of a lost peer as no longer known to be connected."""
         for row in self._rows.values():
             if row.peer == replica:
                 row.peer = ""
@@ -163,7 +163,7 @@
         return len(self._rows) >= self.max_dispatchers
 
     def rows_since(self, now_us: int, revision: int) -> list[AcknowledgementRow]:
-        """The rows of this replica's own dispatchers that changed after `revision`, oldest change first."""
+        """Returns the rows of own dispatchers that changed after `revision`, oldest change first."""
         changed = []
         for dispatcher in reversed(self._own):
             row = self._rows[dispatcher]
@@ -174,7 +174,10 @@
         return changed
 
     def change_status(self, version: Version, kind: ChangeKind = ChangeKind.EVENT) -> ChangeStatus:
-        """Who has a change in force. A refused configuration is not in force, nor is its event."""
+        """Counts the dispatchers that have a change in force, and lists the others.
+
+        A refused configuration is not in force, nor is its event.
+        """
         statuses = (_missing(dispatcher, row, version, kind) for dispatcher, row in self._rows.items())
         missing = [status for status in statuses if status is not None]
         return ChangeStatus(version, len(self._rows), missing)
@@ -182,9 +185,9 @@
     def fleet_status(
         self, now_us: int, newest: Version, configuration: Version, silence_us: int
     ) -> FleetStatus:
-        """Who has the newest event and the newest configuration in force.
+        """Returns the status of the newest event and of the newest configuration over all dispatchers.
 
-        Connected dispatchers that were not heard for longer than `silence_us` are listed as silent.
+        Connected dispatchers that have sent nothing for longer than `silence_us` are listed as silent.
         """
         return FleetStatus(
             self.change_status(newest),
@@ -198,15 +201,15 @@
         )
 
     def connected_count_at(self, replica: str) -> int:
-        """How many dispatchers follow `replica`."""
+        """Returns the number of dispatchers that follow `replica`."""
         return sum(row.is_connected and row.replica == replica for row in self._rows.values())
 
     def connected_count(self) -> int:
-        """How many dispatchers follow any replica."""
+        """Returns the number of dispatchers that follow any replica."""
         return sum(row.is_connected for row in self._rows.values())
 
     def remove_expired(self, now_us: int) -> list[str]:
-        """Removes dispatchers not connected here and unheard for the retention; returns their names."""
+        """Removes dispatchers not connected here and silent for the retention; returns their names."""
         expired = [
             dispatcher
             for dispatcher, row in self._rows.items()
@@ -219,7 +222,7 @@
 
 
 def _report(now_us: int, dispatcher: str, row: _Row) -> AcknowledgementRow:
-    """A row as it is reported to peers."""
+    """Returns a row as it is reported to peers."""
     return AcknowledgementRow(
         dispatcher,
         row.incarnation,
@@ -231,7 +234,7 @@
 
 
 def _missing(dispatcher: str, row: _Row, version: Version, kind: ChangeKind) -> MissingDispatcher | None:
-    """What a dispatcher has in force instead of a change; None if it has the change in force."""
+    """Returns what a dispatcher has in force instead of a change; None if it has the change in force."""
     held = row.progress.held(kind)
     refusal = row.progress.refusal_of(version)
     if refusal is None and held >= version:
--- a/hoistplank/distribution/catch_up.py
+++ b/hoistplank/distribution/catch_up.py
@@ -18,7 +18,7 @@
 
 
 class CatchUpQueue(Generic[Key]):
-    """First come, first served. A turn begins once the bytes of all earlier turns may have been sent."""
+    """First-in, first-out queue. A turn begins once the bytes of all earlier turns may have been sent."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         max_waiting: int = MAX_WAITING,
     ) -> None:
         if max_concurrent < 1 or bytes_per_second < 1:
-            raise ValueError("a catch-up queue needs at least one turn at once and one byte a second")
+            raise ValueError("a catch-up queue needs max_concurrent and bytes_per_second of at least 1")
         self.max_concurrent = max_concurrent
         self.bytes_per_second = bytes_per_second
         self.turn_limit_us = turn_limit_us
@@ -39,12 +39,12 @@
 
     @property
     def waiting_count(self) -> int:
-        """How many followers wait for a turn."""
+        """Number of followers that wait for a turn."""
         return len(self._waiting)
 
     @property
     def active_count(self) -> int:
-        """How many followers are being sent their catch-up."""
+        """Number of followers that are being sent their catch-up."""
         return len(self._active)
 
     def enqueue(self, key: Key, size: int) -> bool:
@@ -54,7 +54,7 @@
         """
         if key not in self._waiting and len(self._waiting) >= self.max_waiting:
             return False
-        # Danger: a follower that requests again while its turn still counts would hold two places.
+        # Otherwise a follower that requests again while its turn still counts would occupy two places.
         self._active.pop(key, None)
         self._waiting[key] = size
         return True
@@ -82,7 +82,7 @@
         return overdue
 
     def finish(self, key: Key) -> None:
-        """The catch-up of this follower has been sent."""
+        """Ends the turn of a follower whose catch-up has been sent."""
         self._active.pop(key, None)
 
     def remove(self, key: Key) -> None:
@@ -91,7 +91,7 @@
         self._active.pop(key, None)
 
     def next_wakeup_us(self, now_us: int) -> int | None:
-        """When `remove_overdue` and `start_ready` are to be called next; None if nothing is pending."""
+        """Returns when to call `remove_overdue` and `start_ready` next; None if nothing is pending."""
         deadlines = [began_us + self.turn_limit_us + 1 for began_us in list(self._active.values())[:1]]
         if self._waiting and len(self._active) < self.max_concurrent:
             deadlines.append(max(now_us, self._next_turn_us))
--- a/hoistplank/distribution/change_index.py
+++ b/hoistplank/distribution/change_index.py
@@ -1,7 +1,7 @@
 """The changes that make up a replica's state, in order of version. Decision logic: no I/O, no clock.
 
 Each change holds only what no later change has superseded, so the index grows with the state and not with
-its history, and what a follower lacks is found from the newest end without looking at the rest.
+its history, and what a follower lacks is found from the newest end without visiting the rest.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Change:
-    """What is still valid of one event of the change log."""
+    """The content of one change-log event that no later event has superseded."""
 
     __slots__ = ("_part_line", "configuration", "purge", "targets", "version")
 
@@ -27,11 +27,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether later changes have superseded all of it."""
+        """True if later changes have superseded all of it."""
         return not self.targets and self.purge is None and self.configuration is None
 
     def event(self, after: int = 0, catch_up: CatchUp | None = None) -> ReplicatedEvent:
-        """The change as an event (`after`: the preceding number), or as part of a catch-up."""
+        """Returns the change as an event (`after`: the preceding number), or as part of a catch-up."""
         fleet = Fleet(targets=list(self.targets.values())) if self.targets else None
         epoch, number = self.version
         return ReplicatedEvent(number, epoch, after, fleet, self.purge, self.configuration, catch_up)
@@ -41,14 +41,14 @@
         self._part_line = None
 
     def part_line(self) -> bytes:
-        """The line of this change in a catch-up, encoded once for all followers."""
+        """Returns the line of this change in a catch-up, encoded once for all followers."""
         if self._part_line is None:
             self._part_line = encode(self.event(catch_up=CatchUp.PART))
         return self._part_line
 
 
 class ChangeIndex:
-    """All changes that still hold something, oldest first."""
+    """All changes that are not entirely superseded, oldest first."""
 
     def __init__(self) -> None:
         self._changes: dict[Version, Change] = {}
@@ -71,7 +71,7 @@
             self._changes.setdefault(change.version, change)
 
     def since(self, version: Version) -> list[Change]:
-        """The changes newer than `version`, oldest first; looks at these and one more."""
+        """Returns the changes newer than `version`, oldest first; visits only these and one more."""
         newer = []
         for change in reversed(self._changes.values()):
             if change.version <= version:
--- a/hoistplank/distribution/change_status.py
+++ b/hoistplank/distribution/change_status.py
@@ -1,4 +1,4 @@
-"""Records that say at which dispatchers a change is in force, and at which it is missing."""
+"""Records of the dispatchers at which a change is in force, and of those at which it is missing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ChangeKind(enum.Enum):
-    """What a version identifies."""
+    """The kinds of change that a version can identify."""
 
     EVENT = "event"  # a purge or a change of hosts: in force once everything up to its version is applied
     CONFIGURATION = "configuration"  # in force once this configuration, or a newer one, was applied
@@ -19,14 +19,14 @@
     """A dispatcher that does not have a change in force."""
 
     dispatcher: str
-    version: Version  # what it has in force, of the kind asked for
+    version: Version  # what it has in force, of the requested kind
     last_heard_us: int
     is_connected: bool
-    refused: str  # why it refused the configuration asked for; empty if it did not
+    refused: str  # why it refused the requested configuration; empty if it did not
 
 
 class SilentDispatcher(NamedTuple):
-    """A dispatcher that counts as connected but has not been heard lately: it may be frozen."""
+    """A dispatcher that counts as connected but has sent nothing lately: it may be frozen."""
 
     dispatcher: str
     last_heard_us: int
@@ -41,7 +41,7 @@
 
     @property
     def in_force(self) -> int:
-        """How many dispatchers have the change in force."""
+        """Number of dispatchers that have the change in force."""
         return self.total - len(self.missing)
 
 
--- a/hoistplank/distribution/dispatcher_progress.py
+++ b/hoistplank/distribution/dispatcher_progress.py
@@ -1,4 +1,4 @@
-"""The progress of one incarnation of a dispatcher, no part of which ever goes back. Decision logic."""
+"""The progress of one incarnation of a dispatcher, no part of which ever decreases. Decision logic."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         self._versions = _AcknowledgedVersions.of(acknowledgement)
 
     def advance(self, acknowledgement: Acknowledgement) -> bool:
-        """Takes a newer acknowledgement; returns False, changing nothing, if any part of it went back."""
+        """Stores a newer acknowledgement; returns False, changing nothing, if any version in it decreased."""
         versions = _AcknowledgedVersions.of(acknowledgement)
         if versions.is_behind(self._versions):
             return False
@@ -46,10 +46,10 @@
         return True
 
     def held(self, kind: ChangeKind) -> Version:
-        """The version in force: of all events, or of the configuration."""
+        """Returns the version in force: of all events, or of the configuration."""
         return self._versions.configuration if kind is ChangeKind.CONFIGURATION else self._versions.events
 
     def refusal_of(self, version: Version) -> Refusal | None:
-        """The refusal of the configuration of this version, if it is the one last refused."""
+        """Returns the refusal of the configuration of this version, if it is the one last refused."""
         refusal = self.acknowledgement.refusal
         return refusal if refusal is not None and refusal.version.to_version() == version else None
--- a/hoistplank/distribution/host_table.py
+++ b/hoistplank/distribution/host_table.py
@@ -22,17 +22,17 @@
 
 
 class Departure(NamedTuple):
-    """A host was draining or removed: the start time of its process, and the epoch of that event."""
+    """The process start time of a draining or removed host, and the epoch of that event."""
 
     boot_ms: float
     epoch: int
 
 
 class HostTable:
-    """The listed hosts, the tombstones of removed ones, and who needs the full list."""
+    """The listed hosts, the tombstones of removed ones, and which followers need the full list."""
 
     def __init__(self, index: ChangeIndex, max_tombstones: int = MAX_TOMBSTONES) -> None:
-        self.is_listed = False  # whether any list has been received
+        self.is_listed = False  # True once any list has been received
         self.changed_at = NOTHING  # the version of the last change of any host
         self.full_list_before = NOTHING  # a follower at an older version needs the full list
         self._index = index
@@ -49,11 +49,11 @@
 
     @property
     def tombstone_count(self) -> int:
-        """How many removed hosts are remembered for followers."""
+        """Number of tombstones of removed hosts, kept for followers."""
         return len(self._tombstones)
 
     def targets(self) -> list[Target]:
-        """All listed hosts."""
+        """Returns all listed hosts."""
         return [change.targets[uid] for uid, change in self._hosts.items()]
 
     def apply(self, fleet: Fleet, change: Change) -> None:
@@ -78,8 +78,8 @@
         for target in fleet.targets:
             self._apply_target(target, change)
         if is_first_of_epoch:
-            # Danger: what another replica held of the epoch before may differ from what is replaced here,
-            # and a follower that comes from there would keep hosts which are not among these changes.
+            # Another replica's list of the previous epoch may differ from the one replaced here: without the
+            # full list, a follower of that replica would keep hosts that are not among these changes.
             self.full_list_before = change.version
             self._mark_changed(change)
 
@@ -96,10 +96,10 @@
         self._attach(target, change)
 
     def _with_departure(self, target: Target, epoch: int) -> Target:
-        """The entry, in state draining if its process is known to be draining or removed.
+        """Returns the entry, in state draining if its process is known to be draining or removed.
 
-        Danger: the list of a restarted change log may predate a drain that was received, and the host would
-        get new requests. Only another start of its process clears the departure.
+        The list of a restarted change log may predate a drain that was received; the host would get new
+        requests. Only another start of its process clears the departure.
         """
         departure = self._departures.get(target.uid)
         if target.state != READY:
@@ -143,13 +143,13 @@
             self._index.update(change)
 
     def full_list_event(self) -> ReplicatedEvent:
-        """The full list as part of a catch-up."""
+        """Returns the full list as part of a catch-up."""
         epoch, number = self.changed_at
         fleet = Fleet(rev=self._revision, all=True, targets=self.targets())
         return ReplicatedEvent(number, epoch, fleet=fleet, catch_up=CatchUp.PART)
 
     def full_list_line(self) -> bytes:
-        """`full_list_event`, encoded once until a host changes."""
+        """Returns the line of `full_list_event`, encoded once until a host changes."""
         if self._full_list_line is None:
             self._full_list_line = encode(self.full_list_event())
         return self._full_list_line
--- a/hoistplank/distribution/lines.py
+++ b/hoistplank/distribution/lines.py
@@ -6,14 +6,14 @@
 
 
 class LineReader:
-    """The lines of one connection, without their newlines; blank lines are skipped."""
+    """Reads the lines of one connection, without their newlines; blank lines are skipped."""
 
     def __init__(self, max_line_bytes: int) -> None:
         self.max_line_bytes = max_line_bytes
         self._searched = 0  # bytes of an incomplete line known to hold no newline
 
     def read(self, buffer: bytearray, start: int, end: int) -> tuple[int, list[bytes]]:
-        """The complete lines in the range, and where the remainder begins; raises ProtocolError."""
+        """Returns the start of the remainder and the complete lines in the range; raises ProtocolError."""
         lines = list[bytes]()
         while (stop := buffer.find(b"\n", start + self._searched, end)) >= 0:
             line = bytes(buffer[start:stop]).strip()
--- a/hoistplank/distribution/messages.py
+++ b/hoistplank/distribution/messages.py
@@ -43,7 +43,7 @@
     number: Count = 0
 
     def to_version(self) -> Version:
-        """The version as an ordered value."""
+        """Returns the version as an ordered value."""
         return Version(self.epoch, self.number)
 
 
@@ -56,8 +56,8 @@
 class CatchUp(enum.Enum):
     """The position of a line within a catch-up.
 
-    Danger: superseded content is sent only with the later part, so having received a part does not mean
-    having all events up to its number. A follower's version advances only with the end line.
+    Superseded content is sent only with the later part, so having received a part does not mean having all
+    events up to its number. A follower's version therefore advances only with the end line.
     """
 
     BEGIN = "begin"  # no content; `seq` is the number at which the catch-up will end
@@ -83,7 +83,7 @@
 
     @property
     def is_heartbeat(self) -> bool:
-        """Whether the line has no content."""
+        """True if the line has no content."""
         return self.fleet is None and self.invalidate is None and self.configuration is None
 
 
@@ -110,7 +110,7 @@
 
 
 class Acknowledgement(msgspec.Struct, frozen=True):
-    """What a dispatcher has in force: everything up to `version` is applied, or refused as in `refusal`."""
+    """A dispatcher's versions in force: all up to `version` is applied, or refused as in `refusal`."""
 
     version: VersionFields
     configuration: VersionFields = VersionFields()
@@ -130,7 +130,7 @@
 
 
 class AcknowledgementRow(msgspec.Struct, frozen=True):
-    """What one dispatcher has in force, as one replica reports it to another."""
+    """The state of one dispatcher, as one replica reports it to another."""
 
     dispatcher: Name
     incarnation: Count
@@ -162,7 +162,7 @@
     redirect: Redirect | None = None
 
 
-# What a dispatcher, a peer or an operator may send.
+# The requests that a dispatcher, a peer or an operator may send.
 ReplicaRequest: TypeAlias = FollowRequest | Acknowledgement | PeerSubscription | StatusRequest
 
 _request_decoder = msgspec.json.Decoder(RequestLine)
@@ -171,12 +171,12 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """The message as one line, including its newline."""
+    """Returns the message as one line, including its newline."""
     return _encoder.encode(message) + b"\n"
 
 
 def read_request(line: bytes) -> ReplicaRequest:
-    """The request in a line from a dispatcher, a peer or an operator; raises ProtocolError."""
+    """Returns the request in a line from a dispatcher, a peer or an operator; raises ProtocolError."""
     try:
         request = _request_decoder.decode(line)
     except msgspec.MsgspecError as error:
@@ -191,7 +191,7 @@
 
 
 def read_replica_line(line: bytes) -> ReplicatedEvent | Redirect:
-    """The event, heartbeat or redirect in a line from a replica; raises ProtocolError."""
+    """Returns the event, heartbeat or redirect in a line from a replica; raises ProtocolError."""
     try:
         message = _replica_line_decoder.decode(line)
     except msgspec.MsgspecError as error:
--- a/hoistplank/distribution/purge_table.py
+++ b/hoistplank/distribution/purge_table.py
@@ -1,7 +1,7 @@
 """The purges that a replica forwards, by object or bucket, in the order in which they were received.
 
 Decision logic: no I/O, no clock; times are whole microseconds. A purge is retained for a horizon counted from
-when it was last received here, not from when it was made: one that arrives an hour late binds from then on.
+when it was last received here, not from when it was made: one that arrives an hour late applies from then on.
 Beyond the table's bound, the purges received longest ago are merged into one purge of all objects, which
 costs refills from the parents and never loses a purge.
 """
@@ -75,8 +75,8 @@
     def _merge_into_all_objects(self, oldest: RetainedPurge) -> None:
         """Merges the purge received longest ago into the purge of all objects.
 
-        Danger: a follower that lacks the dropped purge must get the merged one. It is carried by the newer of
-        the two changes: whoever holds that version has received both purges.
+        A follower that lacks the dropped purge must get the merged one, so the newer of the two changes
+        carries it: a follower that holds that version has received both purges.
         """
         existing = self._all_objects
         purge_time = oldest.purge.time
--- a/hoistplank/distribution/state.py
+++ b/hoistplank/distribution/state.py
@@ -1,8 +1,8 @@
-"""What a control replica holds of the change log, and what a follower at some version lacks of it.
+"""The state that a control replica builds from the change log, and the part that a follower lacks.
 
 Decision logic: no I/O, no clock; times are whole microseconds. The state is keyed: hosts by uid, purges by
-object or bucket, and the newest configuration, each at the version at which it last changed. What is
-superseded is not forwarded. A single missing event is sent as the change log sent it, more than one as a
+object or bucket, and the newest configuration, each at the version at which it last changed.
+Superseded content is not forwarded. A single missing event is sent as the change log sent it, more than one as a
 catch-up (`messages.CatchUp`).
 """
 
@@ -18,11 +18,11 @@
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.protocol.changelog import Purge, Target
 
-MAX_CONFIGURATION_VERSIONS = 4_096  # two and a half days of them at 1,500 a day
+MAX_CONFIGURATION_VERSIONS = 4_096  # two and a half days at 1,500 a day
 
 
 class StateSize(NamedTuple):
-    """How much a replica holds; `bytes`: the size of a catch-up from nothing."""
+    """The size of a replica's state; `bytes`: the size of a catch-up from nothing."""
 
     hosts: int
     tombstones: int
@@ -52,7 +52,7 @@
 
     @property
     def is_listed(self) -> bool:
-        """Whether any list of hosts has been received: before that there is nothing to forward."""
+        """True if any list of hosts has been received: before that there is nothing to forward."""
         return self._hosts.is_listed
 
     def apply(self, now_us: int, event: ReplicatedEvent) -> bool:
@@ -97,11 +97,11 @@
             self._configuration_versions.popitem(last=False)
 
     def is_configuration(self, version: Version) -> bool:
-        """Whether the event of this version carried a configuration; known for the last 4,096 of them."""
+        """Returns True if the event of this version carried a configuration; the last 4,096 are known."""
         return version in self._configuration_versions
 
     def events_since(self, version: Version) -> list[ReplicatedEvent]:
-        """What a follower at `version` lacks: nothing, one event, or a complete catch-up.
+        """Returns what a follower at `version` lacks: nothing, one event, or a complete catch-up.
 
         A follower that is ahead gets a heartbeat, which it ignores. Empty while no list is known.
         """
@@ -118,7 +118,7 @@
         return [self._boundary(version, CatchUp.BEGIN), *parts, self._boundary(version, CatchUp.END)]
 
     def lines_since(self, version: Version) -> list[bytes]:
-        """`events_since`, encoded; lines that are the same for all followers are encoded once."""
+        """Returns `events_since`, encoded; lines that are the same for all followers are encoded once."""
         if version == self.version or not self.is_listed:
             return []
         if version > self.version:
@@ -138,42 +138,42 @@
         return [encode(begin), *parts, encode(end)]
 
     def bytes_since(self, version: Version) -> int:
-        """The size of a catch-up from `version`."""
+        """Returns the size of a catch-up from `version` in bytes."""
         return sum(map(len, self.lines_since(version)))
 
     def heartbeat(self) -> ReplicatedEvent:
-        """A heartbeat for followers at this version: there is nothing newer."""
+        """Returns a heartbeat for followers at this version: nothing is newer."""
         return ReplicatedEvent(self.version.number, self.version.epoch)
 
     def heartbeat_for(self, version: Version) -> ReplicatedEvent:
-        """A heartbeat for a follower at `version`; the begin of a catch-up if it has yet to get one.
+        """Returns a heartbeat for a follower at `version`; the begin of a catch-up if it has yet to get one.
 
-        Danger: a plain heartbeat ahead of a follower's version looks to it like lost events.
+        A follower would treat a plain heartbeat ahead of its version as lost events.
         """
         return self._boundary(version, CatchUp.BEGIN) if version < self.version else self.heartbeat()
 
     def _boundary(self, after: Version, catch_up: CatchUp) -> ReplicatedEvent:
-        """The begin or end line of a catch-up; it names the number `after` only within the same epoch."""
+        """Returns the begin or end line of a catch-up; it has the number `after` only within an epoch."""
         number = after.number if after.epoch == self.version.epoch else 0
         return ReplicatedEvent(self.version.number, self.version.epoch, number, catch_up=catch_up)
 
     def _needs_full_list(self, version: Version) -> bool:
-        """Whether changes alone would not tell a follower which hosts to drop.
+        """Returns True if the changes alone would leave hosts at a follower that are no longer listed.
 
-        Danger: replicas that learn of a new epoch at different times hold different ends of the old one.
+        Replicas that learn of a new epoch at different times hold different last versions of the old one.
         """
         is_of_other_epoch = version.epoch != self.version.epoch
         return is_of_other_epoch or version.number == 0 or version < self._hosts.full_list_before
 
     def _parts(self, version: Version) -> list[Change]:
-        """The changes to send to a follower at `version`, besides the full list if it needs one."""
+        """Returns the changes to send to a follower at `version`, besides the full list if it needs one."""
         lacking = self._index.since(version if version.number else NOTHING)
         if not self._needs_full_list(version):
             return lacking
         return [change for change in lacking if change.purge is not None or change.configuration is not None]
 
     def _single_event(self, version: Version) -> ReplicatedEvent | None:
-        """The newest event, if a follower at `version` lacks nothing else."""
+        """Returns the newest event, if a follower at `version` lacks nothing else."""
         if self._needs_full_list(version):
             return None
         lacking = self._index.since(version)
@@ -184,15 +184,15 @@
         return None
 
     def targets(self) -> list[Target]:
-        """All hosts listed."""
+        """Returns all listed hosts."""
         return self._hosts.targets()
 
     def purges(self) -> list[Purge]:
-        """All purges within the horizon."""
+        """Returns all purges within the horizon."""
         return [change.purge for change in self._index if change.purge is not None]
 
     def size(self) -> StateSize:
-        """How much the state holds."""
+        """Returns the size of the state."""
         return StateSize(
             hosts=len(self._hosts),
             tombstones=self._hosts.tombstone_count,
--- a/hoistplank/distribution/status.py
+++ b/hoistplank/distribution/status.py
@@ -1,4 +1,4 @@
-"""What a replica answers an operator: how far it has come, and what is in force where.
+"""A replica's answer to an operator: its version, and which dispatchers have it in force.
 
 Attribute names follow the code's terms; the names on the wire are given by `msgspec.field(name=…)`.
 """
@@ -11,7 +11,7 @@
 
 
 class MissingRow(msgspec.Struct, frozen=True):
-    """A dispatcher that does not have a change in force, and how long ago it was heard."""
+    """A dispatcher that does not have a change in force, and the time since its last message."""
 
     dispatcher: str
     version: VersionFields
@@ -31,7 +31,7 @@
 
 
 class SilentRow(msgspec.Struct, frozen=True):
-    """A dispatcher that is connected but has not been heard lately."""
+    """A dispatcher that is connected but has sent nothing lately."""
 
     dispatcher: str
     heard_ago_us: int
@@ -45,7 +45,7 @@
 
 
 class ReplicaLoad(msgspec.Struct, frozen=True):
-    """What a replica holds and carries now; `bytes`: the size of a catch-up from nothing."""
+    """The load and state size of a replica; `bytes`: the size of a catch-up from nothing."""
 
     dispatchers: int
     catching_up: int
@@ -53,11 +53,11 @@
     hosts: int
     purges: int
     bytes: int
-    slow_readers: int = msgspec.field(name="cut_off")  # whose connections were closed for reading too slowly
+    slow_readers: int = msgspec.field(name="cut_off")  # connections closed for reading too slowly
 
 
 class StatusResponse(msgspec.Struct, frozen=True):
-    """One replica's answer; `change`: the status of the version that was asked for."""
+    """One replica's answer; `change`: the status of the requested version."""
 
     replica: str
     region: str
--- a/hoistplank/distribution/status_client.py
+++ b/hoistplank/distribution/status_client.py
@@ -16,7 +16,7 @@
 
 
 async def request_status(address: tuple[str, int], version: Version | None = None) -> StatusResponse:
-    """The status of a replica, and of the change `version`; raises OSError or ProtocolError."""
+    """Returns the status of a replica, and of the change `version`; raises OSError or ProtocolError."""
     wanted = VersionFields(*version) if version is not None else None
     async with asyncio.timeout(TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address, limit=MAX_RESPONSE_BYTES)
--- a/hoistplank/distribution/unreadable_changes.py
+++ b/hoistplank/distribution/unreadable_changes.py
@@ -1,4 +1,4 @@
-"""Configurations of the change log that can't be read, kept for operators who ask for their status."""
+"""Configurations of the change log that can't be read, kept for operators who request their status."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class UnreadableChanges:
-    """The reasons of the newest unreadable configurations, by version."""
+    """The errors of the newest unreadable configurations, by version."""
 
     def __init__(self) -> None:
         self._reasons = OrderedDict[Version, str]()
@@ -22,5 +22,5 @@
             self._reasons.popitem(last=False)
 
     def reason(self, version: Version) -> str | None:
-        """Why the configuration of this version can't be read; None if it can."""
+        """Returns why the configuration of this version can't be read; None if it can."""
         return self._reasons.get(version)
