--- a/hoistplank/distribution/state.py
+++ b/hoistplank/distribution/state.py
@@ -1,8 +1,8 @@
 """The state that a control replica builds from the change log, and the part that a follower lacks.
 
 Decision logic: no I/O, no clock; times are whole microseconds. The state is keyed: hosts by uid, purges by
-object or bucket, and the newest configuration, each at the version at which it last changed.
-Superseded content is not forwarded. A single missing event is sent as the change log sent it, more than one as a
+object or bucket, and the newest configuration, each at the version at which it last changed. Superseded
+content is not forwarded. A single missing event is sent as the change log sent it, more than one as a
 catch-up (`messages.CatchUp`).
 """
 
