--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -1,4 +1,4 @@
-"""A change log, control replicas and dispatchers' followers on loopback, in one event loop."""
+"""Test rig: a change log, control replicas and dispatchers' followers on loopback, in one event loop."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 EPOCH = 7
 
 
-class TakingOwner:
-    """Stands for a dispatcher's owner: a turn each loop iteration, and it keeps what it was told."""
+class RecordingReceiver:
+    """Replaces a dispatcher's router task: runs a turn each loop iteration and records all events."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or Clock()
         self.events: list[Any] = []
-        self.is_halted = False  # no turn is made: nothing that is told counts as applied
+        self.is_paused = False  # while True no turn runs: nothing received counts as applied
 
     def submit(self, event: Any) -> None:
         self.events.append(event)
-        if isinstance(event, Checkpoint) and not self.is_halted:
+        if isinstance(event, Checkpoint) and not self.is_paused:
             asyncio.get_running_loop().call_soon(event.callback)
 
-    def turn(self) -> None:
-        """Makes up for the turns that were not made."""
-        self.is_halted = False
+    def run_pending_turns(self) -> None:
+        """Resumes, and runs the turns that were held back."""
+        self.is_paused = False
         for event in self.events:
             if isinstance(event, Checkpoint):
                 event.callback()
@@ -53,7 +53,7 @@
 
     @property
     def hosts(self) -> dict[str, str]:
-        """State by uid, as the lists told so far make it."""
+        """The state of each host by uid, from the lists received so far."""
         found: dict[str, str] = {}
         for event in self.events:
             if isinstance(event, EndpointsUpdated):
@@ -64,21 +64,21 @@
         return {uid: state for uid, state in found.items() if state != "gone"}
 
     @property
-    def is_blind(self) -> bool:
-        """Whether the Router would ask for no copy past its fresh time."""
+    def is_list_unconfirmed(self) -> bool:
+        """True if the Router would request no copy past its fresh time."""
         forms = [event.form for event in self.events if isinstance(event, EndpointsUpdated)]
         return bool(forms) and forms[-1] == "own"
 
 
 class Dispatcher:
-    """One follower with its owner; it refuses each configuration that holds the text 'bad'."""
+    """A follower with its receiver; it refuses each configuration that contains the text `refuses`."""
 
     def __init__(self, settings: FollowerSettings, known: Snapshot, seed: int = 1) -> None:
-        self.owner = TakingOwner()
+        self.receiver = RecordingReceiver()
         self.configurations: list[tuple[Version, str]] = []
         self.refuses = "bad"
         self.follower = ReplicaFollower(
-            self.owner, settings, known, Random(f"{settings.name} {seed}"), prepare=self._prepare
+            self.receiver, settings, known, Random(f"{settings.name} {seed}"), prepare=self._prepare
         )
         self.tasks = [
             asyncio.create_task(self.follower.run()),
@@ -103,43 +103,43 @@
 
 
 class Relay:
-    """A path that can be cut: what it passes on it counts."""
+    """A TCP relay that can be cut, and counts the bytes that it forwards from upstream."""
 
-    def __init__(self, far: ReplicaAddress) -> None:
-        self.far = far
-        self.address = far
+    def __init__(self, upstream: ReplicaAddress) -> None:
+        self.upstream = upstream
+        self.address = upstream
         self.is_cut = False
-        self.passed = 0  # bytes from the far end
+        self.forwarded_bytes = 0  # from upstream
         self._writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> Relay:
-        self.address = self.far._replace(address=("127.0.0.1", await serve(self._talk)))
+        self.address = self.upstream._replace(address=("127.0.0.1", await serve(self._serve)))
         return self
 
     def cut(self) -> None:
-        """Ends what stands, and lets nobody through until `join`."""
+        """Closes open connections, and rejects new ones until `restore`."""
         self.is_cut = True
         for writer in self._writers:
             writer.close()
 
-    def join(self) -> None:
+    def restore(self) -> None:
         self.is_cut = False
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.is_cut:
             return
-        far_reader, far_writer = await asyncio.open_connection(*self.far.address)
-        self._writers += [writer, far_writer]
-        back = asyncio.create_task(self._pass_on(far_reader, writer, True))
-        await self._pass_on(reader, far_writer, False)
-        await back
-
-    async def _pass_on(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, counts: bool
+        upstream_reader, upstream_writer = await asyncio.open_connection(*self.upstream.address)
+        self._writers += [writer, upstream_writer]
+        responses = asyncio.create_task(self._copy(upstream_reader, writer, True))
+        await self._copy(reader, upstream_writer, False)
+        await responses
+
+    async def _copy(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_counted: bool
     ) -> None:
         try:
             while data := await reader.read(65_536):
-                self.passed += len(data) * counts
+                self.forwarded_bytes += len(data) * is_counted
                 writer.write(data)
         except OSError:
             pass
@@ -147,12 +147,12 @@
 
 
 class Rig:
-    """The whole of it; what is started here is ended here."""
+    """Runs the change log, replicas and dispatchers, and stops all that it started."""
 
     def __init__(self, replicas: int = 2, epoch: int = EPOCH) -> None:
         self.log = FakeChangeLog(epoch)
         self.log_port = 0
-        self.wanted = replicas
+        self.replica_count = replicas
         self.replicas: list[ControlReplica] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.dispatchers: list[Dispatcher] = []
@@ -160,13 +160,13 @@
 
     async def __aenter__(self) -> Rig:
         self.log_port = await serve(self.log.serve_connection)
-        for number in range(self.wanted):
+        for number in range(self.replica_count):
             self.start_replica(f"c{number + 1}")
         self.connect_peers()
         return self
 
     def start_replica(
-        self, name: str, port: int = 0, changelog: int | None = None, **more: Any
+        self, name: str, port: int = 0, changelog: int | None = None, **options: Any
     ) -> ControlReplica:
         settings = ReplicaSettings(
             name=name,
@@ -174,7 +174,7 @@
             changelog=("127.0.0.1", changelog or self.log_port),
             purge_horizon_us=HORIZON_US,
             region="east",
-            **more,
+            **options,
         )
         replica = ControlReplica(settings)
         self.replicas.append(replica)
@@ -183,7 +183,7 @@
         return replica
 
     def connect_peers(self) -> None:
-        """Replicas get to know each other's ports, and run."""
+        """Tells the new replicas the addresses of their peers, and runs them."""
         for replica in self.replicas[len(self.tasks) :]:
             replica.follow_peers(peer for peer in self.addresses if peer.name != replica.name)
             self.tasks.append(asyncio.create_task(replica.run()))
@@ -192,24 +192,24 @@
         self.tasks[index].cancel()
         await asyncio.gather(self.tasks[index], return_exceptions=True)
 
-    def dispatcher(
+    def start_dispatcher(
         self,
         name: str,
         addresses: list[ReplicaAddress] | None = None,
         known: Snapshot | None = None,
-        **more: Any,
+        **options: Any,
     ) -> Dispatcher:
-        """Starts one; `addresses` in place of all replicas."""
+        """Starts a dispatcher that follows `addresses`, by default all replicas."""
         settings = FollowerSettings(
             name=name,
             region="east",
-            incarnation=more.pop("incarnation", 1),
+            incarnation=options.pop("incarnation", 1),
             replicas=addresses or self.addresses,
-            **more,
+            **options,
         )
-        made = Dispatcher(settings, known or Snapshot())
-        self.dispatchers.append(made)
-        return made
+        dispatcher = Dispatcher(settings, known or Snapshot())
+        self.dispatchers.append(dispatcher)
+        return dispatcher
 
     async def __aexit__(self, *_: object) -> None:
         for dispatcher in self.dispatchers:
@@ -218,25 +218,25 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    # What the log tells.
+    # Events of the change log.
 
     def restart_log(self, epoch: int) -> None:
-        """It begins anew with nothing, and ends the connections to it."""
+        """Restarts the log empty, and closes the connections to it."""
         self.log.restart(epoch)
 
-    def hosts(self, number: int, whole: bool = False, **states: str) -> None:
+    def publish_hosts(self, number: int, whole: bool = False, **states: str) -> None:
         rows = [endpoint_entry(uid, "box", 9, state) for uid, state in states.items()]
         self.log.publish(fleet_event(number, rows, whole=whole))
 
-    def purge(self, number: int, object_key: str) -> None:
+    def publish_purge(self, number: int, object_key: str) -> None:
         self.log.publish({"seq": number, "invalidate": {"object": object_key, "time": 1.0}})
 
 
-async def asked(address: tuple[str, int], version: Version | None = None) -> StatusResponse:
-    """A replica's status, over its socket."""
+async def fetch_status(address: tuple[str, int], version: Version | None = None) -> StatusResponse:
+    """Returns a replica's status, requested over its socket."""
     reader, writer = await asyncio.open_connection(*address, limit=1 << 24)
-    wanted = VersionFields(*version) if version is not None else None
-    writer.write(encode(RequestLine(status=StatusRequest(wanted))))
+    version_fields = VersionFields(*version) if version is not None else None
+    writer.write(encode(RequestLine(status=StatusRequest(version_fields))))
     try:
         return msgspec.json.decode(await reader.readline(), type=StatusResponse)
     finally:
--- a/tests/test_distribution_in_force.py
+++ b/tests/test_distribution_in_force.py
@@ -1,4 +1,4 @@
-"""What a replica knows to be in force, and followers that say nothing, too much or read nothing."""
+"""Acknowledgements that are lost, duplicated or stale, and followers that read nothing."""
 
 from __future__ import annotations
 
@@ -14,67 +14,67 @@
     encode,
 )
 from hoistplank.distribution.versions import NOTHING, Version
-from tests.distribution_rig import EPOCH, Rig, asked, at
+from tests.distribution_rig import EPOCH, Rig, at, fetch_status
 from tests.helpers import until
 from tests.scene_runner import run_scene
 
 
-def test_acknowledgements_lost_doubled_or_of_an_earlier_life_count_for_nothing_that_was_not_applied() -> None:
+def test_duplicated_reordered_or_stale_acknowledgements_count_nothing_unapplied() -> None:
     async def scene() -> None:
         async with Rig(replicas=1) as rig:
-            rig.hosts(1, whole=True, a="ready")
+            rig.publish_hosts(1, whole=True, a="ready")
             address = rig.addresses[0].address
             replica = rig.replicas[0]
 
-            async def life(incarnation: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+            async def connect_as(incarnation: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
                 reader, writer = await asyncio.open_connection(*address)
                 writer.write(encode(RequestLine(follow=FollowRequest("d1", incarnation))))
                 return reader, writer
 
-            def says(writer: asyncio.StreamWriter, number: int) -> None:
+            def send_acknowledgement(writer: asyncio.StreamWriter, number: int) -> None:
                 writer.write(
                     encode(RequestLine(acknowledgement=Acknowledgement(VersionFields(EPOCH, number))))
                 )
 
-            def known() -> Version:
+            def acknowledged_version() -> Version:
                 status = replica.table.change_status(at(99))
                 return status.missing[0].version if status.missing else NOTHING
 
             await until(replica.log_follower.is_caught_up)
-            reader, earlier = await life(1)
+            reader, earlier = await connect_as(1)
             await reader.readline()
-            rig.purge(2, "ab")
-            rig.purge(3, "cd")
-            for number in (3, 3, 1, 2):  # doubled, and out of order
-                says(earlier, number)
-            await until(lambda: known() == at(3))
-            # The dispatcher starts anew, with nothing in force, while the earlier connection still stands.
-            reader, later = await life(2)
-            assert b"catch_up" in await reader.readline() and known() == NOTHING
-            says(earlier, 3)
-            says(later, 1)
-            await until(lambda: known() == at(1))
-            # The earlier life comes back, and is refused by name and number.
-            reader, again = await life(1)
+            rig.publish_purge(2, "ab")
+            rig.publish_purge(3, "cd")
+            for number in (3, 3, 1, 2):  # duplicated and out of order
+                send_acknowledgement(earlier, number)
+            await until(lambda: acknowledged_version() == at(3))
+            # The dispatcher restarts with nothing in force, while its earlier connection is still open.
+            reader, later = await connect_as(2)
+            assert b"catch_up" in await reader.readline() and acknowledged_version() == NOTHING
+            send_acknowledgement(earlier, 3)
+            send_acknowledgement(later, 1)
+            await until(lambda: acknowledged_version() == at(1))
+            # The earlier incarnation reconnects, and is rejected with a reason.
+            reader, again = await connect_as(1)
             assert b"incarnation 2 of d1 is known" in await reader.readline()
-            assert await reader.readline() == b"" and known() == at(1)
+            assert await reader.readline() == b"" and acknowledged_version() == at(1)
             for writer in (earlier, later, again):
                 writer.close()
 
     run_scene(scene(), limit_s=60)
 
 
-def test_a_lost_acknowledgement_is_made_up_for_by_the_next() -> None:
+def test_next_acknowledgement_replaces_a_lost_one() -> None:
     async def scene() -> None:
         async with Rig(replicas=1) as rig:
-            rig.hosts(1, whole=True, a="ready")
-            one = rig.dispatcher("d1")
+            rig.publish_hosts(1, whole=True, a="ready")
+            one = rig.start_dispatcher("d1")
             await until(lambda: rig.replicas[0].table.change_status(at(1)).in_force == 1)
             connection = one.follower.connection
             assert connection is not None
             send, lost = connection.send, list[bytes]()
             connection.send = lambda data, *more: lost.append(data)  # type: ignore[method-assign]
-            rig.purge(2, "ab")
+            rig.publish_purge(2, "ab")
             await until(lambda: bool(lost))
             assert rig.replicas[0].table.change_status(at(2)).in_force == 0
             connection.send = send  # type: ignore[method-assign]
@@ -83,51 +83,53 @@
     run_scene(scene(), limit_s=60)
 
 
-def test_nothing_is_acknowledged_before_the_owners_turn() -> None:
+def test_nothing_is_acknowledged_before_the_receivers_turn() -> None:
     async def scene() -> None:
         async with Rig(replicas=1) as rig:
-            rig.hosts(1, whole=True, a="ready")
-            one = rig.dispatcher("d1")
+            rig.publish_hosts(1, whole=True, a="ready")
+            one = rig.start_dispatcher("d1")
             table = rig.replicas[0].table
             await until(lambda: table.change_status(at(1)).in_force == 1)
-            one.owner.is_halted = True
-            rig.purge(2, "ab")
+            one.receiver.is_paused = True
+            rig.publish_purge(2, "ab")
             rig.log.publish_configuration(3, "new")
-            await until(lambda: one.owner.purges == ["ab"] and one.configurations != [])
+            await until(lambda: one.receiver.purges == ["ab"] and one.configurations != [])
             rows = table.revision
             await until(lambda: table.revision > rows + 1)  # two more heartbeats of the dispatcher
             assert one.in_force == at(1) and table.change_status(at(2)).in_force == 0
-            one.owner.turn()
+            one.receiver.run_pending_turns()
             await until(lambda: table.change_status(at(3)).in_force == 1)
 
     run_scene(scene(), limit_s=60)
 
 
-def test_a_follower_that_reads_nothing_is_cut_off_and_costs_no_other() -> None:
+def test_follower_that_reads_nothing_is_disconnected_without_affecting_others() -> None:
     async def scene() -> None:
         async with Rig(replicas=1) as rig:
-            rig.hosts(1, whole=True, a="ready")
-            one = rig.dispatcher("d1")
+            rig.publish_hosts(1, whole=True, a="ready")
+            one = rig.start_dispatcher("d1")
             await until(lambda: one.in_force == at(1))
-            deaf = socket.socket()
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            deaf.connect(rig.addresses[0].address)
-            deaf.sendall(
-                encode(RequestLine(follow=FollowRequest("deaf", 1, resume_at=VersionFields(EPOCH, 1))))
+            stalled = socket.socket()
+            stalled.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            stalled.connect(rig.addresses[0].address)
+            stalled.sendall(
+                encode(RequestLine(follow=FollowRequest("stalled", 1, resume_at=VersionFields(EPOCH, 1))))
             )
             replica = rig.replicas[0]
-            await until(lambda: "deaf" in replica.sessions)
-            number, most = 1, 0
-            while "deaf" in replica.sessions:
+            await until(lambda: "stalled" in replica.sessions)
+            number, max_unsent = 1, 0
+            while "stalled" in replica.sessions:
                 number += 1
                 rig.log.publish_configuration(number, "x" * 200_000)
                 await until(lambda: replica.table.change_status(at(number)).in_force >= 1)  # noqa: B023
-                most = max(most, *(session.connection.unsent_bytes for session in replica.sessions.values()))
+                max_unsent = max(
+                    max_unsent, *(session.connection.unsent_bytes for session in replica.sessions.values())
+                )
                 assert number < 200
-            assert replica.slow_readers == 1 and most <= MAX_PENDING_BYTES + 210_000
-            status = await asked(replica.address)
-            assert [row.dispatcher for row in status.events.missing] == ["deaf"]
+            assert replica.slow_readers == 1 and max_unsent <= MAX_PENDING_BYTES + 210_000
+            status = await fetch_status(replica.address)
+            assert [row.dispatcher for row in status.events.missing] == ["stalled"]
             assert not status.events.missing[0].connected
-            deaf.close()
+            stalled.close()
 
     run_scene(scene(), limit_s=60)
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,4 +1,4 @@
-"""Distribution on real processes: replicas and dispatchers that are started, stopped, frozen and killed."""
+"""Distribution with real processes: replicas and dispatchers are started, stopped, suspended and killed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from hoistplank.fakes.change_log import FakeChangeLog
 from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.fakes.wire import FastCgiClient, ScriptedCacheHost, serve
-from tests.distribution_rig import EPOCH, asked
+from tests.distribution_rig import EPOCH, fetch_status
 from tests.helpers import configuration
 from tests.scene_runner import run_scene
 
@@ -50,53 +50,53 @@
     """One process of the program, with the lines that it logs."""
 
     def __init__(self, words: tuple[str, ...], environment: dict[str, str]) -> None:
-        self.words, self.environment = words, environment
+        self.arguments, self.environment = words, environment
         self.lines: list[dict[str, Any]] = []
         self.process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
-        self._told = asyncio.Condition()
+        self._reader_task: asyncio.Task[None] | None = None
+        self._line_added = asyncio.Condition()
 
     async def start(self) -> Process:
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            *self.words,
+            *self.arguments,
             env={"HOISTPLANK_LOG": "json", "PATH": os.environ.get("PATH", ""), **self.environment},
             stdout=asyncio.subprocess.PIPE,
         )
-        self._reading = asyncio.create_task(self._read())
+        self._reader_task = asyncio.create_task(self._read())
         return self
 
     async def _read(self) -> None:
         assert self.process is not None and self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            async with self._told:
+            async with self._line_added:
                 self.lines.append(json.loads(line))
-                self._told.notify_all()
+                self._line_added.notify_all()
 
-    async def logged(self, fits: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """The first line that fits, now or later."""
-        async with asyncio.timeout(PATIENCE_S), self._told:
-            await self._told.wait_for(lambda: any(fits(line) for line in self.lines))
-        return next(line for line in self.lines if fits(line))
+    async def wait_for_log_line(self, matches: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+        """Returns the first log line that matches, waiting for it if necessary."""
+        async with asyncio.timeout(PATIENCE_S), self._line_added:
+            await self._line_added.wait_for(lambda: any(matches(line) for line in self.lines))
+        return next(line for line in self.lines if matches(line))
 
     def send(self, number: signal.Signals) -> None:
         assert self.process is not None
         self.process.send_signal(number)
 
-    async def ended(self) -> int:
-        assert self.process is not None and self._reading is not None
+    async def wait_for_exit(self) -> int:
+        assert self.process is not None and self._reader_task is not None
         async with asyncio.timeout(PATIENCE_S):
             code = await self.process.wait()
-            await self._reading
+            await self._reader_task
         return code
 
     async def close(self) -> None:
-        assert self.process is not None and self._reading is not None
+        assert self.process is not None and self._reader_task is not None
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
-        await self._reading
+        await self._reader_task
 
 
 class Fleet:
@@ -119,7 +119,7 @@
             )
         self.log.publish(fleet_event(1, self.targets, whole=True))
 
-    async def replica(self, index: int) -> Process:
+    async def start_replica(self, index: int) -> Process:
         folder = self.folder / "replica"
         folder.mkdir(exist_ok=True)
         configuration(folder, changelog=f"127.0.0.1:{self.log_port}")
@@ -133,9 +133,9 @@
             *("--name", f"c{index + 1}", "--region", "east"),
             *("--peer", f"c{other + 1}=127.0.0.1:{self.replica_ports[other]}"),
         )
-        return await self._started(Process(words, {}))
+        return await self._start(Process(words, {}))
 
-    async def dispatcher(self, name: str, more: str = "") -> Process:
+    async def start_dispatcher(self, name: str, more: str = "") -> Process:
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
         self.listen[name] = self.listen.get(name) or free_ports(1)[0]
@@ -150,20 +150,20 @@
             "EDGE_CONFIG": str(folder / "config.json"),
             "HOISTPLANK_OPERATOR": str(folder / "op.sexp"),
         }
-        process = await self._started(Process(("hoistplank",), environment))
-        await process.logged(lambda line: line.get("phase") == "serving")
+        process = await self._start(Process(("hoistplank",), environment))
+        await process.wait_for_log_line(lambda line: line.get("phase") == "serving")
         return process
 
-    async def _started(self, process: Process) -> Process:
+    async def _start(self, process: Process) -> Process:
         self.processes.append(process)
         return await process.start()
 
-    async def in_force(self, index: int, version: Version, count: int) -> StatusResponse:
-        """The replica's status once the change is in force at so many."""
+    async def wait_in_force(self, index: int, version: Version, count: int) -> StatusResponse:
+        """Returns the replica's status once the change is in force at `count` dispatchers."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 try:
-                    status = await asked(("127.0.0.1", self.replica_ports[index]), version)
+                    status = await fetch_status(("127.0.0.1", self.replica_ports[index]), version)
                 except (OSError, msgspec.DecodeError):
                     await asyncio.sleep(0.05)
                     continue
@@ -178,13 +178,13 @@
         client.writer.close()
         return status, body.decode()
 
-    async def serves(self, name: str) -> None:
-        """Returns once a request is answered 200: a core that lags for a moment sheds some."""
+    async def wait_until_serving(self, name: str) -> None:
+        """Returns once a request is answered 200: a busy machine makes the dispatcher shed some."""
         async with asyncio.timeout(PATIENCE_S):
-            while (await self._page(name)) != 200:
+            while (await self._request_page(name)) != 200:
                 await asyncio.sleep(0.05)
 
-    async def _page(self, name: str) -> int:
+    async def _request_page(self, name: str) -> int:
         client = FastCgiClient(*await asyncio.open_connection("127.0.0.1", self.listen[name]))
         client.send(1, "page")
         _, status, head, _ = await asyncio.wait_for(client.read_answer(), PATIENCE_S)
@@ -194,139 +194,141 @@
 
 
 @asynccontextmanager
-async def fleet(folder: Path) -> AsyncIterator[Fleet]:
-    made = Fleet(folder)
-    await made.prepare()
+async def running_fleet(folder: Path) -> AsyncIterator[Fleet]:
+    fleet = Fleet(folder)
+    await fleet.prepare()
     try:
-        yield made
+        yield fleet
     finally:
-        for process in made.processes:
+        for process in fleet.processes:
             await process.close()
 
 
-async def command(*words: str) -> tuple[int, str, str]:
-    """The exit code, the output and the errors of a command."""
+async def run_command(*words: str) -> tuple[int, str, str]:
+    """Runs a command; returns its exit code, standard output and standard error."""
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "hoistplank.cli.main", "control", *words),
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
-    out, wrong = await process.communicate()
-    return process.returncode or 0, out.decode(), wrong.decode()
+    out, errors = await process.communicate()
+    return process.returncode or 0, out.decode(), errors.decode()
 
 
-def test_processes_agree_and_the_status_command_says_so(tmp_path: Path) -> None:
-    """Also with a replica killed, and started again."""
+def test_processes_converge_and_the_status_command_shows_it(tmp_path: Path) -> None:
+    """Covers a replica that is killed during a change and started again."""
 
     async def scene() -> None:
-        async with fleet(tmp_path) as made:
-            first = await made.replica(0)
-            await made.replica(1)
+        async with running_fleet(tmp_path) as fleet:
+            first = await fleet.start_replica(0)
+            await fleet.start_replica(1)
             for name in ("d0", "d1", "d2"):
-                await made.dispatcher(name)
-            made.log.publish({"seq": 2, "invalidate": {"object": "00" * 8, "time": 1.0}})
-            made.log.publish_configuration(3, LEVELS.format(0.25))
-            await made.in_force(0, at(3), 3)
-            await made.in_force(1, at(3), 3)
-            both = [word for port in made.replica_ports for word in ("--replica", f"127.0.0.1:{port}")]
-            code, out, _ = await command("status", *both)
+                await fleet.start_dispatcher(name)
+            fleet.log.publish({"seq": 2, "invalidate": {"object": "00" * 8, "time": 1.0}})
+            fleet.log.publish_configuration(3, LEVELS.format(0.25))
+            await fleet.wait_in_force(0, at(3), 3)
+            await fleet.wait_in_force(1, at(3), 3)
+            both = [word for port in fleet.replica_ports for word in ("--replica", f"127.0.0.1:{port}")]
+            code, out, _ = await run_command("status", *both)
             assert (
                 code == 0
                 and f"configuration {at(3)}: in force at 3 of 3" in out
                 and "c2 (east): at 7/3" in out
             )
-            # Killed while a change is on its way, and back: nothing is lost, and both know all.
-            made.log.publish_configuration(4, LEVELS.format("often"))
+            # Killed during a change and restarted: nothing is lost, and both replicas know the whole state.
+            fleet.log.publish_configuration(4, LEVELS.format("often"))
             first.send(signal.SIGKILL)
-            made.log.publish({"seq": 5, "invalidate": {"object": "22" * 8, "time": 1.0}})
-            await made.in_force(1, at(5), 3)
-            code, out, _ = await command("status", *both, "--version", str(at(4)))
+            fleet.log.publish({"seq": 5, "invalidate": {"object": "22" * 8, "time": 1.0}})
+            await fleet.wait_in_force(1, at(5), 3)
+            code, out, _ = await run_command("status", *both, "--version", str(at(4)))
             assert code == 1 and "in force at 0 of 3; missing: d" in out and "no answer" in out
             assert f"refused: configuration {at(4)}:1:18: 'often', expected" in out
-            await made.replica(0)
-            status = await made.in_force(0, at(5), 3)
+            await fleet.start_replica(0)
+            status = await fleet.wait_in_force(0, at(5), 3)
             assert status.configurations.in_force == 0 and status.events.in_force == 3
-            for name in made.listen:
-                assert await made.health(name) == (200, "")
-                await made.serves(name)
-            code, out, _ = await command("status", *both, "--json")
+            for name in fleet.listen:
+                assert await fleet.health(name) == (200, "")
+                await fleet.wait_until_serving(name)
+            code, out, _ = await run_command("status", *both, "--json")
             answers = [json.loads(line) for line in out.splitlines()]
             assert code == 1 and [answer["replica"] for answer in answers] == ["c1", "c2"]
 
     run_scene(scene(), limit_s=60)
 
 
-def test_commands_name_what_can_t_be_used(tmp_path: Path) -> None:
+def test_commands_report_unusable_arguments(tmp_path: Path) -> None:
     async def scene() -> None:
         configuration(tmp_path)
         config = ("--config", str(tmp_path / "config.json"), "--name", "c1")
-        for words, told in (
+        for words, message in (
             (("replica", *config, "--listen", "192.0.2.1:18100"), "only a loopback address is served"),
             (("replica", *config, "--peer", "c2"), "--peer c2: is not NAME=HOST:PORT"),
             (("replica", *config, "--peer", "c2=here"), "'here' is no address with a port"),
             (("status", "--replica", "127.0.0.1:9", "--version", "7"), "--version 7: is not EPOCH/NUMBER"),
         ):
-            code, _, wrong = await command(*words)
-            assert code == 2 and told in wrong, (words, wrong)
-        code, _, wrong = await command("status", "--replica", "127.0.0.1:9")
-        assert code == 1 and "127.0.0.1:9: no answer" in wrong
+            code, _, errors = await run_command(*words)
+            assert code == 2 and message in errors, (words, errors)
+        code, _, errors = await run_command("status", "--replica", "127.0.0.1:9")
+        assert code == 1 and "127.0.0.1:9: no answer" in errors
 
     run_scene(scene(), limit_s=60)
 
 
-def test_a_dispatcher_frozen_and_thawed_is_not_sure_of_what_it_holds(tmp_path: Path) -> None:
-    """Stopped for longer than the silence, with a purge and a change meanwhile: the first request after it
-    finds the list stale, and the state of the fleet names it."""
+def test_resumed_dispatcher_marks_its_list_stale(tmp_path: Path) -> None:
+    """A dispatcher suspended for longer than the silence limit missed a purge and a configuration.
+
+    Its first answer after resuming must report the stale list, and the status must list it as missing.
+    """
 
     async def scene() -> None:
-        async with fleet(tmp_path) as made:
-            await made.replica(0)
-            await made.replica(1)
-            frozen = await made.dispatcher("d0", " (silence 3s)")
-            await made.dispatcher("d1")
-            made.log.publish_configuration(2, LEVELS.format(0.25))
-            await made.in_force(0, at(2), 2)
+        async with running_fleet(tmp_path) as fleet:
+            await fleet.start_replica(0)
+            await fleet.start_replica(1)
+            frozen = await fleet.start_dispatcher("d0", " (silence 3s)")
+            await fleet.start_dispatcher("d1")
+            fleet.log.publish_configuration(2, LEVELS.format(0.25))
+            await fleet.wait_in_force(0, at(2), 2)
             frozen.send(signal.SIGSTOP)
-            made.log.publish({"seq": 3, "invalidate": {"object": "00" * 8, "time": 1.0}})
-            made.log.publish_configuration(4, LEVELS.format(0.75))
-            status = await made.in_force(0, at(4), 1)
+            fleet.log.publish({"seq": 3, "invalidate": {"object": "00" * 8, "time": 1.0}})
+            fleet.log.publish_configuration(4, LEVELS.format(0.75))
+            status = await fleet.wait_in_force(0, at(4), 1)
             assert status.change is not None
             assert [row.dispatcher for row in status.change.missing] == ["d0"]
-            # Asked while it stands still: the answer is the first that it says once it goes on.
-            asking = asyncio.create_task(made.health("d0"))
-            while (await made.in_force(0, at(4), 1)).change.missing[0].heard_ago_us < 8_000_000:  # type: ignore[union-attr]
+            # Requested during the suspension: it is the first request answered after resuming.
+            asking = asyncio.create_task(fleet.health("d0"))
+            while (await fleet.wait_in_force(0, at(4), 1)).change.missing[0].heard_ago_us < 8_000_000:  # type: ignore[union-attr]
                 await asyncio.sleep(0.1)
             frozen.send(signal.SIGCONT)
             status_code, detail = await asking
             assert status_code == 200 and detail == f"no control replica heard; in force: {at(2)}"
-            await made.in_force(0, at(4), 2)
-            await frozen.logged(
+            await fleet.wait_in_force(0, at(4), 2)
+            await frozen.wait_for_log_line(
                 lambda line: line.get("event") == "configuration applied" and line["version"] == "7/4"
             )
 
     run_scene(scene(), limit_s=60)
 
 
-def test_a_change_that_arrives_with_a_sigterm_is_in_force_whole_or_not_at_all(tmp_path: Path) -> None:
-    """Large enough to be still read when the signal comes; the dispatcher ends in order."""
+def test_configuration_arriving_with_sigterm_is_applied_whole_or_not_at_all(tmp_path: Path) -> None:
+    """The configuration is large enough to be still read at the signal; the dispatcher exits with code 0."""
 
     async def scene() -> None:
-        async with fleet(tmp_path) as made:
-            await made.replica(0)
-            leaving = await made.dispatcher("d0")
-            await made.dispatcher("d1")
-            await made.in_force(0, at(1), 2)
+        async with running_fleet(tmp_path) as fleet:
+            await fleet.start_replica(0)
+            leaving = await fleet.start_dispatcher("d0")
+            await fleet.start_dispatcher("d1")
+            await fleet.wait_in_force(0, at(1), 2)
             padding = "\n".join("; " + "x" * 76 for _ in range(12_000))
-            made.log.publish_configuration(2, LEVELS.format(0.25) + "\n" + padding)
+            fleet.log.publish_configuration(2, LEVELS.format(0.25) + "\n" + padding)
             leaving.send(signal.SIGTERM)
-            assert await leaving.ended() == 0
-            taken = [line for line in leaving.lines if line.get("event") == "configuration applied"]
+            assert await leaving.wait_for_exit() == 0
+            applied = [line for line in leaving.lines if line.get("event") == "configuration applied"]
             assert not [line for line in leaving.lines if line.get("level") == "error"]
-            status = await made.in_force(0, at(2), 1 + len(taken))
+            status = await fleet.wait_in_force(0, at(2), 1 + len(applied))
             assert status.change is not None and status.change.total == 2
-            # Its next start gets it whole.
-            again = await made.dispatcher("d0")
-            await again.logged(lambda line: line.get("event") == "configuration applied")
-            await made.in_force(0, at(2), 2)
+            # After a restart it receives the configuration whole.
+            again = await fleet.start_dispatcher("d0")
+            await again.wait_for_log_line(lambda line: line.get("event") == "configuration applied")
+            await fleet.wait_in_force(0, at(2), 2)
 
     run_scene(scene(), limit_s=60)
--- a/tests/test_distribution_service.py
+++ b/tests/test_distribution_service.py
@@ -1,5 +1,5 @@
-"""A dispatcher that follows control replicas: what it takes up whole, refuses with key and place, and says
-while nobody is heard."""
+"""A dispatcher that follows control replicas: applied and refused configurations, and its state without
+replicas."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from hoistplank.fakes.settings import fleet_event
 from hoistplank.fakes.wire import ScriptedCacheHost
 from hoistplank.program.phase import Phase
-from tests.distribution_rig import EPOCH, Rig, asked
+from tests.distribution_rig import EPOCH, Rig, fetch_status
 from tests.helpers import Running, until
 from tests.scene_runner import run_scene
 
@@ -36,8 +36,8 @@
     return Version(EPOCH, number)
 
 
-async def serves(dispatcher: Running) -> None:
-    """Returns once a request is answered 200: a core that lags for a moment sheds some."""
+async def wait_until_serving(dispatcher: Running) -> None:
+    """Returns once a request is answered 200: a busy machine makes the dispatcher shed some."""
     status, head = 503, b"X-Pushback-Ms"
     async with asyncio.timeout(20):
         while status != 200:
@@ -46,7 +46,7 @@
             status, head, _ = await dispatcher.ask(1, "page")
 
 
-class Place:
+class ConfiguredDispatcher:
     """A dispatcher with its operator's file, and the replicas that it follows."""
 
     def __init__(self, rig: Rig, dispatcher: Running) -> None:
@@ -68,7 +68,7 @@
 
     @property
     def retries(self) -> float:
-        """What the levels in force say: a figure to be seen."""
+        """The retry share of the levels in force, which shows which configuration was applied."""
         assert self.dispatcher.additions is not None
         levels = self.dispatcher.additions.degradation
         assert isinstance(levels, DegradationService)
@@ -83,7 +83,9 @@
 
 
 @asynccontextmanager
-async def place(folder: Path, silence: str = "7s", replicas: int = 1) -> AsyncIterator[Place]:
+async def configured_dispatcher(
+    folder: Path, silence: str = "7s", replicas: int = 1
+) -> AsyncIterator[ConfiguredDispatcher]:
     async with Rig(replicas) as rig:
         rows = "".join(
             f' (replica {one.name} (endpoint "127.0.0.1:{one.address[1]}") (region east))'
@@ -96,31 +98,31 @@
         dispatcher.operator = True
         async with dispatcher:
             rig.log.publish(fleet_event(1, dispatcher.targets, whole=True))
-            made = Place(rig, dispatcher)
-            await until(lambda: made.in_force == at(1))
-            yield made
+            setup = ConfiguredDispatcher(rig, dispatcher)
+            await until(lambda: setup.in_force == at(1))
+            yield setup
 
 
-def test_a_dispatcher_takes_up_what_the_replicas_hand_on(
+def test_dispatcher_applies_forwarded_purges_and_configurations(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        async with place(tmp_path) as made:
-            router = made.dispatcher.service.router_task.router
-            await until(lambda: made.dispatcher.service.phase is Phase.SERVING)
+        async with configured_dispatcher(tmp_path) as setup:
+            router = setup.dispatcher.service.router_task.router
+            await until(lambda: setup.dispatcher.service.phase is Phase.SERVING)
             assert not router.placement.purges_unknown
-            assert await made.health() == (200, b"")
-            made.rig.purge(2, "00" * 8)
-            made.rig.log.publish_configuration(3, LEVELS.format(0.25))
-            await until(lambda: made.in_force == at(3))
-            assert "00" * 8 in router.parts.purges.by_key and made.retries == 0.25
-            await serves(made.dispatcher)
-            # A reload reads the dispatcher's own file, which is older than what was handed on.
+            assert await setup.health() == (200, b"")
+            setup.rig.publish_purge(2, "00" * 8)
+            setup.rig.log.publish_configuration(3, LEVELS.format(0.25))
+            await until(lambda: setup.in_force == at(3))
+            assert "00" * 8 in router.parts.purges.by_key and setup.retries == 0.25
+            await wait_until_serving(setup.dispatcher)
+            # A reload reads the dispatcher's own file, which is older than the distributed configuration.
             reloaded = list[Any]()
-            monkeypatch.setattr(made.follower, "set_address", reloaded.append)  # the last step of a reload
+            monkeypatch.setattr(setup.follower, "set_address", reloaded.append)  # the last step of a reload
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: bool(reloaded))
-            assert made.retries == 0.25 and made.configured == at(3)
+            assert setup.retries == 0.25 and setup.configured == at(3)
 
     run_scene(scene(), limit_s=40)
 
@@ -129,11 +131,11 @@
     "wrong type": (LEVELS.format("often"), "1:18: 'often', expected a number from 0 to 1"),
     "unknown form": ("(levles)", "1:1: the unknown form 'levles', expected 'levels'"),
     "unbalanced": ("(levels (retries 0.5)", "1:1: a form that is never closed"),
-    "form that went": (
+    "removed form": (
         "(log (format lines))",
         "'(levels …)' can't be added or removed while the program runs",
     ),
-    "a local form": (
+    "local form": (
         LEVELS.format(0.1) + "\n(distribution (replica c9 (endpoint 127.0.0.1:9)))",
         "2:1: '(distribution …)' in a distributed configuration",
     ),
@@ -141,89 +143,92 @@
 
 
 @pytest.mark.parametrize("text, reason", REFUSED.values(), ids=REFUSED)
-def test_a_configuration_that_can_t_be_used_is_refused_whole_with_key_and_place(
+def test_invalid_configuration_is_refused_whole_with_key_and_position(
     tmp_path: Path, text: str, reason: str
 ) -> None:
     async def scene() -> None:
-        async with place(tmp_path) as made:
-            made.rig.log.publish_configuration(2, LEVELS.format(0.25))
-            await until(lambda: made.in_force == at(2))
-            made.rig.log.publish_configuration(3, text)
-            await until(lambda: made.in_force == at(3))
-            assert made.retries == 0.25 and made.configured == at(2)
-            await until(lambda: made.rig.replicas[0].table.change_status(at(3)).missing[0].refused != "")
-            status = await asked(made.rig.replicas[0].address, at(3))
+        async with configured_dispatcher(tmp_path) as setup:
+            setup.rig.log.publish_configuration(2, LEVELS.format(0.25))
+            await until(lambda: setup.in_force == at(2))
+            setup.rig.log.publish_configuration(3, text)
+            await until(lambda: setup.in_force == at(3))
+            assert setup.retries == 0.25 and setup.configured == at(2)
+            await until(lambda: setup.rig.replicas[0].table.change_status(at(3)).missing[0].refused != "")
+            status = await fetch_status(setup.rig.replicas[0].address, at(3))
             assert status.change is not None and (status.change.in_force, status.change.total) == (0, 1)
             (row,) = status.change.missing
             assert row.dispatcher == "d1" and row.version == VersionFields(*at(2))
             assert f"configuration {at(3)}" in row.refused and reason in row.refused
-            # The next one that can be used is taken up.
-            made.rig.log.publish_configuration(4, LEVELS.format(0.75))
-            await until(lambda: made.configured == at(4))
-            assert made.retries == 0.75
+            # The next valid configuration is applied.
+            setup.rig.log.publish_configuration(4, LEVELS.format(0.75))
+            await until(lambda: setup.configured == at(4))
+            assert setup.retries == 0.75
 
     run_scene(scene(), limit_s=40)
 
 
-def test_a_dispatcher_that_hears_nobody_says_so_and_asks_for_no_old_copy(tmp_path: Path) -> None:
+def test_dispatcher_without_replicas_reports_it_and_marks_purges_unknown(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with place(tmp_path, silence="3s") as made:
-            owner = made.dispatcher.service.router_task
-            port = made.rig.replicas[0].address[1]
-            await made.rig.stop_replica(0)
-            made.rig.purge(2, "ab")
-            await until(lambda: owner.router.placement.purges_unknown)
-            status, body = await made.health()
+        async with configured_dispatcher(tmp_path, silence="3s") as setup:
+            router_task = setup.dispatcher.service.router_task
+            port = setup.rig.replicas[0].address[1]
+            await setup.rig.stop_replica(0)
+            setup.rig.publish_purge(2, "ab")
+            await until(lambda: router_task.router.placement.purges_unknown)
+            status, body = await setup.health()
             assert status == 200 and body == f"no control replica heard; in force: {at(1)}".encode()
-            await serves(made.dispatcher)
-            assert set(owner.endpoints.by_host) == {"a", "o"}
-            # A replica that comes back with all there is ends it, the purge first.
-            made.rig.start_replica("c1", port)
-            made.rig.connect_peers()
-            await until(lambda: not owner.router.placement.purges_unknown)
-            assert "ab" in owner.router.parts.purges.by_key and (await made.health())[1] == b""
+            await wait_until_serving(setup.dispatcher)
+            assert set(router_task.endpoints.by_host) == {"a", "o"}
+            # A replica that returns with the whole state ends the silence, and the purge is applied first.
+            setup.rig.start_replica("c1", port)
+            setup.rig.connect_peers()
+            await until(lambda: not router_task.router.placement.purges_unknown)
+            assert "ab" in router_task.router.parts.purges.by_key and (await setup.health())[1] == b""
 
     run_scene(scene(), limit_s=40)
 
 
-def test_the_first_turn_after_a_standstill_finds_the_list_stale(tmp_path: Path) -> None:
-    """Requests that waited are read before any timer runs: none may be answered as if all had been heard."""
+def test_first_turn_after_a_suspension_marks_the_list_stale(tmp_path: Path) -> None:
+    """Pending requests are read before any timer runs: none may be answered as if no event was missed."""
 
     async def scene() -> None:
-        async with place(tmp_path) as made:
-            owner = made.dispatcher.service.router_task
-            assert not owner.router.placement.purges_unknown
-            owner.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
-            owner.turn()
-            assert owner.router.placement.purges_unknown and set(owner.endpoints.by_host) == {"a", "o"}
-            await until(lambda: not owner.router.placement.purges_unknown)
+        async with configured_dispatcher(tmp_path) as setup:
+            router_task = setup.dispatcher.service.router_task
+            assert not router_task.router.placement.purges_unknown
+            router_task.clock.offset_ns += 60_000_000_000  # a minute, in which this process did not run
+            router_task.turn()
+            assert router_task.router.placement.purges_unknown and set(router_task.endpoints.by_host) == {
+                "a",
+                "o",
+            }
+            await until(lambda: not router_task.router.placement.purges_unknown)
 
     run_scene(scene(), limit_s=40)
 
 
-def test_a_configuration_of_a_megabyte_is_taken_up_or_refused_whole(tmp_path: Path) -> None:
+def test_one_megabyte_configuration_is_applied_or_refused_whole(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with place(tmp_path) as made:
+        async with configured_dispatcher(tmp_path) as setup:
             comment = "; " + "x" * 76 + "\n"
             good = LEVELS.format(0.25) + "\n" + comment * (1_040_000 // len(comment))
-            made.rig.log.publish_configuration(2, good)
-            made.rig.purge(3, "ab")
-            await until(lambda: made.in_force == at(3))
+            setup.rig.log.publish_configuration(2, good)
+            setup.rig.publish_purge(3, "ab")
+            await until(lambda: setup.in_force == at(3))
             assert (
-                made.retries == 0.25
-                and "ab" in made.dispatcher.service.router_task.router.parts.purges.by_key
+                setup.retries == 0.25
+                and "ab" in setup.dispatcher.service.router_task.router.parts.purges.by_key
             )
-            made.rig.log.publish_configuration(4, good + LEVELS.format("often"))
-            await until(lambda: made.in_force == at(4))
-            refused = made.follower.state.acknowledgement().refusal
+            setup.rig.log.publish_configuration(4, good + LEVELS.format("often"))
+            await until(lambda: setup.in_force == at(4))
+            refused = setup.follower.state.acknowledgement().refusal
             line = 1 + good.count("\n")
             assert refused is not None and f"{line}:1: 'levels' a second time" in refused.reason
-            assert made.retries == 0.25 and len(json.dumps(good)) > 1_040_000
+            assert setup.retries == 0.25 and len(json.dumps(good)) > 1_040_000
 
     run_scene(scene(), limit_s=40)
 
 
-def test_with_all_replicas_down_a_restart_serves_from_its_kept_list_and_agrees_again(tmp_path: Path) -> None:
+def test_restart_without_replicas_serves_from_the_stored_list_and_converges(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Rig(replicas=1) as rig:
             port = rig.replicas[0].address[1]
@@ -238,15 +243,15 @@
                 rig.log.publish(fleet_event(1, first.targets, whole=True))
                 await until(lambda: first.service.phase is Phase.SERVING)
             await rig.stop_replica(0)
-            rig.purge(2, "ab")
+            rig.publish_purge(2, "ab")
             again = Running(tmp_path, hosts, known=None)
             again.operator = True
             async with again:
                 await until(lambda: again.service.phase is Phase.PROVISIONAL)
                 router = again.service.router_task.router
                 assert router.placement.purges_unknown
-                await serves(again)
-                rig.hosts(3, b="ready")
+                await wait_until_serving(again)
+                rig.publish_hosts(3, b="ready")
                 rig.start_replica("c1", port)
                 rig.connect_peers()
                 await until(
