--- a/tests/distribution_mirror.py
+++ b/tests/distribution_mirror.py
@@ -1,4 +1,4 @@
-"""A plain copy of what a dispatcher holds of the distributed state."""
+"""Simple model of a dispatcher's copy of the distributed state."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.protocol.changelog import Fleet, Target
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
-HORIZON = 60 * S
+HORIZON_US = 60 * SECOND_US
 
 
 UIDS, KEYS = ("a", "b", "c"), ("o", "p", "q")
 
 
 class Mirror:
-    """What a dispatcher holds: everything that `FollowerState` lets through, applied as it comes."""
+    """A dispatcher's state: everything for which `FollowerState` returns APPLY, applied at once."""
 
     def __init__(self) -> None:
         self.follower = FollowerState()
         self.hosts: dict[str, Target] = {}
-        self.as_of: dict[str, Version] = {}  # uid -> the newest version at which it was told
+        self.updated_at: dict[str, Version] = {}  # uid -> the newest version at which it was received
         self.purges: dict[str | int, float] = {}
         self.configuration: str | None = None
 
-    def take(self, now: int, event: ReplicatedEvent) -> Verdict:
+    def receive_event(self, now: int, event: ReplicatedEvent) -> Verdict:
         verdict = self.follower.receive(now, event)
         if verdict is Verdict.APPLY:
             self.apply(event)
@@ -41,9 +41,9 @@
         if event.fleet is not None:
             if event.fleet.all:
                 self.hosts = {}
-                self.as_of = {uid: max(event.version, self.as_of.get(uid, NOTHING)) for uid in UIDS}
+                self.updated_at = {uid: max(event.version, self.updated_at.get(uid, NOTHING)) for uid in UIDS}
             for target in event.fleet.targets:
-                self.as_of[target.uid] = max(event.version, self.as_of.get(target.uid, NOTHING))
+                self.updated_at[target.uid] = max(event.version, self.updated_at.get(target.uid, NOTHING))
                 self.hosts.pop(target.uid, None)
                 if target.state != "gone":
                     self.hosts[target.uid] = target
@@ -57,16 +57,16 @@
     def floor(self, key: str | int) -> float:
         return max(self.purges.get(key, 0.0), self.purges.get(ALL_OBJECTS_BUCKET, 0.0))
 
-    def follow(self, now: int, replica: ReplicatedState, lines: int | None = None) -> list[Verdict]:
-        """A new connection to a replica; it breaks off after so many lines, if any number is given."""
+    def connect_to(self, now: int, replica: ReplicatedState, lines: int | None = None) -> list[Verdict]:
+        """Opens a new connection to a replica, which breaks after `lines` lines, if given."""
         self.follower.connection_opened(now)
         sent = replica.lines_since(self.follower.resume_at)[:lines]
-        return [self.hear(now, line) for line in sent]
+        return [self.receive_line(now, line) for line in sent]
 
-    def hear(self, now: int, line: bytes) -> Verdict:
+    def receive_line(self, now: int, line: bytes) -> Verdict:
         event = read_replica_line(line.strip())
         assert isinstance(event, ReplicatedEvent)
-        verdict = self.take(now, event)
+        verdict = self.receive_event(now, event)
         self.follower.mark_applied(self.follower.received)
         return verdict
 
--- a/tests/test_distribution_histories.py
+++ b/tests/test_distribution_histories.py
@@ -1,4 +1,4 @@
-"""Any history of a change log, replicas that lag behind it, and a dispatcher that moves between them."""
+"""Property tests: any change-log history, lagging replicas, and a dispatcher that moves between them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from hoistplank.distribution.state import ReplicatedState
 from hoistplank.distribution.versions import NOTHING, Version
 from hoistplank.protocol.changelog import Fleet, Purge, Target
-from tests.distribution_mirror import HORIZON, KEYS, UIDS, Mirror, S, listed, target
+from tests.distribution_mirror import HORIZON_US, KEYS, SECOND_US, UIDS, Mirror, listed, target
 
 
-class Told(NamedTuple):
-    """One event of the log; the epoch rises where `is_anew`."""
+class LogStep(NamedTuple):
+    """One event of the log; `is_restart`: the log restarts in a new epoch before it."""
 
-    is_anew: bool
+    is_restart: bool
     event: ReplicatedEvent
 
 
@@ -54,22 +54,22 @@
 
 
 histories = st.lists(
-    st.builds(Told, st.integers(0, 7).map(lambda n: n == 0), contents), min_size=1, max_size=25
+    st.builds(LogStep, st.integers(0, 7).map(lambda n: n == 0), contents), min_size=1, max_size=25
 )
 
 
-def numbered(history: list[Told]) -> list[ReplicatedEvent]:
-    """The events with their versions; the first brings a whole list, as a log does."""
-    epoch, number, made = 1, 0, list[ReplicatedEvent]()
-    for told in [Told(False, ReplicatedEvent(0, fleet=listed("a", "b"))), *history]:
-        epoch, number = (epoch + 1, 1) if told.is_anew else (epoch, number + 1)
-        event = told.event
-        made.append(ReplicatedEvent(number, epoch, 0, event.fleet, event.invalidate, event.configuration))
-    return made
+def number_events(history: list[LogStep]) -> list[ReplicatedEvent]:
+    """Returns the events with their versions, after a first event with a full list, as in a real log."""
+    epoch, number, numbered = 1, 0, list[ReplicatedEvent]()
+    for step in [LogStep(False, ReplicatedEvent(0, fleet=listed("a", "b"))), *history]:
+        epoch, number = (epoch + 1, 1) if step.is_restart else (epoch, number + 1)
+        event = step.event
+        numbered.append(ReplicatedEvent(number, epoch, 0, event.fleet, event.invalidate, event.configuration))
+    return numbered
 
 
-class Truth(NamedTuple):
-    """What one who heard every event up to `version` holds."""
+class ExpectedState(NamedTuple):
+    """The state of a follower that received every event up to `version`."""
 
     version: Version
     hosts: dict[str, Target]
@@ -77,22 +77,22 @@
     configuration: str | None
 
 
-def truths(events: list[ReplicatedEvent]) -> list[Truth]:
-    """The state after each event, worked out in the plainest way."""
+def expected_states(events: list[ReplicatedEvent]) -> list[ExpectedState]:
+    """Returns the state after each event, computed by a simple reference implementation."""
     hosts, floors, text = dict[str, Target](), dict[str | int, float](), None
-    departed = dict[str, tuple[float, int]]()
-    made = [Truth(NOTHING, {}, {}, None)]
+    departures = dict[str, tuple[float, int]]()
+    states = [ExpectedState(NOTHING, {}, {}, None)]
     for event in events:
         if event.fleet is not None:
             hosts = {} if event.fleet.all else hosts
             for row in event.fleet.targets:
-                boot_ms, epoch = departed.get(row.uid, (-1.0, 0))
+                boot_ms, epoch = departures.get(row.uid, (-1.0, 0))
                 if row.state != "ready":
-                    departed[row.uid] = (row.boot_ms, event.epoch)
+                    departures[row.uid] = (row.boot_ms, event.epoch)
                 elif boot_ms == row.boot_ms and epoch < event.epoch:
                     row = target(row.uid, "draining", row.boot_ms)
                 else:
-                    departed.pop(row.uid, None)
+                    departures.pop(row.uid, None)
                 hosts = {uid: held for uid, held in hosts.items() if uid != row.uid}
                 if row.state != "gone":
                     hosts[row.uid] = row
@@ -101,30 +101,30 @@
             floors = floors | {key: max(event.invalidate.time, floors.get(key, 0.0))}
         if event.configuration is not None:
             text = event.configuration.text
-        made.append(Truth(event.version, hosts, floors, text))
-    return made
+        states.append(ExpectedState(event.version, hosts, floors, text))
+    return states
 
 
-def check_in_force(mirror: Mirror, known: list[Truth]) -> None:
-    """All that is acknowledged is applied: nothing held is of before the version in force."""
+def check_in_force(mirror: Mirror, expected: list[ExpectedState]) -> None:
+    """Checks that everything acknowledged is applied: nothing held is older than the version in force."""
     version = mirror.follower.acknowledgement().version.to_version()
-    since = [truth for truth in known if truth.version >= version]
+    since = [state for state in expected if state.version >= version]
     for uid in UIDS:
-        as_of = mirror.as_of.get(uid, NOTHING)
-        states = [truth.hosts.get(uid) for truth in since if truth.version >= as_of]
-        assert mirror.hosts.get(uid) in states, f"{uid} is as before {version} or {as_of}"
+        updated_at = mirror.updated_at.get(uid, NOTHING)
+        host_states = [state.hosts.get(uid) for state in since if state.version >= updated_at]
+        assert mirror.hosts.get(uid) in host_states, f"{uid} is older than {version} or {updated_at}"
     for key, time in since[0].purges.items():
         assert mirror.floor(key) >= time, f"the purge of {key} is not held at {version}"
-    assert mirror.configuration in [truth.configuration for truth in since]
+    assert mirror.configuration in [state.configuration for state in since]
 
 
 class Move(NamedTuple):
-    """A step of the walk: a replica hears events, and the dispatcher follows it or hears on."""
+    """A step: a replica receives events, and the dispatcher connects to it or reads on."""
 
     replica: int
-    hears: int
+    event_count: int
     connects: bool
-    lines: int | None  # so many lines come, then the connection breaks off
+    line_count: int | None  # number of lines before the connection breaks; None: it stays open
 
 
 moves = st.lists(
@@ -135,55 +135,59 @@
 
 @given(histories, moves, st.integers(0, 3), st.integers(1, 5))
 @settings(max_examples=400, deadline=None)
-def test_catch_up_from_any_version_ends_as_hearing_every_event(
-    history: list[Told], walk: list[Move], tombstones: int, max_purges: int
+def test_catch_up_from_any_version_equals_receiving_every_event(
+    history: list[LogStep], walk: list[Move], tombstones: int, max_purges: int
 ) -> None:
-    events = numbered(history)
-    known = truths(events)
-    replicas = [ReplicatedState(HORIZON, tombstones, max_purges) for _ in range(3)]
-    heard = [0, 0, 0]
+    events = number_events(history)
+    expected = expected_states(events)
+    replicas = [ReplicatedState(HORIZON_US, tombstones, max_purges) for _ in range(3)]
+    applied_counts = [0, 0, 0]
     mirror, followed, sent, is_current = Mirror(), -1, NOTHING, False
     now, before = 0, mirror.follower.acknowledgement()
     for move in walk:
         now += 100_000
         replica = replicas[move.replica]
-        for event in events[heard[move.replica] :][: move.hears]:
+        for event in events[applied_counts[move.replica] :][: move.event_count]:
             assert replica.apply(now, event) and not replica.apply(now, event)
-            heard[move.replica] += 1
+            applied_counts[move.replica] += 1
         verdicts = list[Verdict]()
         if move.connects or followed != move.replica:
-            verdicts = mirror.follow(now, replica, move.lines)
-            assert Verdict.GAP not in verdicts, "asked for at what is held"
-            followed = move.replica if move.lines is None else -1
+            verdicts = mirror.connect_to(now, replica, move.line_count)
+            assert Verdict.GAP not in verdicts, "resumed at the version held"
+            followed = move.replica if move.line_count is None else -1
             is_current = Verdict.BEHIND not in verdicts
         else:
-            lines = replica.lines_since(sent)[: move.lines]
-            if move.lines is None:  # else the connection has broken off
+            lines = replica.lines_since(sent)[: move.line_count]
+            if move.line_count is None:  # otherwise the connection is broken
                 lines.append(encode(replica.heartbeat_for(replica.version)))
-            verdicts = [mirror.hear(now, line) for line in lines]
+            verdicts = [mirror.receive_line(now, line) for line in lines]
             assert not (is_current and Verdict.GAP in verdicts)
-            followed = -1 if move.lines is not None or Verdict.GAP in verdicts else followed
+            followed = -1 if move.line_count is not None or Verdict.GAP in verdicts else followed
         sent = replica.version
-        check_in_force(mirror, known)
-        said = mirror.follower.acknowledgement()
-        assert said.version.to_version() >= before.version.to_version(), "in force went back"
-        assert said.configuration.to_version() >= before.configuration.to_version()
-        before = said
-    for event in events[heard[0] :]:
+        check_in_force(mirror, expected)
+        acknowledgement = mirror.follower.acknowledgement()
+        assert (
+            acknowledgement.version.to_version() >= before.version.to_version()
+        ), "the version in force decreased"
+        assert acknowledgement.configuration.to_version() >= before.configuration.to_version()
+        before = acknowledgement
+    for event in events[applied_counts[0] :]:
         replicas[0].apply(now, event)
-    assert Verdict.GAP not in mirror.follow(now, replicas[0])
-    assert mirror.follower.received == known[-1].version
-    assert mirror.follower.acknowledgement().version.to_version() == known[-1].version
-    assert mirror.hosts == known[-1].hosts
-    assert mirror.configuration == known[-1].configuration
-    assert all(mirror.floor(key) >= time for key, time in known[-1].purges.items())
-    made = known[-1].purges
-    if len(made) <= max_purges:
-        assert mirror.purges == made
-    assert all(time <= max(made.values()) for time in mirror.purges.values()), "made up"
+    assert Verdict.GAP not in mirror.connect_to(now, replicas[0])
+    assert mirror.follower.received == expected[-1].version
+    assert mirror.follower.acknowledgement().version.to_version() == expected[-1].version
+    assert mirror.hosts == expected[-1].hosts
+    assert mirror.configuration == expected[-1].configuration
+    assert all(mirror.floor(key) >= time for key, time in expected[-1].purges.items())
+    expected_purges = expected[-1].purges
+    if len(expected_purges) <= max_purges:
+        assert mirror.purges == expected_purges
+    assert all(
+        time <= max(expected_purges.values()) for time in mirror.purges.values()
+    ), "a purge is newer than any in the history"
 
 
-pauses = st.sampled_from((0, 1, 7 * S, 20 * S, HORIZON, HORIZON + 1))
+pauses = st.sampled_from((0, 1, 7 * SECOND_US, 20 * SECOND_US, HORIZON_US, HORIZON_US + 1))
 
 
 @given(
@@ -191,28 +195,28 @@
     st.integers(1, 6),
 )
 @settings(max_examples=200, deadline=None)
-def test_purges_last_for_the_horizon_and_are_bounded_at_any_order(
-    told: list[tuple[int, str, int]], most: int
+def test_purges_are_kept_for_the_horizon_and_bounded(
+    steps: list[tuple[int, str, int]], max_purges: int
 ) -> None:
-    state, now, fits = ReplicatedState(HORIZON, max_purges=most), 0, True
+    state, now, fits = ReplicatedState(HORIZON_US, max_purges=max_purges), 0, True
     state.apply(0, ReplicatedEvent(1, 1, fleet=listed("a")))
-    heard = list[tuple[int, str, float]]()
-    model = OrderedDict[str, tuple[float, int]]()  # the newest of each, until the horizon after its last
-    for number, (pause, key, time) in enumerate(told, 2):
+    received = list[tuple[int, str, float]]()
+    model = OrderedDict[str, tuple[float, int]]()  # the newest purge of each key, kept for the horizon
+    for number, (pause, key, time) in enumerate(steps, 2):
         now += pause
         state.apply(now, ReplicatedEvent(number, 1, invalidate=Purge(float(time), key)))
-        model = OrderedDict((k, v) for k, v in model.items() if v[1] >= now - HORIZON)
+        model = OrderedDict((k, v) for k, v in model.items() if v[1] >= now - HORIZON_US)
         model[key] = max(float(time), model.pop(key, (0.0, 0))[0]), now
-        heard.append((now, key, float(time)))
+        received.append((now, key, float(time)))
         mirror = Mirror()
-        mirror.follow(now, state)
+        mirror.connect_to(now, state)
         assert all(
-            mirror.floor(k) >= made for at, k, made in heard if at >= now - HORIZON
+            mirror.floor(k) >= purge_time for at, k, purge_time in received if at >= now - HORIZON_US
         ), "a purge was lost"
-        assert set(mirror.purges) <= {*model, ALL_OBJECTS_BUCKET}, "beyond the horizon"
-        assert pause <= HORIZON or set(mirror.purges) == {key}, "all that was told before is beyond it"
-        assert len(mirror.purges) <= most + 1 and state.size().purges <= most + 1
-        fits = fits and len(model) <= most
+        assert set(mirror.purges) <= {*model, ALL_OBJECTS_BUCKET}, "a purge beyond the horizon is still held"
+        assert pause <= HORIZON_US or set(mirror.purges) == {key}, "all earlier purges are beyond the horizon"
+        assert len(mirror.purges) <= max_purges + 1 and state.size().purges <= max_purges + 1
+        fits = fits and len(model) <= max_purges
         if fits:
             assert mirror.purges == {k: v[0] for k, v in model.items()}
 
@@ -231,28 +235,28 @@
 )
 
 
-@given(st.lists(lines | versions | st.sampled_from(("connects", "refuses", "takes")), max_size=60))
+@given(st.lists(lines | versions | st.sampled_from(("connect", "refuse", "apply")), max_size=60))
 @settings(max_examples=300, deadline=None)
-def test_in_force_never_goes_back_whatever_a_replica_or_the_caller_says(
+def test_version_in_force_never_decreases_for_any_input(
     walk: list[ReplicatedEvent | Version | str],
 ) -> None:
     follower, now = FollowerState(), 0
     for step in walk:
-        now += S
-        before, told = follower.acknowledgement(), follower.received
+        now += SECOND_US
+        before, received = follower.acknowledgement(), follower.received
         if isinstance(step, ReplicatedEvent):
             verdict = follower.receive(now, step)
-            assert verdict is not Verdict.APPLY or step.catch_up is CatchUp.PART or step.version > told
-            assert verdict is Verdict.HEARTBEAT or verdict is Verdict.APPLY or follower.received == told
+            assert verdict is not Verdict.APPLY or step.catch_up is CatchUp.PART or step.version > received
+            assert verdict is Verdict.HEARTBEAT or verdict is Verdict.APPLY or follower.received == received
         elif isinstance(step, Version):
             follower.mark_applied(step)
-        elif step == "connects":
+        elif step == "connect":
             follower.connection_opened(now)
-        elif step == "refuses":
-            follower.mark_configuration_refused(Version(2, now // S), "no")
+        elif step == "refuse":
+            follower.mark_configuration_refused(Version(2, now // SECOND_US), "no")
         else:
-            follower.mark_configuration_applied(Version(1, now // S))
-        said = follower.acknowledgement()
-        assert before.version.to_version() <= said.version.to_version() <= follower.received
-        assert before.configuration.to_version() <= said.configuration.to_version()
-        assert follower.received >= told, "what is held went back"
+            follower.mark_configuration_applied(Version(1, now // SECOND_US))
+        acknowledgement = follower.acknowledgement()
+        assert before.version.to_version() <= acknowledgement.version.to_version() <= follower.received
+        assert before.configuration.to_version() <= acknowledgement.configuration.to_version()
+        assert follower.received >= received, "the received version decreased"
