--- a/tests/test_compatibility_distribution.py
+++ b/tests/test_compatibility_distribution.py
@@ -1,4 +1,4 @@
-"""The lines of control replicas, dispatchers, peers and operators, as an earlier text sent them."""
+"""Compatibility with recorded lines of control replicas, dispatchers, peers and operators."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def lines(which: str, *senders: str) -> list[str]:
-    """The distinct lines that were asked or answered on the connections of `senders`."""
+    """Returns the distinct lines that were sent ('asked') or answered on the connections of `senders`."""
     found = [line for row in CONNECTIONS if row["from"] in senders for line in row[which] if line]
     return list(dict.fromkeys(found))
 
@@ -51,34 +51,34 @@
     return RequestLine(status=request)
 
 
-def test_the_recording_holds_every_kind_of_request() -> None:
+def test_recording_contains_every_kind_of_request() -> None:
     kinds = {type(read_request(line.encode())) for line in lines("asked", "dispatcher", "peer", "operator")}
     assert kinds == {FollowRequest, Acknowledgement, PeerSubscription, StatusRequest}
 
 
 @pytest.mark.parametrize("line", lines("asked", "dispatcher", "peer", "operator"))
-def test_a_request_is_read_and_written_alike(line: str) -> None:
+def test_request_is_unchanged_by_decoding_and_encoding(line: str) -> None:
     assert text(request_line(read_request(line.encode()))) == line
 
 
 @pytest.mark.parametrize("line", lines("answered", "dispatcher"))
-def test_a_replicas_line_is_read_and_written_alike(line: str) -> None:
-    told = read_replica_line(line.encode())
-    assert text(ReplicaLine(redirect=told) if isinstance(told, Redirect) else told) == line
+def test_replica_line_is_unchanged_by_decoding_and_encoding(line: str) -> None:
+    message = read_replica_line(line.encode())
+    assert text(ReplicaLine(redirect=message) if isinstance(message, Redirect) else message) == line
 
 
 @pytest.mark.parametrize("line", lines("answered", "peer"))
-def test_a_peers_row_is_read_and_written_alike(line: str) -> None:
+def test_peer_row_is_unchanged_by_decoding_and_encoding(line: str) -> None:
     assert text(msgspec.json.decode(line, type=AcknowledgementRow)) == line
 
 
 @pytest.mark.parametrize("line", lines("answered", "operator"))
-def test_a_status_is_read_and_written_alike(line: str) -> None:
+def test_status_is_unchanged_by_decoding_and_encoding(line: str) -> None:
     assert text(msgspec.json.decode(line, type=StatusResponse)) == line
 
 
 @pytest.mark.parametrize("number", range(len(DISPATCHERS)))
-def test_a_dispatcher_makes_the_same_of_a_replicas_lines(number: int) -> None:
+def test_dispatcher_decides_on_recorded_lines_as_recorded(number: int) -> None:
     state, now = FollowerState(), 1_000_000
     state.connection_opened(now)
     found: list[object] = []
@@ -99,21 +99,21 @@
     assert found == fixture_json("distribution/judged.json")[number]
 
 
-def test_a_replica_hands_on_the_same_lines_of_a_log() -> None:
-    wanted = fixture_json("distribution/replica_state.json")
+def test_replica_forwards_recorded_events_as_recorded() -> None:
+    expected = fixture_json("distribution/replica_state.json")
     state, now = ReplicatedState(60_000_000), 1_700_000_000_000_000
 
     def since(version: Version) -> list[str]:
         return [line.decode().removesuffix("\n") for line in state.lines_since(version)]
 
-    handed_on = []
-    for line in wanted["events"]:
+    forwarded = []
+    for line in expected["events"]:
         event = read_replica_line(line.encode())
         assert isinstance(event, ReplicatedEvent)
         now += 1_000_000
         previous = state.version
         assert state.apply(now, event)
-        handed_on.append(since(previous))
-    assert handed_on == wanted["handed_on"]
-    assert since(NOTHING) == wanted["from_nothing"]
-    assert since(Version(7, 4)) == wanted["from_4"]
+        forwarded.append(since(previous))
+    assert forwarded == expected["handed_on"]
+    assert since(NOTHING) == expected["from_nothing"]
+    assert since(Version(7, 4)) == expected["from_4"]
--- a/tests/test_distribution_assignment.py
+++ b/tests/test_distribution_assignment.py
@@ -1,4 +1,4 @@
-"""Which replica a dispatcher follows, and in which turn it catches up."""
+"""Assignment of dispatchers to replicas, selection of a replica, and the order of catch-ups."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hoistplank.distribution.catch_up import CatchUpQueue
 from hoistplank.distribution.replica_selection import REDIRECT_HOLD_S, ReplicaSelection
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 REGIONS = ("north", "south", "east", "west", "mid")
 REPLICAS = [ReplicaAddress(f"c{number}", region) for number, region in enumerate(REGIONS)]
@@ -26,27 +26,27 @@
 
 
 def loads(living: list[ReplicaAddress]) -> list[int]:
-    """How many dispatchers each living replica has after all came, one by one, in an order by chance."""
-    had = dict.fromkeys((replica.name for replica in living), 0)
+    """Returns the dispatchers per living replica after all have connected one by one in random order."""
+    counts = dict.fromkeys((replica.name for replica in living), 0)
     for dispatcher, region in Random(1).sample(FLEET, len(FLEET)):
         for replica in preference(dispatcher, region, REPLICAS):
-            if replica.name in had and may_accept(had[replica.name], len(FLEET), len(living)):
-                had[replica.name] += 1
+            if replica.name in counts and may_accept(counts[replica.name], len(FLEET), len(living)):
+                counts[replica.name] += 1
                 break
-    return list(had.values())
+    return list(counts.values())
 
 
-def test_a_dead_replicas_dispatchers_spread_evenly() -> None:
+def test_dispatchers_of_lost_replicas_spread_evenly() -> None:
     assert len(FLEET) == 680
     for dead in [set[int]()] + [{i} for i in range(5)] + [{i, j} for i in range(5) for j in range(i)]:
         living = [replica for number, replica in enumerate(REPLICAS) if number not in dead]
-        had, share = loads(living), 680 / len(living)
-        assert sum(had) == 680, "everyone is taken by someone"
-        assert max(had) <= load_bound(680, len(living))
-        assert 0.9 * share <= min(had) and max(had) <= 1.1 * share + 1, (dead, had)
+        counts, share = loads(living), 680 / len(living)
+        assert sum(counts) == 680, "each dispatcher is accepted by a replica"
+        assert max(counts) <= load_bound(680, len(living))
+        assert 0.9 * share <= min(counts) and max(counts) <= 1.1 * share + 1, (dead, counts)
 
 
-def test_a_dispatchers_order_begins_in_its_region_and_stands_when_another_goes() -> None:
+def test_preference_starts_with_own_region_and_keeps_its_order_without_another_replica() -> None:
     pair = [*REPLICAS, ReplicaAddress("c5", "north")]
     firsts = set()
     for dispatcher, region in FLEET:
@@ -60,36 +60,38 @@
     assert firsts == {replica.name for replica in pair}
 
 
-def test_dispatchers_go_back_one_by_one() -> None:
-    chance, seconds = Random(2), [0] * 60
+def test_return_delays_are_spread_over_the_period() -> None:
+    random, seconds = Random(2), [0] * 60
     for _ in range(136):
-        seconds[return_delay_us(chance) // S] += 1
+        seconds[return_delay_us(random) // SECOND_US] += 1
     assert max(seconds) <= 9, "of 136 in 60 s"
 
 
 @given(st.lists(st.integers(0, 2_000_000), min_size=1, max_size=60), st.integers(1, 20))
 @settings(max_examples=60, deadline=None)
-def test_a_fleet_that_comes_back_at_once_is_served_in_order(sizes: list[int], most: int) -> None:
-    queue = CatchUpQueue[int](most, 4_000_000)
+def test_catch_up_queue_serves_in_order_and_within_its_bounds(sizes: list[int], max_concurrent: int) -> None:
+    queue = CatchUpQueue[int](max_concurrent, 4_000_000)
     for key, size in enumerate(sizes):
         assert queue.enqueue(key, size)
     now, served = 0, list[int]()
-    while (then := queue.next_wakeup_us(now)) is not None:
-        assert then >= now
-        now = then
-        lost = queue.remove_overdue(now)
-        begun = queue.start_ready(now)
-        assert lost or begun, "asked for nothing"
-        assert queue.active_count <= most
-        served += begun
-        for key in begun:
-            assert now >= sum(sizes[:key]) * S // 4_000_000 - key, "no more bytes a second than said"
-            if key % 3:  # each third takes nothing, and holds its turn until the limit
+    while (wakeup := queue.next_wakeup_us(now)) is not None:
+        assert wakeup >= now
+        now = wakeup
+        overdue = queue.remove_overdue(now)
+        started = queue.start_ready(now)
+        assert overdue or started, "woken up without anything to do"
+        assert queue.active_count <= max_concurrent
+        served += started
+        for key in started:
+            assert (
+                now >= sum(sizes[:key]) * SECOND_US // 4_000_000 - key
+            ), "more bytes per second than the limit"
+            if key % 3:  # each third receives nothing, and keeps its turn until the limit
                 queue.finish(key)
     assert served == list(range(len(sizes)))
 
 
-def test_a_replica_that_rejected_a_dispatcher_is_not_tried_again_for_some_time() -> None:
+def test_redirecting_replica_is_not_retried_within_the_hold() -> None:
     first, second, third = REPLICAS[:3]
     selection = ReplicaSelection((first, second, third))
     assert selection.is_preferred and list(selection.preferred_to_current()) == []
--- a/tests/test_distribution_state_table.py
+++ b/tests/test_distribution_state_table.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("phase", Phase)
 def test_each_kind_of_line_has_one_verdict_in_each_phase(phase: Phase) -> None:
-    """The whole state table, for a follower at 7/5 and lines that would be right in some phase."""
+    """Checks the whole state table, for a follower at 7/5 and lines that are valid in some phase."""
     for kind, verdict in zip(LineKind, VERDICTS[phase], strict=True):
         follower = FollowerState()
         for place in (CatchUp.BEGIN, CatchUp.END):
--- a/tests/test_distribution_wire.py
+++ b/tests/test_distribution_wire.py
@@ -1,4 +1,4 @@
-"""The lines of the distribution as they are on the wire: names in code may change, these may not."""
+"""Wire format of the distribution's lines: it must not change when names in the code do."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("request_line, text", REQUESTS)
-def test_requests(request_line: RequestLine, text: str) -> None:
+def test_request_lines_match_the_wire_format(request_line: RequestLine, text: str) -> None:
     assert encode(request_line) == text.encode() + b"\n"
     fields = msgspec.structs.astuple(request_line)
     assert read_request(text.encode()) == next(field for field in fields if field is not None)
@@ -85,16 +85,16 @@
 
 
 @pytest.mark.parametrize("event, text", EVENTS)
-def test_events(event: ReplicatedEvent, text: str) -> None:
+def test_event_lines_match_the_wire_format(event: ReplicatedEvent, text: str) -> None:
     assert encode(event) == text.encode() + b"\n"
     assert read_replica_line(text.encode()) == event
 
 
-def test_redirects() -> None:
+def test_redirect_is_read() -> None:
     assert read_replica_line(b'{"redirect":{"reason":"full"}}') == Redirect("full")
 
 
-def test_rows_to_peers() -> None:
+def test_peer_rows_match_the_wire_format() -> None:
     row = AcknowledgementRow("d1", 5, ACKNOWLEDGEMENT, "east", False, 9)
     text = (
         f'{{"dispatcher":"d1","incarnation":5,"in_force":{ACKNOWLEDGEMENT_TEXT},"region":"east",'
@@ -104,7 +104,7 @@
     assert msgspec.json.decode(text, type=AcknowledgementRow) == row
 
 
-def test_the_status() -> None:
+def test_status_matches_the_wire_format() -> None:
     missing = MissingRow("d2", AT, 9, True, "no")
     response = StatusResponse(
         replica="c1",
