--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -54,14 +54,14 @@
     @property
     def hosts(self) -> dict[str, str]:
         """The state of each host by uid, from the lists received so far."""
-        found: dict[str, str] = {}
+        states: dict[str, str] = {}
         for event in self.events:
             if isinstance(event, EndpointsUpdated):
                 if event.form != "changes":
-                    found.clear()
+                    states.clear()
                 for row in event.targets:
-                    found[row.uid] = row.state
-        return {uid: state for uid, state in found.items() if state != "gone"}
+                    states[row.uid] = row.state
+        return {uid: state for uid, state in states.items() if state != "gone"}
 
     @property
     def is_list_unconfirmed(self) -> bool:
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -49,8 +49,8 @@
 class Process:
     """One process of the program, with the lines that it logs."""
 
-    def __init__(self, words: tuple[str, ...], environment: dict[str, str]) -> None:
-        self.arguments, self.environment = words, environment
+    def __init__(self, arguments: tuple[str, ...], environment: dict[str, str]) -> None:
+        self.arguments, self.environment = arguments, environment
         self.lines: list[dict[str, Any]] = []
         self.process: asyncio.subprocess.Process | None = None
         self._reader_task: asyncio.Task[None] | None = None
@@ -124,7 +124,7 @@
         folder.mkdir(exist_ok=True)
         configuration(folder, changelog=f"127.0.0.1:{self.log_port}")
         other = 1 - index
-        words = (
+        arguments = (
             "hoistplank.cli.main",
             "control",
             "replica",
@@ -133,9 +133,9 @@
             *("--name", f"c{index + 1}", "--region", "east"),
             *("--peer", f"c{other + 1}=127.0.0.1:{self.replica_ports[other]}"),
         )
-        return await self._start(Process(words, {}))
+        return await self._start(Process(arguments, {}))
 
-    async def start_dispatcher(self, name: str, more: str = "") -> Process:
+    async def start_dispatcher(self, name: str, extra_settings: str = "") -> Process:
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
         self.listen[name] = self.listen.get(name) or free_ports(1)[0]
@@ -145,7 +145,9 @@
             f' (replica c{index + 1} (endpoint "127.0.0.1:{port}") (region east))'
             for index, port in enumerate(self.replica_ports)
         )
-        (folder / "op.sexp").write_text(f"{LEVELS.format(0.5)}\n(distribution (region east){more}{rows})\n")
+        (folder / "op.sexp").write_text(
+            f"{LEVELS.format(0.5)}\n(distribution (region east){extra_settings}{rows})\n"
+        )
         environment = {
             "EDGE_CONFIG": str(folder / "config.json"),
             "HOISTPLANK_OPERATOR": str(folder / "op.sexp"),
@@ -204,10 +206,10 @@
             await process.close()
 
 
-async def run_command(*words: str) -> tuple[int, str, str]:
+async def run_command(*arguments: str) -> tuple[int, str, str]:
     """Runs a command; returns its exit code, standard output and standard error."""
     process = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-m", "hoistplank.cli.main", "control", *words),
+        *(sys.executable, "-m", "hoistplank.cli.main", "control", *arguments),
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -260,14 +262,14 @@
     async def scene() -> None:
         configuration(tmp_path)
         config = ("--config", str(tmp_path / "config.json"), "--name", "c1")
-        for words, message in (
+        for arguments, message in (
             (("replica", *config, "--listen", "192.0.2.1:18100"), "only a loopback address is served"),
             (("replica", *config, "--peer", "c2"), "--peer c2: is not NAME=HOST:PORT"),
             (("replica", *config, "--peer", "c2=here"), "'here' is no address with a port"),
             (("status", "--replica", "127.0.0.1:9", "--version", "7"), "--version 7: is not EPOCH/NUMBER"),
         ):
-            code, _, errors = await run_command(*words)
-            assert code == 2 and message in errors, (words, errors)
+            code, _, errors = await run_command(*arguments)
+            assert code == 2 and message in errors, (arguments, errors)
         code, _, errors = await run_command("status", "--replica", "127.0.0.1:9")
         assert code == 1 and "127.0.0.1:9: no answer" in errors
 
