--- a/hoistplank/lab/baselines.py
+++ b/hoistplank/lab/baselines.py
@@ -1,4 +1,4 @@
-"""Baseline policies: plain choices of a host, with what the rules demand and nothing more."""
+"""Baseline policies: simple choices of a host, with only what the rules demand."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from hoistplank.decision.settings import IDEMPOTENT, NON_IDEMPOTENT, RouterSettings
 
 MAX_PLAIN_ATTEMPTS = 2
-PLAIN_ANSWER_MARGIN_US = 100_000
-PLAIN_TIMEOUT_MARGIN_US = 50_000
+PLAIN_ANSWER_MARGIN_US = 100_000  # no attempt starts this close to the deadline
+PLAIN_TIMEOUT_MARGIN_US = 50_000  # from an attempt's timeout to the deadline
 
 
 @dataclass(slots=True)
 class PlainRequest:
-    """A request that a plain dispatcher has open."""
+    """An open request of a plain dispatcher."""
 
     arrived: RequestArrived
     attempts: int = 0
@@ -39,14 +39,14 @@
 
 
 class PlainDispatcher:
-    """A textbook dispatcher: one choice of host, one retry, no waiting; keeps to drains, purges and rule two.
+    """A simple dispatcher: one choice of host, one retry, no waiting; respects drains, purges and rule two.
 
-    Knows of a host what the endpoint list says, and how many of its own attempts are in flight.
+    Of a host it knows only its entry in the endpoint list and how many of its own attempts are in flight.
     """
 
-    def __init__(self, site: RouterSettings, seed: int) -> None:
-        self.site, self.chance = site, Random(seed)
-        self.classes = {row.name: row for row in site.traffic_classes}
+    def __init__(self, settings: RouterSettings, seed: int) -> None:
+        self.settings, self.rng = settings, Random(seed)
+        self.classes = {row.name: row for row in settings.traffic_classes}
         self.hosts: dict[str, Endpoint] = {}
         self.caches: list[str] = []
         self.parents: list[str] = []
@@ -57,7 +57,7 @@
         self.actions: deque[Action] = deque()
 
     def handle(self, now_us: int, event: Event) -> None:
-        """Takes in what has happened, and decides at once."""
+        """Handles an event and queues the resulting actions."""
         if isinstance(event, RequestArrived):
             self.requests[event.request_id] = PlainRequest(event)
             self.place(now_us, self.requests[event.request_id])
@@ -71,31 +71,33 @@
             self.requests.pop(event.request_id, None)
 
     def next_action(self, now_us: int) -> Action | None:  # noqa: ARG002 (overrides)
-        """The next thing to do, or None."""
+        """Returns the next action, or None."""
         return self.actions.popleft() if self.actions else None
 
     def endpoints_updated(self, event: EndpointsUpdated) -> None:
-        """Take over the endpoint list."""
+        """Applies an update of the endpoint list."""
         if event.form != EndpointListForm.CHANGES:
             self.hosts = {}
         self.hosts.update({row.host: row for row in event.endpoints})
-        good = [row for row in self.hosts.values() if row.state == EndpointState.UP]
-        site = self.site
-        self.origin = next((row.host for row in good if row.kind == site.origin_kind), "")
-        self.parents = sorted(row.host for row in good if row.kind == site.parent_kind)
-        kinds = (site.parent_kind, site.origin_kind)
-        self.caches = sorted(row.host for row in good if row.zone == site.zone and row.kind not in kinds)
+        usable = [row for row in self.hosts.values() if row.state == EndpointState.UP]
+        settings = self.settings
+        self.origin = next((row.host for row in usable if row.kind == settings.origin_kind), "")
+        self.parents = sorted(row.host for row in usable if row.kind == settings.parent_kind)
+        kinds = (settings.parent_kind, settings.origin_kind)
+        self.caches = sorted(
+            row.host for row in usable if row.zone == settings.zone and row.kind not in kinds
+        )
 
     def choose(self, object_key: str, part: int, hosts: list[str]) -> str:
-        """The cache host for an object's part."""
+        """Returns the cache host for a part of an object."""
         raise NotImplementedError
 
     def source(self, object_key: str, part: int) -> str:  # noqa: ARG002 (overrides)
-        """The host that a fill comes from."""
+        """Returns the host from which a fill is taken."""
         return self.parents[hash_key(object_key) % len(self.parents)] if self.parents else self.origin
 
     def place(self, now_us: int, request: PlainRequest) -> None:
-        """Sends an attempt, or gives the request up."""
+        """Sends an attempt; gives the request up if none is possible."""
         arrived = request.arrived
         if self.classes[arrived.class_name].uncached:
             host, source = self.origin, ""
@@ -123,7 +125,7 @@
         self.actions.append(action)
 
     def max_age_us(self, now_us: int, arrived: RequestArrived) -> int:
-        """The oldest copy that no purge has made void; 0 for the usual one."""
+        """Returns the age of the oldest copy that no purge invalidated; 0 means the class's own limit."""
         purged_us = max(self.purged_us.get(arrived.object_key, 0), self.purged_us.get(arrived.purge_group, 0))
         if not purged_us:
             return 0
@@ -131,7 +133,7 @@
         return max(1, min(age_us, self.classes[arrived.class_name].fresh_us or age_us))
 
     def give_up(self, request: PlainRequest) -> None:
-        """The final answer of a request that may not be attempted any more."""
+        """Queues the final answer of a request that may not be attempted again."""
         request_id = request.arrived.request_id
         del self.requests[request_id]
         idempotent = self.classes[request.arrived.class_name].semantics == IDEMPOTENT
@@ -140,7 +142,7 @@
         )
 
     def attempt_ended(self, now_us: int, event: AttemptEnded) -> None:
-        """Forgets the request, repeats it or gives it up."""
+        """Closes the request, retries it or gives it up."""
         request = self.requests.get(event.request_id)
         if request is None:
             return
@@ -149,47 +151,47 @@
             del self.requests[event.request_id]
             return
         request.may_have_run |= event.outcome not in NEVER_RAN
-        if self.may_repeat(request):
+        if self.may_retry(request):
             self.place(now_us, request)
         else:
             self.give_up(request)
 
-    def may_repeat(self, request: PlainRequest) -> bool:
-        """Rule two, for a request whose last attempt has failed."""
+    def may_retry(self, request: PlainRequest) -> bool:
+        """Returns True if rule two allows another attempt after a failed one."""
         semantics = self.classes[request.arrived.class_name].semantics
         return not request.may_have_run or semantics != NON_IDEMPOTENT
 
 
 class RandomChoice(PlainDispatcher):
-    """Any host."""
+    """Chooses a host at random."""
 
     def choose(self, object_key: str, part: int, hosts: list[str]) -> str:  # noqa: ARG002 (overrides)
-        """The cache host for an object\'s part."""
-        return self.chance.choice(hosts)
+        """Returns the cache host for a part of an object."""
+        return self.rng.choice(hosts)
 
 
 class RendezvousHash(PlainDispatcher):
-    """Rendezvous by object and part, nothing else."""
+    """Chooses a host by rendezvous hash of object and part alone."""
 
     def choose(self, object_key: str, part: int, hosts: list[str]) -> str:
-        """The cache host for an object\'s part."""
+        """Returns the cache host for a part of an object."""
         key = f"{object_key}/{part}"
         return max(hosts, key=lambda host: hash_key(key + host))
 
 
 class LeastInFlight(PlainDispatcher):
-    """The host with the fewest of this dispatcher's attempts in flight."""
+    """Chooses the host with the fewest of this dispatcher's attempts in flight."""
 
     def choose(self, object_key: str, part: int, hosts: list[str]) -> str:  # noqa: ARG002 (overrides)
-        """The cache host for an object\'s part."""
-        return min(hosts, key=lambda host: (self.in_flight.get(host, 0), self.chance.random()))
+        """Returns the cache host for a part of an object."""
+        return min(hosts, key=lambda host: (self.in_flight.get(host, 0), self.rng.random()))
 
 
 class TwoChoices(PlainDispatcher):
-    """Two hosts by hash, the one with fewer of this dispatcher's attempts in flight."""
+    """Takes two hosts by hash and chooses the one with fewer of this dispatcher's attempts in flight."""
 
     def choose(self, object_key: str, part: int, hosts: list[str]) -> str:
-        """The cache host for an object\'s part."""
+        """Returns the cache host for a part of an object."""
         key = f"{object_key}/{part}"
         pair = sorted(hosts, key=lambda host: hash_key(key + host))[-2:]
         return min(pair, key=lambda host: self.in_flight.get(host, 0))
--- a/hoistplank/lab/faulty_dispatchers.py
+++ b/hoistplank/lab/faulty_dispatchers.py
@@ -1,4 +1,4 @@
-"""Dispatchers that each break one rule, to show that its checker fires: they are never anybody's policy."""
+"""Dispatchers that each break one rule, to show that the checker fires. No experiment can select them."""
 
 from __future__ import annotations
 
@@ -11,82 +11,83 @@
 from hoistplank.lab.baselines import PlainRequest, RendezvousHash
 
 
-class Forgets(RendezvousHash):
-    """Rule one: one request in forty is never answered."""
+class DropsRequests(RendezvousHash):
+    """Breaks rule one: drops one attempt in forty and never answers its request."""
 
     def next_action(self, now_us: int) -> Action | None:
-        """The next action, but for the forgotten ones."""
+        """Returns the next action that is not dropped."""
         action = super().next_action(now_us)
-        while isinstance(action, SendAttempt) and self.chance.random() < 0.025:
+        while isinstance(action, SendAttempt) and self.rng.random() < 0.025:
             self.requests.pop(action.request_id, None)
             action = super().next_action(now_us)
         return action
 
 
-class SaysTwice(RendezvousHash):
-    """Rule one: each request that is rejected is rejected again."""
+class RejectsTwice(RendezvousHash):
+    """Breaks rule one: rejects each rejected request a second time."""
 
-    def __init__(self, site: RouterSettings, seed: int) -> None:
-        super().__init__(site, seed)
-        self.again: Reject | None = None
+    def __init__(self, settings: RouterSettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.repeated: Reject | None = None
 
     def next_action(self, now_us: int) -> Action | None:
-        """The next action; after a rejection the same once more."""
-        if self.again is not None:
-            again, self.again = self.again, None
-            return again
+        """Returns the next action; a rejection is returned twice."""
+        if self.repeated is not None:
+            repeated, self.repeated = self.repeated, None
+            return repeated
         action = super().next_action(now_us)
         if isinstance(action, Reject):
-            self.again = action
+            self.repeated = action
         return action
 
 
-class RunsAgain(RendezvousHash):
-    """Rule two: what may have run is sent again, whatever its traffic class says."""
+class RetriesUnsafely(RendezvousHash):
+    """Breaks rule two: retries requests that may have run, regardless of their traffic class."""
 
-    def may_repeat(self, request: PlainRequest) -> bool:  # noqa: ARG002 (overrides)
-        """Always."""
+    def may_retry(self, request: PlainRequest) -> bool:  # noqa: ARG002 (overrides)
+        """Returns True."""
         return True
 
 
-def all_up(event: EndpointsUpdated) -> EndpointsUpdated:
-    """The same list with every host up."""
+def with_every_host_up(event: EndpointsUpdated) -> EndpointsUpdated:
+    """Returns the same list with the state of every host set to up."""
     up: list[Endpoint] = [
         msgspec.structs.replace(endpoint, state=EndpointState.UP) for endpoint in event.endpoints
     ]
     return EndpointsUpdated(event.form, up)
 
 
-class SeesNoDrain(Router):
-    """Rule three: a host that drains, or is gone, counts as up."""
+class IgnoresDrains(Router):
+    """Breaks rule three: treats draining and gone hosts as up."""
 
     def handle(self, now_us: int, event: Event) -> None:
-        """Takes every listed host for up."""
-        super().handle(now_us, all_up(event) if isinstance(event, EndpointsUpdated) else event)
+        """Handles an event, with every listed host set to up."""
+        super().handle(now_us, with_every_host_up(event) if isinstance(event, EndpointsUpdated) else event)
 
 
-class LovesNew(RendezvousHash):
-    """Rule four: whatever started last gets everything."""
+class PrefersNewest(RendezvousHash):
+    """Breaks rule four: sends everything to the host that started last."""
 
     def choose(self, object_key: str, part: int, hosts: list[str]) -> str:  # noqa: ARG002 (overrides)
-        """The host that started last."""
+        """Returns the host that started last."""
         return max(hosts, key=lambda host: self.hosts[host].started_us)
 
 
-class HearsNoPurge(Router):
-    """Rule five: purges count for nothing."""
+class IgnoresPurges(Router):
+    """Breaks rule five: ignores purges."""
 
     def handle(self, now_us: int, event: Event) -> None:
-        """Passes over purges."""
+        """Handles all events but purges."""
         if not isinstance(event, PurgeReceived):
             super().handle(now_us, event)
 
 
+# The number of the broken rule and the dispatcher, by name.
 BROKEN = {
-    "forgets": (1, Forgets),
-    "says-twice": (1, SaysTwice),
-    "runs-again": (2, RunsAgain),
-    "sees-no-drain": (3, SeesNoDrain),
-    "loves-new": (4, LovesNew),
-    "hears-no-purge": (5, HearsNoPurge),
+    "forgets": (1, DropsRequests),
+    "says-twice": (1, RejectsTwice),
+    "runs-again": (2, RetriesUnsafely),
+    "sees-no-drain": (3, IgnoresDrains),
+    "loves-new": (4, PrefersNewest),
+    "hears-no-purge": (5, IgnoresPurges),
 }
--- a/hoistplank/lab/fleet/faulty_dispatchers.py
+++ b/hoistplank/lab/fleet/faulty_dispatchers.py
@@ -7,7 +7,7 @@
 from hoistplank.decision.actions import SendAttempt
 from hoistplank.decision.events import AttemptEnded, EndpointsUpdated
 from hoistplank.lab.baselines import PlainDispatcher, PlainRequest, RendezvousHash
-from hoistplank.lab.faulty_dispatchers import all_up
+from hoistplank.lab.faulty_dispatchers import with_every_host_up
 from hoistplank.lab.fleet.metrics import FleetMetrics
 from hoistplank.lab.fleet.scene import Scene
 from hoistplank.lab.fleet.scene_reader import read_scene
@@ -24,8 +24,8 @@
 
     def place(self, now_us: int, request: PlainRequest) -> None:
         """Gives most requests up at the first dispatcher."""
-        zones = self.site.dispatchers // max(1, self.site.dispatchers_in_zone)
-        if self.site.dispatcher_index < zones and self.chance.random() < 0.8:
+        zones = self.settings.dispatchers // max(1, self.settings.dispatchers_in_zone)
+        if self.settings.dispatcher_index < zones and self.rng.random() < 0.8:
             return self.give_up(request)
         return super().place(now_us, request)
 
@@ -65,7 +65,7 @@
 
     def endpoints_updated(self, event: EndpointsUpdated) -> None:
         """Takes every listed host for up."""
-        super().endpoints_updated(all_up(event))
+        super().endpoints_updated(with_every_host_up(event))
 
 
 class Forgetful(FleetMetrics):
