--- a/hoistplank/lab/ablations.py
+++ b/hoistplank/lab/ablations.py
@@ -1,4 +1,4 @@
-"""The Router with one defence off: by other parts, or by other settings."""
+"""Ablations: the Router with one defence switched off, by a substituted part or by changed settings."""
 
 from __future__ import annotations
 
@@ -17,48 +17,48 @@
 
 
 class NoStallDetector(StallDetector):
-    """Nothing that hangs is found: an attempt ends when its host says so or at its deadline."""
+    """Finds no stalled attempt: an attempt ends when its host answers or at its deadline."""
 
     def find_if_due(self, now_us: int, in_flight: Iterable[Attempt]) -> list[Attempt]:  # noqa: ARG002 (overrides)
-        """None."""
+        """Returns no attempts."""
         return []
 
 
 class NoHerds(HerdTable):
-    """Each request stands alone: nobody is held, joins, or knows where a copy was seen."""
+    """Puts each request in a herd of its own: none is held or joined, and no copy holder is remembered."""
 
     def join(self, now_us: int, request: Request) -> Herd:
-        """A herd of one."""
+        """Returns a new herd for this request alone."""
         request.herd, request.in_herd = Herd(now_us), False
         return request.herd
 
 
 class NoCooldown(HerdTable):
-    """Where a copy was last seen counts for nothing."""
+    """Ignores the host on which a copy was last seen."""
 
     def copy_holder(self, now_us: int, request: Request, herd: Herd) -> Host | None:  # noqa: ARG002 (overrides)
-        """None."""
+        """Returns None: no copy holder is known."""
         return None
 
 
 class NoSlowStart(SlowStart):
-    """A cold host gets what a warm one gets. Breaks rule four, which is the point of it."""
+    """Sends a cold host as much as a warm one, which violates rule four on purpose."""
 
     def fits_budget(self, now_us: int, host: Host, sending_time_us: float) -> bool:  # noqa: ARG002 (overrides)
-        """Always."""
+        """Returns True."""
         return True
 
 
 class NoFillLimit(FillLimit):
-    """Fills are let go whatever the location's link has under way."""
+    """Starts fills regardless of how many the location's link already carries."""
 
     def has_capacity(self, now_us: int) -> bool:  # noqa: ARG002 (overrides)
-        """Always."""
+        """Returns True."""
         return True
 
 
 class NoEjection(HealthTracker):
-    """Neither silence nor lost connections are held against a host."""
+    """Never ejects a host, neither for silence nor for lost connections."""
 
     def eject(self, now_us: int, host: Host, min_ejections: int = 1) -> None:
         """Does nothing."""
@@ -72,14 +72,14 @@
 
 
 def _no_stale_copies(settings: RouterSettings) -> RouterSettings:
-    """Copies past their fresh time are never asked for."""
+    """Returns settings under which no copy past its fresh time is requested."""
     return replace(
         settings, traffic_classes=tuple(replace(row, stale_window_us=0) for row in settings.traffic_classes)
     )
 
 
-# The module with one defence off: by other parts, or by other settings.
-WITHOUT_PART: dict[str, PartTypes] = {
+# Ablations by the name after "without-": those that substitute a part, and those that change the settings.
+ABLATED_PARTS: dict[str, PartTypes] = {
     "silence": replace(DEFAULT_TYPES, stalls=NoStallDetector),
     "herds": replace(DEFAULT_TYPES, herds=NoHerds),
     "cooldown": replace(DEFAULT_TYPES, herds=NoCooldown),
@@ -87,7 +87,7 @@
     "room": replace(DEFAULT_TYPES, fills=NoFillLimit),
     "doubt": replace(DEFAULT_TYPES, health=NoEjection),
 }
-WITHOUT_SETTING: dict[str, Callable[[RouterSettings], RouterSettings]] = {
+ABLATED_SETTINGS: dict[str, Callable[[RouterSettings], RouterSettings]] = {
     "repeats": _one_attempt,
     "old": _no_stale_copies,
 }
--- a/hoistplank/lab/oracle.py
+++ b/hoistplank/lab/oracle.py
@@ -1,4 +1,4 @@
-"""The Router with the truth of the simulated world in place of its estimates: an upper bound."""
+"""An upper bound: the Router with the true state of the simulated world in place of its estimates."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from hoistplank.lab.model.world import World
 
 
-def _serves(world: World, host: Host) -> bool:
-    """Whether a host is up and quick, as the world knows it."""
+def _is_serving(world: World, host: Host) -> bool:
+    """Returns True if the host is up and not slowed, according to the world."""
     server: Server | None = world.servers.get(host.name)
     if server is None or server.phase != UP or server.paused_until > world.events.now:
         return False
@@ -25,36 +25,36 @@
 
 
 class TrueHealth(NoEjection):
-    """A host may be used while it truly serves."""
+    """Treats a host as usable exactly while the world says that it serves."""
 
     def __init__(self, hosts: HostTable, slow_start: SlowStart, world: World) -> None:
         super().__init__(hosts, slow_start)
         self.world = world
 
     def is_usable(self, now_us: int, host: Host) -> bool:  # noqa: ARG002 (overrides)
-        """Whether it is listed up and truly serves."""
-        return host.is_up and _serves(self.world, host)
+        """Returns True if the host is listed as up and serves."""
+        return host.is_up and _is_serving(self.world, host)
 
 
 class TrueStalls(StallDetector):
-    """Finds at once what went to a host, or waits for a source, that does not serve."""
+    """Finds at once each attempt whose host, or the source that it waits for, does not serve."""
 
     def __init__(self, health: HealthTracker, overload: OverloadGuard, world: World) -> None:
         super().__init__(health, overload)
         self.world = world
 
     def is_stalled(self, now_us: int, attempt: Attempt) -> bool:  # noqa: ARG002 (overrides)
-        """Whether the client has left, or the awaited host does not serve."""
-        return attempt.request.closed or not _serves(self.world, attempt.awaited_host())
+        """Returns True if the client has left or the awaited host does not serve."""
+        return attempt.request.closed or not _is_serving(self.world, attempt.awaited_host())
 
 
-def seer(settings: RouterSettings, seed: int, world: World) -> Router:
-    """The module with the truth in place of its guesses of who serves and who is slow.
+def oracle_router(settings: RouterSettings, seed: int, world: World) -> Router:
+    """Returns a Router that takes from the world which hosts serve and which attempts are stalled.
 
-    Tried before: a plain hash that avoids what is broken (0.91 for the hash's 0.98 where a fifth of the hosts
-    reset answers, since whole ranges of objects move away), and the link's true fullness in place of the
-    module's limit on fills (0.953 for 0.977 on a calm day: the limit also spares the parents' places for
-    fills).
+    Two other oracles score less and are no upper bound. A plain hash that avoids broken hosts moves whole
+    ranges of objects away (0.91 against the plain hash's 0.98 where a fifth of the hosts reset answers). The
+    link's true utilization in place of the Router's limit on fills (0.953 against 0.977 on a calm day) drops
+    a limit that also protects the parents' slots for fills.
     """
 
     return Router(
