--- a/hoistplank/lab/__init__.py
+++ b/hoistplank/lab/__init__.py
@@ -1,5 +1,5 @@
-"""The laboratory: a model of caches, parents, origin and clients, two drives of it, experiments and reports.
+"""The laboratory: a model of caches, parents, origin and clients, two backends for it, experiments, reports.
 
-Its figures are called emulated. Nothing of it enters the module as a constant, and nothing of the program
-imports it.
+Its figures are emulated, not measured in production. The dispatcher takes no constant from them and imports
+nothing from this package.
 """
--- a/hoistplank/lab/adapter.py
+++ b/hoistplank/lab/adapter.py
@@ -1,6 +1,6 @@
-"""A policy of the lab on the simulator's wire: `python -m hoistplank.lab.adapter POLICY`.
+"""Runs a policy of the lab as an adapter of the simulator: `python -m hoistplank.lab.adapter POLICY`.
 
-For one question only: whether the lab ranks policies as the bench does (`docs/lab.md`).
+Used only to check that the lab ranks policies as the simulator does (`docs/lab.md`).
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 def main() -> int:
-    """Play the policy of the command line on standard input and output."""
+    """Runs the policy named on the command line over standard input and output."""
     try:
-        made: Any = policy(sys.argv[1] if len(sys.argv) > 1 else "module")
+        factory: Any = policy(sys.argv[1] if len(sys.argv) > 1 else "module")
     except UnknownPolicyError as error:
         print(f"adapter: {error}", file=sys.stderr)
         return 2
 
-    def make(site: RouterSettings, seed: int) -> Router:
-        return cast(Router, made(site, seed, None))
+    def make(settings: RouterSettings, seed: int) -> Router:
+        return cast(Router, factory(settings, seed, None))
 
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     for reply in Hosting(make).process(source):
--- a/hoistplank/lab/policy.py
+++ b/hoistplank/lab/policy.py
@@ -1,4 +1,4 @@
-"""What every policy of the laboratory is to a simulated dispatcher, and how one is created."""
+"""The interface between a policy and a simulated dispatcher, and the factory that creates a policy."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     """The decision logic of a dispatcher: events in, actions out."""
 
     def handle(self, now_us: int, event: Event) -> None:
-        """Handle an event."""
+        """Handles an event."""
 
     def next_action(self, now_us: int) -> Action | None:
-        """The next thing to do, or None."""
+        """Returns the next action, or None."""
 
 
 PolicyFactory = Callable[[RouterSettings, int, World | None], Policy]
 
 
 class UnknownPolicyError(ValueError):
-    """Its text names what was asked for and what there is."""
+    """The requested policy is not known or can't run here; the message names it and what is available."""
