--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments as files: factors, paired seeds, and the cells that follow from them. No I/O."""
+"""Reads experiment files: factors, paired seeds, and the cells that result from them. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from hoistplank.operator_configuration.syntax import Form
 from hoistplank.operator_configuration.values import integer, matching, number, one_of
 
-LAYOUT = 2  # of a cell's result; another one is not mixed with it
+LAYOUT = 2  # version of the layout of results; results of different layouts are not mixed
 POLICY = matching(r"[a-z][a-z-]{0,30}|text-[0-9a-fA-F]{4,40}", "a policy, or text-REVISION")
 DAY = matching(r"[a-z][a-z+-]{0,60}", "a day's name, or several joined by '+'")
 EXPERIMENT = schema.FormSchema(
@@ -40,7 +40,7 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One day to play. Cells that differ in nothing but `policy` see the same world."""
+    """One day to simulate. Cells that differ only in `policy` see the same world."""
 
     day: str
     text: str  # the script of its faults
@@ -56,31 +56,31 @@
     warm: float = 6.0
 
     def world_settings(self) -> WorldSettings:
-        """The settings of the cell's world."""
+        """Returns the settings of the cell's world."""
         zones = max(1, round(self.size / self.location))
         dispatchers, rate = zones * self.dispatchers, self.rate * self.size
         settings = scaled_settings(self.size, dispatchers, zones, rate, self.load, seconds=self.seconds)
         return msgspec.structs.replace(settings, warm_up_s=self.warm)
 
     def key(self) -> str:
-        """The same for the same day, whatever experiment it stands in."""
+        """Returns a digest of the cell, which is the same in every experiment."""
         data = json.dumps([LAYOUT, msgspec.to_builtins(self)], sort_keys=True).encode()
         return hashlib.blake2b(data, digest_size=10).hexdigest()
 
 
 class Experiment(msgspec.Struct, frozen=True):
-    """An experiment file, as its cells."""
+    """The name and the cells of an experiment file."""
 
     name: str
     cells: tuple[Cell, ...]
 
     def revisions(self) -> list[str]:
-        """Older texts that it plays."""
+        """Returns the older revisions of the Router that it runs."""
         return sorted({cell.policy[5:] for cell in self.cells if cell.policy.startswith("text-")})
 
 
 def read_experiment(data: bytes, file: str) -> Experiment:
-    """The experiment of a file. Raises `ConfigurationError` with all that is wrong, each with its place."""
+    """Returns the experiment of a file. Raises `ConfigurationError` with all diagnostics."""
     form = _experiment_form(data, file)
     diagnostics: list[Diagnostic] = []
     script_forms = [item for item in form.items if isinstance(item, Form) and item.name == "script"]
@@ -110,9 +110,9 @@
 def _experiment_form(data: bytes, file: str) -> Form:
     forms = parse(data, file).forms
     if len(forms) != 1 or forms[0].name != "experiment":
-        place = forms[0].location if forms else SourceLocation(file, 1, 1)
+        location = forms[0].location if forms else SourceLocation(file, 1, 1)
         found = str(forms[0]) if len(forms) == 1 else f"{len(forms)} forms"
-        raise ConfigurationError([Diagnostic(place, found, "one '(experiment NAME …)'")])
+        raise ConfigurationError([Diagnostic(location, found, "one '(experiment NAME …)'")])
     return forms[0]
 
 
@@ -141,18 +141,22 @@
     ]
 
 
-def _scripts(forms: list[Form], faults: list[Diagnostic]) -> dict[str, str]:
+def _scripts(forms: list[Form], diagnostics: list[Diagnostic]) -> dict[str, str]:
     texts = {}
     for form in forms:
         title = form.items[1] if len(form.items) > 1 else None
         if title is None or isinstance(title, Form):
-            faults.append(Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'"))
+            diagnostics.append(
+                Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'")
+            )
             continue
-        texts[title.text] = "\n".join(row.written() for row in read_faults(form.items[2:], faults))
+        texts[title.text] = "\n".join(row.written() for row in read_faults(form.items[2:], diagnostics))
     return texts
 
 
-def _cells(section: Section, days: list[str], scripts: dict[str, str], place: SourceLocation) -> list[Cell]:
+def _cells(
+    section: Section, days: list[str], scripts: dict[str, str], location: SourceLocation
+) -> list[Cell]:
     cells: list[Cell] = []
     diagnostics: list[Diagnostic] = []
     for size in section["sizes"]:
@@ -177,7 +181,7 @@
                     for policy in section["policies"]
                 ]
                 diagnostics += [
-                    Diagnostic(place, problem, f"what a world of {size} cache hosts has")
+                    Diagnostic(location, problem, f"what a world of {size} cache hosts has")
                     for problem in unsupported(script(text), cells[-1].world_settings())
                 ]
     if diagnostics:
--- a/hoistplank/lab/fleet/pages.py
+++ b/hoistplank/lab/fleet/pages.py
@@ -14,7 +14,7 @@
 from hoistplank.lab.fleet.metrics import BIN
 from hoistplank.lab.fleet.virtual import SAMPLE_US
 from hoistplank.lab.model.world_settings import SECOND_US
-from hoistplank.lab.report import STYLE, Rows, cells_of, svg
+from hoistplank.lab.report import STYLE, Rows, svg, table_row
 
 SMOOTH = 5  # bins of utility that a point of the plot stands for
 MOST_BESIDE = 4
@@ -106,7 +106,7 @@
 def _table(runs: Rows) -> str:
     out = ["<table><caption>Whole scene</caption>"]
     out.append(
-        cells_of(
+        table_row(
             [
                 "run",
                 "earned",
@@ -122,7 +122,7 @@
     for row in runs:
         fleet = row["fleet"]
         out.append(
-            cells_of(
+            table_row(
                 [
                     html.escape(_title(row)),
                     f"{row['score']:.3f}",
@@ -154,9 +154,9 @@
         return ""
     kinds = list(next(iter(displaced.values())))
     out = ["<table><caption>Displaced tries, and what became of them</caption>"]
-    out.append(cells_of(["clients", *kinds], "th"))
+    out.append(table_row(["clients", *kinds], "th"))
     for name, many in displaced.items():
-        out.append(cells_of([html.escape(name), *(str(many[kind]) for kind in kinds)]))
+        out.append(table_row([html.escape(name), *(str(many[kind]) for kind in kinds)]))
     return "".join(out) + "</table>"
 
 
--- a/hoistplank/lab/statistics.py
+++ b/hoistplank/lab/statistics.py
@@ -1,4 +1,4 @@
-"""What pairs of figures prove: bootstrap intervals, verdicts, rank correlation. No I/O; chance is a seed."""
+"""Statistics of paired results: bootstrap intervals, verdicts, rank correlation. No I/O; seeded."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import numpy as np
 
-DRAWS = 10_000
+BOOTSTRAP_SAMPLES = 10_000
 
 
 class Difference(NamedTuple):
-    """Of pairs: how many, their mean difference, its 95 % interval, and in words what it shows."""
+    """The number of pairs, their mean difference, its 95 % interval, and the verdict in words."""
 
     pairs: int
     mean: float
@@ -21,24 +21,25 @@
 
 
 def interval(values: Sequence[float], seed: int = 1) -> tuple[float, float]:
-    """95 % of the means of samples drawn anew (percentile bootstrap)."""
+    """Returns the 95 % interval of the mean (percentile bootstrap), infinite for fewer than two values."""
     rows = np.asarray(values, dtype=float)
     if len(rows) < 2:
         return float("-inf"), float("inf")
-    drawn = np.random.default_rng(seed).integers(0, len(rows), (DRAWS, len(rows)))
+    drawn = np.random.default_rng(seed).integers(0, len(rows), (BOOTSTRAP_SAMPLES, len(rows)))
     low, high = np.quantile(rows[drawn].mean(axis=1), (0.025, 0.975))
     return float(low), float(high)
 
 
 def difference(
-    first: Sequence[float], second: Sequence[float], least: float = 0.005, seed: int = 1
+    first: Sequence[float], second: Sequence[float], min_effect: float = 0.005, seed: int = 1
 ) -> Difference:
-    """`second` less `first`, pair by pair. `least` is what is worth telling: 0.005 of all utility.
+    """Returns the difference `second` - `first`, pair by pair.
 
-    Raises ValueError where they can't be paired.
+    A mean below `min_effect` (0.005 of all utility by default) is reported as negligible. Raises ValueError
+    if the numbers of values differ.
     """
     if len(first) != len(second):
-        raise ValueError(f"{len(first)} figures can't be paired with {len(second)}")
+        raise ValueError(f"{len(first)} values can't be paired with {len(second)}")
     rows = [b - a for a, b in zip(first, second, strict=True)]
     if len(rows) < 3:
         return Difference(
@@ -47,16 +48,16 @@
     low, high = interval(rows, seed)
     mean = sum(rows) / len(rows)
     if low > 0:
-        verdict = "better" if mean >= least else "better, but by next to nothing"
+        verdict = "better" if mean >= min_effect else "better, but by next to nothing"
     elif high < 0:
-        verdict = "worse" if mean <= -least else "worse, but by next to nothing"
+        verdict = "worse" if mean <= -min_effect else "worse, but by next to nothing"
     else:
-        verdict = "alike" if high - low < 4 * least else "not shown either way"
+        verdict = "alike" if high - low < 4 * min_effect else "not shown either way"
     return Difference(len(rows), mean, low, high, verdict)
 
 
 def ranks(values: Sequence[float]) -> list[float]:
-    """From 1 for the least; equal ones share the mean of their places."""
+    """Returns the ranks of values, from 1 for the smallest; equal values share the mean of their ranks."""
     order = sorted(range(len(values)), key=lambda n: values[n])
     ranks = [0.0] * len(values)
     at = 0
@@ -71,15 +72,13 @@
 
 
 def spearman(first: Sequence[float], second: Sequence[float]) -> float:
-    """Rank correlation, -1 to 1; 0 where one of them is the same throughout."""
+    """Returns the rank correlation, -1 to 1, or 0 if all values of one side are equal."""
     a, b = np.asarray(ranks(first)), np.asarray(ranks(second))
     a, b = a - a.mean(), b - b.mean()
     scale = float(np.sqrt((a * a).sum() * (b * b).sum()))
     return float((a * b).sum() / scale) if scale else 0.0
 
 
-def of_way(value: float, floor: float, top: float) -> float:
-    """A figure as its share of the way from floor to top; where these lie under 0.02 apart, 0.02 is
-    the way.
-    """
-    return 1 - (top - value) / max(0.02, top - floor)
+def share_of_gap(value: float, lower: float, upper: float) -> float:
+    """Returns a value as its share of the gap from `lower` to `upper`; the gap counts as 0.02 at least."""
+    return 1 - (upper - value) / max(0.02, upper - lower)
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -34,7 +34,7 @@
 from hoistplank.lab.load.result import LoadResult
 from hoistplank.lab.load.schedule import Step, parse_schedule, send_times
 from hoistplank.lab.load.traffic_mix import parse_mix
-from hoistplank.lab.statistics import difference, of_way, ranks, spearman
+from hoistplank.lab.statistics import difference, ranks, share_of_gap, spearman
 from hoistplank.lab.worker import Job, play
 from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.protocol import fastcgi
@@ -178,7 +178,7 @@
     assert spearman([1, 2, 3, 4], [10, 20, 30, 40]) == pytest.approx(1.0)
     assert spearman([1, 2, 3, 4], [4, 3, 2, 1]) == pytest.approx(-1.0)
     assert spearman([1, 2, 3], [5, 5, 5]) == 0.0
-    assert of_way(0.8, 0.6, 0.9) == pytest.approx(2 / 3) and of_way(0.9, 0.9, 0.9) == 1.0
+    assert share_of_gap(0.8, 0.6, 0.9) == pytest.approx(2 / 3) and share_of_gap(0.9, 0.9, 0.9) == 1.0
 
 
 # Experiments and results.
@@ -297,7 +297,7 @@
         "http://purl.org", ""
     ).replace("http://creativecommons.org", "")
     assert page.count("<svg") == page.count('role="img"') >= 4 and "<script" not in page
-    assert "c0-0 &lt;as&gt; host" in page and "of the way from random to seer" in page
+    assert "c0-0 &lt;as&gt; host" in page and "share of the gap from random to seer" in page
     assert "crash caches:0.5 for 1s" in page and "</html>" in page
 
 
