--- a/hoistplank/lab/report.py
+++ b/hoistplank/lab/report.py
@@ -241,8 +241,8 @@
     clock = "in virtual time" if first["drive"] == "virtual" else "in real time on sockets"
     revision, machine = html.escape(first["revision"] or "unknown"), html.escape(first["machine"])
     summary = (
-        f"<p>{len(rows)} days simulated {clock}, {first['seconds']:g} s each, seeds {', '.join(map(str, seeds))}"
-        f"; revision {revision}, {machine}. All figures are emulated. {html.escape(base)}: "
+        f"<p>{len(rows)} days {clock}, {first['seconds']:g} s each, seeds {', '.join(map(str, seeds))}; "
+        f"revision {revision}, {machine}. All figures are emulated. {html.escape(base)}: "
         f"{_mean(rows, policy=base):.3f}, 95 % interval of its days {low:.3f} to {high:.3f}.</p>"
     )
     parts = [f"<h1>Experiment {html.escape(first['experiment'])}</h1>", summary]
--- a/hoistplank/lab/results.py
+++ b/hoistplank/lab/results.py
@@ -1,7 +1,7 @@
-"""Results on disk: a line a cell while a run goes on, one Parquet file when it is whole.
+"""Results on disk: one JSON line for each cell during a run, one Parquet file at its end.
 
-A run that is cut off loses at most the cells under way: a torn last line is cut off at the next start, and
-what is whole is not played again. The Parquet file is written beside and renamed.
+An interrupted run loses at most the cells in progress: the next start truncates an incomplete last line and
+doesn't repeat completed cells. The Parquet file is written under a temporary name and renamed.
 """
 
 from __future__ import annotations
@@ -52,20 +52,23 @@
         ("events", pa.int64()),
         ("took_s", pa.float32()),
         ("digest", pa.string()),
-        ("fleet", pa.string()),  # JSON: what a scene of the fleet tells beside (`lab/fleet/metrics.py`)
+        ("fleet", pa.string()),  # JSON: further results of a fleet scene (`lab/fleet/metrics.py`)
     ],
     metadata={VERSION: str(LAYOUT).encode()},
 )
-OF_CELL = ("day", "size", "seed", "policy", "drive", "seconds", "rate", "load")
+CELL_COLUMNS = ("day", "size", "seed", "policy", "drive", "seconds", "rate", "load")
 MAPS = ("tracks", "lost", "ends", "times", "broken")
 
 
 class ResultsError(Exception):
-    """Its text names the file and what is wrong with it."""
+    """A results file can't be used; the message names the file and the reason."""
 
 
 class Journal:
-    """The cells that are done, a JSON line each, flushed as they come."""
+    """The completed cells, a JSON line each, synced to disk one by one.
+
+    `cut` is the number of bytes of an incomplete line that were discarded when the file was opened.
+    """
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -77,29 +80,29 @@
         self._file = self.path.open("ab")
 
     def _read(self) -> None:
-        data, whole = self.path.read_bytes(), 0
+        data, complete_bytes = self.path.read_bytes(), 0
         for line in data.split(b"\n")[:-1]:
             try:
                 row = json.loads(line)
                 self.rows[row["key"]] = row
             except (ValueError, KeyError, TypeError):
                 break
-            whole += len(line) + 1
-        self.cut = len(data) - whole
+            complete_bytes += len(line) + 1
+        self.cut = len(data) - complete_bytes
         if self.cut:
-            # Danger: what was being written when the run was cut off would spoil the next line too.
+            # The next line would be appended to an incomplete one, and neither could be read.
             with self.path.open("r+b") as file:
-                file.truncate(whole)
+                file.truncate(complete_bytes)
 
     def add(self, row: dict[str, Any]) -> None:
-        """Append a row, and keep it under its key."""
+        """Appends a row and keeps it under its key."""
         self.rows[row["key"]] = row
         self._file.write(json.dumps(row).encode() + b"\n")
         self._file.flush()
         os.fsync(self._file.fileno())
 
     def close(self) -> None:
-        """Close the file."""
+        """Closes the file."""
         self._file.close()
 
 
@@ -118,17 +121,17 @@
 
 
 def write(folder: Path, experiment: str, rows: list[dict[str, Any]]) -> Path:
-    """All rows as one file, whole or not at all."""
+    """Writes all rows as one Parquet file atomically and returns its path."""
     table = pa.Table.from_pylist([_flat(row, experiment) for row in rows], schema=SCHEMA)
     path = folder / TABLE
-    beside = path.with_name(f".{TABLE}.{os.getpid()}")
-    pq.write_table(table, beside, compression="zstd")
-    beside.replace(path)
+    temporary = path.with_name(f".{TABLE}.{os.getpid()}")
+    pq.write_table(table, temporary, compression="zstd")
+    temporary.replace(path)
     return path
 
 
 def load(path: Path) -> list[dict[str, Any]]:
-    """The rows of a results file or its folder; maps as dictionaries. Raises ResultsError."""
+    """Returns the rows of a results file or its folder, with maps as dictionaries. Raises ResultsError."""
     file = path / TABLE if path.is_dir() else path
     try:
         table = pq.read_table(file)
--- a/hoistplank/lab/worker.py
+++ b/hoistplank/lab/worker.py
@@ -1,6 +1,6 @@
-"""One cell in a process of its own: its job on standard input as JSON, its result on standard output.
+"""Runs one cell in a process of its own: the job as JSON on standard input, the result on standard output.
 
-A worker that dies, or is killed for its memory, costs this one cell and no other.
+A worker that dies, or is killed for its memory use, loses only this cell.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 from hoistplank.lab.policies import policy
 from hoistplank.lab.policy import UnknownPolicyError
 
-# ms, upper ends
+# Upper ends of the latency bins, in ms.
 BINS = [1, 2, 5, 10, 20, 50, 100, 150, 200, 300, 500, 700, 1_000, 1_500, 2_000, 3_000, 5_000]
 
 
 class Job(msgspec.Struct):
-    """A cell, and where the checkouts of older texts are."""
+    """A cell and the folders of the checkouts of older revisions (`texts`)."""
 
     cell: Cell
     texts: dict[str, str] = {}
 
 
 def result(cell: Cell, world: World, took_s: float) -> dict[str, Any]:
-    """All that reports need of a day; plain values only."""
+    """Returns all results of a day that reports need, as JSON values."""
     utility, settings = world.clients.utility, world.settings
     seconds = int(settings.seconds)
     start = settings.start_us() // SECOND_US
     times = {}
     for row, took in zip(settings.classes, utility.latencies_us, strict=True):
-        counted, _ = np.histogram(np.asarray(took) / 1_000, [0, *BINS, 1e9])
-        times[row.name] = [int(n) for n in counted]
+        counts, _ = np.histogram(np.asarray(took) / 1_000, [0, *BINS, 1e9])
+        times[row.name] = [int(n) for n in counts]
     return {
         "key": cell.key(),
         "cell": msgspec.to_builtins(cell),
@@ -73,21 +73,23 @@
 
 
 def play(job: Job) -> dict[str, Any]:
-    """The row of a cell. Raises UnknownPolicyError, RunTooLateError and RuntimeError."""
-    cell, began = job.cell, time.perf_counter()
-    rows = script(cell.text)
+    """Runs a cell and returns its row. Raises UnknownPolicyError, RunTooLateError and RuntimeError."""
+    cell, start_s = job.cell, time.perf_counter()
+    faults = script(cell.text)
     if cell.drive == "sockets":
         with tempfile.TemporaryDirectory() as folder:
-            world = sockets.play(cell.world_settings(), cell.seed, rows, Path(folder), uvloop.new_event_loop)
+            world = sockets.play(
+                cell.world_settings(), cell.seed, faults, Path(folder), uvloop.new_event_loop
+            )
     else:
-        texts = {name: Path(path) for name, path in job.texts.items()}
-        world = build_world(cell.world_settings(), cell.seed, policy(cell.policy, texts), rows)
+        checkouts = {name: Path(path) for name, path in job.texts.items()}
+        world = build_world(cell.world_settings(), cell.seed, policy(cell.policy, checkouts), faults)
         world.run()
-    return result(cell, world, time.perf_counter() - began)
+    return result(cell, world, time.perf_counter() - start_s)
 
 
 def main() -> int:
-    """Play the job on standard input, and write its result to standard output."""
+    """Runs the job on standard input and writes its result to standard output."""
     job = msgspec.json.decode(sys.stdin.buffer.read(), type=Job)
     try:
         row = play(job)
