--- a/hoistplank/lab/backends/__init__.py
+++ b/hoistplank/lab/backends/__init__.py
@@ -1,1 +1,1 @@
-"""The two drives of the model: virtual time, and sockets on loopback."""
+"""The two backends of the model: virtual time, and sockets on loopback."""
--- a/hoistplank/lab/backends/socket_dispatcher.py
+++ b/hoistplank/lab/backends/socket_dispatcher.py
@@ -12,7 +12,7 @@
 from hoistplank.decision.events import Endpoint
 from hoistplank.fakes.deployment import dispatcher_environment, free_port
 from hoistplank.fakes.wire import FastCgiClient, connect
-from hoistplank.lab.backends.orphans import with_parent
+from hoistplank.lab.backends.parent_death import kill_on_parent_death_preexec
 from hoistplank.lab.backends.server_port import ServerPort
 from hoistplank.lab.model.clients import FAILED, REJECTED, SERVED, UNREACHABLE, Request
 from hoistplank.lab.model.world_settings import SECOND_US
@@ -223,7 +223,7 @@
                 env=environment,
                 stdout=output,
                 stderr=output,
-                preexec_fn=with_parent(),
+                preexec_fn=kill_on_parent_death_preexec(),
             )
         until = time.monotonic() + READY_S
         while time.monotonic() < until and process.returncode is None:
--- a/hoistplank/lab/fleet/relay_pool.py
+++ b/hoistplank/lab/fleet/relay_pool.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hoistplank.lab.backends.orphans import with_parent
+from hoistplank.lab.backends.parent_death import kill_on_parent_death_preexec
 from hoistplank.lab.fleet.relay_messages import (
     ApplyAction,
     ConditionValue,
@@ -97,7 +97,7 @@
                 str(seed),
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                preexec_fn=with_parent(),
+                preexec_fn=kill_on_parent_death_preexec(),
                 start_new_session=True,  # an interrupt at the terminal is the runner's to answer
             )
             self.relays.append(RelayClient(process))
--- a/hoistplank/lab/fleet/soak/dispatcher.py
+++ b/hoistplank/lab/fleet/soak/dispatcher.py
@@ -18,7 +18,7 @@
 from hoistplank.fakes.fault_proxy import FaultProxy
 from hoistplank.fakes.faulty_system import PLAN_VARIABLE, FaultPlan
 from hoistplank.fakes.wire import connect
-from hoistplank.lab.backends.orphans import with_parent
+from hoistplank.lab.backends.parent_death import kill_on_parent_death_preexec
 from hoistplank.lab.fleet.soak.clients import SoakClients
 from hoistplank.lab.fleet.soak.truth import LogSight, Rule, Truth
 
@@ -127,7 +127,7 @@
                 env=environment,
                 stdout=output,
                 stderr=output,
-                preexec_fn=with_parent(),
+                preexec_fn=kill_on_parent_death_preexec(),
             )
         # Its clients know the address from before: they come as soon as it listens.
         self.clients.may_connect = True
--- a/hoistplank/lab/fleet/soak/runner.py
+++ b/hoistplank/lab/fleet/soak/runner.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from hoistplank.lab.backends.orphans import end_with
+from hoistplank.lab.backends.parent_death import kill_on_parent_death
 from hoistplank.lab.fleet.soak.plan import draw_plan
 from hoistplank.lab.fleet.soak.run import SoakResult, SoakRun
 
@@ -91,7 +91,7 @@
 
 def main() -> None:
     """A worker: one run, its result as a line of JSON."""
-    end_with(os.getppid())
+    kill_on_parent_death(os.getppid())
     seed, build, keep = sys.argv[1:]
     result = play_seed(int(seed), build, Path(keep) if keep else None)
     print(json.dumps(tuple(result)))
--- a/hoistplank/lab/scale/real_dispatcher.py
+++ b/hoistplank/lab/scale/real_dispatcher.py
@@ -14,7 +14,7 @@
 
 from hoistplank.fakes.deployment import dispatcher_environment, free_port
 from hoistplank.fakes.wire import connect
-from hoistplank.lab.backends.orphans import with_parent
+from hoistplank.lab.backends.parent_death import kill_on_parent_death_preexec
 from hoistplank.lab.scale.fleet import DispatcherSite, Fleet
 from hoistplank.lab.scale.run_paths import REPLICAS
 from hoistplank.lab.scale.run_replicas import processor_s
@@ -61,7 +61,7 @@
                 env=environment,
                 stdout=log,
                 stderr=log,
-                preexec_fn=with_parent(),
+                preexec_fn=kill_on_parent_death_preexec(),
                 start_new_session=True,
             )
         await self._serves()
--- a/hoistplank/lab/scale/run_children.py
+++ b/hoistplank/lab/scale/run_children.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hoistplank.lab.backends.orphans import with_parent
+from hoistplank.lab.backends.parent_death import kill_on_parent_death_preexec
 from hoistplank.lab.scale.hollow_messages import (
     AskLogUsage,
     AskUsage,
@@ -60,7 +60,7 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             limit=MOST_LINE,
-            preexec_fn=with_parent(),
+            preexec_fn=kill_on_parent_death_preexec(),
             start_new_session=True,  # an interrupt at the terminal is the run's to answer
         )
         self.reading = asyncio.create_task(self._read(), name=self.module)
--- a/hoistplank/lab/scale/run_replicas.py
+++ b/hoistplank/lab/scale/run_replicas.py
@@ -13,7 +13,7 @@
 from hoistplank.distribution.status import StatusResponse
 from hoistplank.distribution.status_client import request_status
 from hoistplank.fakes.deployment import free_port
-from hoistplank.lab.backends.orphans import with_parent
+from hoistplank.lab.backends.parent_death import kill_on_parent_death_preexec
 from hoistplank.lab.scale.fleet import Fleet
 from hoistplank.lab.scale.run_paths import ReplicaPaths
 from hoistplank.lab.scale.run_usage import ReplicaSample
@@ -76,7 +76,7 @@
                 env=self.environment,
                 stdout=log,
                 stderr=log,
-                preexec_fn=with_parent(),
+                preexec_fn=kill_on_parent_death_preexec(),
                 start_new_session=True,
             )
         until = time.monotonic() + READY_S
