--- a/hoistplank/lab/backends/server_port.py
+++ b/hoistplank/lab/backends/server_port.py
@@ -54,14 +54,16 @@
         self.writers: dict[asyncio.StreamWriter, None] = {}
 
     async def open(self) -> None:
-        """Listen on the port, which stays the same over `close` and `open`."""
+        """Listens on the port, which stays the same across `close` and `open`."""
         if self.reservation is None:
             self.reservation = reserve_port()
             self.port = int(self.reservation.getsockname()[1])
-        self.listening = await asyncio.start_server(self._talk, "127.0.0.1", self.port, reuse_port=True)
+        self.listening = await asyncio.start_server(
+            self._serve_connection, "127.0.0.1", self.port, reuse_port=True
+        )
 
     def close(self) -> None:
-        """Refuse new connections and reset the open ones, as the end of a process does."""
+        """Refuses new connections and resets the open ones, as the end of a process does."""
         if self.listening is not None:
             self.listening.close()
             self.listening = None
@@ -71,12 +73,12 @@
     def _reset(self, writer: asyncio.StreamWriter) -> None:
         sock = writer.get_extra_info("socket")
         if sock is not None and not writer.is_closing():
-            # A process that is killed leaves a reset behind, no orderly end.
+            # The kernel resets the connections of a killed process instead of closing them in order.
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers[writer] = None
         open_requests: dict[str, ServerRequest] = {}
         try:
@@ -92,7 +94,7 @@
                 elif words[0] in ("PING", "LOAD") and self.server.phase == "up":
                     writer.write(f"{words[1]} green - 0\r\n\r\n".encode())
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError, ValueError):
-            pass  # the other side is gone, or the day is over
+            pass  # the peer closed the connection, or the day has ended
         finally:
             for server_request in open_requests.values():
                 self.server.cancel(server_request)
@@ -123,7 +125,7 @@
         world.events.schedule(now + server_request.return_delay_us, self.server.arrive, server_request)
 
     def _server_request(self, request_id: str, fields: dict[str, str], end: OnComplete) -> ServerRequest:
-        """The request that a cache wire message's fields describe."""
+        """Returns the request that the fields of a cache wire message describe."""
         world = self.day.world
         class_index, object_key = self.day.classes[fields["queue"]], fields["path"]
         number = int(object_key, 16)
@@ -180,7 +182,7 @@
                     sent,
                     created,
                 )
-            self.dispatcher.notes[request_id] = note
+            self.dispatcher.cache_statuses[request_id] = note
             dated = self.day.unix_ms(created - self.dispatcher.skew_us)
             digest = server_request.cache_key[0][:8]
             head = f"{request_id} served {detail},digest={digest},dated={dated} {len(BODY)}\r\n"
--- a/hoistplank/lab/backends/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -1,9 +1,9 @@
-"""Sockets: the same model as servers on loopback, against real dispatcher processes, in real time.
+"""The sockets backend: the same model as servers on loopback, with real dispatcher processes, in real time.
 
 One task advances the world's event queue by the machine's clock. Each dispatcher reaches every server at a
-port set aside for it, so that the world knows who asks. What flows between servers stays in the model. What
-loopback can't show: a connection to a silent machine is made at once (the kernel accepts it), so that a
-vanished host shows as silence where virtual time shows a connection that is not up in time.
+port of its own, so that the world knows which dispatcher sends. Traffic between servers stays in the model.
+Loopback can't show one failure: the kernel accepts a connection to a silent host at once, so that a vanished
+host appears as silence, where virtual time has a connection timeout.
 """
 
 from __future__ import annotations
@@ -22,43 +22,45 @@
 from hoistplank.lab.model.world import World
 from hoistplank.lab.model.world_settings import SECOND_US, WorldSettings
 
-MAX_LATE_US = 20_000  # the world's own lateness at its 99th percentile, beyond which a day is void
+MAX_LATE_US = 20_000  # 99th percentile of the world's own lateness, beyond which a day is void
 
 
 class RunTooLateError(Exception):
-    """The machine was too slow for the day to prove anything; its text and `late_us` say by how much."""
+    """The machine was too slow for a valid day; the message and `late_us` say by how much."""
 
     def __init__(self, late_us: int) -> None:
         super().__init__(
-            f"the world ran {late_us // 1000} ms late (99th percentile), {MAX_LATE_US // 1000} are allowed"
+            f"the world ran {late_us // 1000} ms late (99th percentile, at most {MAX_LATE_US // 1000})"
         )
         self.late_us = late_us
 
 
 class SocketDay:
-    """One day on sockets. `play` runs it to its end and leaves the world as it was then."""
+    """One day on sockets. `play` runs it to its end; the world then holds the results."""
 
-    def __init__(self, settings: WorldSettings, seed: int, rows: list[ScheduledFault], folder: Path) -> None:
+    def __init__(
+        self, settings: WorldSettings, seed: int, faults: list[ScheduledFault], folder: Path
+    ) -> None:
         self.world, self.folder = World(settings, seed), folder
         self.classes = {row.name: n for n, row in enumerate(settings.classes)}
-        FaultInjector(self.world, rows).begin()
+        FaultInjector(self.world, faults).begin()
         self.dispatchers = [
             self.make_dispatcher(n, n % settings.zones) for n in range(settings.zones * settings.dispatchers)
         ]
         self.world.dispatchers.extend(self.dispatchers)
-        self.began_s, self.began_unix_s = 0.0, 0.0
-        self.lags: list[int] = []
-        self.backend_report: dict[str, Any] = {}  # what the backend reports of itself at the end
+        self.start_s, self.start_unix_s = 0.0, 0.0
+        self.lateness_us: list[int] = []
+        self.backend_report: dict[str, Any] = {}  # the backend's own metrics, set at the end
 
     def make_dispatcher(self, number: int, zone: int) -> SocketDispatcher:
-        """Make a dispatcher; subclasses make their own kind."""
+        """Returns a new dispatcher; subclasses return their own kind."""
         return SocketDispatcher(self, number, zone)
 
     def unix_ms(self, at: int) -> int:
-        """A time of the world (us) as Unix milliseconds."""
-        return int(self.began_unix_s * 1_000 + at / 1_000)
+        """Returns a time of the world (us) as Unix milliseconds."""
+        return int(self.start_unix_s * 1_000 + at / 1_000)
 
-    # Where a dispatcher and the others find each other: here each at its own port, with nothing between.
+    # Ports at which a dispatcher and the other parties connect: here directly, without relays.
 
     async def port_for(
         self,
@@ -66,39 +68,39 @@
         party: str,  # noqa: ARG002 (for subclasses)
         port: int,
     ) -> int:
-        """The port at which the dispatcher finds a server, or its change log (`log`)."""
+        """Returns the port at which the dispatcher reaches a server, or its change log (`log`)."""
         return port
 
     def port_changed(self, dispatcher: SocketDispatcher, server: Server, opened: bool) -> None:
-        """A server's port for that dispatcher has closed, or is there again."""
+        """Called when a server's port for that dispatcher has closed or opened again."""
 
     async def entry_port_for(self, dispatcher: SocketDispatcher) -> int:
-        """The port at which clients find a dispatcher that has just come up."""
+        """Returns the port at which clients reach a dispatcher that has just started."""
         return dispatcher.port
 
     def entry_closed(self, dispatcher: SocketDispatcher) -> None:
-        """A dispatcher was killed."""
+        """Called when a dispatcher was killed."""
 
     def command(self, dispatcher: SocketDispatcher) -> list[str]:  # noqa: ARG002 (for subclasses)
-        """The command that starts a dispatcher's process."""
+        """Returns the command that starts a dispatcher's process."""
         return [sys.executable, "-m", "hoistplank"]
 
     def advance(self) -> None:
-        """Brings the world up to now, before an event that has just arrived is applied to it."""
-        if self.began_s:
-            self.world.events.run_until(int((time.monotonic() - self.began_s) * 1e6))
+        """Advances the world to the current time, before an event that has just arrived is applied to it."""
+        if self.start_s:
+            self.world.events.run_until(int((time.monotonic() - self.start_s) * 1e6))
 
     async def play(self) -> float:
-        """Return the score.
+        """Runs the day and returns its score.
 
-        Raises RunTooLateError where the machine was too slow, RuntimeError where a dispatcher broke.
+        Raises RunTooLateError if the machine was too slow, RuntimeError if a dispatcher failed.
         """
-        self.began_unix_s = time.time()
+        self.start_unix_s = time.time()
         try:
             await self.begin()
-            self.began_s, self.began_unix_s = time.monotonic(), time.time()
+            self.start_s, self.start_unix_s = time.monotonic(), time.time()
             self.world.begin()
-            while not self._over():
+            while not self._is_over():
                 await self._turn()
             for dispatcher in self.dispatchers:
                 if (
@@ -118,40 +120,40 @@
         return self.world.clients.utility.score()
 
     async def begin(self) -> None:
-        """Ports first, then all processes at once."""
+        """Opens all ports, then starts all processes at once."""
         for dispatcher in self.dispatchers:
             await dispatcher.prepare()
         await asyncio.gather(*(dispatcher.start() for dispatcher in self.dispatchers))
 
     async def finish(self) -> dict[str, Any]:
-        """Report on the day while all processes are still there."""
+        """Returns the backend's own metrics, while all processes still run."""
         return {}
 
     async def end(self) -> None:
-        """All processes end, however the day went."""
+        """Ends all processes, also after a failure."""
         await asyncio.gather(*(dispatcher.stop() for dispatcher in self.dispatchers))
 
     def late_us(self) -> int:
-        """The world's own lateness at its 99th percentile."""
-        self.lags.sort()
-        return self.lags[int(len(self.lags) * 0.99)] if self.lags else 0
+        """Returns the 99th percentile of the world's own lateness, in us."""
+        self.lateness_us.sort()
+        return self.lateness_us[int(len(self.lateness_us) * 0.99)] if self.lateness_us else 0
 
-    def _over(self) -> bool:
-        """All has been asked for and has ended, with half a second for what comes late."""
+    def _is_over(self) -> bool:
+        """Returns True half a second after all requests were sent and have ended, or when the time is up."""
         world, settings = self.world, self.world.settings
         parts = max((row.parts - 1) * row.part_interval_us for row in settings.classes)
-        quiet = (
+        is_quiet = (
             world.events.now > settings.end_of_arrivals_us() + parts + SECOND_US // 2
             and not world.clients.open
         )
-        return quiet or world.events.now >= (world.last_end_us() if world.clients.open else world.end_us())
+        return is_quiet or world.events.now >= (world.last_end_us() if world.clients.open else world.end_us())
 
     async def _turn(self) -> None:
         events = self.world.events
-        now = int((time.monotonic() - self.began_s) * 1e6)
+        now = int((time.monotonic() - self.start_s) * 1e6)
         due = events.next_time()
         if due is not None and due <= now:
-            self.lags.append(now - due)
+            self.lateness_us.append(now - due)
             events.run_until(now)
         for dispatcher in self.dispatchers:
             for server_port in dispatcher.server_ports.values():
@@ -168,12 +170,12 @@
 def play(
     settings: WorldSettings,
     seed: int,
-    rows: list[ScheduledFault],
+    faults: list[ScheduledFault],
     folder: Path,
-    loop: Callable[[], Any] | None = None,
+    loop_factory: Callable[[], Any] | None = None,
 ) -> World:
-    """A day on sockets in a loop of its own. Raises RunTooLateError and RuntimeError."""
-    day = SocketDay(settings, seed, rows, folder)
-    with asyncio.Runner(loop_factory=loop) as runner:
+    """Runs a day on sockets in an event loop of its own. Raises RunTooLateError and RuntimeError."""
+    day = SocketDay(settings, seed, faults, folder)
+    with asyncio.Runner(loop_factory=loop_factory) as runner:
         runner.run(asyncio.wait_for(day.play(), day.world.last_end_us() / SECOND_US + 60))
     return day.world
