--- a/hoistplank/lab/backends/degradation_controller.py
+++ b/hoistplank/lab/backends/degradation_controller.py
@@ -1,7 +1,7 @@
 """Degradation and admission control of a laboratory dispatcher, in virtual time.
 
 The decision logic is that of a dispatcher on sockets (`hoistplank.degradation`), fed by the events of the
-virtual dispatcher. `now` is whole microseconds.
+virtual dispatcher. Times `now` are in microseconds.
 """
 
 from __future__ import annotations
@@ -23,8 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DegradationPlan:
-    """What each dispatcher of a world runs: `settings` (perhaps without levels), `admission` (None for no
-    control). `shed_cost_share`: what a request costs that is shed, of the core's cost of an event."""
+    """The degradation settings (possibly without levels) and admission settings (or None) of each dispatcher.
+
+    `shed_cost_share` is the CPU cost of a shed request as a share of the cost of an event.
+    """
 
     settings: DegradationSettings
     admission: AdmissionSettings | None
@@ -32,13 +34,15 @@
 
 
 def parse_plan(text: str, semantics: dict[str, str]) -> DegradationPlan:
-    """A plan from the text of a section `(levels …)`, as the operator's file has it. `semantics`: of the
-    world's traffic classes, by name. Raises ConfigurationError."""
+    """Returns the plan of a `(levels …)` section, in the form of the operator file.
+
+    `semantics` maps the world's traffic classes to their semantics. Raises ConfigurationError.
+    """
     section = parse_file(text.encode(), "levels")["levels"]
     if section is None:
         location = parse_file(b"", "levels").location
         found = "no '(levels …)'"
-        raise ConfigurationError([Diagnostic(location, found, "the form of the levels")])
+        raise ConfigurationError([Diagnostic(location, found, "a form '(levels …)'")])
     return DegradationPlan(
         sections.build_settings(section, semantics),
         sections.build_admission_settings(section, MAX_OPEN_REQUESTS),
@@ -46,7 +50,7 @@
 
 
 class DegradationController:
-    """One dispatcher's degradation and admission; `changes` has every change of level."""
+    """Degradation and admission control of one dispatcher; `changes` lists every change of level."""
 
     def __init__(self, plan: DegradationPlan, utility: dict[str, float], now: int) -> None:
         self.settings = plan.settings
@@ -56,16 +60,16 @@
         self.observer = SignalObserver(self._readings, utility)
         self._machine = self.settings.new_state_machine() if self.settings.levels else None
         self._admission = AdmissionController(plan.admission, now) if plan.admission is not None else None
-        self._shares = self._shares_of(utility)
+        self._shares = self._admission_shares(utility)
 
-    def _shares_of(self, utility: dict[str, float]) -> dict[str, float]:
+    def _admission_shares(self, utility: dict[str, float]) -> dict[str, float]:
         if self._admission is None:
             return dict.fromkeys(utility, 1.0)
         highest = max(utility.values(), default=1.0)
         return {name: self._admission.share(value, highest) for name, value in utility.items()}
 
     def admits(self, now: int, class_name: str, open_requests: int) -> bool:
-        """Whether a new request is admitted beside the open ones; else it is to be shed."""
+        """Returns True if a new request is admitted beside the open ones, False if it must be shed."""
         share = self._shares.get(class_name, 1.0)
         if self._admission is None or self._admission.admits(open_requests, share):
             return True
@@ -74,7 +78,7 @@
         return False
 
     def observe_turn(self, now: int, lag_us: int, open_requests: int, waiting: int) -> None:
-        """What a turn of the loop saw: its lag, requests open, events that waited for it."""
+        """Records a turn of the event loop: its lag, the open requests, and the events that waited for it."""
         limit = float(MAX_OPEN_REQUESTS)
         if self._admission is not None:
             self._admission.observe(now, lag_us, open_requests, waiting)
@@ -82,7 +86,7 @@
         self.observer.record_loop(now, lag_us, open_requests / max(1.0, limit))
 
     def evaluate(self, now: int) -> Degradation | None:
-        """Evaluates the levels; the effects in force from now on, where the level changed."""
+        """Evaluates the levels; returns the effects now in force if the level changed, else None."""
         if self._machine is None:
             return None
         change = self._machine.evaluate(now, self._readings.all(now))
@@ -92,7 +96,7 @@
         return self._machine.effects(self.settings.base)
 
     def summary(self) -> dict[str, Any]:
-        """What happened in the run, for its results."""
+        """Returns the number of changes and rejections and the current level, for the results."""
         return {
             "changes": len(self.changes),
             "refused": self.rejected,
--- a/hoistplank/lab/backends/virtual.py
+++ b/hoistplank/lab/backends/virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time: the same Router and decision logic under a clock that jumps from event to event."""
+"""The virtual-time backend: the same Router and decision logic, with a clock that jumps between events."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from hoistplank.lab.policy import Policy, PolicyFactory
 from hoistplank.routing.clock_offset import ClockOffset
 
-CONNECT_US = 400_000
+CONNECT_TIMEOUT_US = 400_000
 
 
 class VirtualDispatcher:
@@ -55,7 +55,7 @@
         self.turn_scheduled, self.scheduled_at, self.next_turn = False, 0, 0
         self.frozen_until = 0
         self.clock = ClockOffset()
-        self.debt_us = 0  # of the core, for requests shed since the last turn
+        self.shed_cost_us = 0  # CPU time of the requests shed since the last turn
         self.degradation: DegradationController | None = None
         self.degradation_runs: list[DegradationController] = []  # one for each run of the process
         self.policy = self._create_policy()
@@ -64,44 +64,46 @@
         seed = (self.world.streams.seed * 1_000 + self.number) * 16 + self.runs
         policy = self.make_policy(self.world.settings.site(self.zone, self.number), seed, self.world)
         if self.plan is not None:
-            # A restart forgets the level in force, as a dispatcher's process does.
+            # A restart loses the current level, as in a real dispatcher process.
             utility = {row.name: row.utility for row in self.world.settings.classes}
             self.degradation = DegradationController(self.plan, utility, self.events.now)
             self.degradation_runs.append(self.degradation)
             if not isinstance(policy, PlainDispatcher):
                 policy.handle(self.events.now, DegradationChanged(self.plan.settings.base))
             self.events.schedule(
-                self.events.now + self.plan.settings.evaluation_interval_us, self._judge, self.runs
+                self.events.now + self.plan.settings.evaluation_interval_us,
+                self._evaluate_degradation,
+                self.runs,
             )
         return policy
 
     # Events of the world.
 
     def enqueue(self, call: Callable[..., None], *args: Any) -> None:
-        """Queue a call for the next turn of the dispatcher's event loop."""
+        """Queues a call for the next turn of the dispatcher's event loop."""
         self.queue.append((call, args))
         if not self.turn_scheduled:
             self.turn_scheduled, self.scheduled_at = True, self.events.now
             self.events.schedule(max(self.events.now, self.next_turn), self._turn)
 
     def update_hosts(self, form: str, entries: list[Endpoint]) -> None:
-        """Queue an update of the host list."""
-        self.enqueue(self._notify_hosts, form, entries)
+        """Queues an update of the host list."""
+        self.enqueue(self._handle_hosts, form, entries)
 
     def purge(self, object_key: str, group: int, made: int) -> None:
-        """Queue a purge that was made at `made` (us)."""
-        self.enqueue(self._notify_purge, object_key, group, made)
+        """Queues a purge that was made at `made` (us)."""
+        self.enqueue(self._handle_purge, object_key, group, made)
 
     def accept(self, request: Request) -> None:
-        """Admit and queue a client's request, or shed it at once."""
+        """Admits and queues a client's request, or sheds it at once."""
         degradation, now = self.degradation, self.events.now
         class_name = self.world.settings.classes[request.class_index].name
         if degradation is not None and not degradation.admits(
             now, class_name, len(self.requests) - len(self.ended_requests)
         ):
-            # Shed before the turn of the router task: it costs a share of an event.
+            # Shed before the router task sees it, so it costs only a share of an event.
             assert self.plan is not None
-            self.debt_us += int(self.world.settings.event_cpu_us * self.plan.shed_cost_share)
+            self.shed_cost_us += int(self.world.settings.event_cpu_us * self.plan.shed_cost_share)
             self.world.rules.answers.answered(now, request.id)
             degradation.observer.record_response(now, class_name, in_target=False)
             wait = self.world.settings.dispatcher_settings(self.zone, self.number)["limits"][
@@ -109,14 +111,14 @@
             ]
             self.world.clients.answered(request.id, REJECTED, int(wait * 500_000))
             return
-        self.enqueue(self._notify_arrival, request, request.id)
+        self.enqueue(self._handle_arrival, request, request.id)
 
     def client_left(self, request: Request) -> None:
-        """Queue that the client of a request has left."""
-        self.enqueue(self._notify_client_left, request.id)
+        """Queues the event that the client of a request has left."""
+        self.enqueue(self._handle_client_left, request.id)
 
     def kill(self) -> None:
-        """End the process: all that it has open is gone."""
+        """Ends the process with all its requests and attempts."""
         self.alive = False
         for attempt in self.attempts.values():
             attempt.is_finished = True
@@ -124,16 +126,19 @@
         self.queue, self.requests, self.ended_requests, self.attempts = [], {}, set(), {}
 
     def step_clock(self, step_us: int) -> None:
-        """Let its wall clock jump."""
+        """Steps its wall clock."""
         self.skew_us += step_us
 
     def freeze(self, length_us: int) -> None:
-        """Lines stay up and take what comes; nothing is decided. An attempt that is overdue meanwhile is
-        dropped at its host at once, where a process would do that when it goes on."""
+        """Stops all decisions for a time; connections stay open and receive.
+
+        An attempt whose timeout passes meanwhile is cancelled at its host at once; a real process would
+        cancel it when it resumes.
+        """
         self.frozen_until = max(self.frozen_until, self.events.now + length_us)
 
     def restart(self) -> None:
-        """Begin anew with a policy that knows nothing."""
+        """Starts again with a new policy, without any state."""
         self.frozen_until, self.turn_scheduled = 0, False
         self.alive, self.runs, self.clock = True, self.runs + 1, ClockOffset()
         self.policy = self._create_policy()
@@ -149,28 +154,32 @@
             return
         now, settings = self.events.now, self.world.settings
         queue, self.queue = self.queue, []
-        # What came first has waited for the turn before, longer than a tick where that was dear.
+        # The oldest event has waited for the previous turn, longer than a tick if that turn was expensive.
         lag = max(0, now - self.scheduled_at - settings.tick_us)
         self.policy.handle(now, EventLoopMeasured(len(queue), lag))
         if self.degradation is not None:
             self.degradation.observe_turn(now, lag, len(self.requests) - len(self.ended_requests), len(queue))
         for call, args in queue:
             call(now, *args)
-        acts = 0
+        action_count = 0
         while (action := self.policy.next_action(now)) is not None:
-            acts += 1
+            action_count += 1
             self._carry_out(now, action)
-        self.next_turn = now + settings.tick_us + settings.event_cpu_us * (len(queue) + acts) + self.debt_us
-        self.debt_us = 0
+        self.next_turn = (
+            now + settings.tick_us + settings.event_cpu_us * (len(queue) + action_count) + self.shed_cost_us
+        )
+        self.shed_cost_us = 0
 
-    def _judge(self, runs: int) -> None:
+    def _evaluate_degradation(self, runs: int) -> None:
         degradation, now = self.degradation, self.events.now
         if not self.alive or runs != self.runs or degradation is None or self.plan is None:
             return
         reduced = degradation.evaluate(now)
         if reduced is not None and not isinstance(self.policy, PlainDispatcher):
-            self.enqueue(self._degraded, reduced)
-        self.events.schedule(now + self.plan.settings.evaluation_interval_us, self._judge, runs)
+            self.enqueue(self._handle_degradation, reduced)
+        self.events.schedule(
+            now + self.plan.settings.evaluation_interval_us, self._evaluate_degradation, runs
+        )
 
     def _carry_out(self, now: int, action: Action) -> None:
         if isinstance(action, SendAttempt):
@@ -187,7 +196,7 @@
                 attempt.cancel()
                 attempt.end(Outcome.CANCELLED, 0, -1)
 
-    def _degraded(self, now: int, degradation: Degradation) -> None:
+    def _handle_degradation(self, now: int, degradation: Degradation) -> None:
         self.policy.handle(now, DegradationChanged(degradation))
 
     def _answer(self, now: int, request_id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
@@ -215,26 +224,26 @@
 
     def _timer_fired(self, token: int, runs: int) -> None:
         if self.alive and runs == self.runs:
-            self.enqueue(self._notify_timer, token)
+            self.enqueue(self._handle_timer, token)
 
-    def _notify_timer(self, now: int, token: int) -> None:
+    def _handle_timer(self, now: int, token: int) -> None:
         self.policy.handle(now, TimerFired(token))
 
-    def _notify_hosts(self, now: int, form: str, entries: list[Endpoint]) -> None:
+    def _handle_hosts(self, now: int, form: str, entries: list[Endpoint]) -> None:
         if form == "failed":
             self.policy.handle(now, EndpointWatchFailed())
         else:
             self.policy.handle(now, EndpointsUpdated(EndpointListForm(form), entries))
 
-    def _notify_purge(self, now: int, object_key: str, group: int, made: int) -> None:
+    def _handle_purge(self, now: int, object_key: str, group: int, made: int) -> None:
         if self.degradation is not None:
             self.degradation.observer.record_purge(now, object_key, group)
-        # As a dispatcher does: heard by its own clock, which may be wrong, made by the log's.
-        heard = now + self.skew_us
-        age_us = max(0, heard - self.clock.to_local_us(heard, made))
+        # As in a real dispatcher: received by its own clock, which may be off, and made by the log's clock.
+        received_us = now + self.skew_us
+        age_us = max(0, received_us - self.clock.to_local_us(received_us, made))
         self.policy.handle(now, PurgeReceived(object_key, group, age_us))
 
-    def _notify_arrival(self, now: int, request: Request, request_id: str) -> None:
+    def _handle_arrival(self, now: int, request: Request, request_id: str) -> None:
         self.requests[request_id] = request
         row = self.world.settings.classes[request.class_index]
         until = request.asked_at + row.deadline_us
@@ -250,7 +259,7 @@
         )
         self.policy.handle(now, arrived)
 
-    def _notify_client_left(self, now: int, request_id: str) -> None:
+    def _handle_client_left(self, now: int, request_id: str) -> None:
         if request_id in self.requests and request_id not in self.ended_requests:
             self.ended_requests.add(request_id)
             self.policy.handle(now, ClientDisconnected(request_id))
@@ -272,7 +281,7 @@
         delay_us = world.settings.hub_delay_us if server.zone == HUB else world.settings.zone_delay_us
         self.events.schedule(now + action.timeout_us, attempt.timed_out)
         if world.is_cut(self.zone_name, server.zone):
-            self.events.schedule(now + CONNECT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
+            self.events.schedule(now + CONNECT_TIMEOUT_US, attempt.end, Outcome.CONNECT_FAILED, 0, -1)
             return
         server_request = attempt.server_request = self._server_request(attempt, delay_us)
         if server.zone == HUB:
@@ -306,7 +315,7 @@
     def attempt_ended(
         self, now: int, attempt: Attempt, result: int, note: int, created: int, at: int
     ) -> None:
-        """Pass an attempt's outcome on to the policy, the client and the checkers."""
+        """Passes an attempt's outcome on to the policy, the client and the checkers."""
         request_id = attempt.action.request_id
         self.attempts.pop((request_id, attempt.action.attempt), None)
         request = attempt.request
@@ -335,21 +344,24 @@
     settings: WorldSettings,
     seed: int,
     make: PolicyFactory,
-    rows: list[ScheduledFault] | None = None,
+    faults: list[ScheduledFault] | None = None,
     plan: DegradationPlan | None = None,
 ) -> World:
-    """A world with all its dispatchers and the script of its day, ready for `run`; `plan`: levels and the
-    admission at each dispatcher, else neither."""
+    """Returns a world with all its dispatchers and the faults of its day, ready for `run`.
+
+    `plan` configures degradation and admission control of each dispatcher; without it there is neither.
+    """
     world = World(settings, seed)
-    FaultInjector(world, rows or []).begin()
+    FaultInjector(world, faults or []).begin()
     for number in range(settings.zones * settings.dispatchers):
         world.dispatchers.append(VirtualDispatcher(world, number, number % settings.zones, make, plan))
     return world
 
 
 def digest(world: World) -> str:
-    """Of all that a day was: every second's utility, every cause, every server's counts. One seed gives one
-    digest.
+    """Returns a digest of a day's results: utility by second, outcomes, server and rule counts, latencies.
+
+    Runs with the same seed have the same digest.
     """
     utility = world.clients.utility
     rows = [
--- a/hoistplank/lab/backends/virtual_attempt.py
+++ b/hoistplank/lab/backends/virtual_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a dispatcher in virtual time: its way to a simulated server, and its outcome's way back."""
+"""One attempt of a dispatcher in virtual time, from its simulated server back to the dispatcher's queue."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Attempt:
-    """One attempt in flight; `is_finished` once its outcome is passed, or on its way, to the policy."""
+    """One attempt in flight; `is_finished` once its outcome is queued for the policy."""
 
     __slots__ = ("action", "dispatcher", "is_finished", "request", "sent_at", "server", "server_request")
 
@@ -28,7 +28,7 @@
         self.server: Server | None = None
 
     def answered(self, result: int, note: int, created: int) -> None:
-        """Its end has left the host; how it comes here is for the path between them."""
+        """Sends the outcome from the host to the dispatcher, over their path if paths are modelled."""
         paths, dispatcher = self.dispatcher.world.paths, self.dispatcher
         if paths is None:
             self.end(result, note, created)
@@ -44,7 +44,7 @@
         )
 
     def end(self, result: int, note: int, created: int) -> None:
-        """Hand the outcome to the dispatcher's queue, once."""
+        """Queues the outcome for the dispatcher, at most once."""
         if not self.is_finished:
             self.is_finished = True
             self.dispatcher.enqueue(
@@ -52,12 +52,12 @@
             )
 
     def timed_out(self) -> None:
-        """End an attempt that took longer than it was given."""
+        """Ends an attempt whose timeout has passed."""
         if not self.is_finished:
             self.cancel()
             self.end(Outcome.TIMED_OUT, 0, -1)
 
     def cancel(self) -> None:
-        """Take the request back at its host."""
+        """Cancels the request at its host."""
         if self.server_request is not None and self.server is not None:
             self.server.cancel(self.server_request)
