--- a/hoistplank/lab/backends/sockets.py
+++ b/hoistplank/lab/backends/sockets.py
@@ -30,7 +30,7 @@
 
     def __init__(self, late_us: int) -> None:
         super().__init__(
-            f"the world ran {late_us // 1000} ms late (99th percentile, at most {MAX_LATE_US // 1000})"
+            f"the world ran {late_us // 1000} ms late (99th percentile, limit {MAX_LATE_US // 1000} ms)"
         )
         self.late_us = late_us
 
