--- a/tests/test_compatibility_lab.py
+++ b/tests/test_compatibility_lab.py
@@ -1,5 +1,5 @@
-"""Results of the laboratory: a Parquet file of an earlier text is read alike, and an experiment gives the
-same."""
+"""Compatibility of the laboratory's results: Parquet files of an earlier revision are readable, and the same
+experiment gives the same rows."""
 
 from __future__ import annotations
 
@@ -16,40 +16,42 @@
 from tests.fixture_files import FIXTURES, as_json, fixture_json
 
 RESULTS = FIXTURES / "lab" / "results.parquet"
-OF_THE_RUN = ("revision", "machine", "took_s")  # what differs between two runs of the same text
+RUN_COLUMNS = ("revision", "machine", "took_s")  # these differ between two runs of the same revision
 
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The folder of the same experiment, played by the text under test."""
+    """Returns the results folder of the fixture's experiment, run by the revision under test."""
     folder = tmp_path_factory.mktemp("tiny")
-    words = ["run", str(FIXTURES / "lab" / "tiny.sexp"), "--out", str(folder), "--workers", "2"]
-    ran = CliRunner().invoke(lab, words)
+    arguments = ["run", str(FIXTURES / "lab" / "tiny.sexp"), "--out", str(folder), "--workers", "2"]
+    ran = CliRunner().invoke(lab, arguments)
     assert ran.exit_code == 0, ran.output
     return folder
 
 
-def without_the_run(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    kept = [{name: value for name, value in row.items() if name not in OF_THE_RUN} for row in rows]
+def without_run_columns(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    kept = [{name: value for name, value in row.items() if name not in RUN_COLUMNS} for row in rows]
     return sorted(kept, key=lambda row: str(row["key"]))
 
 
-def test_the_columns_are_those_of_the_earlier_file(played: Path) -> None:
-    wanted = parquet.read_schema(RESULTS)
-    assert parquet.read_schema(played / results.TABLE).equals(wanted, check_metadata=True)
+def test_the_columns_equal_those_of_an_earlier_file(played: Path) -> None:
+    expected = parquet.read_schema(RESULTS)
+    assert parquet.read_schema(played / results.TABLE).equals(expected, check_metadata=True)
 
 
 def test_the_same_experiment_gives_the_same_rows(played: Path) -> None:
-    assert as_json(without_the_run(results.load(played))) == as_json(without_the_run(results.load(RESULTS)))
+    assert as_json(without_run_columns(results.load(played))) == as_json(
+        without_run_columns(results.load(RESULTS))
+    )
 
 
-def test_an_earlier_file_is_compared_as_it_was() -> None:
-    told = CliRunner().invoke(lab, ["compare", str(RESULTS), "--json"])
-    assert told.exit_code == 0
-    assert as_json(json.loads(told.output)) == as_json(fixture_json("lab/compare.json"))
+def test_comparing_an_earlier_file_gives_the_same_output() -> None:
+    result = CliRunner().invoke(lab, ["compare", str(RESULTS), "--json"])
+    assert result.exit_code == 0
+    assert as_json(json.loads(result.output)) == as_json(fixture_json("lab/compare.json"))
 
 
-def test_an_earlier_file_becomes_a_report(tmp_path: Path) -> None:
+def test_a_report_is_written_from_an_earlier_file(tmp_path: Path) -> None:
     page = tmp_path / "report.html"
-    told = CliRunner().invoke(lab, ["report", str(RESULTS), "--out", str(page)])
-    assert told.exit_code == 0 and "tiny" in page.read_text()
+    result = CliRunner().invoke(lab, ["report", str(RESULTS), "--out", str(page)])
+    assert result.exit_code == 0 and "tiny" in page.read_text()
--- a/tests/test_lab_cancellation.py
+++ b/tests/test_lab_cancellation.py
@@ -1,7 +1,7 @@
-"""A run's task that is cancelled ends, also where the cancellation meets the answer that it waits for.
+"""Tests that a cancelled task ends even if the answer that it waits for arrives at the same moment.
 
-`asyncio.wait_for` of Python 3.11 swallows a cancellation that meets the end of what it waits for: a sampling
-task went on for ever, and the run that awaited its end stood still.
+`asyncio.wait_for` of Python 3.11 swallows a cancellation that coincides with the end of the awaited future: a
+sampling task never ended, and the run that awaited it hung.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class FakeRelayProcess:
-    """The pipes of a relay process, without the process."""
+    """The pipes of a relay process without the process."""
 
     def __init__(self) -> None:
         self.stdout = asyncio.StreamReader()
@@ -30,10 +30,10 @@
         return False
 
     def write(self, data: bytes) -> None:
-        """Nobody reads it."""
+        """Discards the data."""
 
 
-def test_a_wait_for_a_child_s_answer_is_cancelled_as_the_answer_comes() -> None:
+def test_waiting_for_a_child_is_cancelled_even_as_its_answer_arrives() -> None:
     async def scene() -> None:
         child: Child[Any] = Child("module", [], Report, lambda message: None)
         answer: asyncio.Future[str] = asyncio.get_running_loop().create_future()
@@ -47,7 +47,7 @@
     run_scene(scene())
 
 
-def test_a_wait_for_a_relay_s_answer_is_cancelled_as_the_answer_comes() -> None:
+def test_waiting_for_a_relay_is_cancelled_even_as_its_answer_arrives() -> None:
     async def scene() -> None:
         process: Any = FakeRelayProcess()
         waiting = asyncio.create_task(RelayClient(process).statistics())
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -1,6 +1,4 @@
-"""The lab's tools: schedules, FastCGI by template, statistics, experiments, results that survive,
-reports, sockets.
-"""
+"""Tests of the lab's tools: load, FastCGI templates, statistics, experiments, results, reports, sockets."""
 
 import asyncio
 import json
@@ -39,7 +37,7 @@
 from hoistplank.operator_configuration.errors import ConfigurationError
 from hoistplank.protocol import fastcgi
 
-TEXT = b"""(experiment small
+EXPERIMENT_TEXT = b"""(experiment small
   (days calm) (script late (at 1s (slow origin 3x for 1s)))
   (sizes 6) (seeds 1 2 3) (policies module hash) (seconds 2) (rate-per-host 5))"""
 
@@ -52,7 +50,7 @@
     st.lists(st.tuples(st.floats(0.1, 5), st.floats(1, 200), st.floats(1, 200)), min_size=1, max_size=4),
     st.integers(1, 4),
 )
-def test_a_schedule_holds_its_rate_and_its_parts_make_the_whole(
+def test_a_schedule_keeps_its_rate_and_its_parts_add_up_to_the_whole(
     rows: list[tuple[float, float, float]], parts: int
 ) -> None:
     steps = tuple(Step(*row) for row in rows)
@@ -64,24 +62,24 @@
     )
 
 
-def test_a_ramp_sends_more_and_more() -> None:
+def test_a_ramp_increases_the_rate_linearly() -> None:
     found = list(send_times(parse_schedule("4s:0-100")))
     assert len(found) == 200 and sum(at < 2 for at in found) == 50
 
 
 @pytest.mark.parametrize("text", ["10:500", "10s500", "0s:5", "5s:0", "", "99999s:1", "-5s:10", "5s:10 x"])
-def test_a_plan_that_can_not_be_used(text: str) -> None:
+def test_an_invalid_schedule_is_rejected_with_the_expected_form(text: str) -> None:
     with pytest.raises(LoadPlanError, match="expected"):
         parse_schedule(text)
 
 
 @pytest.mark.parametrize("text", ["", "page=0", "page=x", "pa ge=1=2", "=3", "page=-1"])
-def test_tracks_that_can_not_be_used(text: str) -> None:
+def test_an_invalid_traffic_mix_is_rejected_with_the_expected_form(text: str) -> None:
     with pytest.raises(LoadPlanError, match="expected"):
         parse_mix(text)
 
 
-def test_a_request_by_template_is_one_that_the_dispatcher_reads() -> None:
+def test_a_request_from_a_template_is_decoded_by_the_dispatcher() -> None:
     data = RequestTemplate("booking", 900, keyed=True, token="t0ken", fields={"HTTP_X_TAG": "3"}).encode(
         513, 0xABC, 7
     )
@@ -101,47 +99,47 @@
     }
 
 
-def test_answers_are_scanned_however_they_are_cut() -> None:
+def test_responses_are_found_at_any_split_of_the_stream() -> None:
     body = b"x" * 70_000
     data = b"".join(
         fastcgi.encode_response(n, status, (), body) for n, status in ((1, 200), (2, 503), (900, 502))
     )
     for seed in range(20):
-        chance, scan, at, found = random.Random(seed), ResponseScanner(), 0, list[tuple[int, int]]()
+        rng, scanner, at, found = random.Random(seed), ResponseScanner(), 0, list[tuple[int, int]]()
         while at < len(data):
-            step = chance.choice((1, 3, 8, 100, 9_000, 80_000))
-            found += scan.feed(data[at : at + step])
+            step = rng.choice((1, 3, 8, 100, 9_000, 80_000))
+            found += scanner.feed(data[at : at + step])
             at += step
         assert found == [(1, 200), (2, 503), (900, 502)], seed
     with pytest.raises(ValueError, match="version"):
         ResponseScanner().feed(struct.pack(">BBHHBx", 7, 6, 1, 0, 0))
 
 
-def test_load_against_a_dispatcher(tmp_path: Path) -> None:
+def test_every_request_of_a_load_is_answered_by_a_dispatcher(tmp_path: Path) -> None:
     async def scene() -> LoadResult:
-        async with Deployment(tmp_path) as place:
+        async with Deployment(tmp_path) as deployment:
             steps, mix = parse_schedule("1s:60 1s:60-120"), parse_mix("page=9 booking=1!")
-            return await run_load(place.address, steps, mix, 2, LoadSettings(fresh_share=0.2, groups=2))
+            return await run_load(deployment.address, steps, mix, 2, LoadSettings(fresh_share=0.2, groups=2))
 
     found = asyncio.run(scene())
     counts = found.counts
     assert counts["sent"] == 150 and counts["answered"] == 150, counts
     assert sum(sum(row.statuses.values()) for row in found.classes.values()) == 150
     assert sum(sum(row.values()) for row in found.tenants) == 150
-    assert found.classes["page"].latency_ms["p50"] > 1, "stand-ins take 10 ms for a fill"
+    assert found.classes["page"].latency_ms["p50"] > 1, "fake hosts take 10 ms for a fill"
 
 
-def test_load_with_nobody_there_says_so() -> None:
+def test_load_on_a_closed_port_raises_load_error() -> None:
     with pytest.raises(LoadError, match="nobody listens"):
         asyncio.run(run_load(("127.0.0.1", 1), parse_schedule("1s:5"), parse_mix("page=1"), 1))
 
 
-def test_the_tools_own_lateness_voids_a_run(tmp_path: Path) -> None:
+def test_a_run_is_void_if_the_load_tool_is_late(tmp_path: Path) -> None:
     async def scene() -> LoadResult:
-        async with Deployment(tmp_path) as place:
-            # No process can send a million a second: the tool lies behind at once, and must say so.
+        async with Deployment(tmp_path) as deployment:
+            # No process can send a million requests a second: the tool is late at once and must report it.
             return await run_load(
-                place.address,
+                deployment.address,
                 parse_schedule("0.02s:1000000"),
                 parse_mix("page=1"),
                 1,
@@ -150,30 +148,29 @@
 
     found = asyncio.run(scene())
     assert found.is_void and found.counts["no room on connections"] > 0
-    assert found.counts["sent"] == 20_000, "an open loop sends what is due, however late it is"
+    assert found.counts["sent"] == 20_000, "an open loop sends every scheduled request, even if late"
 
 
 # Statistics.
 
 
-def test_a_difference_is_paired_and_says_what_it_shows() -> None:
-    chance = random.Random(3)
-    base = [chance.uniform(0.4, 0.9) for _ in range(12)]
-    better = difference(base, [value + chance.uniform(0.01, 0.03) for value in base])
+def test_a_paired_difference_has_an_interval_and_a_verdict() -> None:
+    rng = random.Random(3)
+    base = [rng.uniform(0.4, 0.9) for _ in range(12)]
+    better = difference(base, [value + rng.uniform(0.01, 0.03) for value in base])
     assert better.verdict == "better" and better.low > 0 and 0.01 < better.mean < 0.03
     assert difference([value + 0.02 for value in base], base).verdict == "worse"
     assert (
-        difference(base, [value + chance.uniform(-0.3, 0.3) for value in base]).verdict
-        == "not shown either way"
+        difference(base, [value + rng.uniform(-0.3, 0.3) for value in base]).verdict == "not shown either way"
     )
-    assert difference(base, [value + chance.uniform(-0.002, 0.002) for value in base]).verdict == "alike"
+    assert difference(base, [value + rng.uniform(-0.002, 0.002) for value in base]).verdict == "alike"
     assert difference(base, [value + 0.001 for value in base]).verdict == "better, but by next to nothing"
     assert difference(base[:2], base[:2]).verdict == "too few pairs"
     with pytest.raises(ValueError, match="paired"):
         difference(base, base[1:])
 
 
-def test_ranks_share_places_and_correlate() -> None:
+def test_equal_values_share_a_rank_and_ranks_correlate() -> None:
     assert ranks([3.0, 1.0, 3.0, 0.0]) == [3.5, 2.0, 3.5, 1.0]
     assert spearman([1, 2, 3, 4], [10, 20, 30, 40]) == pytest.approx(1.0)
     assert spearman([1, 2, 3, 4], [4, 3, 2, 1]) == pytest.approx(-1.0)
@@ -184,8 +181,8 @@
 # Experiments and results.
 
 
-def test_cells_of_one_world_differ_in_policy_alone() -> None:
-    cells = read_experiment(TEXT, "small.sexp").cells
+def test_cells_of_one_world_differ_only_in_policy() -> None:
+    cells = read_experiment(EXPERIMENT_TEXT, "small.sexp").cells
     assert len(cells) == 2 * 3 * 2 and len({cell.key() for cell in cells}) == 12
     for pair in {(cell.day, cell.seed) for cell in cells}:
         mine = [cell for cell in cells if (cell.day, cell.seed) == pair]
@@ -212,14 +209,20 @@
         ("(experimint x)", 1, "experimint", "one '(experiment"),
     ],
 )
-def test_an_experiment_says_what_is_wrong_and_where(text: str, line: int, found: str, expected: str) -> None:
-    with pytest.raises(ConfigurationError) as wrong:
+def test_an_invalid_experiment_is_rejected_with_line_found_and_expected(
+    text: str, line: int, found: str, expected: str
+) -> None:
+    with pytest.raises(ConfigurationError) as error:
         read_experiment(text.encode(), "x.sexp")
-    said = str(wrong.value).splitlines()[0]
-    assert said.startswith(f"x.sexp:{line}:") and found in said and expected in said.split("expected")[1]
+    message = str(error.value).splitlines()[0]
+    assert (
+        message.startswith(f"x.sexp:{line}:")
+        and found in message
+        and expected in message.split("expected")[1]
+    )
 
 
-def small(policies: tuple[str, ...] = ("module", "hash"), seeds: int = 3) -> Experiment:
+def small_experiment(policies: tuple[str, ...] = ("module", "hash"), seeds: int = 3) -> Experiment:
     cells = [
         Cell("calm", "", 3, seed, policy, 1.0, 5.0, 0.5, 20, 2)
         for seed in range(seeds)
@@ -231,47 +234,47 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 
-def test_a_run_goes_on_where_it_was_cut_off(tmp_path: Path) -> None:
-    first = runner.ExperimentRun(small(), tmp_path, 4)
+def test_an_interrupted_run_resumes_with_the_missing_cells(tmp_path: Path) -> None:
+    first = runner.ExperimentRun(small_experiment(), tmp_path, 4)
     path = asyncio.run(first.run(ROOT))
     rows = results.load(path)
     assert len(rows) == 6 and not first.failed and all(0 < row["score"] <= 1 for row in rows)
     lines = (tmp_path / results.LINES).read_bytes().splitlines(keepends=True)
-    # Cut off in the middle of the third line.
+    # An interrupted run leaves an incomplete line: here the third.
     (tmp_path / results.LINES).write_bytes(b"".join(lines[:2]) + lines[2][:100])
-    again = runner.ExperimentRun(small(), tmp_path, 4)
-    assert again.journal.cut == 100 and len(again.journal.rows) == 2
+    resumed = runner.ExperimentRun(small_experiment(), tmp_path, 4)
+    assert resumed.journal.cut == 100 and len(resumed.journal.rows) == 2
     played: list[str] = []
-    again.on_cell = lambda done, many, cell, how: played.append(cell.key())
-    asyncio.run(again.run(ROOT))
+    resumed.on_cell = lambda done, total, cell, outcome: played.append(cell.key())
+    asyncio.run(resumed.run(ROOT))
     assert len(played) == 4
     assert {row["digest"] for row in results.load(path)} == {row["digest"] for row in rows}
 
 
-def test_a_worker_that_dies_costs_its_cell_alone(tmp_path: Path) -> None:
+def test_a_dead_worker_loses_only_its_own_cell(tmp_path: Path) -> None:
     code = "import sys, os; from hoistplank.lab import worker; data = sys.stdin.buffer.read(); "
     code += "os.abort() if b'\"hash\"' in data else None; import io; "
     code += "sys.stdin = io.TextIOWrapper(io.BytesIO(data)); worker.main()"
-    run = runner.ExperimentRun(small(), tmp_path, 2, command=(sys.executable, "-c", code))
+    run = runner.ExperimentRun(small_experiment(), tmp_path, 2, command=(sys.executable, "-c", code))
     path = asyncio.run(run.run(ROOT))
     assert len(results.load(path)) == 3
     assert [cell.policy for cell, _ in run.failed] == ["hash"] * 3
-    assert all("ended with -6" in why for _, why in run.failed)
+    assert all("ended with -6" in reason for _, reason in run.failed)
 
 
-def test_an_older_text_is_played_from_its_own_checkout(tmp_path: Path) -> None:
-    # The last commit: a clone without older history has it too.
-    text = runner.revision(ROOT).rstrip("+")
-    run = runner.ExperimentRun(small(("module", f"text-{text}"), 1), tmp_path, 2)
+def test_an_older_revision_runs_from_its_own_checkout(tmp_path: Path) -> None:
+    # The last commit, which a shallow clone has too.
+    revision = runner.revision(ROOT).rstrip("+")
+    run = runner.ExperimentRun(small_experiment(("module", f"text-{revision}"), 1), tmp_path, 2)
     path = asyncio.run(run.run(ROOT))
-    assert {row["policy"] for row in results.load(path)} == {"module", f"text-{text}"}, run.failed
-    assert not (tmp_path / "texts" / text).exists()
-    bad = runner.ExperimentRun(small(("text-0000000",), 1), tmp_path, 1)
+    assert {row["policy"] for row in results.load(path)} == {"module", f"text-{revision}"}, run.failed
+    assert not (tmp_path / "texts" / revision).exists()
+    unknown = runner.ExperimentRun(small_experiment(("text-0000000",), 1), tmp_path, 1)
     with pytest.raises(runner.RunError, match="no checkout of revision 0000000"):
-        asyncio.run(bad.run(ROOT))
+        asyncio.run(unknown.run(ROOT))
 
 
-def test_results_of_another_layout_are_not_mixed_in(tmp_path: Path) -> None:
+def test_results_of_another_layout_or_no_parquet_are_rejected(tmp_path: Path) -> None:
     import pyarrow as pa
     import pyarrow.parquet as pq
 
@@ -283,7 +286,7 @@
         results.load(tmp_path)
 
 
-def test_a_report_stands_alone_and_says_what_was_broken(tmp_path: Path) -> None:
+def test_a_report_is_self_contained_and_lists_broken_rules(tmp_path: Path) -> None:
     cells = [
         Cell("crash", "(at 1s (crash caches:0.5 for 1s))", 3, 1, policy, 3.0, 8.0, 0.5, 20, 2)
         for policy in ("module", "random", "seer")
@@ -301,86 +304,86 @@
     assert "crash caches:0.5 for 1s" in page and "</html>" in page
 
 
-def test_the_commands_from_a_day_to_a_report(tmp_path: Path) -> None:
+def test_the_commands_run_compare_and_report_an_experiment(tmp_path: Path) -> None:
     call = CliRunner().invoke
     file = tmp_path / "small.sexp"
-    file.write_bytes(TEXT.replace(b"(seeds 1 2 3)", b"(seeds 1 2)").replace(b"(days calm)", b""))
+    file.write_bytes(EXPERIMENT_TEXT.replace(b"(seeds 1 2 3)", b"(seeds 1 2)").replace(b"(days calm)", b""))
     assert call(lab, ["day", "calm", "--size", "3", "--seconds", "1"]).exit_code == 0
     assert "loggap" in call(lab, ["days"]).output
-    done = call(lab, ["run", str(file), "--out", str(tmp_path / "out"), "--workers", "4"])
-    assert done.exit_code == 0 and "4 of 4 cells" in done.output
-    told = call(lab, ["compare", str(tmp_path / "out"), "--json"])
-    assert json.loads(told.output)[0]["policy"] == "hash"
+    ran = call(lab, ["run", str(file), "--out", str(tmp_path / "out"), "--workers", "4"])
+    assert ran.exit_code == 0 and "4 of 4 cells" in ran.output
+    compared = call(lab, ["compare", str(tmp_path / "out"), "--json"])
+    assert json.loads(compared.output)[0]["policy"] == "hash"
     assert call(lab, ["compare", str(tmp_path / "out"), str(tmp_path / "out"), "--json"]).exit_code == 0
     assert call(lab, ["report", str(tmp_path / "out")]).exit_code == 0
     assert (tmp_path / "out" / "report.html").read_text().startswith("<!doctype html>")
     file.write_text("(experiment x (days clam))")
-    bad = call(lab, ["run", str(file)])
-    assert bad.exit_code == 2 and "'calm'" in bad.output
+    rejected = call(lab, ["run", str(file)])
+    assert rejected.exit_code == 2 and "'calm'" in rejected.output
     assert call(lab, ["load", "10.0.0.1:80"]).exit_code == 2
-    nobody = call(lab, ["load", "127.0.0.1:1", "--plan", "1s:5", "--processes", "1"])
-    assert nobody.exit_code == 1 and "nobody listens" in nobody.output
+    refused = call(lab, ["load", "127.0.0.1:1", "--plan", "1s:5", "--processes", "1"])
+    assert refused.exit_code == 1 and "nobody listens" in refused.output
     assert call(lab, ["day", "clam"]).exit_code == 2
 
 
 # Sockets.
 
 
-def on_sockets(cell: Cell) -> dict[str, Any]:
-    """A day in real time; one on which the machine was too slow proves nothing and is played again."""
+def play_on_sockets(cell: Cell) -> dict[str, Any]:
+    """Runs a day in real time, up to three times if it is void because the machine was too slow."""
     for _ in range(3):
         try:
             return play(Job(cell))
-        except sockets.RunTooLateError as wrong:
-            late = wrong
-    raise late
+        except sockets.RunTooLateError as error:
+            last_error = error
+    raise last_error
 
 
-def test_a_day_on_sockets_keeps_the_rules() -> None:
+def test_no_rule_is_broken_on_sockets_under_mixed_faults() -> None:
     text = (
         "(at 1s (crash c0-1 for 1s) (purge group 3)) (at 1500ms (drain c0-0 for 1s) (reset c0-2 0.3 for 1s))"
     )
     text += " (at 2s (spoil c0-2 0.3 for 1s) (stall p0 for 500ms))"
-    found = on_sockets(Cell("mixed", text, 4, 2, "module", 4.0, 8.0, 0.5, 20, 2, "sockets", 1.0))
+    found = play_on_sockets(Cell("mixed", text, 4, 2, "module", 4.0, 8.0, 0.5, 20, 2, "sockets", 1.0))
     assert not any(found["broken"].values()), found["breaches"]
     assert found["score"] > 0.5 and sum(found["ends"].values()) > 100, found["ends"]
 
 
-def test_a_killed_dispatcher_comes_back_on_sockets() -> None:
+def test_a_killed_dispatcher_restarts_on_sockets_without_broken_rules() -> None:
     text = "(at 500ms (kill 0.5 for 500ms))"
-    found = on_sockets(Cell("kill", text, 4, 3, "module", 3.0, 8.0, 0.5, 20, 2, "sockets", 1.0))
+    found = play_on_sockets(Cell("kill", text, 4, 3, "module", 3.0, 8.0, 0.5, 20, 2, "sockets", 1.0))
     assert not any(found["broken"].values()), found["breaches"]
     assert found["score"] > 0.6
 
 
-def test_a_day_on_which_the_machine_was_too_slow_proves_nothing(tmp_path: Path) -> None:
-    shape = Cell("calm", "", 3, 1, "module", 1.0, 5.0, 0.5, 20, 1, "sockets", 0.5).world_settings()
-    day = sockets.SocketDay(shape, 1, [], tmp_path)
+def test_a_day_on_sockets_is_void_if_the_world_runs_late(tmp_path: Path) -> None:
+    world_settings = Cell("calm", "", 3, 1, "module", 1.0, 5.0, 0.5, 20, 1, "sockets", 0.5).world_settings()
+    day = sockets.SocketDay(world_settings, 1, [], tmp_path)
     for n in range(40):
         day.world.events.schedule(n * 100_000, time.sleep, 0.06)
     with pytest.raises(sockets.RunTooLateError, match="ms late"):
         asyncio.run(asyncio.wait_for(day.play(), 40))
 
 
-def test_load_with_tokens_and_over_tls(tmp_path: Path) -> None:
-    authority, signer, tls = FakeCertificateAuthority(tmp_path), TokenSigner("k0"), free_port()
+def test_load_with_tokens_or_over_tls_is_answered_and_without_either_gets_401(tmp_path: Path) -> None:
+    authority, signer, tls_port = FakeCertificateAuthority(tmp_path), TokenSigner("k0"), free_port()
     write_key_set(tmp_path / "ring.json", signer.jwk())
     (tmp_path / "revoked.jsonl").touch()
-    (tmp_path / "op.sexp").write_text(operator_text(tls, free_port()))
+    (tmp_path / "op.sexp").write_text(operator_text(tls_port, free_port()))
     certificate, _ = authority.issue("coast.pem", ["uri:hoistplank:coast"])
     steps, mix = parse_schedule("1s:40"), parse_mix("page=3 booking=1!")
 
     async def scene() -> list[LoadResult]:
-        with_tokens = LoadSettings(tokens=(signer.token("coast-1"),), groups=2)
-        async with Deployment(tmp_path, operator=str(tmp_path / "op.sexp")) as place:
-            good = await run_load(place.address, steps, mix, 1, with_tokens)
-            none = await run_load(place.address, steps, mix, 1)
+        token_settings = LoadSettings(tokens=(signer.token("coast-1"),), groups=2)
+        async with Deployment(tmp_path, operator=str(tmp_path / "op.sexp")) as deployment:
+            with_token = await run_load(deployment.address, steps, mix, 1, token_settings)
+            without_token = await run_load(deployment.address, steps, mix, 1)
             ca, own = str(tmp_path / "ca.pem"), str(certificate)
-            over_tls = LoadSettings(fresh_share=0.3, ca=ca, certificate=own)
-            whole = await run_load(("127.0.0.1", tls), steps, mix, 1, over_tls)
-            return [good, none, whole]
+            tls_settings = LoadSettings(fresh_share=0.3, ca=ca, certificate=own)
+            over_tls = await run_load(("127.0.0.1", tls_port), steps, mix, 1, tls_settings)
+            return [with_token, without_token, over_tls]
 
-    good, none, whole = asyncio.run(scene())
-    for found in (good, whole):
+    with_token, without_token, over_tls = asyncio.run(scene())
+    for found in (with_token, over_tls):
         assert sum(row.statuses.get("200", 0) for row in found.classes.values()) == 40, found
-    assert {status for row in none.classes.values() for status in row.statuses} == {"401"}
+    assert {status for row in without_token.classes.values() for status in row.statuses} == {"401"}
