--- a/hoistplank/lab/backends/socket_dispatcher.py
+++ b/hoistplank/lab/backends/socket_dispatcher.py
@@ -80,15 +80,15 @@
 
     def purge(self, object_key: str, group: int, made: int) -> None:
         """Publishes a purge, made at `made` (us of the world), in its change log."""
-        what: dict[str, Any] = {"object": object_key} if object_key else {"bucket": group}
-        self._publish({"invalidate": {"time": self._unix_ms(made), **what}})
+        target: dict[str, Any] = {"object": object_key} if object_key else {"bucket": group}
+        self._publish({"invalidate": {"time": self._unix_ms(made), **target}})
 
     def _unix_ms(self, at: int) -> int:
         """Returns a time of the world in Unix milliseconds as sent to this dispatcher: less its skew."""
         return self.day.unix_ms(at - self.skew_us)
 
     def step_clock(self, step_us: int) -> None:
-        """Shifts all times sent to it back instead, as the clock of a single process can't be set."""
+        """Steps its clock, which can't be set for one process: all times sent to it are shifted back."""
         self.skew_us += step_us
 
     def freeze(self, length_us: int) -> None:
--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -24,15 +24,17 @@
 EXPERIMENT = schema.FormSchema(
     (
         Field("days", DAY, repeated=True, doc="days by name"),
-        Field("sizes", integer(1, 20_000), [12], repeated=True, doc="cache hosts in all"),
-        Field("seeds", integer(0, 1_000_000), [1, 2, 3], repeated=True, doc="each is a world of its own"),
-        Field("policies", POLICY, ["module", "hash"], repeated=True, doc="who decides"),
-        Field("seconds", number(1, 3_600), 20.0, doc="of a day"),
-        Field("warm", number(0, 600), 6.0, doc="seconds before the day, not counted, in which caches fill"),
-        Field("rate-per-host", number(0.1, 10_000), 20.0, doc="first parts a second for each cache host"),
-        Field("load", number(0.05, 5), 0.75, doc="of what links can carry"),
-        Field("location", integer(1, 1_000), 20, doc="cache hosts of one location at most"),
-        Field("dispatchers", integer(1, 100), 3, doc="of each location"),
+        Field("sizes", integer(1, 20_000), [12], repeated=True, doc="total numbers of cache hosts"),
+        Field(
+            "seeds", integer(0, 1_000_000), [1, 2, 3], repeated=True, doc="seeds; each gives another world"
+        ),
+        Field("policies", POLICY, ["module", "hash"], repeated=True, doc="policies of the dispatchers"),
+        Field("seconds", number(1, 3_600), 20.0, doc="length of a day"),
+        Field("warm", number(0, 600), 6.0, doc="uncounted seconds before the day, to fill caches"),
+        Field("rate-per-host", number(0.1, 10_000), 20.0, doc="first parts a second per cache host"),
+        Field("load", number(0.05, 5), 0.75, doc="share of the links' capacity"),
+        Field("location", integer(1, 1_000), 20, doc="maximum of cache hosts in a location"),
+        Field("dispatchers", integer(1, 100), 3, doc="dispatchers in each location"),
         Field("drive", one_of("virtual", "sockets"), "virtual", doc="virtual time, or real processes"),
     ),
     title=matching(r"[a-z][a-z0-9-]{0,39}", "a name of small letters, digits and '-'"),
@@ -40,7 +42,7 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One day to simulate. Cells that differ only in `policy` see the same world."""
+    """One day to run. Cells that differ only in `policy` see the same world."""
 
     day: str
     text: str  # the script of its faults
@@ -100,7 +102,7 @@
         )
     if not days and not scripts:
         diagnostics.append(
-            Diagnostic(form.location, "neither 'days' nor a 'script'", "at least one day to play")
+            Diagnostic(form.location, "neither 'days' nor a 'script'", "at least one day to run")
         )
     if diagnostics:
         raise ConfigurationError(diagnostics)
