--- a/hoistplank/lab/experiment.py
+++ b/hoistplank/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments as files: factors, paired seeds, and the cells that follow from them. No I/O."""
+"""Reads experiment files: factors, paired seeds, and the cells that result from them. No I/O."""
 
 from __future__ import annotations
 
@@ -18,21 +18,23 @@
 from hoistplank.operator_configuration.syntax import Form
 from hoistplank.operator_configuration.values import integer, matching, number, one_of
 
-LAYOUT = 2  # of a cell's result; another one is not mixed with it
+LAYOUT = 2  # version of the layout of results; results of different layouts are not mixed
 POLICY = matching(r"[a-z][a-z-]{0,30}|text-[0-9a-fA-F]{4,40}", "a policy, or text-REVISION")
 DAY = matching(r"[a-z][a-z+-]{0,60}", "a day's name, or several joined by '+'")
 EXPERIMENT = schema.FormSchema(
     (
         Field("days", DAY, repeated=True, doc="days by name"),
-        Field("sizes", integer(1, 20_000), [12], repeated=True, doc="cache hosts in all"),
-        Field("seeds", integer(0, 1_000_000), [1, 2, 3], repeated=True, doc="each is a world of its own"),
-        Field("policies", POLICY, ["module", "hash"], repeated=True, doc="who decides"),
-        Field("seconds", number(1, 3_600), 20.0, doc="of a day"),
-        Field("warm", number(0, 600), 6.0, doc="seconds before the day, not counted, in which caches fill"),
-        Field("rate-per-host", number(0.1, 10_000), 20.0, doc="first parts a second for each cache host"),
-        Field("load", number(0.05, 5), 0.75, doc="of what links can carry"),
-        Field("location", integer(1, 1_000), 20, doc="cache hosts of one location at most"),
-        Field("dispatchers", integer(1, 100), 3, doc="of each location"),
+        Field("sizes", integer(1, 20_000), [12], repeated=True, doc="total numbers of cache hosts"),
+        Field(
+            "seeds", integer(0, 1_000_000), [1, 2, 3], repeated=True, doc="seeds; each gives another world"
+        ),
+        Field("policies", POLICY, ["module", "hash"], repeated=True, doc="policies of the dispatchers"),
+        Field("seconds", number(1, 3_600), 20.0, doc="length of a day"),
+        Field("warm", number(0, 600), 6.0, doc="uncounted seconds before the day, to fill caches"),
+        Field("rate-per-host", number(0.1, 10_000), 20.0, doc="first parts a second per cache host"),
+        Field("load", number(0.05, 5), 0.75, doc="share of the links' capacity"),
+        Field("location", integer(1, 1_000), 20, doc="maximum of cache hosts in a location"),
+        Field("dispatchers", integer(1, 100), 3, doc="dispatchers in each location"),
         Field("drive", one_of("virtual", "sockets"), "virtual", doc="virtual time, or real processes"),
     ),
     title=matching(r"[a-z][a-z0-9-]{0,39}", "a name of small letters, digits and '-'"),
@@ -40,7 +42,7 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One day to play. Cells that differ in nothing but `policy` see the same world."""
+    """One day to run. Cells that differ only in `policy` see the same world."""
 
     day: str
     text: str  # the script of its faults
@@ -56,31 +58,31 @@
     warm: float = 6.0
 
     def world_settings(self) -> WorldSettings:
-        """The settings of the cell's world."""
+        """Returns the settings of the cell's world."""
         zones = max(1, round(self.size / self.location))
         dispatchers, rate = zones * self.dispatchers, self.rate * self.size
         settings = scaled_settings(self.size, dispatchers, zones, rate, self.load, seconds=self.seconds)
         return msgspec.structs.replace(settings, warm_up_s=self.warm)
 
     def key(self) -> str:
-        """The same for the same day, whatever experiment it stands in."""
+        """Returns a digest of the cell, which is the same in every experiment."""
         data = json.dumps([LAYOUT, msgspec.to_builtins(self)], sort_keys=True).encode()
         return hashlib.blake2b(data, digest_size=10).hexdigest()
 
 
 class Experiment(msgspec.Struct, frozen=True):
-    """An experiment file, as its cells."""
+    """The name and the cells of an experiment file."""
 
     name: str
     cells: tuple[Cell, ...]
 
     def revisions(self) -> list[str]:
-        """Older texts that it plays."""
+        """Returns the older revisions of the Router that it runs."""
         return sorted({cell.policy[5:] for cell in self.cells if cell.policy.startswith("text-")})
 
 
 def read_experiment(data: bytes, file: str) -> Experiment:
-    """The experiment of a file. Raises `ConfigurationError` with all that is wrong, each with its place."""
+    """Returns the experiment of a file. Raises `ConfigurationError` with all diagnostics."""
     form = _experiment_form(data, file)
     diagnostics: list[Diagnostic] = []
     script_forms = [item for item in form.items if isinstance(item, Form) and item.name == "script"]
@@ -100,7 +102,7 @@
         )
     if not days and not scripts:
         diagnostics.append(
-            Diagnostic(form.location, "neither 'days' nor a 'script'", "at least one day to play")
+            Diagnostic(form.location, "neither 'days' nor a 'script'", "at least one day to run")
         )
     if diagnostics:
         raise ConfigurationError(diagnostics)
@@ -110,9 +112,9 @@
 def _experiment_form(data: bytes, file: str) -> Form:
     forms = parse(data, file).forms
     if len(forms) != 1 or forms[0].name != "experiment":
-        place = forms[0].location if forms else SourceLocation(file, 1, 1)
+        location = forms[0].location if forms else SourceLocation(file, 1, 1)
         found = str(forms[0]) if len(forms) == 1 else f"{len(forms)} forms"
-        raise ConfigurationError([Diagnostic(place, found, "one '(experiment NAME …)'")])
+        raise ConfigurationError([Diagnostic(location, found, "one '(experiment NAME …)'")])
     return forms[0]
 
 
@@ -141,18 +143,22 @@
     ]
 
 
-def _scripts(forms: list[Form], faults: list[Diagnostic]) -> dict[str, str]:
+def _scripts(forms: list[Form], diagnostics: list[Diagnostic]) -> dict[str, str]:
     texts = {}
     for form in forms:
         title = form.items[1] if len(form.items) > 1 else None
         if title is None or isinstance(title, Form):
-            faults.append(Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'"))
+            diagnostics.append(
+                Diagnostic(form.location, "a script without a name", "'(script NAME (at …) …)'")
+            )
             continue
-        texts[title.text] = "\n".join(row.written() for row in read_faults(form.items[2:], faults))
+        texts[title.text] = "\n".join(row.written() for row in read_faults(form.items[2:], diagnostics))
     return texts
 
 
-def _cells(section: Section, days: list[str], scripts: dict[str, str], place: SourceLocation) -> list[Cell]:
+def _cells(
+    section: Section, days: list[str], scripts: dict[str, str], location: SourceLocation
+) -> list[Cell]:
     cells: list[Cell] = []
     diagnostics: list[Diagnostic] = []
     for size in section["sizes"]:
@@ -177,7 +183,7 @@
                     for policy in section["policies"]
                 ]
                 diagnostics += [
-                    Diagnostic(place, problem, f"what a world of {size} cache hosts has")
+                    Diagnostic(location, problem, f"what a world of {size} cache hosts has")
                     for problem in unsupported(script(text), cells[-1].world_settings())
                 ]
     if diagnostics:
