--- a/hoistplank/lab/model/cache_storage.py
+++ b/hoistplank/lab/model/cache_storage.py
@@ -1,4 +1,4 @@
-"""The storage of a cache: copies by rank; the lowest rank is evicted first, in it the least recently used."""
+"""Storage of a simulated cache; evicts the lowest rank first, and within a rank the least recently used."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CachedCopy:
-    """`born` is when the origin gave it out; `kb` its size."""
+    """A stored copy: when the origin sent it (us), its size in kB and its eviction rank (from 1)."""
 
     __slots__ = ("created", "kb", "rank")
 
@@ -18,8 +18,9 @@
 
 
 class CacheStorage:
-    """At most `most_kb` in all. A copy pushes out only its own rank or lower; where that is not enough it
-    isn't kept.
+    """Stores copies of at most `capacity_kb` in all.
+
+    A new copy evicts only copies of its own rank or lower; it is not stored if that frees too little.
     """
 
     __slots__ = ("_copies", "_ranks", "_used_by_rank", "capacity_kb", "used_kb")
@@ -34,15 +35,15 @@
         return len(self._copies)
 
     def set_capacity(self, capacity_kb: float) -> None:
-        """Change the capacity; what is stored above it is evicted by the next copies that are put in."""
+        """Change the capacity; copies beyond a smaller one are evicted as new copies are stored."""
         self.capacity_kb = capacity_kb
 
     def peek(self, cache_key: CacheKey) -> CachedCopy | None:
-        """The copy, untouched."""
+        """Return the copy without marking it as used; None if it is not stored."""
         return self._copies.get(cache_key)
 
     def touch(self, cache_key: CacheKey, rank: int) -> None:
-        """A hit: it is the latest of its rank, or of a new one."""
+        """Mark a copy as the most recently used, in its own rank or in `rank` where that is not 0."""
         copy = self._copies[cache_key]
         if rank and rank != copy.rank:
             del self._ranks[copy.rank - 1][cache_key]
@@ -54,19 +55,19 @@
             self._ranks[copy.rank - 1].move_to_end(cache_key)
 
     def put(self, cache_key: CacheKey, created: int, kb: float, rank: int) -> bool:
-        """Whether it is kept now. A copy older than the one that is held changes nothing."""
-        held = self._copies.get(cache_key)
-        if held is not None:
-            if held.created >= created:
+        """Store a copy, unless a newer one is stored; return True if the object part is stored afterwards."""
+        stored = self._copies.get(cache_key)
+        if stored is not None:
+            if stored.created >= created:
                 return True
             self.remove(cache_key)
         if not rank or kb > self.capacity_kb:
             return False
         if kb > self.capacity_kb - self.used_kb + sum(self._used_by_rank[:rank]):
             return False
-        for row in self._ranks[:rank]:
-            while row and self.used_kb + kb > self.capacity_kb:
-                self.remove(next(iter(row)))
+        for copies in self._ranks[:rank]:
+            while copies and self.used_kb + kb > self.capacity_kb:
+                self.remove(next(iter(copies)))
         self._copies[cache_key] = self._ranks[rank - 1][cache_key] = CachedCopy(created, kb, rank)
         self.used_kb += kb
         self._used_by_rank[rank - 1] += kb
@@ -82,7 +83,7 @@
 
     def clear(self) -> None:
         """Remove all copies."""
-        for row in self._ranks:
-            row.clear()
+        for copies in self._ranks:
+            copies.clear()
         self._copies.clear()
         self.used_kb, self._used_by_rank = 0.0, [0.0] * RANK_COUNT
--- a/hoistplank/lab/model/caching_server.py
+++ b/hoistplank/lab/model/caching_server.py
@@ -1,4 +1,4 @@
-"""Simulated cache hosts and parents: they answer from storage, join fills and renew in the background."""
+"""Simulated cache hosts and parents: answer from storage, join fills and renew copies in the background."""
 
 from __future__ import annotations
 
@@ -10,12 +10,10 @@
 from hoistplank.lab.model.servers import DOWN, NEVER, Server, ServerEnvironment
 from hoistplank.lab.model.world_settings import CACHE_HOST, PARENT
 
-RENEW_AFTER_SHARE = 0.8  # of its fresh time: from here on a copy may be renewed behind its answer
-
-
+RENEW_AFTER_SHARE = 0.8  # of its fresh time, after which a hit may renew a copy in the background
 CONNECT_TIMEOUT_US = 400_000
-FILL_CACHE_RANK = 2  # of the copies that fills leave at their source
-# What the requests that waited are answered with; SOURCE_UNREACHABLE for all other results of a fill.
+FILL_CACHE_RANK = 2  # of the copies that a fill stores at its source
+# The status of requests that waited for a failed fill; SOURCE_UNREACHABLE for all other results.
 FAILED_FILL_STATUS = {
     Outcome.OVERLOADED: CacheStatus.SOURCE_REFUSED,
     Outcome.MISS: CacheStatus.SOURCE_MISS,
@@ -23,7 +21,7 @@
 
 
 class FillOutcome(NamedTuple):
-    """How a source answered: an `Outcome`, a `CacheStatus`, and when the copy was created (us; -1: none)."""
+    """A source's response: an `Outcome`, a `CacheStatus`, and when the copy was created (us; -1: no copy)."""
 
     result: int
     note: int
@@ -31,7 +29,7 @@
 
 
 class Fill:
-    """One transfer from a source, and all that wait for it."""
+    """A transfer of one object part from a source, and the requests that wait for it."""
 
     __slots__ = (
         "attempts",
@@ -46,7 +44,7 @@
 
     def __init__(self, first: ServerRequest, source: str, oldest_created: int, max_age_us: int) -> None:
         self.first, self.source, self.max_age_us = first, source, max_age_us
-        self.oldest_created = oldest_created  # nothing that it brings is older
+        self.oldest_created = oldest_created  # earliest creation time of the copy that it brings (us)
         self.waiting: list[tuple[ServerRequest, int]] = []
         self.request: ServerRequest | None = None
         self.attempts, self.streaming = 0, False
@@ -69,11 +67,11 @@
         self.kind, self.storage = kind, CacheStorage(storage_kb)
         self.fills: dict[CacheKey, Fill] = {}
         self.active_fills = self.hits = self.completed_fills = self.joined_requests = 0
-        # How long after a purge it drops its older copies: each in its own time.
+        # The time after a purge until this server drops older copies; each server has its own.
         self.purge_delay_us = int(world.settings.purge_delay_us * self.random.uniform())
 
     def stop(self, phase: str = DOWN) -> None:
-        """End the process; copies and fills are gone with it."""
+        """End the process; its copies and fills are lost."""
         super().stop(phase)
         self.storage.clear()
         for fill in self.fills.values():
@@ -82,9 +80,9 @@
         self.fills, self.active_fills = {}, 0
 
     def process(self, request: ServerRequest) -> None:
-        """Answer from storage, or by a fill."""
-        row = self.settings.classes[request.class_index]
-        if row.uncached:
+        """Answer from storage or by a fill; forward a request of an uncached class to the origin."""
+        traffic_class = self.settings.classes[request.class_index]
+        if traffic_class.uncached:
             self._forward_uncached(request)
             return
         copy = self.storage.peek(request.cache_key)
@@ -93,26 +91,26 @@
             copy = None
         if copy is not None:
             age = self.events.now - copy.created
-            most = request.max_age_us or row.fresh_us
-            if not most or age <= most:
+            max_age_us = request.max_age_us or traffic_class.fresh_us
+            if not max_age_us or age <= max_age_us:
                 self.hits += 1
                 self.storage.touch(request.cache_key, request.cache_rank)
                 if (
                     request.may_renew
-                    and row.fresh_us
-                    and age > RENEW_AFTER_SHARE * row.fresh_us
+                    and traffic_class.fresh_us
+                    and age > RENEW_AFTER_SHARE * traffic_class.fresh_us
                     and request.cache_key not in self.fills
                 ):
                     self._fill(request, request.source, newer_than=age)
-                old = row.fresh_us and age > row.fresh_us
+                is_stale = traffic_class.fresh_us and age > traffic_class.fresh_us
                 self.respond(
-                    request, request.size_us, CacheStatus.STALE if old else CacheStatus.HIT, copy.created
+                    request, request.size_us, CacheStatus.STALE if is_stale else CacheStatus.HIT, copy.created
                 )
                 return
         source = self._source_of(request)
         if not source:
-            under = request.cache_key in self.fills
-            self._finish(request, Outcome.MISS, CacheStatus.JOINED if under else 0, -1)
+            is_filling = request.cache_key in self.fills
+            self._finish(request, Outcome.MISS, CacheStatus.JOINED if is_filling else 0, -1)
             return
         self._fill(request, source)
 
@@ -122,32 +120,32 @@
         return self.world.origin.uid if self.kind == PARENT else request.source
 
     def _is_purged(self, request: ServerRequest, copy: CachedCopy) -> bool:
-        """Whether a purge has reached this copy here."""
-        for what in (request.cache_key[0], request.group):
-            made = self.world.purge_times.get(what, -1)
-            if copy.created < made and self.events.now >= made + self.purge_delay_us:
+        """True if a purge of the object or its group has taken effect here and the copy is older than it."""
+        for purge_key in (request.cache_key[0], request.group):
+            purged_at = self.world.purge_times.get(purge_key, -1)
+            if copy.created < purged_at and self.events.now >= purged_at + self.purge_delay_us:
                 return True
         return False
 
     def _fill(self, request: ServerRequest, source: str, newer_than: int = 0) -> None:
-        """Start or join a fill; `newer_than`: it renews a copy of this age (us), and nothing waits for it."""
-        under = self.fills.get(request.cache_key)
+        """Start or join a fill; with `newer_than`, renew a copy of this age (us) while no request waits."""
+        running_fill = self.fills.get(request.cache_key)
         joins = request.may_join or self.kind == PARENT
-        # Danger: a fill that began before a purge brings a copy older than the request may get.
+        # A fill that began before a purge may bring a copy older than the request accepts: it is not joined.
         oldest_created = self.events.now - request.max_age_us if request.max_age_us else NEVER
-        if under is not None and joins and under.oldest_created >= oldest_created:
+        if running_fill is not None and joins and running_fill.oldest_created >= oldest_created:
             self.joined_requests += 1
-            self._add_waiter(under, request, CacheStatus.JOINED)
+            self._add_waiter(running_fill, request, CacheStatus.JOINED)
             return
         if self.active_fills >= self.settings.max_fills:
             self._finish(request, Outcome.OVERLOADED, CacheStatus.NOT_STORED, -1)
             return
-        # Danger: a source whose copy is as old would renew nothing.
+        # A source whose copy is as old as the stored one would renew nothing, so a younger copy is required.
         fill = Fill(
             request, source, oldest_created, max(1, newer_than - 1) if newer_than else request.max_age_us
         )
         self.active_fills += 1
-        if under is None:
+        if running_fill is None:
             self.fills[request.cache_key] = fill
         if not newer_than:
             self._add_waiter(fill, request, CacheStatus.FILLED)
@@ -160,7 +158,7 @@
             self._start_streaming(request)
 
     def _start_streaming(self, request: ServerRequest) -> None:
-        """What comes in goes out at once: the answer's own way begins when the fill's bytes do."""
+        """Start sending the response as soon as the first bytes of the fill have arrived."""
         if request.active and request in self.open_requests:
             if request.on_first_byte is not None:
                 request.on_first_byte()
@@ -201,10 +199,10 @@
         first, settings = fill.first, self.settings
         source_request: ServerRequest
 
-        def ended(result: int, note: int, created: int) -> None:
+        def on_complete(result: int, note: int, created: int) -> None:
             self._fill_ended(fill, source_request, incarnation, FillOutcome(result, note, created))
 
-        def began() -> None:
+        def on_first_byte() -> None:
             self.events.schedule(
                 self.events.now + settings.hub_delay_us, self._source_began, fill, source_request, incarnation
             )
@@ -216,13 +214,13 @@
             first.cache_key,
             first.group,
             first.size_us,
-            ended,
+            on_complete,
         )
         source_request.source = self.world.origin.uid
         source_request.max_age_us = fill.max_age_us
         source_request.may_join = True
         source_request.return_delay_us = settings.hub_delay_us
-        source_request.on_first_byte = began
+        source_request.on_first_byte = on_first_byte
         source_request.cache_rank = FILL_CACHE_RANK
         if self.kind == CACHE_HOST:
             source_request.extra_links = [self.world.zone_links[first.zone]]
@@ -281,34 +279,35 @@
             status = CacheStatus.ORIGIN_UNREACHABLE
         outcome = Outcome.OVERLOADED if status == CacheStatus.SOURCE_REFUSED else Outcome.ERROR
         for request, _ in fill.waiting:
-            for link, flow in request.transfers:
-                link.cancel(flow)
+            for link, transfer in request.transfers:
+                link.cancel(transfer)
             self._finish(request, outcome, status, -1)
 
     def _forward_uncached(self, request: ServerRequest) -> None:
-        """A request that is never kept goes on to the origin; an answer that does not come is not asked for
-        again.
-        """
+        """Forward a request of an uncached class to the origin, without a retry if its response is lost."""
         origin, incarnation = self.world.origin, self.incarnation
 
-        def ended(result: int, _note: int, created: int) -> None:
+        def on_complete(result: int, _note: int, created: int) -> None:
             if incarnation == self.incarnation:
-                lost = result not in (Outcome.SUCCEEDED, Outcome.OVERLOADED)
+                is_lost = result not in (Outcome.SUCCEEDED, Outcome.OVERLOADED)
                 self._finish(
                     request,
-                    Outcome.ERROR if lost else result,
-                    CacheStatus.ORIGIN_UNREACHABLE if lost else 0,
+                    Outcome.ERROR if is_lost else result,
+                    CacheStatus.ORIGIN_UNREACHABLE if is_lost else 0,
                     created,
                 )
 
-        further = ServerRequest(
+        origin_request = ServerRequest(
             request.dispatcher,
             request.zone,
             request.class_index,
             request.cache_key,
             request.group,
             request.size_us,
-            ended,
+            on_complete,
+        )
+        origin_request.idempotency_key, origin_request.return_delay_us = (
+            request.idempotency_key,
+            self.settings.hub_delay_us,
         )
-        further.idempotency_key, further.return_delay_us = request.idempotency_key, self.settings.hub_delay_us
-        self.events.schedule(self.events.now + self.settings.hub_delay_us, origin.arrive, further)
+        self.events.schedule(self.events.now + self.settings.hub_delay_us, origin.arrive, origin_request)
--- a/hoistplank/lab/model/change_log.py
+++ b/hoistplank/lab/model/change_log.py
@@ -1,4 +1,4 @@
-"""The simulated change log, which delivers host lists and purges to each dispatcher late, but in order."""
+"""The simulated change log: delivers host lists and purges to each dispatcher with a delay, in order."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
     from hoistplank.lab.model.world import World
 
 
-LOG_TIMEOUT_US = 2_200_000  # a change log that says nothing for so long counts as lost
+LOG_TIMEOUT_US = 2_200_000  # of silence, after which dispatchers count the change log as lost
 
 
 class SimulatedChangeLog:
-    """Tells each dispatcher of hosts and purges, late by chance but in order; may stop, skip and come
-    back.
+    """Delivers hosts and purges to each dispatcher, in order and with random delays.
+
+    It may stop, and start again with the messages that it held or with a gap.
     """
 
     def __init__(self, world: World) -> None:
@@ -28,18 +29,18 @@
         self.delay_factor = 1.0
 
     def set_delay_factor(self, factor: float) -> None:
-        """Make deliveries take this many times as long."""
+        """Multiply the delay of deliveries by `factor`."""
         self.delay_factor = factor
 
-    def publish(self, what: Callable[[Dispatcher], None]) -> None:
-        """Something that all are to hear; kept while the log is stopped."""
+    def publish(self, message: Callable[[Dispatcher], None]) -> None:
+        """Deliver a message to all dispatchers, or hold it while the log is stopped."""
         if not self.is_up:
-            self.held.append(what)
+            self.held.append(message)
             return
         for dispatcher in self.world.dispatchers:
-            self._send(dispatcher, what)
+            self._send(dispatcher, message)
 
-    def _send(self, dispatcher: Dispatcher, what: Callable[[Dispatcher], None]) -> None:
+    def _send(self, dispatcher: Dispatcher, message: Callable[[Dispatcher], None]) -> None:
         low, high = self.world.settings.log_delay_us
         now = self.world.events.now
         at = max(
@@ -48,30 +49,30 @@
         )
         self.last_delivery_at[dispatcher.number] = at
         if self.world.paths is None:
-            self.world.events.schedule(at, self._deliver, dispatcher, what)
+            self.world.events.schedule(at, self._deliver, dispatcher, message)
         else:
-            self.world.events.schedule(at, self._send_over_path, dispatcher, what)
+            self.world.events.schedule(at, self._send_over_path, dispatcher, message)
 
-    def _send_over_path(self, dispatcher: Dispatcher, what: Callable[[Dispatcher], None]) -> None:
+    def _send_over_path(self, dispatcher: Dispatcher, message: Callable[[Dispatcher], None]) -> None:
         assert self.world.paths is not None
         self.world.paths.send(
-            f"d{dispatcher.number}>log", True, self.world.events.now, self._deliver, dispatcher, what
+            f"d{dispatcher.number}>log", True, self.world.events.now, self._deliver, dispatcher, message
         )
 
-    def _deliver(self, dispatcher: Dispatcher, what: Callable[[Dispatcher], None]) -> None:
+    def _deliver(self, dispatcher: Dispatcher, message: Callable[[Dispatcher], None]) -> None:
         if dispatcher.alive:
-            what(dispatcher)
+            message(dispatcher)
 
-    def publish_hosts(self, rows: list[Endpoint], form: str = "changes") -> None:
+    def publish_hosts(self, hosts: list[Endpoint], form: str = "changes") -> None:
         """Publish hosts, as `changes` or as the `whole` list."""
 
-        def told(dispatcher: Dispatcher) -> None:
-            self.world.notify_hosts(dispatcher, form, rows)
+        def notify(dispatcher: Dispatcher) -> None:
+            self.world.notify_hosts(dispatcher, form, hosts)
 
-        self.publish(told)
+        self.publish(notify)
 
     def stop(self) -> None:
-        """Hold everything back; dispatchers count the log as lost after `LOG_TIMEOUT_US`."""
+        """Stop delivering; dispatchers count the log as lost after `LOG_TIMEOUT_US`."""
         if self.is_up:
             self.is_up, self.stopped_at = False, self.world.events.now
             self.world.events.schedule(self.stopped_at + LOG_TIMEOUT_US, self._lost, self.stopped_at)
@@ -83,11 +84,11 @@
                     dispatcher.update_hosts("failed", [])
 
     def start(self, whole: bool = False) -> None:
-        """It is back, with what it held, or with nothing but a whole list (a gap)."""
+        """Start again and deliver what was held; with `whole`, drop it and deliver a whole list (a gap)."""
         self.is_up = True
         held, self.held = self.held, []
         if whole:
             self.publish_hosts(self.world.host_entries(), "whole")
             return
-        for what in held:
-            self.publish(what)
+        for message in held:
+            self.publish(message)
