--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -173,8 +173,8 @@
         else None
     )
     seconds = 5 if QUICK else 20
-    core = Core(COSTS, admission, Random(5), [(0, load_times * COSTS.carried())])
-    return core.run(seconds * S).goodput(seconds) / COSTS.carried()
+    core = Core(COSTS, admission, Random(5), [(0, load_times * COSTS.max_rate())])
+    return core.run(seconds * S).goodput(seconds) / COSTS.max_rate()
 
 
 def emulated(pool: ProcessPoolExecutor) -> dict[str, Any]:
--- a/tests/test_degradation.py
+++ b/tests/test_degradation.py
@@ -283,9 +283,9 @@
         if controlled
         else None
     )
-    core = Core(costs, admission, Random(seed), rates or [(0, load * costs.carried())])
+    core = Core(costs, admission, Random(seed), rates or [(0, load * costs.max_rate())])
     metrics = core.run(seconds * S)
-    return metrics.goodput(seconds) / costs.carried(), core
+    return metrics.goodput(seconds) / costs.max_rate(), core
 
 
 COSTS = Costs(read_us=15.0, refuse_us=10.0, serve_us=285.0)  # a refusal costs what load shedding costs
@@ -320,7 +320,7 @@
 @settings(max_examples=8, deadline=None)
 @given(st.floats(1.5, 3.0), st.integers(0, 10_000))
 def test_no_request_is_refused_from_3_s_after_overload_on(load: float, seed: int) -> None:
-    rates = [(0, load * COSTS.carried()), (10 * S, 0.5 * COSTS.carried())]
+    rates = [(0, load * COSTS.max_rate()), (10 * S, 0.5 * COSTS.max_rate())]
     _, core = run_core(load, 20, seed, COSTS, rates=rates)
     metrics = core.metrics
     assert min(metrics.limits) < 4_000 and metrics.refused > 0  # the limit was binding during the overload
