--- a/hoistplank/lab/model/clients.py
+++ b/hoistplank/lab/model/clients.py
@@ -1,6 +1,4 @@
-"""Clients: arrivals drawn ahead of all answers, parts asked for in sequence, repeats, give-up times, and what
-was earned.
-"""
+"""Simulated clients: arrivals independent of responses, sessions of parts, retries, deadlines, utility."""
 
 from __future__ import annotations
 
@@ -19,12 +17,12 @@
 SERVED, REJECTED, FAILED, UNREACHABLE = "served", "rejected", "failed", "nobody there"
 ABANDONED = "left after a lost part"
 RECONNECT_DELAY_US = 50_000  # after a refused connection, to another dispatcher
-ANSWER_GRACE_US = 60_000  # beyond the deadline: what a dispatcher answers at its very end still arrives
-MIN_RETRY_TIME_US = 150_000  # least time that a repeat is worth
+ANSWER_GRACE_US = 60_000  # after the deadline: a response sent just before it may still arrive
+MIN_RETRY_TIME_US = 150_000  # a retry with less time left than this is not sent
 
 
 class Request:
-    """What a client wants, over all its tries. `id` names the try that is out."""
+    """A request of a client with all its tries; `id` is that of the latest try."""
 
     __slots__ = (
         "asked_at",
@@ -59,7 +57,7 @@
 
 
 class Session:
-    """One client: an object and its parts, one after another; `due` are the times of parts that have come."""
+    """A client's session: the parts of one object in sequence; `due_times`: of the parts due so far."""
 
     __slots__ = (
         "abandoned",
@@ -82,48 +80,46 @@
             group,
             parts,
         )
-        self.next_part, self.due_times, self.abandoned = 0, list[int](), False  # at: the next part to ask for
+        self.next_part, self.due_times, self.abandoned = 0, list[int](), False
         self.open_request: Request | None = None
         self.migration_draw = (
             -1.0
-        )  # which clients go elsewhere when their location is lost; drawn once it matters
+        )  # decides if this client migrates when its location is lost; drawn when first needed, -1 before
 
 
 class ClientObserver(Protocol):
-    """Hears of every first part's time, every try and every end, beside what the utility counts."""
+    """Observes each part that becomes due, each try and each end, besides what `Utility` counts."""
 
     def asked(self, now: int, zone: int, class_index: int) -> None:
-        """A part is wanted by a client of a location."""
+        """A part is due for a client of a zone."""
 
     def tried(self, now: int, request: Request) -> None:
-        """A dispatcher's connection took it; `request.seat` names the dispatcher."""
+        """A try was sent to the dispatcher `request.dispatcher`."""
 
     def answered(self, now: int, request: Request, how: str) -> None:
-        """How that try ended; `LEFT` if its client went."""
+        """A try ended with the result `how`; `ABANDONED` if its client left."""
 
     def ended(self, due_at: int, zone: int, class_index: int, share: float, cause: str) -> None:
-        """A part has ended, with the share of its utility that was earned."""
+        """A part has ended and earned this share of its utility."""
 
 
 class RequestSink(Protocol):
-    """Takes requests to dispatchers."""
+    """Delivers requests to dispatchers."""
 
     def deliver(self, request: Request) -> bool:
-        """To a dispatcher of the request's location; False if nobody took the connection."""
+        """Deliver to a dispatcher of the request's zone; False if the connection was refused."""
 
     def abandon(self, request: Request) -> None:
         """The client has left."""
 
 
 class Utility:
-    """By second of the day in which a request was first asked for; what comes before the first is not
-    counted.
-    """
+    """Utility by the second in which a part was due; parts of the warm-up before the day are not counted."""
 
     def __init__(self, settings: WorldSettings) -> None:
-        many = int(settings.seconds) + 2
+        seconds = int(settings.seconds) + 2
         self.settings, self.start_us = settings, settings.start_us()
-        self.asked, self.earned = [0.0] * many, [0.0] * many
+        self.asked, self.earned = [0.0] * seconds, [0.0] * seconds
         self.by_class: list[list[float]] = [[0.0, 0.0] for _ in settings.classes]  # asked, earned
         self.counts: list[list[int]] = [[0, 0] for _ in settings.classes]  # asked, served in time
         self.lost_by_cause: defaultdict[str, float] = defaultdict(float)  # utility by cause
@@ -131,46 +127,46 @@
         self.outcomes: Counter[str] = Counter()
 
     def part_requested(self, now: int, class_index: int) -> None:
-        """Count the utility of a part that is asked for."""
+        """Count the utility of a requested part."""
         if now < self.start_us:
             return
-        worth = self.settings.classes[class_index].utility
-        self.asked[min((now - self.start_us) // SECOND_US, len(self.asked) - 1)] += worth
-        self.by_class[class_index][0] += worth
+        utility = self.settings.classes[class_index].utility
+        self.asked[min((now - self.start_us) // SECOND_US, len(self.asked) - 1)] += utility
+        self.by_class[class_index][0] += utility
         self.counts[class_index][0] += 1
 
     def part_ended(self, due_at: int, class_index: int, share: float, cause: str, took: int = 0) -> None:
-        """Count what was earned of a part that was due at `due_at`; `took` in microseconds."""
+        """Count the utility earned by a part due at `due_at`; `took` is its latency in microseconds."""
         if due_at < self.start_us:
             return
-        worth = self.settings.classes[class_index].utility
+        utility = self.settings.classes[class_index].utility
         if share:
-            self.earned[min((due_at - self.start_us) // SECOND_US, len(self.earned) - 1)] += worth * share
-            self.by_class[class_index][1] += worth * share
+            self.earned[min((due_at - self.start_us) // SECOND_US, len(self.earned) - 1)] += utility * share
+            self.by_class[class_index][1] += utility * share
         self.counts[class_index][1] += cause == "served"
         if share < 1:
-            self.lost_by_cause[cause] += worth * (1 - share)
+            self.lost_by_cause[cause] += utility * (1 - share)
         self.outcomes[cause] += 1
         if took:
             self.latencies_us[class_index].append(took)
 
     def score(self) -> float:
-        """The utility earned as a share of all asked for."""
+        """Return the utility earned as a share of the utility requested."""
         return sum(self.earned) / max(1e-9, sum(self.asked))
 
 
 class Clients:
-    """All clients of a day. Arrivals end with the day's seconds; what is asked for then runs on."""
+    """All clients of a day. Arrivals stop at the end of the day; open sessions continue."""
 
     def __init__(
         self,
-        agenda: EventQueue,
+        events: EventQueue,
         settings: WorldSettings,
         streams: RandomStreams,
-        library: ObjectCatalog,
-        front: RequestSink,
+        catalog: ObjectCatalog,
+        sink: RequestSink,
     ) -> None:
-        self.events, self.settings, self.catalog, self.sink = agenda, settings, library, front
+        self.events, self.settings, self.catalog, self.sink = events, settings, catalog, sink
         self.utility, self.open = Utility(settings), dict[str, Request]()
         self.number, self.arrival_factor = 0, [1.0] * settings.zones
         self.observer: ClientObserver | None = None
@@ -181,7 +177,7 @@
         self._shares = [value / shares[-1] for value in shares]
 
     def begin(self) -> None:
-        """Schedule the first client of each location."""
+        """Schedule the first client of each zone."""
         for zone in range(self.settings.zones):
             self._next(zone)
 
@@ -193,24 +189,24 @@
 
     def _arrive(self, zone: int) -> None:
         self._next(zone)
-        what, now, settings = self._choices[zone], self.events.now, self.settings
-        class_index = min(bisect_right(self._shares, what.uniform()), len(settings.classes) - 1)
-        row = settings.classes[class_index]
+        choices, now, settings = self._choices[zone], self.events.now, self.settings
+        class_index = min(bisect_right(self._shares, choices.uniform()), len(settings.classes) - 1)
+        traffic_class = settings.classes[class_index]
         parts = 1
-        while parts < row.parts and what.uniform() < row.next_part_chance:
+        while parts < traffic_class.parts and choices.uniform() < traffic_class.next_part_chance:
             parts += 1
         number = self.catalog.draw_object(now, class_index, zone)
         session = Session(class_index, object_key_of(number), zone, purge_group_of(number, settings), parts)
-        size = self.catalog.size_kb(class_index, number) / settings.transfer_kb_s * 1e6
+        size_us = self.catalog.size_kb(class_index, number) / settings.transfer_kb_s * 1e6
         for part in range(parts):
-            at = now + part * row.part_interval_us
+            at = now + part * traffic_class.part_interval_us
             if part == 0:
-                self._part_due(session, size)
+                self._part_due(session, size_us)
             else:
-                self.events.schedule(at, self._part_due, session, size)
+                self.events.schedule(at, self._part_due, session, size_us)
 
-    def _part_due(self, session: Session, size: float) -> None:
-        """The time of a part has come: it is asked for once the one before has ended well."""
+    def _part_due(self, session: Session, size_us: float) -> None:
+        """A part is due; it is requested once the part before it has ended successfully."""
         self.utility.part_requested(self.events.now, session.class_index)
         if self.observer is not None:
             self.observer.asked(self.events.now, session.zone, session.class_index)
@@ -219,21 +215,21 @@
             return
         session.due_times.append(self.events.now)
         if session.open_request is None:
-            self._request_part(session, size)
+            self._request_part(session, size_us)
 
-    def _request_part(self, session: Session, size: float) -> None:
+    def _request_part(self, session: Session, size_us: float) -> None:
         self.number += 1
         request = session.open_request = Request(
-            self.number, session, session.next_part, self.events.now, size
+            self.number, session, session.next_part, self.events.now, size_us
         )
         request.due_at = session.due_times[session.next_part]
         session.next_part += 1
-        row, mood = self.settings.classes[request.class_index], self._behaviour.uniform()
-        # Some leave long before their time is up.
+        traffic_class, draw = self.settings.classes[request.class_index], self._behaviour.uniform()
+        # Clients give up 2 % of the requests early, after 20 % to 60 % of the deadline.
         request.give_up_at = self.events.now + int(
-            row.deadline_us * (1.0 if mood > 0.02 else 0.2 + 20 * mood)
+            traffic_class.deadline_us * (1.0 if draw > 0.02 else 0.2 + 20 * draw)
         )
-        # An answer that is written as the time ends is on its way for a moment more.
+        # A response sent just before the deadline still needs time to arrive.
         self.events.schedule(request.give_up_at + ANSWER_GRACE_US, self._give_up, request)
         self._send(request)
 
@@ -248,14 +244,14 @@
             self._retry_elsewhere(request)
 
     def _retry_elsewhere(self, request: Request) -> None:
-        """Nobody took the connection: another dispatcher, a little later."""
+        """Retry at another dispatcher after a refused connection, up to a number of tries."""
         if request.tries > 8:
             self._end(request, 0.0, UNREACHABLE)
             return
         self.events.schedule(self.events.now + RECONNECT_DELAY_US, self._send, request)
 
     def connection_refused(self, request_id: str) -> None:
-        """A try whose connection was refused after all: no dispatcher has seen it."""
+        """Handle a try whose connection was refused after `deliver`; no dispatcher has received it."""
         request = self.open.pop(request_id, None)
         if request is not None and not request.done:
             if self.observer is not None:
@@ -263,35 +259,38 @@
             self._retry_elsewhere(request)
 
     def answered(self, request_id: str, how: str, wait_us: int = 0, note: int = 0) -> None:
-        """A dispatcher's answer to a try, or its connection's end."""
+        """Handle a dispatcher's response to a try, or the loss of its connection."""
         request = self.open.pop(request_id, None)
         if request is None or request.done:
             return
         now, settings = self.events.now, self.settings
-        row, took = settings.classes[request.class_index], now - request.asked_at
+        traffic_class, took = settings.classes[request.class_index], now - request.asked_at
         if self.observer is not None:
             self.observer.answered(now, request, how)
         if how == SERVED:
-            target = min(row.target_us + row.target_stretch * request.size_us, row.deadline_us)
-            share = 1.0 if took <= target else row.late_value
-            share *= row.stale_value if note == CacheStatus.STALE else 1.0
+            target = min(
+                traffic_class.target_us + traffic_class.target_stretch * request.size_us,
+                traffic_class.deadline_us,
+            )
+            share = 1.0 if took <= target else traffic_class.late_value
+            share *= traffic_class.stale_value if note == CacheStatus.STALE else 1.0
             cause = (
                 "served old" if note == CacheStatus.STALE else "served" if took <= target else "served late"
             )
             self._end(request, share, cause, took)
             return
-        may = row.semantics != "at_most_once" or how == REJECTED
-        # Danger: a repeat of what may have run elsewhere is the client's own risk; failed is not
-        # repeated.
-        if how != FAILED and may and request.tries <= settings.retries:
-            mood = self._behaviour.uniform()
-            wait = (
+        may_retry = traffic_class.semantics != "at_most_once" or how == REJECTED
+        # A try of an at-most-once class may have taken effect, so it is only repeated after a rejection.
+        # A failed try is never repeated.
+        if how != FAILED and may_retry and request.tries <= settings.retries:
+            draw = self._behaviour.uniform()
+            retry_delay_us = (
                 wait_us
-                if wait_us and mood < settings.honours_retry_after
-                else int(settings.backoff_us * (0.5 + mood))
+                if wait_us and draw < settings.honours_retry_after
+                else int(settings.backoff_us * (0.5 + draw))
             )
-            if now + wait + MIN_RETRY_TIME_US < request.give_up_at:
-                self.events.schedule(now + wait, self._send, request)
+            if now + retry_delay_us + MIN_RETRY_TIME_US < request.give_up_at:
+                self.events.schedule(now + retry_delay_us, self._send, request)
                 return
         self._end(request, 0.0, how)
 
@@ -319,7 +318,7 @@
             self._request_part(session, request.size_us)
 
     def _abandon_part(self, session: Session, due_at: int) -> None:
-        """A part that is not asked for any more, since one before it was lost."""
+        """Count a part that is not requested because one before it was lost."""
         self.utility.part_ended(due_at, session.class_index, 0.0, ABANDONED)
         if self.observer is not None:
             self.observer.ended(due_at, session.zone, session.class_index, 0.0, ABANDONED)
--- a/hoistplank/lab/model/days.py
+++ b/hoistplank/lab/model/days.py
@@ -1,4 +1,4 @@
-"""Named kinds of day: templates of fault scripts, filled in from a seed."""
+"""Named days: templates of fault scripts whose values are drawn from a seed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from hoistplank.lab.model.streams import RandomStream, RandomStreams
 
-# Days by name: `[low,high]` is drawn anew for each seed; spans are cut to three fifths of the day.
+# Templates by name: `[low,high]` is drawn for each seed; durations are limited to three fifths of the day.
 DAYS = {
     "age": "(age caches:[0.1,0.4] [4,10]x over [8,15]s for [15,20]s)",
     "crash": "(crash caches:[0.1,0.5] for [1,5]s)",
@@ -40,29 +40,30 @@
 RANGE = re.compile(r"\[([0-9.]+),([0-9.]+)\](s?)")
 
 
-def _filled(template: str, random: RandomStream, seconds: float) -> str:
-    def value(found: re.Match[str]) -> str:
-        draw_day = random.between(float(found[1]), float(found[2]))
-        return f"{int(min(draw_day, 0.6 * seconds) * 1000)}ms" if found[3] else f"{draw_day:.2f}"
+def _fill_template(template: str, random: RandomStream, seconds: float) -> str:
+    def value(match: re.Match[str]) -> str:
+        drawn = random.between(float(match[1]), float(match[2]))
+        return f"{int(min(drawn, 0.6 * seconds) * 1000)}ms" if match[3] else f"{drawn:.2f}"
 
     return RANGE.sub(value, template)
 
 
 def draw_day(day: str, seed: int, seconds: float) -> str:
-    """The script of a day by name: `calm`, one of `DAYS`, several joined by '+', or `any` (one to three of
-    them).
+    """Return the script of a day.
+
+    `day` is `calm`, one of `DAYS`, several joined by '+', or `any` (one to three of them).
     """
     random = RandomStreams(seed).stream(f"day {day}")
     if day == "calm":
         return ""
     names = day.split("+")
     if day == "any":
-        order, every = random.shuffled(len(DAYS)), sorted(DAYS)
-        names = [every[n] for n in order[: 1 + random.below(3)]]
-    rows = []
+        order, all_names = random.shuffled(len(DAYS)), sorted(DAYS)
+        names = [all_names[n] for n in order[: 1 + random.below(3)]]
+    forms = []
     for name in names:
         if name not in DAYS:
-            raise ValueError(f"no day '{name}'; there are calm, any, {', '.join(sorted(DAYS))}")
+            raise ValueError(f"unknown day '{name}', expected calm, any, {', '.join(sorted(DAYS))}")
         at = int(random.between(0.1, 0.3) * seconds * 1000)
-        rows.append(f"(at {at}ms {_filled(DAYS[name], random, seconds)})")
-    return "\n".join(rows)
+        forms.append(f"(at {at}ms {_fill_template(DAYS[name], random, seconds)})")
+    return "\n".join(forms)
--- a/hoistplank/lab/model/dispatcher.py
+++ b/hoistplank/lab/model/dispatcher.py
@@ -1,4 +1,4 @@
-"""What the simulated world asks of a dispatcher and of the paths to it."""
+"""Interfaces through which the simulated world uses a dispatcher and the network paths to it."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 
 class Dispatcher(Protocol):
-    """A dispatcher as the world knows it."""
+    """A dispatcher as the world sees it."""
 
     number: int
     zone: int
     alive: bool
 
     def update_hosts(self, form: str, entries: list[Endpoint]) -> None:
-        """The change log reaches it: kept, whole, changes or failed."""
+        """Receive hosts from the change log; `form` is kept, whole, changes or failed."""
 
     def purge(self, object_key: str, group: int, made: int) -> None:
-        """So does a purge that was made at a time."""
+        """Receive a purge of an object or a group, made at the time `made` (us)."""
 
     def accept(self, request: Request) -> None:
-        """A try of a request, over a connection that it accepts."""
+        """Accept a connection with a try of a request."""
 
     def client_left(self, request: Request) -> None:
-        """Its client has left."""
+        """Handle the departure of a request's client."""
 
     def kill(self) -> None:
-        """Its process ends at once."""
+        """End the process at once."""
 
     def restart(self) -> None:
-        """A new process starts under the same name."""
+        """Start a new process under the same name."""
 
     def step_clock(self, step_us: int) -> None:
-        """Its wall clock jumps; what it measures by its steady one goes on."""
+        """Step the wall clock; the monotonic clock is unaffected."""
 
     def freeze(self, length_us: int) -> None:
-        """Its process stands still for so long, and goes on as if nothing were."""
+        """Suspend the process for `length_us`, then resume it."""
 
 
 class PathModel(Protocol):
-    """The paths between parties, in virtual time; on sockets the relays stand there themselves."""
+    """The network paths between parties in virtual time; on sockets, relays take this role."""
 
     def send(self, name: str, back: bool, at: int, call: Callable[..., None], *args: Any) -> None:
-        """`call(*args)` once something that is sent at a time has come through."""
+        """Run `call(*args)` once a message sent at the time `at` has arrived."""
--- a/hoistplank/lab/model/event_queue.py
+++ b/hoistplank/lab/model/event_queue.py
@@ -1,4 +1,4 @@
-"""The event queue of a simulated world, and its one clock, whichever backend moves it on."""
+"""The event queue of a simulated world and its clock, which a backend advances."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class EventQueue:
-    """`now` is whole microseconds from the day's start; `done` counts what has happened."""
+    """Runs callbacks at scheduled times.
+
+    `now` is in whole microseconds from the start of the day; `executed` counts the callbacks run.
+    """
 
     __slots__ = ("_heap", "_sequence", "executed", "now")
 
@@ -19,23 +22,23 @@
         self._heap: list[tuple[int, int, Callback, tuple[Any, ...]]] = []
         self._sequence = 0
 
-    def schedule(self, when: int, call: Callback, *args: Any) -> None:
-        """`call(*args)` at a time; what lies in the past happens next. Equal times keep their order."""
+    def schedule(self, when: int, callback: Callback, *args: Any) -> None:
+        """Schedule `callback(*args)`; a past time runs next, equal times run in the order of scheduling."""
         self._sequence += 1
-        heappush(self._heap, (when, self._sequence, call, args))
+        heappush(self._heap, (when, self._sequence, callback, args))
 
     def next_time(self) -> int | None:
-        """The time of the next event, or None."""
+        """Return the time of the next event, or None if there is none."""
         return self._heap[0][0] if self._heap else None
 
     def run_until(self, until: int) -> None:
-        """All up to a time, that time included; `now` is that time afterwards."""
-        heap, done = self._heap, 0
+        """Run all events up to and including `until`, and set `now` to it."""
+        heap, executed = self._heap, 0
         while heap and heap[0][0] <= until:
-            when, _, call, args = heappop(heap)
+            when, _, callback, args = heappop(heap)
             if when > self.now:
                 self.now = when
-            call(*args)
-            done += 1
-        self.executed += done
+            callback(*args)
+            executed += 1
+        self.executed += executed
         self.now = max(self.now, until)
