--- a/hoistplank/lab/fleet/fault_injector.py
+++ b/hoistplank/lab/fleet/fault_injector.py
@@ -62,7 +62,7 @@
         if name.startswith("z"):
             return [dispatcher for dispatcher in dispatchers if dispatcher.zone == int(name[1:])]
         if name == "dispatchers":
-            return self._some_dispatchers(float(share)) if share else list(dispatchers)
+            return self._choose_dispatchers(float(share)) if share else list(dispatchers)
         return [dispatchers[int(name[1:])]]
 
     # Paths.
@@ -107,7 +107,7 @@
         def restore() -> None:
             self.backend.set_conditions(directions, **unimpaired)
 
-        self._later(length, restore)
+        self._schedule_after(length, restore)
 
     def _hush(self, one: str, other: str, length: int) -> None:
         self._mark_unreachable(one, other, length, f"hush {one} {other}")
@@ -124,7 +124,7 @@
         names = [direction.path for direction in self.directions(one, other)]
         self._excuse_held_answers(names, length)
         self.backend.apply_to_paths(names, PathAction.SHUT)
-        self._later(length, self.backend.apply_to_paths, names, PathAction.OPEN)
+        self._schedule_after(length, self.backend.apply_to_paths, names, PathAction.OPEN)
 
     def _halfway(self, one: str, other: str) -> None:
         names = [direction.path for direction in self.directions(one, other)]
@@ -140,7 +140,7 @@
     def _excuse(self, dispatcher: int, length: int) -> None:
         answers = self.world.rules.answers
         answers.begin_excuse(dispatcher)
-        self._later(length, answers.end_excuse, dispatcher)
+        self._schedule_after(length, answers.end_excuse, dispatcher)
 
     def _loss(self, one: str, other: str, share: float, length: int) -> None:
         self._set(one, other, length, loss=share)
@@ -190,7 +190,9 @@
 
     def _restart(self, dispatchers: list[Dispatcher], within: int, down: int) -> None:
         for dispatcher in dispatchers:
-            self._later(int(within * self.random.uniform()), self.world.crash_dispatcher, dispatcher, down)
+            self._schedule_after(
+                int(within * self.random.uniform()), self.world.crash_dispatcher, dispatcher, down
+            )
 
     def _older(self, dispatchers: list[Dispatcher], file: str, down: int) -> None:
         for dispatcher in dispatchers:
@@ -203,7 +205,7 @@
     def _skew(self, dispatchers: list[Dispatcher], step: int, length: int) -> None:
         for dispatcher in dispatchers:
             dispatcher.step_clock(step)
-            self._later(length, dispatcher.step_clock, -step)
+            self._schedule_after(length, dispatcher.step_clock, -step)
 
     # Places.
 
@@ -212,7 +214,7 @@
         if what == "view":
             # The log tells that they are gone; they are well.
             world.set_listed_state(hosts, "gone")
-            self._later(length, world.set_listed_state, hosts, "up")
+            self._schedule_after(length, world.set_listed_state, hosts, "up")
         if what == "link":
             self._cut(place, HUB, length)
         if what in ("caches", "all"):
@@ -232,20 +234,20 @@
     def _flap(self, place: str, what: str, on: int, off: int, length: int) -> None:
         for at in range(0, length, on + off):
             # Noticed by the log half way through, if at all: it comes late to what comes and goes.
-            self._later(at, self._gone, place, what, min(on, length - at), on // 2)
+            self._schedule_after(at, self._gone, place, what, min(on, length - at), on // 2)
 
     # Clients.
 
     def _move(self, home: str, to: str, share: float, after: int, spread: int, length: int) -> None:
         front, begin = self.world.load_balancer, self.events.now
         move = ClientMigration(int(home[1:]), int(to[1:]), share, begin + after, spread)
-        self._later(after, front.migrations.append, move)
+        self._schedule_after(after, front.migrations.append, move)
 
         def back() -> None:
             if move in front.migrations:
                 front.migrations.remove(move)
 
-        self._later(max(length, after + 1), back)
+        self._schedule_after(max(length, after + 1), back)
 
     def _uneven(self, place: str, times: float, length: int) -> None:
         front, first = self.world.load_balancer, self._who(place)[0]
@@ -254,7 +256,7 @@
         def even() -> None:
             front.weights.pop(first.number, None)
 
-        self._later(length, even)
+        self._schedule_after(length, even)
 
 
 def client_path(number: int) -> str:
--- a/hoistplank/lab/model/fault_injector.py
+++ b/hoistplank/lab/model/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries a script's faults out on a simulated world."""
+"""Injects the faults of a script into a simulated world."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FaultInjector:
-    """Carries a script out on a world. `chance` chooses who is struck: the same for every policy."""
+    """Injects scheduled faults; draws targets from its own stream, so that every policy gets the same."""
 
     kinds: FaultWords = KINDS
 
@@ -28,41 +28,41 @@
         """Choose the targets of all faults, and schedule them."""
         start = self.world.settings.start_us()
         for row in self.rows:
-            # Chosen now, before anything has happened, so that no policy can change the choice.
+            # Chosen before the day starts, so that no policy can influence the choice.
             kinds = [word for word in self.kinds[row.kind] if not isinstance(word, str)]
             pairs = zip(kinds, row.values, strict=True)
-            struck = tuple(self._resolve(kind, value) for kind, value in pairs)
-            self.events.schedule(start + row.at, self._inject, row, struck)
+            values = tuple(self._resolve(kind, value) for kind, value in pairs)
+            self.events.schedule(start + row.at, self._inject, row, values)
 
     def _resolve(self, kind: ValueType, value: Any) -> Any:
-        """What a word of a fault stands for in this world."""
+        """Return the servers that a target refers to; any other value as it is."""
         return self._targets(value) if kind is TARGET else value
 
     def _inject(self, row: ScheduledFault, values: tuple[Any, ...]) -> None:
         self.world.record_fault(row.text)
         getattr(self, f"_{row.kind}")(*values)
 
-    def _later(self, wait: int, call: Callable[..., None], *args: Any) -> None:
+    def _schedule_after(self, wait: int, call: Callable[..., None], *args: Any) -> None:
         self.events.schedule(self.events.now + wait, call, *args)
 
     def _targets(self, text: str) -> list[Server]:
         name, _, share = text.partition(":")
         world = self.world
-        many: list[Server]
+        servers: list[Server]
         if name in ("caches", "parents"):
-            many = [*(world.caches if name == "caches" else world.parents)]
+            servers = [*(world.caches if name == "caches" else world.parents)]
         elif name.startswith("z"):
-            many = [one for one in world.caches if one.zone == name]
+            servers = [server for server in world.caches if server.zone == name]
         elif name.startswith("cell-"):
-            many = [one for one in world.caches if one.cell == int(name[5:])]
+            servers = [server for server in world.caches if server.cell == int(name[5:])]
         else:
-            many = [world.servers[name]] if name in world.servers else []
+            servers = [world.servers[name]] if name in world.servers else []
         if share:
-            order = self.random.shuffled(len(many))
-            many = [many[n] for n in sorted(order[: max(1, round(float(share) * len(many)))])]
-        return many
+            order = self.random.shuffled(len(servers))
+            servers = [servers[n] for n in sorted(order[: max(1, round(float(share) * len(servers)))])]
+        return servers
 
-    def _some_dispatchers(self, share: float) -> list[Dispatcher]:
+    def _choose_dispatchers(self, share: float) -> list[Dispatcher]:
         dispatchers = self.world.dispatchers
         order = self.random.shuffled(len(dispatchers))
         return [dispatchers[n] for n in sorted(order[: max(1, round(share * len(dispatchers)))])]
@@ -71,18 +71,18 @@
 
     def _drain(self, hosts: list[Server], length: int) -> None:
         self.world.set_listed_state(hosts, "draining")
-        self._later(length, self.world.set_listed_state, hosts, "up")
+        self._schedule_after(length, self.world.set_listed_state, hosts, "up")
 
     def _deploy(self, hosts: list[Server], batch: float, drain: int) -> None:
         size = max(1, round(batch * len(hosts)))
         step = drain + self.world.settings.restart_us
         for n, at in enumerate(range(0, len(hosts), size)):
-            self._later(n * step, self._renew, hosts[at : at + size], drain)
+            self._schedule_after(n * step, self._drain_and_restart, hosts[at : at + size], drain)
 
-    def _renew(self, hosts: list[Server], drain: int) -> None:
+    def _drain_and_restart(self, hosts: list[Server], drain: int) -> None:
         self.world.set_listed_state(hosts, "draining")
         for host in hosts:
-            self._later(drain, self.world.crash_server, host, self.world.settings.restart_us)
+            self._schedule_after(drain, self.world.crash_server, host, self.world.settings.restart_us)
 
     def _vanish(self, hosts: list[Server], length: int, noticed: int) -> None:
         for host in hosts:
@@ -96,12 +96,12 @@
         for host in hosts:
             if host.phase == UP:
                 host.phase = phase
-                self._later(length, self._woken, host, host.incarnation)
+                self._schedule_after(length, self._resume, host, host.incarnation)
 
-    def _woken(self, host: Server, incarnation: int) -> None:
+    def _resume(self, host: Server, incarnation: int) -> None:
         if host.incarnation == incarnation:
             host.phase = UP
-            # What it took meanwhile is worked off now, late.
+            # Requests accepted while it was hung are processed now.
             for request in list(host.open_requests):
                 if not request.transfers and not request.pending_parts:
                     host.process(request)
@@ -112,46 +112,49 @@
     def _pause(self, hosts: list[Server], pause: int, every: int, length: int) -> None:
         until = self.events.now + length
 
-        def once(host: Server) -> None:
+        def pause_once(host: Server) -> None:
             host.paused_until = self.events.now + pause
             if self.events.now + every < until:
-                self._later(every, once, host)
+                self._schedule_after(every, pause_once, host)
 
         for host in hosts:
-            self._later(int(every * self.random.uniform()), once, host)
+            self._schedule_after(int(every * self.random.uniform()), pause_once, host)
 
     def _slow(self, hosts: list[Server], times: float, length: int) -> None:
         for host in hosts:
             host.slow_down(times)
-            self._later(length, host.slow_down, 1.0)
+            self._schedule_after(length, host.slow_down, 1.0)
 
     def _age(self, hosts: list[Server], times: float, over: int, length: int) -> None:
         steps = 10
         for host in hosts:
             for n in range(1, steps + 1):
-                self._later(over * n // steps, host.slow_down, 1 + (times - 1) * n / steps)
-            self._later(max(length, over) + 1, host.slow_down, 1.0)
+                self._schedule_after(over * n // steps, host.slow_down, 1 + (times - 1) * n / steps)
+            self._schedule_after(max(length, over) + 1, host.slow_down, 1.0)
 
     def _link(self, hosts: list[Server], times: float, length: int) -> None:
         for host in hosts:
-            self._widen(host, times)
-            self._later(length, self._widen, host, 1 / times)
+            self._scale_link(host, times)
+            self._schedule_after(length, self._scale_link, host, 1 / times)
 
-    def _widen(self, host: Server, times: float) -> None:
+    def _scale_link(self, host: Server, times: float) -> None:
         host.link.resize(capacity=host.link.capacity * times)
 
     def _shrink(self, hosts: list[Server], times: float, length: int) -> None:
         for host in hosts:
             if isinstance(host, CachingServer):
-                whole, host.storage.capacity_kb = host.storage.capacity_kb, host.storage.capacity_kb * times
-                self._later(length, host.storage.set_capacity, whole)
+                full_capacity_kb, host.storage.capacity_kb = (
+                    host.storage.capacity_kb,
+                    host.storage.capacity_kb * times,
+                )
+                self._schedule_after(length, host.storage.set_capacity, full_capacity_kb)
 
     def _set_share(
         self, set_share: Callable[[Server, float], None], hosts: list[Server], share: float, length: int
     ) -> None:
         for host in hosts:
             set_share(host, share)
-            self._later(length, set_share, host, 0.0)
+            self._schedule_after(length, set_share, host, 0.0)
 
     def _reset(self, hosts: list[Server], share: float, length: int) -> None:
         self._set_share(Server.set_reset_share, hosts, share, length)
@@ -170,19 +173,19 @@
     def _cut(self, one: str, other: str, length: int) -> None:
         pair = frozenset((one, other))
         self.world.cut_zones.add(pair)
-        self._later(length, self.world.cut_zones.discard, pair)
+        self._schedule_after(length, self.world.cut_zones.discard, pair)
 
     def _loglate(self, times: float, length: int) -> None:
         self.world.change_log.set_delay_factor(times)
-        self._later(length, self.world.change_log.set_delay_factor, 1.0)
+        self._schedule_after(length, self.world.change_log.set_delay_factor, 1.0)
 
     def _logstop(self, length: int) -> None:
         self.world.change_log.stop()
-        self._later(length, self.world.change_log.start)
+        self._schedule_after(length, self.world.change_log.start)
 
     def _loggap(self, length: int) -> None:
         self.world.change_log.stop()
-        self._later(length, self.world.change_log.start, True)
+        self._schedule_after(length, self.world.change_log.start, True)
 
     def _purge(self, group: int) -> None:
         self.world.purge("", group % self.world.settings.groups + 1)
@@ -196,37 +199,37 @@
 
     def _herd(self, class_name: str, share: float, objects: int, length: int) -> None:
         hot = self.world.catalog.add_hot_objects(self.classes.get(class_name, 0), share, max(1, objects))
-        self._later(length, self._cool, hot)
+        self._schedule_after(length, self._remove_hot_objects, hot)
 
-    def _cool(self, hot: HotObjects) -> None:
+    def _remove_hot_objects(self, hot: HotObjects) -> None:
         self.world.catalog.hot.remove(hot)
 
     def _scan(self, share: float, length: int) -> None:
         self.world.catalog.set_scan_share(share)
-        self._later(length, self.world.catalog.set_scan_share, 0.0)
+        self._schedule_after(length, self.world.catalog.set_scan_share, 0.0)
 
     def _surge(self, zone: str, times: float, length: int) -> None:
         number = int(zone[1:]) if zone[1:].isdecimal() else 0
-        surge = self.world.clients.arrival_factor
-        if zone[0] == "z" and number < len(surge):
-            surge[number] = times
-            self._later(length, self._calm, number)
+        arrival_factor = self.world.clients.arrival_factor
+        if zone[0] == "z" and number < len(arrival_factor):
+            arrival_factor[number] = times
+            self._schedule_after(length, self._end_surge, number)
 
-    def _calm(self, zone: int) -> None:
+    def _end_surge(self, zone: int) -> None:
         self.world.clients.arrival_factor[zone] = 1.0
 
     def _tail(self, class_name: str, share: float, times: float, length: int) -> None:
         number = self.classes.get(class_name, 0)
         self.world.catalog.enlarged[number] = (share, times)
-        self._later(length, self._light, number)
+        self._schedule_after(length, self._restore_sizes, number)
 
-    def _light(self, number: int) -> None:
+    def _restore_sizes(self, number: int) -> None:
         self.world.catalog.enlarged.pop(number, None)
 
     def _kill(self, share: float, length: int) -> None:
-        for dispatcher in self._some_dispatchers(share):
+        for dispatcher in self._choose_dispatchers(share):
             self.world.crash_dispatcher(dispatcher, length)
 
     def _clock(self, share: float, step: int) -> None:
-        for dispatcher in self._some_dispatchers(share):
+        for dispatcher in self._choose_dispatchers(share):
             dispatcher.step_clock(step)
