--- a/hoistplank/lab/model/load_balancer.py
+++ b/hoistplank/lab/model/load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer in front of the simulated dispatchers, and clients that move to another location."""
+"""The load balancer in front of the simulated dispatchers, and the migration of clients to another zone."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientMigration:
-    """From `since` on, spread over `spread` (us), this share of a location's clients asks in another one."""
+    """A share of a zone's clients moves to another zone, from `since_us` on, spread over `spread_us`."""
 
     home: int
     destination: int
@@ -24,10 +24,10 @@
 
 
 class LoadBalancer:
-    """Spreads the requests of a location over its dispatchers; learns late that one is gone.
+    """Spreads the requests of a zone over its dispatchers; detects a crashed one with a delay.
 
-    `moves`: clients that go to another location's dispatchers, as addresses at clients do. `weights`: of a
-    dispatcher against its siblings, where they are not all alike.
+    `migrations` send clients to the dispatchers of another zone, as cached addresses at clients do. `weights`
+    are relative to a dispatcher's siblings, for those that differ from 1.
     """
 
     def __init__(self, world: World) -> None:
@@ -44,7 +44,7 @@
         return self._healthy[zone]
 
     def deliver(self, request: Request) -> bool:
-        """Send a request to a dispatcher; False if nobody accepts the connection."""
+        """Send a request to a dispatcher; False if no dispatcher accepts the connection."""
         dispatchers = self._healthy_in(self._zone_of(request) if self.migrations else request.zone)
         if not dispatchers:
             return False
@@ -56,10 +56,10 @@
         if not dispatcher.alive:
             return False
         request.dispatcher = dispatcher.number
-        # The deadline that a dispatcher is given is the traffic class's, less what earlier tries took.
-        until = request.asked_at + self.world.settings.classes[request.class_index].deadline_us
+        # A dispatcher gets the traffic class's deadline, less the time that earlier tries took.
+        deadline = request.asked_at + self.world.settings.classes[request.class_index].deadline_us
         now, paths = self.world.events.now, self.world.paths
-        self.world.rules.answers.accepted(dispatcher.number, request.id, until)
+        self.world.rules.answers.accepted(dispatcher.number, request.id, deadline)
         if self.world.clients.observer is not None:
             self.world.clients.observer.tried(now, request)
         if paths is None:
@@ -72,40 +72,42 @@
         session = request.session
         if session.migration_draw < 0:
             session.migration_draw = self.random.uniform()
-        now, below = self.world.events.now, 0.0
-        for move in self.migrations:
-            if move.home != request.zone:
+        now, share_before = self.world.events.now, 0.0
+        for migration in self.migrations:
+            if migration.home != request.zone:
                 continue
-            # Each client by its own lot: the same ones go, one after the other over the spread.
-            if below <= session.migration_draw < below + move.share:
-                late = (session.migration_draw - below) / move.share * move.spread_us
-                return move.destination if now >= move.since_us + late else request.zone
-            below += move.share
+            # By a draw for each client: the same clients migrate, one after another over the spread.
+            if share_before <= session.migration_draw < share_before + migration.share:
+                delay_us = (session.migration_draw - share_before) / migration.share * migration.spread_us
+                return migration.destination if now >= migration.since_us + delay_us else request.zone
+            share_before += migration.share
         return request.zone
 
     def _weighted_choice(self, dispatchers: list[Dispatcher]) -> Dispatcher:
         weights = [self.weights.get(dispatcher.number, 1.0) for dispatcher in dispatchers]
-        spot = self.random.uniform() * sum(weights)
+        draw = self.random.uniform() * sum(weights)
         for dispatcher, weight in zip(dispatchers, weights, strict=True):
-            spot -= weight
-            if spot < 0:
+            draw -= weight
+            if draw < 0:
                 return dispatcher
         return dispatchers[-1]
 
     def abandon(self, request: Request) -> None:
-        """The client of a request has left."""
+        """Tell the dispatcher of a request that its client has left."""
         self.world.rules.answers.client_left(self.world.events.now, request.id)
         if request.dispatcher >= 0:
             self.world.dispatchers[request.dispatcher].client_left(request)
 
     def dispatcher_crashed(self, dispatcher: Dispatcher) -> None:
-        """Send nothing more to a dispatcher, once its end is detected."""
+        """Stop sending to a dispatcher once its crash is detected."""
 
-        def noticed() -> None:
+        def on_detected() -> None:
             if not dispatcher.alive and dispatcher in self._healthy_in(dispatcher.zone):
                 self._healthy_in(dispatcher.zone).remove(dispatcher)
 
-        self.world.events.schedule(self.world.events.now + self.world.settings.crash_detection_us, noticed)
+        self.world.events.schedule(
+            self.world.events.now + self.world.settings.crash_detection_us, on_detected
+        )
 
     def dispatcher_restarted(self, dispatcher: Dispatcher) -> None:
         """Send to a dispatcher again."""
--- a/hoistplank/lab/model/origin.py
+++ b/hoistplank/lab/model/origin.py
@@ -1,4 +1,4 @@
-"""The simulated origin: it holds everything, slows down when crowded and falls over when overloaded."""
+"""The simulated origin: holds all objects, slows down as its queue grows and crashes when overloaded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Origin(Server):
-    """Holds everything; slows when crowded and stops when pushed over. Effects run here and nowhere else."""
+    """Holds all objects; slows down as its queue grows and crashes on overload. Effects run only here."""
 
     kind = ORIGIN
 
@@ -29,22 +29,22 @@
 
     def _overloads(self, request: ServerRequest) -> bool:
         settings, now = self.settings, self.events.now
-        came = self.arrivals
-        came.append(now)
-        while came[0] <= now - settings.origin_overload_window_us:
-            came.popleft()
-        can = len(self.core_free_at) / settings.origin_us * settings.origin_overload_window_us
-        if len(came) <= settings.origin_overload_multiple * can or self.crashes >= 2:
+        arrivals = self.arrivals
+        arrivals.append(now)
+        while arrivals[0] <= now - settings.origin_overload_window_us:
+            arrivals.popleft()
+        capacity = len(self.core_free_at) / settings.origin_us * settings.origin_overload_window_us
+        if len(arrivals) <= settings.origin_overload_multiple * capacity or self.crashes >= 2:
             return False
         self.crashes += 1
-        came.clear()
+        arrivals.clear()
         self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
         self.world.server_overloaded(self)
         return True
 
     def process(self, request: ServerRequest) -> None:
-        """Answer; a request that is never cached has its effect here."""
-        row = self.settings.classes[request.class_index]
-        if row.uncached:
-            self.world.rules.effects.run(self.events.now, request.idempotency_key, row.window_us)
+        """Respond; a request of an uncached class takes effect here."""
+        traffic_class = self.settings.classes[request.class_index]
+        if traffic_class.uncached:
+            self.world.rules.effects.run(self.events.now, request.idempotency_key, traffic_class.window_us)
         self.respond(request, request.size_us, CacheStatus.FROM_ORIGIN, self.events.now)
