--- a/hoistplank/lab/model/server_request.py
+++ b/hoistplank/lab/model/server_request.py
@@ -1,4 +1,4 @@
-"""A request to a simulated server: an attempt of a dispatcher, or a fill that one server asks of another."""
+"""A request to a simulated server: an attempt of a dispatcher, or a fill for another server."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from hoistplank.lab.model.cache_storage import CacheKey
 from hoistplank.lab.model.links import Link, Transfer
 
-OnComplete = Callable[[int, int, int], None]  # result, note, born
+OnComplete = Callable[[int, int, int], None]  # result, note, creation time of the copy
 
 
 class ServerRequest:
-    """An attempt, or a fill that a server requests from its source. Sizes in microseconds at full pace."""
+    """An attempt, or a fill that a server requests from its source. Sizes in microseconds at full rate."""
 
     __slots__ = (
         "active",
@@ -44,7 +44,7 @@
         cache_key: CacheKey,
         group: int,
         size_us: float,
-        end: OnComplete,
+        on_complete: OnComplete,
     ) -> None:
         self.dispatcher, self.zone, self.class_index, self.cache_key, self.group = (
             dispatcher,
@@ -53,18 +53,18 @@
             cache_key,
             group,
         )
-        self.size_us, self.on_complete = size_us, end
+        self.size_us, self.on_complete = size_us, on_complete
         self.source, self.cache_rank, self.max_age_us, self.idempotency_key = "", 2, 0, ""
         self.may_join = self.may_renew = False
         self.active, self.pending_parts = True, 0
-        self.fill_result = (0, -1)  # note and birth of what a fill brought
+        self.fill_result = (0, -1)  # note and creation time of the copy that a fill brought
         self.transfers: list[tuple[Link, Transfer]] = []
-        self.extra_links: list[Link] = []  # links beside the server's own that the answer takes
-        self.on_first_byte: Callable[[], None] | None = None  # told when the answer begins to flow
-        self.return_delay_us = 0  # how long the answer is under way
+        self.extra_links: list[Link] = []  # links besides the server's own that the response uses
+        self.on_first_byte: Callable[[], None] | None = None  # called when the response begins
+        self.return_delay_us = 0  # network delay of the response
 
     def cancel(self) -> None:
-        """The asker has left: what flows for it stops."""
+        """Stop the transfers of a request whose sender has left."""
         self.active = False
-        for link, flow in self.transfers:
-            link.cancel(flow)
+        for link, transfer in self.transfers:
+            link.cancel(transfer)
--- a/hoistplank/lab/model/servers.py
+++ b/hoistplank/lab/model/servers.py
@@ -1,8 +1,8 @@
-"""What all simulated servers have in common: cores with a queue, a link, a process that starts and ends.
+"""The base of all simulated servers: cores with a queue, a link, a process that starts and ends.
 
 An attempt or a fill arrives as a `ServerRequest`; the server completes it by one call of `on_complete`. A
-request that a server never completes (it hangs, its machine is gone, the answer is lost) is for the sender's
-own time-outs, as on a network.
+request that a server never completes (it hangs, its machine is gone, the response is lost) is left to the
+sender's timeouts, as on a network.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     # Faults and phases.
 
     def stop(self, phase: str = DOWN) -> None:
-        """The process ends: what it has open breaks, what it kept is gone."""
+        """End the process: its open requests fail; with the phase DOWN their senders are notified."""
         self.phase, self.incarnation = phase, self.incarnation + 1
         broken, self.open_requests = list(self.open_requests), {}
         self.connected_dispatchers.clear()
@@ -66,7 +66,7 @@
                 self._complete(request, Outcome.CONNECTION_LOST, 0, -1)
 
     def start(self) -> None:
-        """A new process: cold, empty, told to the log by the world."""
+        """Start a new, cold process; the world lists it in the change log."""
         self.phase, self.incarnation, self.started_us = UP, self.incarnation + 1, self.events.now
         self.core_free_at = [self.events.now] * len(self.core_free_at)
         self.paused_until = 0
@@ -77,28 +77,28 @@
         if incarnation != self.incarnation:
             return
         settings, age = self.settings, self.events.now - self.started_us
-        warm = min(1.0, age / max(1, settings.warm_up_us))
+        warm_share = min(1.0, age / max(1, settings.warm_up_us))
         self.link.resize(
-            share=(settings.cold_start_share + (1 - settings.cold_start_share) * warm) / self.slowdown
+            share=(settings.cold_start_share + (1 - settings.cold_start_share) * warm_share) / self.slowdown
         )
-        if warm < 1:
+        if warm_share < 1:
             self.events.schedule(self.events.now + 250_000, self._update_warmth, incarnation)
 
     def slow_down(self, times: float) -> None:
-        """All its work takes so many times as long; 1 ends it."""
+        """Make all work take `times` as long; 1 restores the normal speed."""
         self.link.resize(share=self.link.capacity_share * self.slowdown / times)
         self.slowdown = times
 
     def set_reset_share(self, share: float) -> None:
-        """Cut this share of answers off with a reset."""
+        """Reset the connection instead of this share of responses."""
         self.reset_share = share
 
     def set_corrupt_share(self, share: float) -> None:
-        """Corrupt this share of answers."""
+        """Corrupt this share of responses."""
         self.corrupt_share = share
 
     def set_loss_share(self, share: float) -> None:
-        """Never send this share of answers."""
+        """Never send this share of responses."""
         self.loss_share = share
 
     def set_reject_share(self, share: float) -> None:
@@ -108,14 +108,14 @@
     # Requests.
 
     def arrive(self, request: ServerRequest) -> None:
-        """Take a request in: queue it for a core, reject it, or leave it without an answer."""
+        """Receive a request: queue it for a core, reject it, or leave it without a response."""
         now = self.events.now
         if self.phase == DOWN:
             self._complete(request, Outcome.CONNECT_FAILED, 0, -1)
             return
         if self.phase == SILENT:
             if request.dispatcher not in self.connected_dispatchers and request.dispatcher >= 0:
-                # A connection that is to be made anew is not up in time; over one that is, silence.
+                # A new connection times out; a request over an existing one gets no response.
                 self.events.schedule(now + 400_000, self._complete, request, Outcome.CONNECT_FAILED, 0, -1)
             return
         self.connected_dispatchers.add(request.dispatcher)
@@ -125,26 +125,26 @@
         self.open_requests[request] = None
         if self.phase == HUNG:
             return
-        begin = self.core_free_at[0]
-        if begin < now:
-            begin = now
-        if begin < self.paused_until:
-            begin = self.paused_until
-        if begin - now > self.settings.max_queue_us or (
+        start_at = self.core_free_at[0]
+        if start_at < now:
+            start_at = now
+        if start_at < self.paused_until:
+            start_at = self.paused_until
+        if start_at - now > self.settings.max_queue_us or (
             self.reject_share and self.random.uniform() < self.reject_share
         ):
             self.rejected += 1
             self._finish(request, Outcome.OVERLOADED, 0, -1)
             return
-        done = begin + int(self._work_us() * self.slowdown * (0.5 + 0.5 * self.random.exponential()))
-        heapreplace(self.core_free_at, done)
-        self.events.schedule(done, self._work_done, request, self.incarnation)
+        done_at = start_at + int(self._work_us() * self.slowdown * (0.5 + 0.5 * self.random.exponential()))
+        heapreplace(self.core_free_at, done_at)
+        self.events.schedule(done_at, self._work_done, request, self.incarnation)
 
     def _work_us(self) -> float:
         return self.settings.work_us
 
     def _overloads(self, request: ServerRequest) -> bool:
-        """Falls over when it is cold and asked for more than it can bear; only truth's own budget decides."""
+        """Crash, and return True, if the host is cold and its budget in the rule checker is exceeded."""
         if self.uid not in self.world.rules.colds.warming:
             return False
         if request.dispatcher < 0 or not self.world.rules.colds.work_arrived(
@@ -159,8 +159,8 @@
         return True
 
     def _transfer_us(self, request: ServerRequest) -> float:
-        row = self.settings.classes[request.class_index]
-        return 0.0 if row.uncached else row.kb / self.settings.transfer_kb_s * 1e6
+        traffic_class = self.settings.classes[request.class_index]
+        return 0.0 if traffic_class.uncached else traffic_class.kb / self.settings.transfer_kb_s * 1e6
 
     def _work_done(self, request: ServerRequest, incarnation: int) -> None:
         if incarnation != self.incarnation or not request.active or self.phase == HUNG:
@@ -171,11 +171,11 @@
         self.process(request)
 
     def process(self, request: ServerRequest) -> None:
-        """Answer a request whose work is done; each kind of server has its own way."""
+        """Respond to a request whose CPU work is done; defined by each kind of server."""
         raise NotImplementedError
 
     def respond(self, request: ServerRequest, size_us: float, note: int, created: int) -> None:
-        """Lets an answer flow out, over its extra links as well; the slowest decides."""
+        """Send a response over the server's link and the extra links; the slowest determines its end."""
         if request.on_first_byte is not None:
             request.on_first_byte()
         links = [self.link, *request.extra_links]
@@ -196,9 +196,9 @@
             self._finish(request, Outcome.SUCCEEDED, note, created)
 
     def _finish(self, request: ServerRequest, result: int, note: int, created: int) -> None:
-        """The answer is whole here; on its way it may still be spoilt, cut off or lost."""
+        """Complete a request at the server; a fault may still corrupt, reset or lose the response."""
         if self.open_requests.pop(request, self) is self or not request.active:
-            return  # its process has ended meanwhile, or the asker has left
+            return  # the process has ended meanwhile, or the sender has left
         if self.phase == HUNG:
             return
         if self.reset_share and self.random.uniform() < self.reset_share:
@@ -217,13 +217,13 @@
         )
 
     def cancel(self, request: ServerRequest) -> None:
-        """The asker takes it back."""
+        """Cancel a request that its sender no longer wants."""
         self.open_requests.pop(request, None)
         request.cancel()
 
 
 class ServerEnvironment:
-    """What servers see of the world around them; the world is one."""
+    """The part of the world that servers use."""
 
     events: EventQueue
     settings: WorldSettings
@@ -235,13 +235,13 @@
     purge_times: dict[str | int, int]
 
     def stream(self, name: str) -> RandomStream:
-        """The random stream of that name."""
+        """Return a new random stream for a name."""
         raise NotImplementedError
 
     def server_overloaded(self, server: Server) -> None:
-        """A server was pushed over."""
+        """Handle the crash of an overloaded server."""
         raise NotImplementedError
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether the path between two zones is cut."""
+        """Return True if the path between two zones is cut."""
         raise NotImplementedError
--- a/hoistplank/lab/model/streams.py
+++ b/hoistplank/lab/model/streams.py
@@ -1,6 +1,4 @@
-"""Named random streams, each with a seed of its own spawned from the day's: a changed policy sees the same
-world.
-"""
+"""Named random streams, each seeded by its name and the day's seed: every policy gets the same world."""
 
 from __future__ import annotations
 
@@ -12,7 +10,7 @@
 
 
 class RandomStream:
-    """Numbers of one process, in the order of its asking."""
+    """Random numbers of one purpose, in the order in which they are drawn."""
 
     __slots__ = ("_exponential", "_generator", "_normal", "_uniform")
 
@@ -23,46 +21,46 @@
         self._normal: list[float] = []
 
     def uniform(self) -> float:
-        """From 0 up to, but without, 1."""
+        """Draw from the uniform distribution over [0, 1)."""
         if not self._uniform:
             self._uniform = self._generator.random(BATCH).tolist()
         return self._uniform.pop()
 
     def exponential(self) -> float:
-        """With the mean 1."""
+        """Draw from the exponential distribution of mean 1."""
         if not self._exponential:
             self._exponential = self._generator.standard_exponential(BATCH).tolist()
         return self._exponential.pop()
 
     def normal(self) -> float:
-        """With the mean 0 and the standard deviation 1."""
+        """Draw from the normal distribution of mean 0 and standard deviation 1."""
         if not self._normal:
             self._normal = self._generator.standard_normal(BATCH).tolist()
         return self._normal.pop()
 
     def below(self, count: int) -> int:
-        """A whole number from 0 up to, but without, `count`."""
+        """Draw an integer from [0, count)."""
         return int(self.uniform() * count)
 
     def between(self, low: float, high: float) -> float:
-        """A number from `low` up to `high`."""
+        """Draw a number from [low, high)."""
         return low + (high - low) * self.uniform()
 
     def shuffled(self, count: int) -> list[int]:
-        """The whole numbers below `count`, in chance order."""
+        """Return the integers below `count` in random order."""
         return [int(n) for n in self._generator.permutation(count)]
 
 
 class RandomStreams:
-    """The streams of one seed. The same name gives the same numbers, whatever other names are asked for."""
+    """The streams of one seed. A name always gives the same numbers, whatever other streams are used."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def stream(self, name: str) -> RandomStream:
-        """A new stream, at the beginning of its numbers."""
-        words = blake2b(name.encode(), digest_size=16).digest()
-        way = tuple(int.from_bytes(words[at : at + 4], "big") for at in range(0, 16, 4))
+        """Return a new stream at its first number."""
+        digest = blake2b(name.encode(), digest_size=16).digest()
+        spawn_key = tuple(int.from_bytes(digest[at : at + 4], "big") for at in range(0, 16, 4))
         return RandomStream(
-            np.random.Generator(np.random.PCG64(np.random.SeedSequence(self.seed, spawn_key=way)))
+            np.random.Generator(np.random.PCG64(np.random.SeedSequence(self.seed, spawn_key=spawn_key)))
         )
