--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -1,4 +1,4 @@
-"""A simulated world: servers, locations, change log, purges and clients under one clock."""
+"""A simulated world: servers, zones, change log, purges and clients under one clock."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from hoistplank.lab.model.streams import RandomStream, RandomStreams
 from hoistplank.lab.model.world_settings import CACHE_HOST, HUB, PARENT, SECOND_US, WorldSettings
 
-MONITORED_CACHES = 48  # cache hosts whose load is kept by second
+MONITORED_CACHES = 48  # cache hosts whose load is recorded each second
 
 
 class World(ServerEnvironment):
-    """`seats` are put in by the drive, in order of their numbers, before `begin`."""
+    """A simulated world; a backend adds `dispatchers`, in the order of their numbers, before `begin`."""
 
     def __init__(self, settings: WorldSettings, seed: int) -> None:
         self.events, self.settings, self.streams = EventQueue(), settings, RandomStreams(seed)
@@ -60,27 +60,27 @@
         self.cut_zones: set[frozenset[str]] = set()
         self.paths: PathModel | None = None
         self.fault_log: list[tuple[int, str]] = []
-        # Who is watched for reports, and by second how full its link was.
+        # Servers monitored for reports, and the load of their links by second.
         self.monitored = [*self.caches[:MONITORED_CACHES], *self.parents[:4], self.origin]
         self.monitored_loads: list[list[float]] = []
         self._carried = [0.0] * len(self.monitored)
 
     def stream(self, name: str) -> RandomStream:
-        """The random stream of that name."""
+        """Return a new random stream for a name."""
         return self.streams.stream(name)
 
-    def record_fault(self, what: str) -> None:
-        """What was done to the world, for reports."""
-        self.fault_log.append((self.events.now, what))
+    def record_fault(self, description: str) -> None:
+        """Record an injected fault or a crash for reports."""
+        self.fault_log.append((self.events.now, description))
 
     # Hosts.
 
     def host_entries(self) -> list[Endpoint]:
-        """All hosts that the change log lists."""
+        """Return all hosts that the change log lists."""
         return [self.host_entry(server) for server in self.servers.values() if server.listed_state != "gone"]
 
     def host_entry(self, server: Server) -> Endpoint:
-        """A host as the change log lists it."""
+        """Return a host as the change log lists it."""
         return Endpoint(
             server.uid,
             server.zone,
@@ -91,19 +91,19 @@
             server.listed_state,
         )
 
-    def notify_hosts(self, dispatcher: Dispatcher, form: str, rows: list[Endpoint]) -> None:
-        """A dispatcher hears of hosts; the checkers know of it before it does."""
+    def notify_hosts(self, dispatcher: Dispatcher, form: str, hosts: list[Endpoint]) -> None:
+        """Notify a dispatcher of hosts, after the rule checkers."""
         now = self.events.now
-        for row in rows:
-            self.rules.drains.dispatcher_notified(now, dispatcher.number, row.host, row.state)
-            if row.state == "up":
-                self.rules.colds.dispatcher_notified(dispatcher.number, row.host, row.started_us)
+        for host in hosts:
+            self.rules.drains.dispatcher_notified(now, dispatcher.number, host.host, host.state)
+            if host.state == "up":
+                self.rules.colds.dispatcher_notified(dispatcher.number, host.host, host.started_us)
         if form in ("whole", "kept"):
-            named = {row.host for row in rows}
+            listed = {host.host for host in hosts}
             for uid in self.servers:
-                if uid not in named:
+                if uid not in listed:
                     self.rules.drains.dispatcher_notified(now, dispatcher.number, uid, "gone")
-        dispatcher.update_hosts(form, rows)
+        dispatcher.update_hosts(form, hosts)
 
     def set_listed_state(self, servers: list[Server], state: str) -> None:
         """List hosts as up, draining or gone, and publish it."""
@@ -112,15 +112,16 @@
         self.change_log.publish_hosts([self.host_entry(server) for server in servers])
 
     def server_overloaded(self, server: Server) -> None:
-        """Pushed over: its process is gone, and comes back by itself."""
+        """Crash an overloaded server; it restarts after a delay."""
         self.record_fault(f"{server.uid} was pushed over")
         self.crash_server(
             server, self.settings.origin_restart_us if server is self.origin else self.settings.restart_us
         )
 
     def crash_server(self, server: Server, back_after: int, phase: str = DOWN, warm: bool = False) -> None:
-        """Its process ends (or its machine is silent) and a new one starts later, cold unless it is the
-        origin.
+        """End a server's process (or silence its machine) and start a new one later.
+
+        It starts cold, unless it is the origin or `warm` is set.
         """
         server.stop(phase)
         incarnation = server.incarnation
@@ -144,62 +145,62 @@
         self.set_listed_state([server], "up")
 
     def silence_server(self, server: Server, length: int, noticed_after: int) -> None:
-        """Its machine goes silent; the list says so late, if it is not back by then."""
+        """Silence a server's machine; list it as gone after `noticed_after` unless it is back by then."""
         self.crash_server(server, length, SILENT)
         incarnation = server.incarnation
 
-        def noticed() -> None:
+        def on_detected() -> None:
             if server.incarnation == incarnation:
                 self.set_listed_state([server], "gone")
 
-        self.events.schedule(self.events.now + noticed_after, noticed)
+        self.events.schedule(self.events.now + noticed_after, on_detected)
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether the path between two zones is cut."""
+        """Return True if the path between two zones is cut."""
         return bool(self.cut_zones) and frozenset((one, other)) in self.cut_zones
 
     # Purges.
 
     def purge(self, object_key: str, group: int) -> None:
-        """Of an object, or with none of all objects of a group; told to all dispatchers."""
-        made = self.events.now
-        what: str | int = object_key or group
-        self.purge_times[what] = made
+        """Publish a purge of an object, or of all objects of a group if `object_key` is empty."""
+        purged_at = self.events.now
+        purge_key: str | int = object_key or group
+        self.purge_times[purge_key] = purged_at
 
-        def told(dispatcher: Dispatcher) -> None:
-            self.rules.purges.dispatcher_notified(self.events.now, dispatcher.number, what, made)
-            dispatcher.purge(object_key, group if not object_key else 0, made)
+        def notify(dispatcher: Dispatcher) -> None:
+            self.rules.purges.dispatcher_notified(self.events.now, dispatcher.number, purge_key, purged_at)
+            dispatcher.purge(object_key, group if not object_key else 0, purged_at)
 
-        self.change_log.publish(told)
+        self.change_log.publish(notify)
 
     # The day.
 
     def begin(self) -> None:
-        """Give all dispatchers their first list, and let the clients come."""
+        """Send all dispatchers their first host list, and start the clients."""
         for dispatcher in self.dispatchers:
             self.notify_hosts(dispatcher, "kept", self.host_entries())
         self.clients.begin()
         self.events.schedule(SECOND_US, self._sweep)
 
     def _sweep(self) -> None:
-        row = []
+        loads = []
         for n, server in enumerate(self.monitored):
             carried = server.link.carried_us
-            row.append((carried - self._carried[n]) / SECOND_US / server.capacity)
+            loads.append((carried - self._carried[n]) / SECOND_US / server.capacity)
             self._carried[n] = carried
-        self.monitored_loads.append(row)
+        self.monitored_loads.append(loads)
         self.rules.answers.sweep(self.events.now)
         if self.events.now < self.end_us() + 2 * SECOND_US:
             self.events.schedule(self.events.now + SECOND_US, self._sweep)
 
     def end_us(self) -> int:
-        """When all that was asked for has ended one way or another."""
+        """Return the time at which all requests have ended if no part delayed the next."""
         longest = max(row.deadline_us for row in self.settings.classes)
         parts = max((row.parts - 1) * row.part_interval_us for row in self.settings.classes)
         return self.settings.end_of_arrivals_us() + parts + longest + 2 * SECOND_US
 
     def last_end_us(self) -> int:
-        """When the last part of the last session has ended, however long each of its parts took."""
+        """Return the time at which the last part of the last session has ended, whatever each part took."""
         return (
             self.settings.end_of_arrivals_us()
             + max(row.parts * row.deadline_us for row in self.settings.classes)
@@ -207,23 +208,22 @@
         )
 
     def run(self) -> None:
-        """The whole day at once: virtual time."""
+        """Run the whole day in virtual time."""
         self.begin()
-        # A day makes and drops millions of small objects with few cycles: the collector finds next to
-        # nothing.
-        collects = gc.isenabled()
+        # A day creates and drops millions of small objects with few cycles, so collections would free little.
+        was_collecting = gc.isenabled()
         gc.disable()
         try:
             self.events.run_until(self.end_us())
-            # Parts are asked one after another: a session whose parts each took long is still on its way.
+            # Parts are requested one after another: a session whose parts took long may still be open.
             while self.clients.open and self.events.now < self.last_end_us():
                 self.events.run_until(self.events.now + SECOND_US // 10)
         finally:
-            if collects:
+            if was_collecting:
                 gc.enable()
 
-    def crash_dispatcher(self, dispatcher: Dispatcher, back_after: int) -> None:
-        """A dispatcher's process is killed; its clients learn it at once, the front only later."""
+    def crash_dispatcher(self, dispatcher: Dispatcher, restart_after: int) -> None:
+        """Kill a dispatcher's process; its clients detect it at once, the load balancer later."""
         if not dispatcher.alive:
             return
         self.rules.dispatcher_killed(dispatcher.number)
@@ -233,14 +233,16 @@
             self.clients.answered(request.id, UNREACHABLE)
         self.load_balancer.dispatcher_crashed(dispatcher)
 
-        def again() -> None:
+        def restart() -> None:
             dispatcher.restart()
-            for what, made in self.purge_times.items():
-                if self.events.now - made < self.settings.purge_delay_us:
-                    object_key, group = (what, 0) if isinstance(what, str) else ("", what)
-                    self.rules.purges.dispatcher_notified(self.events.now, dispatcher.number, what, made)
-                    dispatcher.purge(object_key, group, made)
+            for purge_key, purged_at in self.purge_times.items():
+                if self.events.now - purged_at < self.settings.purge_delay_us:
+                    object_key, group = (purge_key, 0) if isinstance(purge_key, str) else ("", purge_key)
+                    self.rules.purges.dispatcher_notified(
+                        self.events.now, dispatcher.number, purge_key, purged_at
+                    )
+                    dispatcher.purge(object_key, group, purged_at)
             self.notify_hosts(dispatcher, "kept", self.host_entries())
             self.load_balancer.dispatcher_restarted(dispatcher)
 
-        self.events.schedule(self.events.now + back_after, again)
+        self.events.schedule(self.events.now + restart_after, restart)
