--- a/hoistplank/lab/model/rule_checker.py
+++ b/hoistplank/lab/model/rule_checker.py
@@ -96,7 +96,7 @@
             accepted.excused |= accepted.dispatcher == dispatcher
 
     def sweep(self, now: int) -> None:
-        """Judge and forget requests long past their deadline; regular calls keep the memory of a day bounded."""
+        """Judge and forget requests long past their deadline; regular calls keep the memory bounded."""
         expired: list[str] = []
         for request, accepted in self.open.items():
             # In the order of acceptance: if this one has 5 s left, no later one is past its deadline.
@@ -180,7 +180,8 @@
     """Rule four: dispatchers together don't overload a cold host; fills at parents count too.
 
     The budget of a window is the overload multiple x the host's current capacity x the window. Exceeding it
-    is a violation if at least two thirds of the work came from dispatchers that had been notified of the start.
+    is a violation if at least two thirds of the work came from dispatchers that had been notified of the
+    start.
     """
 
     def __init__(self, settings: WorldSettings, report: ReportViolation) -> None:
