--- a/hoistplank/lab/model/__init__.py
+++ b/hoistplank/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The model of the world: no I/O and no clock; time is what it is told, whole microseconds."""
+"""The simulated world: no I/O and no clock; time is passed in, in whole microseconds."""
--- a/hoistplank/lab/model/world_settings.py
+++ b/hoistplank/lab/model/world_settings.py
@@ -1,4 +1,4 @@
-"""The figures of a world, and what its dispatchers are told of it: the same settings for both drives."""
+"""Settings of a simulated world and of its dispatchers, the same for both backends."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class TrafficClass(msgspec.Struct, frozen=True, kw_only=True):
-    """One row of the traffic class, and what its requests ask for. Times in microseconds, sizes in kB."""
+    """A traffic class and the objects that its requests ask for. Times in microseconds, sizes in kB."""
 
     name: str
-    share: float  # of all first parts that are asked for
+    share: float  # of all first parts requested
     kb: float
     utility: float = 1.0
     target_us: int = 300_000
@@ -35,7 +35,7 @@
     zipf: float = 1.0
     parts: int = 1
     part_interval_us: int = 400_000
-    next_part_chance: float = 0.9  # the chance that a client asks for a next part
+    next_part_chance: float = 0.9  # probability that a client requests a next part
     fresh_us: int = 0
     stale_us: int = 0
     stale_value: float = 0.0
@@ -93,10 +93,10 @@
 
 
 class WorldSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The size of a world and how its machines are made. `link` figures are in transfers at full pace."""
+    """The size of a world and its machines; capacities of links are in transfers at full rate."""
 
     seconds: float = 20.0
-    warm_up_s: float = 6.0  # seconds before the day's first, in which caches fill and nothing is counted
+    warm_up_s: float = 6.0  # before the start of the day: caches fill and nothing is counted
     zones: int = 1
     caches: int = 6  # of each zone
     parents: int = 2
@@ -108,9 +108,9 @@
     parent_link: float = 16.0
     zone_link: float = 20.0
     origin_link: float = 40.0
-    overload_loss: float = 0.04  # of a link's capacity, lost for each time that its transfers are over it
+    overload_loss: float = 0.04  # share of a link's capacity lost per multiple of overload
     cores: int = 4
-    work_us: int = 400  # of a core, for each attempt
+    work_us: int = 400  # CPU time of a core for each attempt
     max_queue_us: int = 250_000
     cache_kb: float = 80_000.0
     parent_cache_kb: float = 400_000.0
@@ -120,7 +120,7 @@
     origin_workers: int = 16
     origin_us: int = 25_000
     origin_queue_us: int = SECOND_US
-    origin_slowdown: float = 1.0  # how much slower an origin is whose queue is as long as it may be
+    origin_slowdown: float = 1.0  # relative slowdown of the origin when its queue is full
     origin_overload_multiple: float = 2.5
     origin_overload_window_us: int = 3 * SECOND_US
     origin_restart_us: int = 4 * SECOND_US
@@ -128,44 +128,49 @@
     warm_up_us: int = 10 * SECOND_US
     overload_window_us: int = 1_500_000
     overload_multiple: float = 2.5
-    restart_us: int = 3 * SECOND_US  # how long a host that fell over, or was killed, is away
+    restart_us: int = 3 * SECOND_US  # downtime of a host that crashed from overload
     zone_delay_us: int = 300
     hub_delay_us: int = 12_000
     log_delay_us: tuple[int, int] = (30_000, 300_000)
     purge_delay_us: int = 3 * SECOND_US
     groups: int = 32
-    local_share: float = 0.15  # of the objects asked for: wanted in this location alone
-    drift: float = 2.0  # ranks a second by which popularity moves on
+    local_share: float = 0.15  # of requests: for objects requested in one zone only
+    drift: float = 2.0  # ranks a second by which popularity shifts
     retries: int = 1
     backoff_us: int = 60_000
-    honours_retry_after: float = 0.8  # clients that wait as long as they are told
-    crash_detection_us: int = SECOND_US  # until the front sends no more to a dispatcher that is gone
+    honours_retry_after: float = 0.8  # share of clients that wait as long as Retry-After says
+    crash_detection_us: int = SECOND_US  # until the load balancer stops sending to a crashed dispatcher
     tick_us: int = 1_000
-    event_cpu_us: int = 0  # of a dispatcher's core for each event; 0: not counted
+    event_cpu_us: int = 0  # CPU time of a dispatcher's core for each event; 0: not counted
 
     def start_us(self) -> int:
-        """The day's first moment, on the world's clock: faults and figures count from here."""
+        """Return the start of the day on the world's clock; faults and measures count from it."""
         return int(self.warm_up_s * SECOND_US)
 
     def end_of_arrivals_us(self) -> int:
-        """The last moment at which a client comes."""
+        """Return the time after which no client arrives."""
         return int((self.warm_up_s + self.seconds) * SECOND_US)
 
     def mean_kb(self) -> float:
-        """Of a transfer, with all parts of a traffic class counted."""
-        kb = many = 0.0
-        for row in self.classes:
-            parts = sum(row.next_part_chance**n for n in range(row.parts))
-            kb += row.share * parts * row.kb * exp(row.size_sigma * row.size_sigma / 2)
-            many += row.share * parts
-        return kb / many
+        """Return the mean size of a transfer in kB, over all parts of all traffic classes."""
+        kb = requests = 0.0
+        for traffic_class in self.classes:
+            parts = sum(traffic_class.next_part_chance**n for n in range(traffic_class.parts))
+            kb += (
+                traffic_class.share
+                * parts
+                * traffic_class.kb
+                * exp(traffic_class.size_sigma * traffic_class.size_sigma / 2)
+            )
+            requests += traffic_class.share * parts
+        return kb / requests
 
     def requests_per_session(self) -> float:
-        """Requests for each first part."""
+        """Return the mean number of requests of a session."""
         return sum(row.share * sum(row.next_part_chance**n for n in range(row.parts)) for row in self.classes)
 
     def dispatcher_settings(self, zone: int, index: int) -> dict[str, Any]:
-        """The settings that a dispatcher is given at its start, by the platform's names and units."""
+        """Return the settings that a dispatcher gets at its start, with the platform's names and units."""
         return {
             "areas": [HUB, *(f"z{n}" for n in range(self.zones))],
             "models": [CACHE_HOST, PARENT, ORIGIN],
@@ -218,10 +223,10 @@
         }
 
     def site(self, zone: int, index: int) -> RouterSettings:
-        """The router settings of a dispatcher, read as a dispatcher reads them."""
-        facts = Fields([])
-        facts.pairs = flatten(self.dispatcher_settings(zone, index))
-        return read_settings(facts)
+        """Return the router settings of a dispatcher, parsed as a dispatcher does."""
+        fields = Fields([])
+        fields.pairs = flatten(self.dispatcher_settings(zone, index))
+        return read_settings(fields)
 
 
 def _class_settings(row: TrafficClass) -> dict[str, Any]:
@@ -241,21 +246,23 @@
 def scaled_settings(
     caches: int, dispatchers: int, zones: int, rate: float, load: float = 0.6, seconds: float = 20.0
 ) -> WorldSettings:
-    """A world of a size in all, its links as wide as the rate needs at this load (0.6: usual, 1: full).
+    """Return settings of a world of this total size, its links sized for a load (0.6: usual, 1: full).
 
-    Of all bytes that clients of a location ask for at full load, its link carries 28 %, a parent's 30 % of
-    its part and the origin's 20 %; the caches' links are wider by 1.3. With these the location's link binds
-    first, as it does on the bench: with the caches' or the origin's first, two choices beat the plain hash,
-    which they don't there. A host has capacity for two transfers at the least, whatever the rate.
+    Of all bytes that the clients of a zone request at full load, the zone's link carries 28 %. A parent's
+    link carries 30 % of the parent's share of all bytes, and the origin's link 20 % of all bytes; the links
+    of caches have 1.3 times the needed capacity. With these values the zone's link is the first bottleneck,
+    as it is on the benchmark platform. With the caches' or the origin's link first, two random choices would
+    beat plain hashing, which they don't on that platform. A host has capacity for at least two transfers,
+    whatever the rate.
     """
     base = WorldSettings()
-    here, each = max(1, caches // zones), rate / zones
+    caches_per_zone, rate_per_zone = max(1, caches // zones), rate / zones
     transfers = (
-        each * base.requests_per_session() * base.mean_kb() / base.transfer_kb_s
-    )  # under way in a location, at full pace
+        rate_per_zone * base.requests_per_session() * base.mean_kb() / base.transfer_kb_s
+    )  # concurrent transfers of a zone, at full rate
     parents = max(2, zones // 2)
-    objects = tuple(
-        msgspec.structs.replace(row, objects=max(200, int(row.objects * min(4.0, each / base.rate))))
+    classes = tuple(
+        msgspec.structs.replace(row, objects=max(200, int(row.objects * min(4.0, rate_per_zone / base.rate))))
         for row in base.classes
     )
     uncached = sum(row.share for row in base.classes if row.uncached)
@@ -263,16 +270,16 @@
         base,
         seconds=seconds,
         zones=zones,
-        caches=here,
+        caches=caches_per_zone,
         dispatchers=max(1, dispatchers // zones),
         parents=parents,
-        rate=each,
-        classes=objects,
-        cache_link=max(2.0, 1.3 * transfers / here / load),
+        rate=rate_per_zone,
+        classes=classes,
+        cache_link=max(2.0, 1.3 * transfers / caches_per_zone / load),
         zone_link=max(4.0, 0.28 * transfers / load),
         parent_link=max(4.0, 0.3 * transfers * zones / parents / load),
         origin_link=max(8.0, 0.2 * transfers * zones / load),
-        cache_kb=max(4_000.0, base.cache_kb * base.caches * (each / base.rate) / here),
+        cache_kb=max(4_000.0, base.cache_kb * base.caches * (rate_per_zone / base.rate) / caches_per_zone),
         parent_cache_kb=max(20_000.0, base.parent_cache_kb * base.parents * (rate / base.rate) / parents),
         origin_workers=max(8, int(2.2 * rate * (uncached + 0.12) * base.origin_us / SECOND_US / load)),
     )
