--- a/hoistplank/lab/load/__init__.py
+++ b/hoistplank/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: an open loop on a schedule over several processes that also measures its own lateness."""
+"""The load tool: an open-loop load generator over several processes that also measures its own lateness."""
--- a/hoistplank/lab/load/connection.py
+++ b/hoistplank/lab/load/connection.py
@@ -7,7 +7,7 @@
 
 from hoistplank.lab.load.fastcgi_codec import RequestTemplate, ResponseScanner
 
-MAX_IN_FLIGHT = 30  # on one connection: a dispatcher takes 32
+MAX_IN_FLIGHT = 30  # on one connection; a dispatcher accepts 32
 MAX_STREAM_ID = 60_000
 
 
@@ -23,20 +23,20 @@
 
 
 class ResponseRecorder(Protocol):
-    """What a connection reports to."""
+    """Receives the results of a connection."""
 
     def record_response(self, request: OutgoingRequest, status: int) -> None:
         """Record the response to a request."""
 
     def record_protocol_error(self) -> None:
-        """Record a connection on which something else than FastCGI arrived."""
+        """Record a connection on which invalid FastCGI was received."""
 
     def record_lost(self, requests: int) -> None:
         """Record requests whose connection closed before their responses."""
 
 
 class LoadConnection(asyncio.Protocol):
-    """Sends requests and records their responses; one with an `only` request closes after it."""
+    """Sends requests and records their responses; with an `only` request, closes after its response."""
 
     def __init__(self, recorder: ResponseRecorder, only: OutgoingRequest | None = None) -> None:
         self._recorder = recorder
@@ -50,16 +50,16 @@
 
     @property
     def in_flight(self) -> int:
-        """How many requests have no response yet."""
+        """The number of requests without a response yet."""
         return len(self._in_flight)
 
     def has_capacity(self) -> bool:
-        """Whether it is connected and may carry one more request."""
+        """Return True if it is connected and may carry one more request."""
         return self._transport is not None and len(self._in_flight) < MAX_IN_FLIGHT
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and send the only request where there is one."""
-        # uvloop's transports are not of asyncio's class, but do all that it does.
+        """Keep the transport, and send the `only` request if there is one."""
+        # uvloop's transports don't derive from asyncio's class, but have the same methods.
         self._transport = cast(asyncio.Transport, transport)
         if self._only is not None:
             self.send(self._only)
@@ -75,7 +75,7 @@
         self._transport.write(request.template.encode(stream_id, request.request_id, request.object_number))
 
     def data_received(self, data: bytes) -> None:
-        """Record the responses that are whole."""
+        """Record the complete responses."""
         assert self._transport is not None
         try:
             responses = self._scanner.feed(data)
--- a/hoistplank/lab/load/coordinator.py
+++ b/hoistplank/lab/load/coordinator.py
@@ -1,4 +1,4 @@
-"""Runs the processes of a load run: started together, watched, ended, their results merged."""
+"""Runs the processes of a load run: starts them together, reads their progress and merges their results."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from hoistplank.lab.load.schedule import Step
 from hoistplank.lab.load.traffic_mix import ClassShare
 
-MAX_LATENESS_MS = 5.0  # the tool's own lateness at its 99th percentile, beyond which a run is void
+MAX_LATENESS_MS = 5.0  # 99th percentile of the tool's own lateness above which a run is void
 START_DELAY_S = 0.6  # for the processes to start before the first request is due
 START_DELAY_PER_PROCESS_S = 0.05
 EXIT_TIMEOUT_S = 2.0
 MAX_LINE_BYTES = 1 << 24
 DEFAULT_SETTINGS = LoadSettings()
 
-ProgressCallback = Callable[[int, Progress], None]  # the part, and how far it is
+ProgressCallback = Callable[[int, Progress], None]  # part, progress
 
 
 async def run_load(
@@ -35,9 +35,9 @@
     on_progress: ProgressCallback | None = None,
     max_lateness_ms: float = MAX_LATENESS_MS,
 ) -> LoadResult:
-    """Carry out one run over several processes.
+    """Run one load run over several processes.
 
-    Raises LoadError where a process of the tool could not do its part.
+    Raises LoadError if a process of the tool failed.
     """
     start_time = time.time() + START_DELAY_S + START_DELAY_PER_PROCESS_S * processes
     jobs = [
@@ -92,7 +92,7 @@
             raise LoadError(message.reason)
         if on_progress is not None:
             on_progress(part, message)
-    raise LoadError(f"process {part} of the load tool ended without a result")
+    raise LoadError(f"process {part} of the load tool exited without a result")
 
 
 async def _end_process(process: asyncio.subprocess.Process) -> None:
--- a/hoistplank/lab/load/echo.py
+++ b/hoistplank/lab/load/echo.py
@@ -1,4 +1,4 @@
-"""A FastCGI responder that answers at once with the same bytes, for measuring the load tool itself."""
+"""A FastCGI responder that sends the same bytes at once, for measuring the load tool itself."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hoistplank.protocol import fastcgi
 
 RESPONSE = fastcgi.encode_response(1, 200, (), b"ok")
-STREAM_ID_OFFSET = 2  # of the request number within a record's header
+STREAM_ID_OFFSET = 2  # of the request id within a record's header
 
 
 def _stream_id_offsets(response: bytes) -> tuple[int, ...]:
@@ -34,7 +34,7 @@
 
 
 class EchoResponder(asyncio.Protocol):
-    """Answers each FastCGI request at once with the same short body."""
+    """Responds to each FastCGI request at once with the same short body."""
 
     def __init__(self) -> None:
         self._incomplete = b""
@@ -42,11 +42,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
-        # uvloop's transports are not of asyncio's class, but do all that it does.
+        # uvloop's transports don't derive from asyncio's class, but have the same methods.
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Answer the requests that are whole."""
+        """Respond to the complete requests."""
         data = self._incomplete + data if self._incomplete else data
         start, responses = 0, []
         while len(data) - start >= fastcgi.HEADER.size:
--- a/hoistplank/lab/load/fastcgi_codec.py
+++ b/hoistplank/lab/load/fastcgi_codec.py
@@ -1,5 +1,6 @@
-"""FastCGI for the load tool, made for speed: requests are patched into a template, responses are scanned
-without building a record object each.
+"""A fast FastCGI codec for the load tool.
+
+Requests are patched into a template; responses are scanned without an object for each record.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 OBJECT_PLACEHOLDER = b"fedcba9876543210"
 KEY_PLACEHOLDER = b"00112233445566778899aabbccddeeff"
 STREAM_ID = struct.Struct(">H")
-STREAM_ID_OFFSET = 2  # of the request number within a record's header
+STREAM_ID_OFFSET = 2  # of the request id within a record's header
 STATUS_FIELD = b"Status: "
 STATUS_END = len(STATUS_FIELD) + 3
 
 
 class RequestTemplate:
-    """An encoded request of one traffic class and token, with the offsets of what changes each time."""
+    """An encoded request of one traffic class and token, with the offsets of the fields that vary."""
 
     def __init__(
         self,
@@ -80,21 +81,21 @@
 
 
 class ScannedResponse(NamedTuple):
-    """A whole response; `status` is 0 where it had none."""
+    """A complete response; `status` is 0 if it had none."""
 
     stream_id: int
     status: int
 
 
 class ResponseScanner:
-    """Finds the whole responses in the bytes of one connection, however they are split."""
+    """Finds the complete responses in the bytes of one connection, however they are split."""
 
     def __init__(self) -> None:
         self._incomplete = b""
         self._statuses: dict[int, int] = {}
 
     def feed(self, data: bytes) -> list[ScannedResponse]:
-        """Return the responses that are whole with `data`. Raises ValueError on what is no FastCGI record."""
+        """Return the responses that `data` completes. Raises ValueError on an invalid FastCGI record."""
         if self._incomplete:
             data = self._incomplete + data
         responses: list[ScannedResponse] = []
@@ -102,7 +103,7 @@
         while size - start >= fastcgi.HEADER.size:
             version, kind, stream_id, length, padding = fastcgi.HEADER.unpack_from(data, start)
             if version != 1:
-                raise ValueError(f"a record of version {version}")
+                raise ValueError(f"FastCGI record of version {version}, expected 1")
             content = start + fastcgi.HEADER.size
             end = content + length + padding
             if end > size:
--- a/hoistplank/lab/load/generator.py
+++ b/hoistplank/lab/load/generator.py
@@ -1,7 +1,8 @@
-"""One process of the load tool: sends its part of the schedule whatever the responses do, and counts.
+"""One process of the load tool: sends its part of the schedule independently of the responses.
 
-Latencies run from the moment at which a request was due, not from when it was sent: a tool that falls behind
-would else hide the waiting that it causes (coordinated omission). Its own lateness is a histogram of its own.
+Latencies are measured from the time at which a request was due, not from when it was sent: otherwise a tool
+that falls behind would hide the delay that it causes (coordinated omission). The tool's own lateness has a
+separate histogram.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 from hoistplank.lab.load.schedule import send_times
 from hoistplank.lab.load.traffic_mix import RequestSampler
 
-DRAIN_S = 3.0  # for responses after the last request
+DRAIN_S = 3.0  # maximum wait for responses after the last request
 MIN_SLEEP_S = 0.001  # uvloop spins on less than 1 ms
 PROGRESS_INTERVAL_S = 0.5
 REQUESTS_BEFORE_YIELD = 64
@@ -51,7 +52,7 @@
         self.counts: Counter[str] = Counter()
 
     def record_due(self, due: float) -> None:
-        """Record that a request's turn has come, and how late it is."""
+        """Record that a request is sent, and its lateness."""
         self._lateness.record_value(max(1, int((self._loop.time() - due) * MICROSECONDS)))
         self.counts["sent"] += 1
 
@@ -67,7 +68,7 @@
         self.counts["answered"] += 1
 
     def record_protocol_error(self) -> None:
-        """Record a connection on which something else than FastCGI arrived."""
+        """Record a connection on which invalid FastCGI was received."""
         self.counts["no FastCGI"] += 1
 
     def record_lost(self, requests: int) -> None:
@@ -75,7 +76,7 @@
         self.counts["lost with a connection"] += requests
 
     def result(self) -> PartResult:
-        """All that was measured."""
+        """Return the measurements."""
         return PartResult(
             counts=dict(self.counts),
             lateness=self._lateness.encode().decode(),
@@ -99,13 +100,13 @@
         self._templates = _templates(job)
         self._recorder = LoadRecorder(job)
         self._pool: deque[LoadConnection] = deque()
-        # Weak: one is forgotten once its transport has closed, so that a long run's memory stays bounded.
+        # Weak references: closed connections are freed, so that memory stays bounded in a long run.
         self._single_use: WeakSet[LoadConnection] = WeakSet()
         self._connecting: set[asyncio.Task[None]] = set()
         self._tls = _tls_context(settings.ca, settings.certificate)
 
     async def run(self) -> PartResult:
-        """Send the whole part of the schedule. Raises OSError where no connection could be made."""
+        """Send this process's part of the schedule. Raises OSError if no connection could be opened."""
         await self._connect_pool()
         try:
             await self._send_schedule()
@@ -135,10 +136,10 @@
                 last_progress = now
                 write_message(Progress(round(offset, 1), number, self._recorder.counts["answered"]))
             if number % REQUESTS_BEFORE_YIELD == 0:
-                await asyncio.sleep(0)  # responses are read even while all of the schedule lies behind
+                await asyncio.sleep(0)  # lets responses be read even when the schedule is behind
 
     async def _sleep_until(self, due: float) -> float:
-        """Sleep until `due` and return the time then; at once where it has passed."""
+        """Sleep until `due` and return the current time; return at once if `due` has passed."""
         while True:
             now = self._loop.time()
             if now >= due:
@@ -163,13 +164,13 @@
             return
         pooled = self._connection_with_capacity()
         if pooled is None:
-            # Danger: to wait for capacity would turn the open loop into a closed one. It is counted instead.
+            # Waiting for capacity would turn the open loop into a closed one: the request is only counted.
             self._recorder.counts["no room on connections"] += 1
             return
         pooled.send(request)
 
     def _connection_with_capacity(self) -> LoadConnection | None:
-        """The next pooled connection with capacity; where none has any, one more is opened, up to a bound."""
+        """Return a pooled connection with capacity; if there is none, open one more, up to the maximum."""
         for _ in range(len(self._pool)):
             connection = self._pool.popleft()
             if connection.is_closed:
@@ -203,7 +204,7 @@
             connection.is_closed = True
 
     async def _drain(self) -> None:
-        """Wait for the last responses, count those that never came, and close all connections."""
+        """Wait for the last responses, count the missing ones, and close all connections."""
         deadline = self._loop.time() + DRAIN_S
         await self._wait_until(deadline, set(self._connecting))
         connections = [*self._pool, *self._single_use]
@@ -220,7 +221,7 @@
             connection.close()
 
     async def _wait_until(self, deadline: float, tasks: set[asyncio.Task[None]]) -> set[asyncio.Task[None]]:
-        """Wait for tasks until a time of the loop's clock; returns those that are not done then."""
+        """Wait for tasks until a time of the loop's clock; return those that are not done by then."""
         if not tasks:
             return set()
         _, unfinished = await asyncio.wait(tasks, timeout=max(0.0, deadline - self._loop.time()))
@@ -228,7 +229,7 @@
 
 
 def _templates(job: LoadJob) -> list[list[RequestTemplate]]:
-    """A template for each traffic class and tenant."""
+    """Return a template for each traffic class and tenant."""
     tokens = job.settings.tokens or ("",)
     return [
         [
--- a/hoistplank/lab/load/messages.py
+++ b/hoistplank/lab/load/messages.py
@@ -1,4 +1,4 @@
-"""What the coordinator and the processes of the load tool send each other: one JSON message a line."""
+"""Messages between the coordinator and the processes of the load tool, one JSON message a line."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class LoadSettings(msgspec.Struct, frozen=True):
-    """What is the same in every process of a run."""
+    """Settings shared by all processes of a run."""
 
     deadline_ms: int = 1_500
     objects: int = 1_000
     zipf: float = 1.0
-    connections: int = 4  # opened ahead by each process
+    connections: int = 4  # opened by each process before the run
     max_connections: int = 64  # of each process
     fresh_share: float = 0.0  # of requests: each over a connection of its own
     tokens: tuple[str, ...] = ()
@@ -25,7 +25,7 @@
     ca: str = ""
     certificate: str = ""
     seed: int = 1
-    target_ms: int = 0  # a success within so long of its due time is counted "in target"; 0: none is
+    target_ms: int = 0  # a success within this time of its due time counts as "in target"; 0: none does
 
 
 class LoadJob(msgspec.Struct, frozen=True, kw_only=True):
@@ -42,7 +42,7 @@
 
 
 class Progress(msgspec.Struct, tag=True):
-    """How far a process is, some times a second."""
+    """The progress of a process, sent about twice a second."""
 
     at_s: float
     sent: int
@@ -50,13 +50,13 @@
 
 
 class Failure(msgspec.Struct, tag=True):
-    """A process could not do its part."""
+    """A process failed."""
 
     reason: str
 
 
 class PartResult(msgspec.Struct, tag=True):
-    """What one process measured; histograms of microseconds in HdrHistogram's own encoding."""
+    """The measurements of one process; histograms are in microseconds, in HdrHistogram's encoding."""
 
     counts: dict[str, int]
     lateness: str
--- a/hoistplank/lab/load/result.py
+++ b/hoistplank/lab/load/result.py
@@ -1,4 +1,4 @@
-"""The result of a load run, merged from what each of its processes measured."""
+"""The result of a load run, merged from the measurements of its processes."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class LoadResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What a run measured; `msgspec.to_builtins` gives the form that the command line writes."""
+    """The measurements of a run; `msgspec.to_builtins` gives the form that the command line writes."""
 
-    is_void: bool = msgspec.field(name="void")  # the tool itself was too late for its figures to count
+    is_void: bool = msgspec.field(name="void")  # the tool's own lateness was too high for a valid result
     seconds: float
     rate: float  # requests a second
     counts: dict[str, int]
@@ -38,7 +38,7 @@
 
 
 def quantiles_ms(histogram: HdrHistogram) -> dict[str, float]:
-    """The quantiles of a histogram of microseconds, in milliseconds; none of an empty one."""
+    """Return the quantiles of a histogram of microseconds, in milliseconds; empty for an empty histogram."""
     if not histogram.get_total_count():
         return {}
     return {f"p{q:g}": round(histogram.get_value_at_percentile(q) / 1_000, 3) for q in QUANTILES}
@@ -50,7 +50,7 @@
     mix: tuple[ClassShare, ...],
     max_lateness_ms: float,
 ) -> LoadResult:
-    """Merge what the processes measured; void where the p99 of the tool's lateness is over the bound (ms)."""
+    """Merge the parts; the result is void if the p99 of the tool's lateness is above `max_lateness_ms`."""
     seconds = sum(step.seconds for step in steps)
     counts = _merge_counts([part.counts for part in parts])
     lateness_ms = quantiles_ms(_merge_histograms([part.lateness for part in parts]))
--- a/hoistplank/lab/load/schedule.py
+++ b/hoistplank/lab/load/schedule.py
@@ -1,4 +1,4 @@
-"""The sending times of an open loop, computed ahead from steps and ramps. No I/O, no clock."""
+"""The send times of an open loop, computed in advance from steps and ramps; no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 STEP = re.compile(r"(\d{1,6}(?:\.\d{1,3})?)s:(\d{1,7}(?:\.\d{1,3})?)(?:-(\d{1,7}(?:\.\d{1,3})?))?")
 MAX_SECONDS = 86_400.0
-FLAT_SLOPE = 1e-9  # below it a ramp's formula would divide by almost nothing: it is read as a constant rate
-QUOTED_LENGTH = 40  # characters of a refused word that an error repeats
+FLAT_SLOPE = 1e-9  # below it the formula of a ramp would divide by almost zero: treated as a constant rate
+QUOTED_LENGTH = 40  # characters of an invalid word quoted in an error
 
 
 class Step(NamedTuple):
-    """So many seconds at a rate that changes linearly from `first` to `last` requests a second."""
+    """A time at a rate that changes linearly from `first` to `last` requests a second."""
 
     seconds: float
     first: float
     last: float
 
     def requests(self) -> float:
-        """How many requests the step sends."""
+        """Return the number of requests of the step."""
         return self.seconds * (self.first + self.last) / 2
 
     def time_of(self, number: float) -> float:
-        """Seconds into the step at which its request `number` (from 0) is due."""
+        """Return the seconds into the step at which its request `number` (from 0) is due."""
         slope = (self.last - self.first) / self.seconds
         if abs(slope) < FLAT_SLOPE:
             return number / self.first
@@ -39,7 +39,7 @@
     """Parse steps and ramps such as `10s:500 5s:500-2000`. Raises LoadPlanError."""
     steps = tuple(_parse_step(word) for word in text.split())
     if not steps or sum(step.seconds for step in steps) > MAX_SECONDS:
-        raise LoadPlanError(f"{len(steps)} steps in the plan, expected at least one and a day in all at most")
+        raise LoadPlanError(f"{len(steps)} steps in the plan, expected at least one and at most a day in all")
     return steps
 
 
--- a/hoistplank/lab/load/traffic_mix.py
+++ b/hoistplank/lab/load/traffic_mix.py
@@ -1,4 +1,4 @@
-"""What the requests of a load run ask for: shares of traffic classes, and a seeded sampler over them."""
+"""The traffic mix of a load run: shares of traffic classes, and a seeded sampler of requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SampledRequest(NamedTuple):
-    """What one request asks for: indices of its traffic class and its tenant, and its object's rank."""
+    """A drawn request: the indices of its traffic class and tenant, and the rank of its object."""
 
     class_index: int
     object_number: int
@@ -57,7 +57,7 @@
 
 
 class RequestSampler:
-    """Draws what each request asks for from a seed: a class by its share, an object by a Zipf popularity."""
+    """Draws requests from a seed: a class by its share, an object by Zipf popularity, and a tenant."""
 
     def __init__(
         self, mix: tuple[ClassShare, ...], objects: int, zipf: float, tenants: int, seed: int
@@ -76,5 +76,5 @@
         return SampledRequest(min(class_index, self._classes - 1), object_number, int(draw() * self._tenants))
 
     def chance(self, probability: float) -> bool:
-        """Draw whether something of this probability happens."""
+        """Return True with this probability."""
         return self._random.random() < probability
