--- a/hoistplank/lab/model/world.py
+++ b/hoistplank/lab/model/world.py
@@ -118,7 +118,7 @@
             server, self.settings.origin_restart_us if server is self.origin else self.settings.restart_us
         )
 
-    def crash_server(self, server: Server, back_after: int, phase: str = DOWN, warm: bool = False) -> None:
+    def crash_server(self, server: Server, restart_after: int, phase: str = DOWN, warm: bool = False) -> None:
         """End a server's process (or silence its machine) and start a new one later.
 
         It starts cold, unless it is the origin or `warm` is set.
@@ -126,7 +126,7 @@
         server.stop(phase)
         incarnation = server.incarnation
         self.events.schedule(
-            self.events.now + back_after,
+            self.events.now + restart_after,
             self.restart_server,
             server,
             incarnation,
