--- a/hoistplank/distribution/follower.py
+++ b/hoistplank/distribution/follower.py
@@ -121,7 +121,7 @@
 
     # Lines from the replica.
 
-    def _should_ask_again(self, connection: Connection) -> bool:  # noqa: ARG002  replicas send heartbeats
+    def _should_reconnect_for_position(self, connection: Connection) -> bool:  # noqa: ARG002  unused here
         """Returns False always: each new connection costs a replica a turn of catch-up."""
         return False
 
--- a/tests/test_distribution_failover.py
+++ b/tests/test_distribution_failover.py
@@ -12,6 +12,7 @@
 from hoistplank.fakes.settings import endpoint_entry, fleet_event
 from hoistplank.fakes.wire import serve
 from hoistplank.protocol.changelog import Event, Fleet, Snapshot, Target
+from hoistplank.routing.endpoint_watcher import EndpointWatcher
 from hoistplank.routing.events import (
     Checkpoint,
     EndpointWatchFailed,
@@ -61,6 +62,29 @@
     run_scene(scene(), limit_s=60)
 
 
+def test_follower_does_not_reconnect_to_a_replica_for_its_position() -> None:
+    """Each new connection costs a replica a turn of catch-up, and its heartbeats confirm the events anyway.
+
+    The state is one in which a watcher of the change log itself reconnects.
+    """
+
+    async def scene() -> None:
+        async with Rig(replicas=1) as rig:
+            rig.publish_hosts(1, whole=True, a="ready")
+            dispatcher = rig.start_dispatcher("d0")
+            await until(lambda: dispatcher.in_force == at(1))
+            follower = dispatcher.follower
+            connection = follower.connection
+            assert connection is not None and not connection.has_partial_message
+            follower.stage, follower.is_current = EndpointWatchStage.AWAITING_ANSWER, True
+            follower._first_response_at = follower._connected_at
+            follower._unconfirmed_connections, connection.last_read_at = 0, 0.0
+            assert EndpointWatcher._should_reconnect_for_position(follower, connection)
+            assert not follower._should_reconnect_for_position(connection)
+
+    run_scene(scene(), limit_s=60)
+
+
 def test_failover_to_a_lagging_replica_keeps_the_newer_state() -> None:
     """The lagging replica must neither replay old events nor confirm that nothing is newer.
 
