--- a/hoistplank/authorization/signature_budget.py
+++ b/hoistplank/authorization/signature_budget.py
@@ -1,4 +1,4 @@
-"""How many signatures may be checked. No I/O, no clock."""
+"""A budget for signature checks. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from hoistplank.authorization.token_bucket import TokenBucket
 
-RESERVED_SHARE = 0.25  # of the whole budget, for sources that have lately shown a good token
+RESERVED_SHARE = 0.25  # of the whole budget, for sources that have recently sent a valid token
 MIN_BURST = 4.0
 MAX_SOURCES = 4_096
 
 
 class SignatureBudget:
-    """A budget for each source, and one over all; rates a second.
+    """A budget for each source, and one for all sources; rates in checks per second.
 
-    Danger: distinct bad tokens cost a signature check each, and a flood of them takes the core. A quarter of
-    the whole budget is for sources that have lately shown a good token, so that a flood of unknown sources
-    can't shut out the known ones.
+    Each distinct invalid token costs a signature check, and without a budget a flood of them would saturate
+    the core. A quarter of the whole budget is for sources that have recently sent a valid token, so that a
+    flood from unknown sources can't shut out the known ones.
     """
 
     def __init__(self, total: float, per_source: float, now: int, max_sources: int = MAX_SOURCES) -> None:
@@ -29,11 +29,11 @@
 
     @property
     def source_count(self) -> int:
-        """How many sources have a bucket of their own."""
+        """Number of sources with a bucket of their own."""
         return len(self._sources)
 
     def take(self, source: str, now: int) -> int:
-        """Takes one check: 0; else how long until there may be one, in microseconds."""
+        """Takes one check and returns 0, or returns the microseconds until one may be available."""
         bucket = self._bucket(source, now)
         wait_us = bucket.take(now)
         if wait_us:
@@ -42,7 +42,7 @@
             return 0
         wait_us = self._shared.take(now)
         if wait_us:
-            bucket.give_back()  # nothing was checked
+            bucket.refund()  # no signature was checked
         return wait_us
 
     def _bucket(self, source: str, now: int) -> TokenBucket:
@@ -57,7 +57,7 @@
         return bucket
 
     def trust(self, source: str) -> None:
-        """A good token came from there."""
+        """Marks a source that has sent a valid token."""
         self._trusted[source] = None
         self._trusted.move_to_end(source)
         if len(self._trusted) > self.max_sources:
--- a/hoistplank/authorization/token_bucket.py
+++ b/hoistplank/authorization/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TokenBucket:
-    """`rate` tokens a second, `burst` at most at once."""
+    """A bucket that gains `rate` tokens a second and holds at most `burst`."""
 
     __slots__ = ("_updated_us", "burst", "rate", "tokens")
 
@@ -17,24 +17,24 @@
             self._updated_us = now
 
     def take(self, now: int) -> int:
-        """Takes a token, if there is one: 0; else how long until there is, in microseconds."""
+        """Takes a token and returns 0, or returns the microseconds until one is available."""
         self._refill(now)
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0
         return int((1.0 - self.tokens) / self.rate * 1e6) + 1
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Returns a token that was taken and not used."""
         self.tokens += 1.0
 
     def available(self, now: int) -> float:
-        """How many tokens there are."""
+        """Returns the number of tokens in the bucket."""
         self._refill(now)
         return self.tokens
 
     def reconfigure(self, rate: float, burst: float, now: int) -> None:
-        """Other figures from now on; what has been used up stays used up."""
+        """Changes rate and burst; tokens that were used stay used."""
         self._refill(now)
         self.tokens = min(burst, self.tokens + max(0.0, burst - self.burst))
         self.rate, self.burst = rate, burst
