--- a/hoistplank/authorization/admin_connection.py
+++ b/hoistplank/authorization/admin_connection.py
@@ -1,4 +1,4 @@
-"""One connection of an operator: bytes to requests, answered one after another."""
+"""One operator connection of the admin server: parses requests and answers them in order."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from hoistplank.authorization.identity import CertificateIdentity
 from hoistplank.authorization.tls_connections import TlsConnections
 
-MAX_INPUT_BYTES, MAX_OUTPUT_BYTES = 65_536, 1_048_576  # buffered of a connection
-IDLE_TIMEOUT_S = 10.0  # a connection on which nothing comes for so long ends
+MAX_INPUT_BYTES, MAX_OUTPUT_BYTES = 65_536, 1_048_576  # buffer sizes of one connection
+IDLE_TIMEOUT_S = 10.0  # a connection that receives nothing for this long is closed
 
 Respond = Callable[[CertificateIdentity | None, HttpRequest], Awaitable[AdminResponse]]
 
 
 class AdminConnectionOwner(NamedTuple):
-    """Who answers the requests of a connection, and who is told of its end."""
+    """Callbacks of a connection: `respond` answers a request, `on_end` is called when the connection ends."""
 
     respond: Respond
     on_end: Callable[[AdminConnection], None]
 
 
 class AdminConnection:
-    """Reads, answers and ends one connection; its tasks are its own."""
+    """Reads and answers the requests of one connection, in tasks that it starts and ends itself."""
 
     def __init__(
         self, owner: AdminConnectionOwner, tls: TlsConnections, sock: socket.socket, max_body: int
@@ -39,8 +39,8 @@
         self._parser = HttpRequestParser(max_body)
         self._requests: deque[HttpRequest] = deque()
         self._worker: asyncio.Task[None] | None = None
-        self._draining = False  # no further request after those that came
-        self._broken = False  # what came can't be read
+        self._draining = False  # requests received so far are answered, no more are read
+        self._broken = False  # the input is not valid HTTP
         make = tls.factory(self._verified, lambda: None)
         self.connection = make(sock, self._consume, MAX_INPUT_BYTES, MAX_OUTPUT_BYTES)
         loop = asyncio.get_running_loop()
@@ -49,12 +49,12 @@
         self._task.add_done_callback(self._ended)
 
     def expired(self, now_s: float, handshake_timeout_s: float) -> bool:
-        """Whether its handshake takes too long, or nothing came for too long."""
+        """Returns True if the handshake has timed out, or nothing was received for IDLE_TIMEOUT_S."""
         anonymous = self.identity is None and now_s - self._opened_s > handshake_timeout_s
         return anonymous or now_s - self.connection.last_read_at > IDLE_TIMEOUT_S
 
     def drain(self) -> None:
-        """Ends, once what came is answered."""
+        """Closes the connection once the requests received so far are answered."""
         self._draining = True
         if self._worker is None:
             self.connection.close_gracefully()
@@ -64,7 +64,7 @@
 
     def _consume(self, buffer: bytearray, start: int, end: int) -> int:
         if self._broken:
-            return end  # the rest of what can't be used, from the same read
+            return end  # discards what follows the invalid input in the same read
         try:
             self._requests.extend(self._parser.feed(bytes(buffer[start:end])))
         except BadRequestError as error:
@@ -77,7 +77,7 @@
         return end
 
     async def _work(self) -> None:
-        """One after another: answers come in the order of their requests."""
+        """Answers the requests one after another, so that responses keep the order of the requests."""
         try:
             while self._requests and not self.connection.is_closed:
                 request = self._requests.popleft()
--- a/hoistplank/authorization/admin_messages.py
+++ b/hoistplank/authorization/admin_messages.py
@@ -1,5 +1,8 @@
-"""What the admin server is asked and answers, as JSON. The names on the wire are part of its interface:
-where they differ from the code's, a field says so."""
+"""Requests and responses of the admin server, as JSON.
+
+The names on the wire are part of its interface: `msgspec.field(name=…)` gives them where the attribute is
+named differently.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,15 @@
 
 
 class PurgeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """`object`, 16 small hex digits, or `group`, 0 to 255; both where the caller says whose the object is."""
+    """`object`, 16 lower-case hex digits, or `group`, 0 to 255; both if the caller names the object's
+    group."""
 
     object_key: str = msgspec.field(name="object", default="")
     group: int | None = None
 
 
 class RevokeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A revocation (`revocations.Revocation`)."""
+    """Body of `POST /v1/revoke`; the fields are those of `revocations.Revocation`."""
 
     kind: str
     value: str
@@ -28,7 +32,8 @@
 
 
 class LevelBody(msgspec.Struct, forbid_unknown_fields=True):
-    """`do`: pin, unpin, forbid or allow; `level` by name, "full" for full service; `for_s`: 0 for good."""
+    """`do`: pin, unpin, forbid or allow; `level`: its name, "full" for full service; `for_s`: 0 for no
+    end."""
 
     action: str = msgspec.field(name="do")
     level: str = ""
@@ -36,20 +41,20 @@
 
 
 class RefusedBody(msgspec.Struct):
-    """Why a request was rejected."""
+    """The reason a request was rejected."""
 
     reason: str = msgspec.field(name="refused")
 
 
 class PurgedBody(msgspec.Struct):
-    """What was purged: the object, or "group N"."""
+    """`purged`: the object key, or "group N"."""
 
     purged: str
     in_force_within_ms: int
 
 
 class RevokedBody(msgspec.Struct):
-    """The kind that was revoked; `persisted` is "yes", or why it was not written to the file."""
+    """`revoked`: the kind of revocation; `persisted`: "yes", or the reason it was not written to the file."""
 
     revoked: str
     generation: int
@@ -57,21 +62,22 @@
 
 
 class LevelChangedBody(msgspec.Struct):
-    """What was done, and the level in force."""
+    """The action that was taken, and the level now in force."""
 
     done: str
     level: str
 
 
 class NoLevelsBody(msgspec.Struct):
-    """The levels of a dispatcher without any."""
+    """Response of a dispatcher that has no degradation levels configured."""
 
     level: str = "full"
     levels: None = None
 
 
 class TenantView(msgspec.Struct):
-    """A tenant; "all" for no limit on traffic classes or groups."""
+    """A tenant; "all" means no restriction of traffic classes or groups. `admitted` counts requests since the
+    start."""
 
     name: str
     rights: list[str]
@@ -81,7 +87,7 @@
 
 
 class TenantsView(msgspec.Struct):
-    """`GET /v1/tenants`."""
+    """Response to `GET /v1/tenants`."""
 
     generation: int
     tenants: list[TenantView]
@@ -96,14 +102,14 @@
 
 
 class RevocationsView(msgspec.Struct):
-    """How many revocations are in force."""
+    """`rows`: number of revocations in force; `generation` grows with each change."""
 
     generation: int
     rows: int
 
 
 class KeysView(msgspec.Struct):
-    """`GET /v1/keys`."""
+    """Response to `GET /v1/keys`."""
 
     issuers: list[IssuerView]
     revocations: RevocationsView
@@ -111,7 +117,7 @@
 
 
 class RejectionView(msgspec.Struct):
-    """How many requests were rejected for one reason."""
+    """Number of requests of a tenant that were rejected for one reason."""
 
     tenant: str
     reason: str = msgspec.field(name="cause")
@@ -119,13 +125,14 @@
 
 
 class RejectionsView(msgspec.Struct):
-    """`GET /v1/refusals`."""
+    """Response to `GET /v1/refusals`."""
 
     rejections: list[RejectionView] = msgspec.field(name="refusals")
 
 
 class LimitView(msgspec.Struct):
-    """A tenant's limits and what is left of them; null for no limit."""
+    """A tenant's limits and current use; null for no limit. `rate` is requests a second, `available` rate
+    tokens."""
 
     tenant: str
     weight: float
@@ -136,14 +143,14 @@
 
 
 class LimitsView(msgspec.Struct):
-    """`GET /v1/limits`."""
+    """Response to `GET /v1/limits`; `open` counts the open requests of all tenants."""
 
     limits: list[LimitView]
     open: int
 
 
 class AdminResponse(NamedTuple):
-    """A response, its body still to be encoded; `retry_after_us` 0 for no Retry-After."""
+    """A response with its body not yet encoded; `retry_after_us` 0 means no Retry-After."""
 
     status: int
     body: msgspec.Struct | Mapping[str, Any]
@@ -151,5 +158,5 @@
 
 
 def refusal(status: int, reason: str, retry_after_us: int = 0) -> AdminResponse:
-    """The response to a request that is not done."""
+    """Returns the response to a request that is rejected."""
     return AdminResponse(status, RefusedBody(reason), retry_after_us)
--- a/hoistplank/authorization/admin_routes.py
+++ b/hoistplank/authorization/admin_routes.py
@@ -1,7 +1,7 @@
-"""The routes of the admin server: purge, revoke, change the service level, look.
+"""The routes of the admin server: purge, revoke, change the degradation level, and read-only views.
 
-A purge goes through the router task's queue like one of the change log. Every rejection says why, as
-`{"refused": "…"}`.
+A purge goes through the router task's queue, as purges of the change log do. Every rejection has the body
+`{"refused": "REASON"}`.
 """
 
 from __future__ import annotations
@@ -41,7 +41,8 @@
 
 OBJECT_KEY = re.compile(r"[0-9a-f]{16}").fullmatch
 MAX_GROUP = 255
-# Danger: a purge costs fills at every cache; one tenant's script in a loop would empty what all live from.
+# Limits the purges of each tenant: every purge causes fills at all caches, so one tenant's script that purges
+# in a loop would empty the caches that all tenants share.
 PURGES_PER_SECOND, PURGE_BURST = 10.0, 50.0
 MAX_PURGE_BUCKETS = 1_024
 PURGE_IN_FORCE_MS = 1_000
@@ -51,40 +52,41 @@
 
 
 class DegradationControl(Protocol):
-    """What the routes use of the service levels of a dispatcher that has them."""
+    """The part of the degradation service that the routes use, if the dispatcher has one."""
 
     @property
     def level_name(self) -> str:
-        """The level in force."""
+        """Name of the level in force."""
 
     def status(self, now: int) -> msgspec.Struct:
-        """The state, for operators."""
+        """Returns the state for operators."""
 
     def override(self, now: int, action: str, level: str, duration_us: int, operator: str) -> str:
-        """An operator's override; returns what was done; raises ValueError with why not."""
+        """Applies an operator's override and returns the action taken; raises ValueError with the reason if
+        it can't."""
 
 
 class Dispatcher(Protocol):
-    """What the routes use of the program that they are part of."""
+    """The part of the program that the routes use."""
 
     router_task: RouterTask
 
 
 class AuthorizationControl(Protocol):
-    """What the routes use of the authorization service, which stands above them."""
+    """The part of the authorization service that the routes use."""
 
     authorizer: Authorizer
     clock: Clock
 
     @property
     def handshakes(self) -> HandshakeCounts:
-        """How handshakes ended."""
+        """Outcomes of TLS handshakes."""
 
     def revoke(self, revocation: Revocation) -> None:
-        """Takes a revocation up at once; raises InvalidRevocationError."""
+        """Puts a revocation in force at once; raises InvalidRevocationError."""
 
     async def persist(self, revocation: Revocation) -> str:
-        """Writes it to the operators' file; returns why that failed, or an empty string."""
+        """Appends it to the revocation file; returns the reason of a failure, or an empty string."""
 
 
 Handler = Callable[[Caller, bytes], Awaitable[AdminResponse]]
@@ -92,7 +94,7 @@
 
 
 class AdminRoutes:
-    """Answers the requests of operators; nothing that they send ends more than their own connection."""
+    """Answers the requests of operators; invalid input closes at most the operator's own connection."""
 
     def __init__(self, service: AuthorizationControl, dispatcher: Dispatcher) -> None:
         self.service, self.dispatcher = service, dispatcher
@@ -117,7 +119,7 @@
         return self.service.authorizer
 
     async def respond(self, identity: CertificateIdentity | None, request: HttpRequest) -> AdminResponse:
-        """The response to one request of a connection whose client certificate is `identity`."""
+        """Returns the response to a request on a connection with the client certificate `identity`."""
         if identity is None:
             return refusal(401, "no client certificate")
         caller = self._authorizer.authenticate_operator(identity)
@@ -132,13 +134,15 @@
         try:
             return await command(caller, request.body)
         except (msgspec.MsgspecError, RecursionError) as error:
-            return refusal(400, f"the body can't be used: {str(error)[:MAX_SHOWN_PROBLEM]}")
+            return refusal(400, f"invalid request body: {str(error)[:MAX_SHOWN_PROBLEM]}")
 
     def _no_route(self, request: HttpRequest) -> AdminResponse:
         paths = self._views.keys() | self._commands.keys()
         if request.path in paths:
-            return refusal(405, f"{request.method[:MAX_SHOWN_METHOD]} is not for {request.path}")
-        return refusal(404, "no such path; there are " + ", ".join(sorted(paths)))
+            return refusal(
+                405, f"method {request.method[:MAX_SHOWN_METHOD]} is not allowed for {request.path}"
+            )
+        return refusal(404, "no such path; the paths are " + ", ".join(sorted(paths)))
 
     async def _purge(self, caller: Caller, data: bytes) -> AdminResponse:
         body = msgspec.json.decode(data, type=PurgeBody)
@@ -150,17 +154,21 @@
             return refusal(rejection.status, rejection.reason)
         wait_us = self._take_purge(caller.tenant)
         if wait_us:
-            return refusal(429, "purges come too fast", wait_us)
+            return refusal(429, "purge rate limit of the tenant exceeded", wait_us)
         router_task = self.dispatcher.router_task
         group = body.group if body.group is not None and not body.object_key else 0
         router_task.submit(PurgeReceived(body.object_key, group, router_task.clock.now()))
         log.info(
-            "purge", tenant=caller.tenant.name, by=caller.name, object_key=body.object_key, group=body.group
+            "purge accepted",
+            tenant=caller.tenant.name,
+            by=caller.name,
+            object_key=body.object_key,
+            group=body.group,
         )
         return AdminResponse(200, PurgedBody(body.object_key or f"group {body.group}", PURGE_IN_FORCE_MS))
 
     def _take_purge(self, tenant: Tenant) -> int:
-        """Counts a purge of a tenant: 0, or how long until it may have one, in microseconds."""
+        """Takes a token for a purge of the tenant; returns 0, or the microseconds until one is available."""
         now = self.service.clock.now()
         if len(self._purge_buckets) > MAX_PURGE_BUCKETS:
             known = self._authorizer.tenants.by_name
@@ -185,7 +193,7 @@
 
     @property
     def _degradation(self) -> DegradationControl | None:
-        """The service levels, where the operator's file has them: their service sets the attribute."""
+        """The degradation service, which sets this attribute if the operator file configures levels."""
         return getattr(self.dispatcher, "levels", None)
 
     async def _change_level(self, caller: Caller, data: bytes) -> AdminResponse:
@@ -194,9 +202,9 @@
         if not caller.tenant.rights & OPERATE:
             return refusal(403, "right")
         if degradation is None:
-            return refusal(404, "no levels in the operator's file")
+            return refusal(404, "the operator file configures no levels")
         if not 0 <= body.for_s <= MAX_LEVEL_S:
-            return refusal(400, f"'for_s' is to be from 0 to {MAX_LEVEL_S}")
+            return refusal(400, f"'for_s' must be from 0 to {MAX_LEVEL_S}")
         now, for_us = self.service.clock.now(), int(body.for_s * 1e6)
         try:
             done = degradation.override(now, body.action, body.level, for_us, caller.name)
@@ -210,11 +218,11 @@
 
 
 def _purge_problem(body: PurgeBody) -> str:
-    """Why a purge can't be used, or an empty string."""
+    """Returns why a purge request is invalid, or an empty string."""
     if not body.object_key and body.group is None:
-        return "neither 'object' nor 'group' is given"
+        return "expected 'object' or 'group', found neither"
     if body.object_key and not OBJECT_KEY(body.object_key):
-        return "'object' is to have 16 small hex digits"
+        return "'object' must be 16 lower-case hex digits"
     if body.group is not None and not 0 <= body.group <= MAX_GROUP:
-        return "'group' is to be from 0 to 255"
+        return "'group' must be from 0 to 255"
     return ""
--- a/hoistplank/authorization/admin_server.py
+++ b/hoistplank/authorization/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' server: HTTP/1.1 over mutual TLS on its own listener."""
+"""The admin server for operators: HTTP/1.1 over mutual TLS on its own listener."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 
 
 class Dispatcher(Protocol):
-    """What the server uses of the program that it is part of."""
+    """The part of the program that the server uses."""
 
     router_task: RouterTask
     descriptors: DescriptorBudget
 
 
 class AuthorizationServer(AuthorizationControl, Protocol):
-    """What the server uses of the authorization service, which stands above it."""
+    """The part of the authorization service that the server uses."""
 
     tls: TlsConnections
 
 
 class AdminServer:
-    """Owns the operators' connections; `settings` are those of the start."""
+    """Owns the operators' connections; `settings` are those at program start, since a reload does not change
+    them."""
 
     def __init__(self, service: AuthorizationServer, settings: AdminSettings, dispatcher: Dispatcher) -> None:
         self.service, self.settings, self.dispatcher = service, settings, dispatcher
@@ -41,11 +42,12 @@
         self._listener = Listener(settings.listen, dispatcher.descriptors, self._accept)
 
     def parts(self) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """Its tasks, by name."""
+        """Returns the tasks to run, by name."""
         return [("control listener", self._listener.run()), ("control sweep", self._sweep())]
 
     def disconnect_revoked(self) -> None:
-        """Connections whose certificate is no longer accepted end, once what came on them is answered."""
+        """Drains connections whose certificate is no longer accepted: received requests are still
+        answered."""
         for connection in list(self.connections):
             identity = connection.identity
             if identity is not None and self.service.authorizer.check_certificate(identity) is not None:
@@ -53,8 +55,8 @@
 
     def _accept(self, sock: socket.socket, _peer: str) -> None:
         if len(self.connections) >= self.settings.max_connections:
-            # Danger: operators' connections count against the clients' descriptors. The one silent for
-            # longest goes.
+            # Operators' connections use the clients' descriptors, so too many would leave none for clients.
+            # The connection that has been idle longest is closed.
             min(self.connections, key=lambda one: one.connection.last_read_at).connection.close()
         owner = AdminConnectionOwner(self.routes.respond, self._connection_ended)
         connection = AdminConnection(owner, self.service.tls, sock, self.settings.max_body_bytes)
@@ -65,7 +67,7 @@
         self.dispatcher.descriptors.release(ConnectionKind.CLIENT)
 
     async def _sweep(self) -> None:
-        """Closes connections that expired, and has the others give memory back."""
+        """Closes expired connections and releases the unused buffers of the others."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
--- a/hoistplank/authorization/admin_views.py
+++ b/hoistplank/authorization/admin_views.py
@@ -1,4 +1,4 @@
-"""What operators may look at: with the right `operate` all tenants, else their own."""
+"""Read-only views for operators: of all tenants with the right `operate`, otherwise of their own."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def tenants(authorizer: Authorizer, viewer: Tenant) -> TenantsView:
-    """Tenants with their rights."""
+    """Returns the visible tenants with their rights."""
     return TenantsView(
         authorizer.tenants.generation, [_tenant(authorizer, row) for row in _visible(authorizer, viewer)]
     )
@@ -44,7 +44,7 @@
 
 
 def keys(authorizer: Authorizer, handshakes: HandshakeCounts) -> KeysView:
-    """Issuers with their keys, revocations and handshakes, for every operator."""
+    """Returns issuers with their keys, revocations and handshakes; the same for every operator."""
     authenticator = authorizer.authenticator
     return KeysView(
         issuers=[
@@ -57,7 +57,7 @@
 
 
 def rejections(authorizer: Authorizer, viewer: Tenant) -> RejectionsView:
-    """How many requests were rejected, by tenant and reason."""
+    """Returns the number of rejected requests by tenant and reason."""
     names = {row.name for row in _visible(authorizer, viewer)}
     if viewer.rights & OPERATE:
         names.add(NO_TENANT_NAME)
@@ -71,7 +71,7 @@
 
 
 def limits(authorizer: Authorizer, viewer: Tenant, now: int) -> LimitsView:
-    """Limits of tenants, and what they have open."""
+    """Returns the limits of the visible tenants and their open requests."""
     rows = [_limit(authorizer, row, now) for row in _visible(authorizer, viewer)]
     return LimitsView(rows, authorizer.limiter.total_open)
 
--- a/hoistplank/authorization/authenticator.py
+++ b/hoistplank/authorization/authenticator.py
@@ -1,7 +1,7 @@
-"""Authentication: whose a request is, by its certificate and its token. No I/O, no clock, nothing awaited.
+"""Authentication: finds the tenant of a request by its certificate and its token. No I/O, no clock, no await.
 
-`now` is whole microseconds of the Unix clock. A token is checked cheapest first and its signature once; what
-was found stands until tenants, policy, keys or revocations change (`epoch`).
+`now` is whole microseconds of the Unix clock. A token's cheapest checks run first and its signature is
+verified once; the outcome is valid until tenants, policy, keys or revocations change (`epoch`).
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from hoistplank.authorization.signature_budget import SignatureBudget
 from hoistplank.authorization.token_cache import TokenCache, Verdict, VerifiedToken, verify
 
-# For a token whose key may be on its way: the key sets are read again within this time
+# Retry-After of a token whose key may not have been read yet: the key sets are read again within this time
 # (`service.MAX_POLL_INTERVAL_S`).
 UNKNOWN_KEY_RETRY_US = 300_000
 MAX_RECENT_FIELDS = 512
 
-# Of a certificate: a token beside it may still say whose the request is.
+# The outcome for a certificate without a tenant; a token sent with it may still name the tenant.
 NO_TENANT = Rejection(UNAUTHORIZED, Ambiguity.NO_TENANT.value)
 TWO_TENANTS = Rejection(UNAUTHORIZED, Ambiguity.TWO_TENANTS.value)
 NO_TENANT_FOR_SUBJECT = Rejection(FORBIDDEN, "no tenant")
@@ -52,7 +52,7 @@
 
 
 class Authenticator:
-    """Knows tenants, issuers, revocations and the tokens that were checked."""
+    """Holds tenants, issuers, revocations and the cache of verified tokens."""
 
     def __init__(
         self,
@@ -67,12 +67,12 @@
         self.unknown_keys = UnknownKeys()
         self._signature_budget = _budget(policy, now)
         self._epoch = 0
-        # What came a moment ago comes again: a look-up by the field itself saves its digest, a third of the
-        # cost. Few and let go together, since these are tokens as they came, not digests.
+        # Clients repeat their tokens: a lookup by the authorization field itself saves the digest, a third of
+        # the cost. The table is small and cleared at once, since it holds whole tokens, not digests.
         self._recent: dict[str, VerifiedToken] = {}
 
     def configure(self, tenants: TenantDirectory, policy: AuthenticationPolicy, now: int) -> None:
-        """Other tenants and figures, from the next request on."""
+        """Applies new tenants and policy, from the next request on."""
         if policy != self.policy:
             self.token_cache.capacity = policy.token_cache_size
             self._signature_budget = _budget(policy, now)
@@ -80,7 +80,7 @@
         self._epoch += 1
 
     def replace_issuers(self, issuers: Mapping[str, Issuer]) -> None:
-        """Other issuers, or others of their keys."""
+        """Replaces the issuers and their keys."""
         before = {name: issuer.generation for name, issuer in self.issuers.items()}
         if {name: issuer.generation for name, issuer in issuers.items()} != before:
             self._epoch += 1
@@ -90,12 +90,12 @@
 
     @property
     def epoch(self) -> int:
-        """Grows with every change of tenants, policy, keys or revocations: what was found before is looked
-        at anew."""
+        """Counter that grows with every change of tenants, policy, keys or revocations and so invalidates
+        earlier outcomes."""
         return self._epoch + self.revocations.generation
 
     def authenticate(self, now: int, credentials: Credentials) -> Caller | Rejection:
-        """Whose a request is, or why that can't be said."""
+        """Returns the caller of a request, or why it can't be determined."""
         identity, authorization, _ = credentials
         holder = self.holder(identity) if identity is not None else None
         if isinstance(holder, Rejection) and (not authorization or holder is not NO_TENANT):
@@ -107,7 +107,7 @@
                 and isinstance(holder, Caller)
                 and bearer.tenant is not holder.tenant
             ):
-                # Danger: a token that leaked to another member works from that member's machines.
+                # Otherwise a token that leaked to another tenant would work from that tenant's machines.
                 return CONFLICTING_TENANTS
             return bearer
         if isinstance(holder, Caller):
@@ -121,12 +121,12 @@
     # Certificates.
 
     def check_certificate(self, identity: CertificateIdentity) -> Rejection | None:
-        """Why a certificate that a handshake has proven is not accepted, or None."""
+        """Returns why a certificate verified by a handshake is not accepted, or None."""
         part = self.revocations.revoked_part_of_certificate(identity.issuer, identity.serial, identity.names)
         return _revoked(part) if part else None
 
     def holder(self, identity: CertificateIdentity) -> Caller | Rejection:
-        """Whose a certificate is."""
+        """Returns the caller that a certificate names, or why there is none."""
         epoch = self.epoch
         if identity.epoch != epoch or identity.outcome is None:
             identity.epoch, identity.outcome = epoch, self._find_holder(identity)
@@ -152,7 +152,7 @@
         return self._check_field(now, credentials, epoch)
 
     def _check_field(self, now: int, credentials: Credentials, epoch: int) -> Caller | Rejection:
-        """Whose the token of an authorization field is, by its digest or by a new check."""
+        """Returns the caller of an authorization field's token, from the token cache or by a new check."""
         authorization = credentials.authorization
         scheme, _, token = authorization.partition(" ")
         if not token or (scheme != "Bearer" and scheme.lower() != "bearer"):
@@ -170,7 +170,7 @@
                 return outcome
             if self._has_key_of(verdict):
                 return self._judge_verified(now, verdict)
-            self.token_cache.discard(digest)  # its key was retired or replaced: it is judged anew
+            self.token_cache.discard(digest)  # its key was retired or replaced: the token is checked again
         return self._check_new(now, token, digest, credentials.source)
 
     def _remember_recent(self, authorization: str, token: VerifiedToken) -> None:
@@ -179,12 +179,12 @@
         self._recent[authorization] = token
 
     def _has_key_of(self, token: VerifiedToken) -> bool:
-        """Whether the very key that verified a token is still its issuer's."""
+        """Returns True if the same key object that verified a token is still in its issuer's set."""
         issuer = self.issuers.get(token.issuer)
         return issuer is not None and issuer.keys.get(token.key.kid) is token.key
 
     def _judge_verified(self, now: int, token: VerifiedToken) -> Caller | Rejection:
-        """Looks again at all but the signature, and remembers the outcome."""
+        """Repeats all checks except the signature, and caches the outcome."""
         policy = self.policy
         problem = jws.validity_problem(
             token.expires_us, token.not_before_us, now, policy.clock_skew_us, policy.max_lifetime_us
@@ -206,7 +206,8 @@
         return Caller(tenant, token.subject) if tenant is not None else NO_TENANT_FOR_SUBJECT
 
     def _check_new(self, now: int, token: str, digest: bytes, source: str) -> Caller | Rejection:
-        """All that is cheap is checked before a signature, and signature checks have a budget."""
+        """Checks a token that is not cached: everything cheap before the signature, which counts against a
+        budget."""
         try:
             claims = jws.parse_token(token, self.policy.max_token_bytes)
         except jws.InvalidTokenError as error:
--- a/hoistplank/authorization/authorizer.py
+++ b/hoistplank/authorization/authorizer.py
@@ -1,8 +1,8 @@
-"""Authorization: whether a request may be admitted. No I/O, no clock, nothing awaited.
+"""Authorization: decides if a request is admitted. No I/O, no clock, no await.
 
-One call a request (`admit`), and `release` at its end. What is rejected never reaches the Router or a cache
-host. What is admitted is the Router's to decide like any other request. `now` is whole microseconds of the
-Unix clock.
+Each request calls `admit`, and `release` at its end. A rejected request never reaches the Router or a cache
+host; the Router handles an admitted one like any other request. `now` is whole microseconds of the Unix
+clock.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 NO_PURGE_RIGHT = Rejection(FORBIDDEN, "right")
 FOREIGN_GROUP = Rejection(FORBIDDEN, "group")
 UNKNOWN_GROUP = Rejection(FORBIDDEN, "object's group not known")
-NO_TENANT_NAME = ""  # under which rejections are counted whose tenant is not known
+NO_TENANT_NAME = ""  # counts rejections of requests without a known tenant
 
 
 class RequestAttributes(Protocol):
-    """What authorization reads of a request; whoever holds one hands it over as it is."""
+    """The attributes of a request that authorization reads."""
 
     @property
     def class_name(self) -> str:
@@ -35,11 +35,11 @@
 
     @property
     def object_key(self) -> str:
-        """The object that is asked for."""
+        """Key of the requested object."""
 
     @property
     def purge_group(self) -> int:
-        """The object's purge group, as the request names it."""
+        """Purge group of the object, as named in the request."""
 
     @property
     def idempotency_key(self) -> str:
@@ -47,15 +47,15 @@
 
 
 class ClassRules(NamedTuple):
-    """What a traffic class asks of its callers: the right (a bit of `permissions`), and how long an attempt
-    may run or be remembered as having run."""
+    """Requirements of a traffic class: the right that callers need (a bit of `permissions`), and how long an
+    operation key is held: the time that an attempt may run plus the window in which repeats are detected."""
 
     right: int
     key_hold_us: int
 
 
 class RejectionCount(NamedTuple):
-    """Whose requests were rejected and why; the tenant is empty where it was not known."""
+    """Key of the rejection counters; the tenant is empty if it was not known."""
 
     tenant: str
     reason: str
@@ -74,19 +74,19 @@
         self.authenticator = Authenticator(tenants, issuers, policy, now)
         self.limiter = TenantLimiter()
         self.rejections: dict[RejectionCount, int] = {}
-        self.records_groups = False  # whether an object's group is asked for: where there is an admin server
+        self.records_groups = False  # True if the admin server runs, whose purges need the objects' groups
         self._operation_keys = OperationKeys()
         self._object_groups = ObjectGroups()
         self.configure(tenants, policy, now)
 
     @property
     def tenants(self) -> TenantDirectory:
-        """The tenants in force."""
+        """Tenants in force."""
         return self.authenticator.tenants
 
     def configure(self, tenants: TenantDirectory, policy: AuthenticationPolicy, now: int) -> None:
-        """Other tenants and figures, from the next request on; requests in progress keep what they were
-        admitted for."""
+        """Applies new tenants and policy from the next request on; requests in progress keep the tenant that
+        they were admitted for."""
         self.authenticator.configure(tenants, policy, now)
         quotas = {
             tenant.name: TenantQuota(tenant.rate, tenant.burst, tenant.max_open, tenant.weight)
@@ -104,8 +104,8 @@
         rules: ClassRules,
         open_limit: int,
     ) -> Caller | Rejection:
-        """Counts a request as open and says whose it is, or why it is not admitted. `open_limit` as
-        `fair_share.open_limit` gave it."""
+        """Counts a request as open and returns its caller, or returns why it is not admitted. `open_limit` is
+        the result of `fair_share.open_limit`."""
         caller = self.authenticator.authenticate(now, credentials)
         if isinstance(caller, Rejection):
             return self._count(NO_TENANT_NAME, caller)
@@ -126,20 +126,21 @@
         return caller
 
     def release(self, caller: Caller) -> None:
-        """An admitted request has ended."""
+        """Releases an admitted request that has ended."""
         self.limiter.release(caller.tenant.name)
 
     def check_certificate(self, identity: CertificateIdentity) -> Rejection | None:
-        """Why a certificate that a handshake has proven is not accepted, or None."""
+        """Returns why a certificate verified by a handshake is not accepted, or None; counts the
+        rejection."""
         rejection = self.authenticator.check_certificate(identity)
         return self._count(NO_TENANT_NAME, rejection) if rejection is not None else None
 
     def authenticate_operator(self, identity: CertificateIdentity) -> Caller | Rejection:
-        """Who a caller of the admin server is: by certificate alone."""
+        """Returns the caller of the admin server, identified by certificate alone."""
         return self.authenticator.holder(identity)
 
     def check_purge(self, caller: Caller, object_key: str, group: int | None) -> Rejection | None:
-        """Why a purge is rejected, or None; `object_key` '' is the whole group."""
+        """Returns why a purge is rejected, or None; an empty `object_key` means the whole group."""
         rejection = self._purge_problem(caller, object_key, group)
         return self._count(caller.tenant.name, rejection) if rejection is not None else None
 
@@ -151,7 +152,8 @@
             return NO_PURGE_RIGHT
         owned = group
         if object_key and tenant.groups != ALL_GROUPS:
-            # Danger: the purger's own claim of an object's group would let it purge what is not its own.
+            # The group that the caller claims for an object is not trusted: it could purge other tenants'
+            # objects.
             owned = self._object_groups.get(object_key)
             if owned is None:
                 return UNKNOWN_GROUP
--- a/hoistplank/authorization/certificates.py
+++ b/hoistplank/authorization/certificates.py
@@ -1,5 +1,5 @@
-"""The server's chain and key, the client CA and its revocation lists (RFC 5280): read, checked, made into a
-context."""
+"""Loads and checks the server's certificate chain and key, the client CA and its revocation lists (RFC 5280),
+and makes an SSL context of them."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 TLS_VERSIONS = {"tls1.2": ssl.TLSVersion.TLSv1_2, "tls1.3": ssl.TLSVersion.TLSv1_3}
 CRL_END = b"-----END X509 CRL-----"
-MAX_NAMES = 32  # of a certificate's subject alternative names, the first
+MAX_NAMES = 32  # subject alternative names that are used of a certificate
 FAR_FUTURE_US = 1 << 62
 
 
 class CertificateRejectedError(AuthorizationError):
-    """A client certificate that a handshake has proven is not accepted; the text says why."""
+    """Raised if a client certificate verified by a handshake is not accepted; the text is the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """The files of a listener and how it uses them; `min_version` is a key of TLS_VERSIONS."""
+    """The TLS files and options of a listener; `min_version` is a key of TLS_VERSIONS."""
 
     certificate: Path
     key: Path
@@ -43,14 +43,14 @@
     min_version: str
 
     def paths(self) -> tuple[Path, ...]:
-        """All files that are read."""
+        """Returns the paths of all configured files."""
         named = (self.certificate, self.key, self.client_ca, self.revocation_list)
         return tuple(path for path in named if path is not None)
 
 
 @dataclass(frozen=True, slots=True)
 class RevocationLists:
-    """What the lists of the client CAs revoke; `next_update_us` is the earliest of theirs, 0 without a
+    """The revocations of the client CAs' lists; `next_update_us` is the earliest next update, 0 without a
     list."""
 
     revocations: tuple[Revocation, ...] = ()
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsState:
-    """What new connections are served with."""
+    """The SSL context and revocation lists for new connections."""
 
     context: ssl.SSLContext
     certificate_expires_us: int
@@ -82,10 +82,10 @@
 
 @contextmanager
 def _in_memory(data: bytes) -> Iterator[str]:
-    """A path under which the library finds these bytes.
+    """Yields the path of an in-memory file with these bytes.
 
-    Danger: between the check of a file and the library's own reading it may be changed. The library reads
-    from memory the very bytes that were checked.
+    A file may change between its check and the moment the library opens it by path. Reading from memory, the
+    library gets the very bytes that were checked.
     """
     file = os.memfd_create("checked", os.MFD_CLOEXEC)
     try:
@@ -96,7 +96,7 @@
 
 
 def load_tls(files: TlsFiles, now: int) -> TlsState:
-    """Reads and checks all files of a listener; raises CredentialFileError."""
+    """Reads and checks all TLS files of a listener; raises CredentialFileError."""
     chain_pem, key_pem = read_file(files.certificate), read_file(files.key, private=True)
     certificate = _parse_chain(files.certificate, chain_pem)[0]
     _check_key(files, certificate, key_pem)
@@ -127,7 +127,7 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = TLS_VERSIONS[files.min_version]
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_TICKET | ssl.OP_NO_COMPRESSION
-    # Danger: a resumed session would bring back what a certificate said before it was revoked.
+    # No session resumption: a resumed session would skip the check of a certificate that was revoked since.
     context.num_tickets = 0  # type: ignore[attr-defined]  # missing in the stubs
     with _in_memory(chain_pem) as chain_path, _in_memory(key_pem) as key_path:
         try:
@@ -138,7 +138,7 @@
 
 
 def _trust_client_ca(context: ssl.SSLContext, path: Path, *, required: bool) -> list[x509.Certificate]:
-    """Has a context ask for client certificates; returns the authorities that sign them."""
+    """Makes a context request client certificates; returns the authorities that sign them."""
     pem = read_file(path)
     authorities = _parse_chain(path, pem)
     context.verify_mode = ssl.CERT_REQUIRED if required else ssl.CERT_OPTIONAL
@@ -173,7 +173,7 @@
 def _parse_revocation_list(
     path: Path, pem: bytes, authorities: list[x509.Certificate], now: int
 ) -> tuple[x509.CertificateRevocationList, int]:
-    """A list that one of the authorities signed, and its next update."""
+    """Returns a revocation list that one of the authorities signed, and its next update in microseconds."""
     try:
         revocation_list = x509.load_pem_x509_crl(pem)
     except ValueError:
@@ -192,11 +192,11 @@
 
 
 def identity_of(der: bytes) -> CertificateIdentity:
-    """Whom a proven certificate names: the URIs and DNS names of its subject alternative name (RFC 5280
-    section 4.2.1.6).
+    """Returns the identity of a verified certificate: the URIs and DNS names of its subject alternative name
+    (RFC 5280 section 4.2.1.6).
 
-    Raises CertificateRejectedError where it can't be read; a certificate without such names is an identity
-    without any.
+    Raises CertificateRejectedError if it can't be read; a certificate without such names gives an identity
+    without names.
     """
     try:
         certificate = x509.load_der_x509_certificate(der)
@@ -215,5 +215,5 @@
 
 
 def format_time(time_us: int) -> str:
-    """A time as logs show it, in UTC."""
+    """Formats microseconds of the Unix clock as a UTC time for logs."""
     return datetime.fromtimestamp(time_us / 1e6, UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
--- a/hoistplank/authorization/credential_files.py
+++ b/hoistplank/authorization/credential_files.py
@@ -1,4 +1,4 @@
-"""Reading and writing of the files that hold keys, certificates and revocations: whole or not at all."""
+"""Atomic reading and writing of the files that hold keys, certificates and revocations."""
 
 from __future__ import annotations
 
@@ -15,25 +15,28 @@
 MAX_FILE_BYTES = 1_048_576
 PRIVATE_MODE = 0o600
 PRIVATE_FOLDER_MODE = 0o700
-OPEN_TO_OTHERS = 0o077  # the mode's bits of group and others
+OPEN_TO_OTHERS = 0o077  # mode bits of group and others
 LOCK_FILE = ".lock"
 
 
 class CredentialFileError(AuthorizationError):
-    """A file that can't be used; its text names the file and says why, never what stands in it."""
+    """A file that can't be used; the text has its path and the reason, never its contents."""
 
 
 def read_file(path: Path, *, private: bool = False) -> bytes:
-    """A file's bytes; raises CredentialFileError. A private one must be closed to group and others."""
+    """Returns a file's bytes; raises CredentialFileError. A private file must not be accessible to group and
+    others."""
     try:
         with path.open("rb") as file:
             status = os.fstat(file.fileno())
             if not stat.S_ISREG(status.st_mode):
-                raise CredentialFileError(f"{path}: is no plain file")
-            # Danger: a key that others on the machine can read is theirs too.
+                raise CredentialFileError(f"{path}: is not a regular file")
+            # A private key that other users of the machine can read is compromised.
             if private and status.st_mode & OPEN_TO_OTHERS:
                 mode = f"{status.st_mode & 0o777:04o}"
-                raise CredentialFileError(f"{path}: mode {mode} lets others at a private key, expected 0600")
+                raise CredentialFileError(
+                    f"{path}: mode {mode} gives others access to a private key, expected 0600"
+                )
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise CredentialFileError(f"{path}: can't be read ({error.strerror})") from None
@@ -43,10 +46,10 @@
 
 
 def write_file(path: Path, data: bytes, mode: int = PRIVATE_MODE) -> None:
-    """Replaces a file; raises CredentialFileError.
+    """Replaces a file atomically; raises CredentialFileError.
 
-    Danger: a reader between two writes would find half a file. Written beside, flushed, renamed, folder
-    flushed.
+    A reader must never find half a file: the data goes to a temporary file, which is flushed and renamed, and
+    then the folder is flushed.
     """
     temporary = path.with_name(f".{path.name}.{secrets.token_hex(4)}")
     try:
@@ -76,7 +79,8 @@
 
 @contextlib.contextmanager
 def locked(folder: Path) -> Iterator[None]:
-    """Danger: two commands that change one ring at once would lose one's change. The second waits."""
+    """Holds the folder's lock: of two commands that change a key ring or revocation file at once, the second
+    waits, so that neither change is lost."""
     folder.mkdir(parents=True, exist_ok=True, mode=PRIVATE_FOLDER_MODE)
     file = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, PRIVATE_MODE)
     try:
--- a/hoistplank/authorization/credential_loader.py
+++ b/hoistplank/authorization/credential_loader.py
@@ -1,4 +1,4 @@
-"""Reads the key sets, revocations and certificates that the operator's file names, and follows their
+"""Loads the key sets, revocations and certificates that the operator file names, and watches them for
 changes."""
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 log = structlog.get_logger()
 
-# The sources of revocations, as messages name them.
+# Names of the sources of revocations, also in messages.
 REVOCATION_FILE, REVOCATION_LIST = "file", "revocation list"
 
 
 class CredentialLoader:
-    """The sources of one generation of settings, and what takes up their contents.
+    """Holds the credential sources of one generation of settings and applies their contents.
 
-    `on_change` is called after a change of revocations or certificates that was found by `poll`.
+    `on_change` is called after `poll` has applied a change of revocations or certificates.
     """
 
     def __init__(
@@ -50,11 +50,13 @@
     ) -> None:
         self.authenticator, self.tls = authenticator, tls
         self.clock, self.on_change = clock, on_change
-        self.polling = False  # whether changes are logged and told: not while the program starts
+        self.polling = (
+            False  # False while the program starts: changes are then neither logged nor reported to on_change
+        )
         self.use_settings(settings)
 
     def use_settings(self, settings: AuthorizationSettings) -> None:
-        """Other files from now on; nothing is read yet."""
+        """Replaces the sources by those of other settings, without reading them."""
         key_sets = {issuer.name: self._key_set_source(issuer) for issuer in settings.issuers}
         sources = list(key_sets.values())
         if settings.revocation_file is not None:
@@ -64,21 +66,21 @@
         self.sources, self._key_set_sources = sources, key_sets
 
     def load_all(self, now: int) -> None:
-        """Reads all sources at the start; raises ConfigurationError for those that can't be used."""
+        """Loads all sources at the start; raises ConfigurationError for those that can't be used."""
         diagnostics = []
         for source in self.sources:
             try:
                 source.load(now)
             except AuthorizationError as error:
-                diagnostics.append(Diagnostic(source.location, str(error), f"{source.name} that can be used"))
+                diagnostics.append(Diagnostic(source.location, str(error), f"usable {source.name}"))
         if diagnostics:
             raise ConfigurationError(diagnostics)
 
     async def poll(self) -> None:
-        """Looks at all sources once and takes up what changed.
+        """Checks all sources once and applies those that changed.
 
-        Danger: a folder that hangs or is full of faults must cost a log line, never a request: a thread
-        looks.
+        The files are read in a thread, so that a file system that hangs delays no request; a file that can't
+        be read costs only a log line.
         """
         began_us = self.clock.now()
         sources = list(self.sources)
@@ -91,11 +93,17 @@
     def _accept(self, source: CredentialSource, scan: Scan, read_us: int) -> None:
         error = source.accept(scan, read_us)
         if error is not None:
-            # Danger: a key file that is half written, gone or of another kind would leave nobody known.
-            log.error("can't be used, what is in force stays", what=source.name, wrong=str(error))
+            # Previous contents stay in force: without them, a file that is half written, missing or of
+            # another kind would leave every caller unknown.
+            log.error(
+                "credential file can't be used, previous contents stay in force",
+                what=source.name,
+                wrong=str(error),
+            )
 
     def _record_reading(self, read_us: int) -> None:
-        """Read or unchanged, a key set was looked at: a key that is still not in it is unknown."""
+        """Sets the read time of all usable key sets, changed or not: a key that was requested before and is
+        still missing is then unknown for certain."""
         issuers = {}
         for name, issuer in self.authenticator.issuers.items():
             source = self._key_set_sources.get(name)
@@ -116,7 +124,9 @@
         renewed = issuer.with_key_set(key_set, read_us)
         self.authenticator.replace_issuers(self.authenticator.issuers | {name: renewed})
         if self.polling and renewed.generation != issuer.generation:
-            log.info("key set", issuer=name, generation=renewed.generation, keys=sorted(renewed.keys))
+            log.info(
+                "key set replaced", issuer=name, generation=renewed.generation, keys=sorted(renewed.keys)
+            )
 
     def _revocation_source(self, file: RevocationFileSettings) -> CredentialSource:
         def read() -> Apply:
@@ -129,7 +139,7 @@
         before = in_force.generation
         in_force.replace(REVOCATION_FILE, revocations, read_us)
         if self.polling and in_force.generation != before:
-            log.info("revocations", generation=in_force.generation, rows=len(revocations))
+            log.info("revocation file applied", generation=in_force.generation, rows=len(revocations))
             self.on_change()
 
     def _certificate_source(self, tls: TlsSettings) -> CredentialSource:
@@ -147,7 +157,12 @@
         words = {"until": certificates.format_time(state.certificate_expires_us)}
         if lists.next_update_us:
             words["crl_until"] = certificates.format_time(lists.next_update_us)
-        log.info("certificates", revoked=len(lists.revocations), generation=in_force.generation, **words)
+        log.info(
+            "certificates and revocation lists applied",
+            revoked=len(lists.revocations),
+            generation=in_force.generation,
+            **words,
+        )
         self.on_change()
 
 
--- a/hoistplank/authorization/credential_sources.py
+++ b/hoistplank/authorization/credential_sources.py
@@ -1,4 +1,5 @@
-"""Files that are watched for changes: read in a thread, taken up on the loop, whole or not at all."""
+"""Files that are watched for changes: read in a thread, applied on the event loop, as a whole or not at
+all."""
 
 from __future__ import annotations
 
@@ -13,7 +14,8 @@
 
 
 class FileFingerprint(NamedTuple):
-    """What changes when a file does: a whole write makes a new inode even within one tick of its clock."""
+    """File attributes that reveal a change: replacing a file makes a new inode even if its modification time
+    has not advanced."""
 
     modified_ns: int
     size: int
@@ -21,13 +23,15 @@
     mode: int
 
 
-Fingerprint = tuple[FileFingerprint | int | None, ...]  # a file's, or the errno that reading it gave
-Apply = Callable[[int], None]  # takes up what was read; the argument is when the reading began
+Fingerprint = tuple[FileFingerprint | int | None, ...]  # of each file, or the errno of its stat call
+Apply = Callable[
+    [int], None
+]  # applies the contents; the argument is the time (microseconds) at which reading began
 
 
 class Scan(NamedTuple):
-    """What a look at a source's files gave: `apply` where they changed and can be used, `error` where they
-    changed and can't."""
+    """The result of checking a source's files: `apply` if they changed and are usable, `error` if they
+    changed and are not."""
 
     fingerprint: Fingerprint
     apply: Apply | None = None
@@ -36,9 +40,9 @@
 
 @dataclass(slots=True, eq=False)
 class CredentialSource:
-    """Files that are read together. `read` loads them, in any thread, and returns what takes them up on the
-    loop; both may raise AuthorizationError. `location` is where the operator's file names them, and `failed`
-    whether what stands there now could not be used."""
+    """Files that are read together. `read` loads them, in any thread, and returns a function that applies
+    them on the event loop; both may raise AuthorizationError. `location` is where the operator file names
+    them; `failed` is True if their current contents can't be used."""
 
     name: str
     location: SourceLocation
@@ -48,7 +52,7 @@
     failed: bool = False
 
     def fingerprint(self) -> Fingerprint:
-        """The state of the files now."""
+        """Returns the current fingerprint of the files."""
         found: list[FileFingerprint | int | None] = []
         for path in self.paths:
             try:
@@ -61,12 +65,12 @@
         return tuple(found)
 
     def load(self, now: int) -> None:
-        """Reads the files and takes them up; raises AuthorizationError."""
+        """Reads the files and applies them; raises AuthorizationError."""
         self.last_seen = self.fingerprint()
         self.read()(now)
 
     def scan(self) -> Scan:
-        """Reads the files if they changed."""
+        """Reads the files if they changed since the last scan that was accepted."""
         fingerprint = self.fingerprint()
         if fingerprint == self.last_seen:
             return Scan(fingerprint)
@@ -76,7 +80,7 @@
             return Scan(fingerprint, error=error)
 
     def accept(self, scan: Scan, read_us: int) -> Exception | None:
-        """Takes up what a scan read; returns why it can't be used, or None."""
+        """Applies the contents that a scan read; returns the error if they can't be used, or None."""
         if scan.fingerprint == self.last_seen:
             return None
         self.last_seen, self.failed = scan.fingerprint, False
--- a/hoistplank/authorization/errors.py
+++ b/hoistplank/authorization/errors.py
@@ -1,7 +1,7 @@
-"""The base of the package's errors."""
+"""Base class of the package's errors."""
 
 from __future__ import annotations
 
 
 class AuthorizationError(Exception):
-    """Something that callers, operators or their files gave can't be used; the text says what and why."""
+    """Invalid input from a caller, an operator or a file; the text says what is invalid and why."""
--- a/hoistplank/authorization/expiry_warnings.py
+++ b/hoistplank/authorization/expiry_warnings.py
@@ -1,4 +1,4 @@
-"""Warns of certificates and revocation lists that run out, while there is time to renew them."""
+"""Warns before certificates and revocation lists expire, while there is time to renew them."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class ExpiryWarnings:
-    """Logs a line each minute from a notice ahead of the end."""
+    """Logs a warning each minute, from the notice time before expiry on."""
 
     def __init__(self) -> None:
         self._warned_us = 0
 
     def check(self, state: TlsState | None, now: int) -> None:
-        """Warns of what runs out soon."""
+        """Warns if a certificate or revocation list has expired or expires soon."""
         if state is None or now - self._warned_us <= INTERVAL_US:
             return
         self._warn("revocation list", state.revocation_lists.next_update_us, LIST_NOTICE_US, now)
@@ -31,4 +31,6 @@
         if expires_us and now > expires_us - notice_us:
             self._warned_us = now
             until = certificates.format_time(expires_us)
-            log.warning("runs out", what=what, until=until, expired=now >= expires_us)
+            log.warning(
+                "credential expires soon or has expired", what=what, until=until, expired=now >= expires_us
+            )
--- a/hoistplank/authorization/fair_share.py
+++ b/hoistplank/authorization/fair_share.py
@@ -1,7 +1,7 @@
-"""What a tenant may have at once: a rate, open requests, and a weighted share while there is not enough for
-all.
+"""Limits of tenants: a request rate, open requests, and a weighted fair share while capacity is short.
 
-No I/O, no clock: `now` is whole microseconds that never run back. State is let go with tenants that are gone.
+No I/O, no clock: `now` is whole microseconds that never run back. The state of a tenant that was removed is
+dropped once its requests have ended.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 from hoistplank.authorization.rejection import TOO_MANY_REQUESTS, Rejection
 from hoistplank.authorization.token_bucket import TokenBucket
 
-# Half of what a tenant asked for in vain counts as asked for still after this time: long enough that a client
-# that comes again after a second is seen as the same demand, short enough that a herd that ended frees its
-# share.
+# The half-life of rejected requests in a tenant's demand: long enough that a client that retries after a
+# second is seen as the same demand, short enough that a herd that ended frees its share.
 DEMAND_HALF_LIFE_US = 500_000
-NEGLIGIBLE_DEMAND = 0.01  # rejected requests below which a tenant without open ones takes no part
-# A loop that is so late has more than it can carry: new requests wait as long before they are looked at.
+NEGLIGIBLE_DEMAND = (
+    0.01  # rejected requests; below it a tenant without open requests takes no part in the shares
+)
+# An event loop this late is overloaded: new requests wait as long before they are handled.
 OVERLOAD_LAG_US = 40_000
 MIN_OPEN_LIMIT = 16
-# From this part of the limit on, places are given by shares, and shares are of this part: what lies above it
-# is for those below theirs, who would else find it full until a herd's requests end (of 3,025 such requests
-# 85 did).
+# Shares apply once this part of the limit is open, and divide this part. The rest is kept for tenants below
+# their share, who would otherwise be rejected until a herd's requests end (85 of 3,025 such requests were).
 SHARED_PART = 0.85
-WATER_LEVEL_INTERVAL_US = 20_000  # how often the level is worked out anew while there is not enough
+WATER_LEVEL_INTERVAL_US = 20_000  # between two computations of the level while capacity is short
 NEVER_US = -1 << 60
 
-# The reasons as they stand in the answer's X-Refusal field and on the operators' page.
+# Their reasons appear in the answer's X-Refusal field and in the admin server's views.
 OPEN_LIMIT_REACHED = Rejection(TOO_MANY_REQUESTS, "open visits", 100_000)
 ABOVE_SHARE = Rejection(TOO_MANY_REQUESTS, "share", 200_000)
 RATE_REASON = "rate"
 
 
 def open_limit(cap: int, total_open: int, lag_us: int) -> int:
-    """How many requests may be open in all now, 0 where there is enough for everyone.
+    """Returns the limit on open requests of all tenants, 0 if capacity is not short.
 
-    `cap` is the configured cap on open requests (0: none), `total_open` how many are open, `lag_us` how late
-    the event loop is.
+    `cap` is the configured cap on open requests (0: none), `total_open` the number of open requests, `lag_us`
+    the lag of the event loop.
     """
     if lag_us >= OVERLOAD_LAG_US:
         return max(MIN_OPEN_LIMIT, min(total_open, cap or total_open))
@@ -45,18 +45,18 @@
 
 
 class Demand(NamedTuple):
-    """How much someone wants, and the weight of its share."""
+    """The capacity that a tenant wants, and the weight of its share."""
 
     amount: float
     weight: float
 
 
 def water_level(capacity: float, demands: Iterable[Demand]) -> float:
-    """The level of weighted max-min fair shares: each gets min(amount, weight * level), and all together
-    `capacity`, or all that is wanted (infinity)."""
+    """Returns the level of weighted max-min fair shares: each demand gets min(amount, weight * level),
+    together `capacity`; infinity if the capacity covers all demands."""
     demands = list(demands)
     if sum(demand.amount for demand in demands) <= capacity:
-        return float("inf")  # said before dividing: a demand that just fits would lose its last bit
+        return float("inf")  # before any division: rounding would cut a demand that just fits
     rows = sorted((demand.amount / demand.weight, demand.weight) for demand in demands)
     total_weight, remaining = sum(weight for _, weight in rows), capacity
     for height, weight in rows:
@@ -68,7 +68,8 @@
 
 
 class TenantQuota(NamedTuple):
-    """Requests a second, burst and open requests at most (0: no limit each), and the weight of the share."""
+    """Limits of a tenant: requests a second, burst, open requests (0: no limit), and the weight of its
+    share."""
 
     rate: float
     burst: int
@@ -77,7 +78,7 @@
 
 
 class TenantUsage:
-    """What one tenant has open, and its quota. `admitted` counts from the start."""
+    """Open requests and quota of one tenant; `admitted` counts its admitted requests since the start."""
 
     __slots__ = ("_rejected", "_rejected_at_us", "admitted", "bucket", "max_open", "open", "weight")
 
@@ -87,7 +88,7 @@
         self._rejected, self._rejected_at_us = 0.0, 0
 
     def demand(self, now: int) -> float:
-        """Its open requests, and those that it was lately denied."""
+        """Returns its open requests plus its recently rejected ones, which decay over time."""
         elapsed = now - self._rejected_at_us
         if elapsed > 0:
             self._rejected *= 0.5 ** (elapsed / DEMAND_HALF_LIFE_US)
@@ -95,16 +96,16 @@
         return self.open + self._rejected
 
     def is_active(self) -> bool:
-        """Whether it takes part in the shares."""
+        """Returns True if the tenant takes part in the shares."""
         return bool(self.open) or self._rejected > NEGLIGIBLE_DEMAND
 
     def record_rejection(self, now: int) -> None:
-        """One more request that found no place."""
+        """Counts a request that was rejected for its share."""
         self.demand(now)
         self._rejected += 1
 
     def apply(self, quota: TenantQuota, now: int) -> None:
-        """Takes up another quota; what was used up of the rate stays used up."""
+        """Applies another quota; rate tokens that were used stay used."""
         self.max_open, self.weight = quota.max_open, quota.weight
         burst = float(quota.burst or max(1.0, quota.rate))
         if not quota.rate:
@@ -116,7 +117,7 @@
 
 
 class TenantLimiter:
-    """All tenants' usage, and the water level while the core or the open cap is full."""
+    """Holds the usage of all tenants, and the water level while capacity is short."""
 
     def __init__(self) -> None:
         self.usage: dict[str, TenantUsage] = {}
@@ -125,7 +126,7 @@
         self._level, self._level_at_us = float("inf"), NEVER_US
 
     def configure(self, quotas: Mapping[str, TenantQuota], now: int) -> None:
-        """Other tenants or quotas, by the tenant's name."""
+        """Replaces the quotas, by tenant name."""
         self.configured = set(quotas)
         for name, quota in quotas.items():
             self.usage.setdefault(name, TenantUsage()).apply(quota, now)
@@ -134,9 +135,10 @@
         self._level_at_us = NEVER_US
 
     def acquire(self, name: str, now: int, limit: int) -> Rejection | None:
-        """Counts one more open request of a tenant, or says why not.
+        """Counts one more open request of a tenant, or returns why it is rejected.
 
-        `limit` is how many requests may be open in all while there is not enough, 0 while there is.
+        `limit` is the result of `open_limit`: the limit on open requests of all tenants, 0 if capacity is not
+        short.
         """
         usage = self.usage[name]
         if usage.max_open and usage.open >= usage.max_open:
@@ -153,10 +155,13 @@
         return None
 
     def _within_share(self, usage: TenantUsage, now: int, limit: int) -> bool:
-        """Danger: one tenant's herd fills the cap, and the others' bookings find no place: who is below its
-        share gets in, who is above waits, also where that leaves a place free for a moment."""
+        """Returns True if one more request stays within the tenant's share.
+
+        Otherwise one tenant's herd would fill the cap, and the others' bookings would be rejected. A tenant
+        above its share is rejected even while capacity is free for a moment.
+        """
         if now - self._level_at_us >= WATER_LEVEL_INTERVAL_US or self._level_at_us > now:
-            # The one that asks wants one more than it has.
+            # The requesting tenant's demand includes this request.
             demands = [
                 Demand(other.demand(now) + (other is usage), other.weight)
                 for other in self.usage.values()
@@ -166,7 +171,7 @@
         return usage.open + 1 <= max(1.0, usage.weight * self._level)
 
     def release(self, name: str) -> None:
-        """A request of a tenant has ended."""
+        """Releases a request of a tenant that has ended."""
         usage = self.usage.get(name)
         if usage is not None and usage.open:
             usage.open -= 1
--- a/hoistplank/authorization/http.py
+++ b/hoistplank/authorization/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 (RFC 9112) as the admin server speaks it: bytes in, requests out, no sockets."""
+"""HTTP/1.1 (RFC 9112) for the admin server: parses requests and encodes responses, without sockets."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from hoistplank.authorization.errors import AuthorizationError
 
-MAX_HEAD_BYTES = 8_192  # of a request line and its fields together
-MAX_PIPELINED = 8  # requests that may come before the first is answered
+MAX_HEAD_BYTES = 8_192  # request line and fields together
+MAX_PIPELINED = 8  # unanswered requests of one connection
 MAX_PARSER_MESSAGE = 120  # characters
-MAX_LENGTH_DIGITS = 12  # read of a Content-Length before it is compared: no length of digits costs more
+MAX_LENGTH_DIGITS = 12  # digits of a Content-Length that are converted, so that a long number costs no more
 SINGLE_FIELDS = ("content-length", "content-type", "host")
 REASON_PHRASES = {
     200: "OK",
@@ -29,8 +29,8 @@
 
 
 class BadRequestError(AuthorizationError):
-    """What can't be read or is too much: the status to answer, and why. The connection is of no further
-    use."""
+    """Invalid or oversized input, with the response status and the reason. The connection must be closed
+    afterwards."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """A whole request; the names of its fields are in small letters."""
+    """A complete request; field names are in lower case."""
 
     method: str
     path: str
@@ -49,8 +49,8 @@
 
 
 class HttpRequestParser:
-    """The requests of one connection; `max_body` in bytes. Whoever answers a request counts `unanswered`
-    down."""
+    """Parses the requests of one connection; `max_body` is in bytes. The caller that answers a request
+    decrements `unanswered`."""
 
     def __init__(self, max_body: int) -> None:
         self.max_body = max_body
@@ -66,42 +66,42 @@
     # Called by httptools.
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Appends a part of the request target."""
         self._url += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field."""
+        """Adds a header field."""
         self._count_head(len(name) + len(value) + 4)
         key = name.decode("latin-1").lower()
         if key in self._fields and key in SINGLE_FIELDS:
-            raise BadRequestError(400, f"the field '{key}' stands twice")
+            raise BadRequestError(400, f"duplicate header field '{key}'")
         self._fields[key] = value.decode("latin-1")
 
     def _count_head(self, length: int) -> None:
         self._head_bytes += length
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise BadRequestError(431, f"the request's head is longer than {MAX_HEAD_BYTES} bytes")
+            raise BadRequestError(431, f"the request head is longer than {MAX_HEAD_BYTES} bytes")
 
     def on_headers_complete(self) -> None:
-        """The end of the head."""
+        """Checks the declared body length at the end of the head."""
         length = self._fields.get("content-length", "0")
         if length.isdecimal() and int(length[:MAX_LENGTH_DIGITS]) > self.max_body:
             raise BadRequestError(413, f"the body is longer than {self.max_body} bytes")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
-        # Chunked bodies tell no length ahead: they are counted as they come.
+        """Appends a part of the body."""
+        # A chunked body declares no length, so its bytes are counted as they arrive.
         if len(self._body) + len(data) > self.max_body:
             raise BadRequestError(413, f"the body is longer than {self.max_body} bytes")
         self._body += data
 
     def on_message_complete(self) -> None:
-        """The end of a request."""
+        """Adds the request to the complete ones."""
         try:
             path = httptools.parse_url(self._url).path or b"/"
         except httptools.HttpParserInvalidURLError:
-            raise BadRequestError(400, "the target can't be read") from None
+            raise BadRequestError(400, "invalid request target") from None
         self._complete.append(
             HttpRequest(
                 method=self._parser.get_method().decode("ascii"),
@@ -113,30 +113,30 @@
         )
         self.unanswered += 1
         if self.unanswered > MAX_PIPELINED:
-            raise BadRequestError(429, "too many requests before the first was answered")
+            raise BadRequestError(429, "too many unanswered requests on this connection")
         self._begin_request()
 
     # Called by the connection.
 
     def feed(self, data: bytes) -> list[HttpRequest]:
-        """The requests that became whole; raises BadRequestError."""
+        """Returns the requests that are complete; raises BadRequestError."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise BadRequestError(400, "no other protocol is spoken here") from None
+            raise BadRequestError(400, "protocol upgrades are not supported") from None
         except httptools.HttpParserCallbackError as error:
             if isinstance(error.__context__, BadRequestError):
                 raise error.__context__ from None
             raise
         except httptools.HttpParserError as error:
-            message = str(error)[:MAX_PARSER_MESSAGE] or "it is no HTTP/1.1"
+            message = str(error)[:MAX_PARSER_MESSAGE] or "not valid HTTP/1.1"
             raise BadRequestError(400, message) from None
         complete, self._complete = self._complete, []
         return complete
 
 
 def encode_response(status: int, body: bytes, *, keep_alive: bool, retry_after_us: int = 0) -> bytes:
-    """A whole response; `retry_after_us` becomes Retry-After in whole seconds."""
+    """Encodes a response; `retry_after_us` becomes Retry-After, rounded up to whole seconds."""
     lines = [
         f"HTTP/1.1 {status} {REASON_PHRASES[status]}",
         "Content-Type: application/json",
--- a/hoistplank/authorization/identity.py
+++ b/hoistplank/authorization/identity.py
@@ -1,4 +1,4 @@
-"""Who calls: what a connection and a request show, and the caller that they were found to name."""
+"""Credentials of connections and requests, and the caller that they identify."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 
 
 class Caller(NamedTuple):
-    """Whom a request belongs to, from its admission to its end: a key or a certificate that is retired or
-    revoked in between does not affect it. `name` is the subject, or the certificate's name."""
+    """The tenant and name that a request belongs to, from its admission to its end: a key or certificate that
+    is retired or revoked in between does not affect it. `name` is the token's subject or the certificate's
+    name."""
 
     tenant: Tenant
     name: str
@@ -19,10 +20,10 @@
 
 @dataclass(slots=True, eq=False)
 class CertificateIdentity:
-    """A client certificate that a handshake proved: issuer (RFC 4514), serial in hex, names `uri:…` and
+    """A client certificate verified by a handshake: issuer (RFC 4514), serial in hex, names `uri:…` and
     `dns:…`.
 
-    `outcome` is whose it was found to be, and stands while `epoch` is the authenticator's.
+    `outcome` caches the caller or rejection, and is valid while `epoch` equals the authenticator's.
     """
 
     issuer: str
@@ -33,8 +34,8 @@
 
 
 class Credentials(NamedTuple):
-    """What one request shows. `authorization` is the field of that name, empty where there is none; `source`
-    is whom failing signature checks count against."""
+    """The credentials of one request. `authorization` is the header field, empty if absent; `source` is the
+    client address or peer whose budget pays for signature checks."""
 
     identity: CertificateIdentity | None
     authorization: str
--- a/hoistplank/authorization/jws.py
+++ b/hoistplank/authorization/jws.py
@@ -1,7 +1,7 @@
-"""Tokens as bytes: JWS compact serialization (RFC 7515 section 7.1) with claims (RFC 7519), not verified.
+"""Parses tokens: JWS compact serialization (RFC 7515 section 7.1) with claims (RFC 7519), not verified.
 
-All that can be said without a signature is said here, cheapest first: size, form, header, claims, times. No
-I/O, no clock: times are handed in as whole microseconds of the Unix clock.
+All checks that need no signature are here, cheapest first: size, form, header, claims, times. No I/O, no
+clock: times are passed in as whole microseconds of the Unix clock.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 SEGMENT = re.compile(r"[A-Za-z0-9_-]+").fullmatch
 MAX_TEXT_LENGTH = 200  # characters of an issuer, subject, audience or jti
 MAX_AUDIENCES = 16
-MAX_TIME_S = 1 << 40  # far beyond any clock: what is above it is no time
+MAX_TIME_S = 1 << 40  # far beyond any clock; larger values are rejected
 SIGNATURE_BYTES = 64  # Ed25519 (RFC 8037) and ES256 (RFC 7518 section 3.4) alike
 MICROSECONDS = 1_000_000
 
 
 class InvalidTokenError(AuthorizationError):
-    """A token that can't be accepted; `reason` is a short word for counts and answers, never a part of the
+    """A token that can't be accepted; `reason` is a short word for counters and answers, never a part of the
     token."""
 
     def __init__(self, reason: str) -> None:
@@ -35,8 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenClaims:
-    """What a token claims, in the types that it must have. Times are whole microseconds of the Unix clock;
-    `signed` are the bytes that the signature covers."""
+    """The claims of a token, with checked types. Times are whole microseconds of the Unix clock; `signed`
+    holds the bytes that the signature covers."""
 
     algorithm: str
     kid: str
@@ -51,7 +51,8 @@
 
 
 def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Danger: of two claims of one name, one reader takes the first and another the last."""
+    """Rejects duplicate members: of two claims of one name, some JSON parsers take the first and others the
+    last."""
     members = dict(pairs)
     if len(members) != len(pairs):
         raise InvalidTokenError("duplicate")
@@ -62,7 +63,7 @@
     raise InvalidTokenError("form")
 
 
-# 1e400 is infinity to the reader: a time is a whole number here, so nothing else is let in as one.
+# The decoder reads 1e400 as infinity; `_time_claim` accepts only integers as times.
 _decoder = json.JSONDecoder(object_pairs_hook=_reject_duplicates, parse_constant=_reject_constant)
 
 
@@ -71,8 +72,8 @@
         raise InvalidTokenError("form")
     standard = segment.replace("-", "+").replace("_", "/")
     data = binascii.a2b_base64(standard + "=" * (-len(segment) % 4))
-    # Danger: the last character may hold bits that are thrown away, so that one token has many spellings, and
-    # a table of known ones could be filled with copies of it.
+    # Only the canonical encoding is accepted: the last character may hold bits that decoding discards, so one
+    # token would have many spellings, and copies of it could fill the token cache.
     if binascii.b2a_base64(data, newline=False).rstrip(b"=") != standard.encode():
         raise InvalidTokenError("form")
     return data
@@ -113,15 +114,14 @@
 
 
 def _header(segment: str) -> tuple[str, str]:
-    """The algorithm and the key's name that a header gives."""
+    """Returns the algorithm and the key ID of a header."""
     header = _decode_object(segment)
-    # `none`, HMAC under a public key and all else that was not asked for end here, before any key is looked
-    # at.
+    # Rejects `none`, HMAC with a public key as the secret, and every other algorithm before any key lookup.
     algorithm = header.get("alg")
     if algorithm not in ALGORITHMS:
         raise InvalidTokenError("alg")
     if "crit" in header or "b64" in header:
-        raise InvalidTokenError("crit")  # RFC 7515 section 4.1.11: extensions that are not understood
+        raise InvalidTokenError("crit")  # RFC 7515 section 4.1.11: unsupported extensions are rejected
     kid = header.get("kid")
     if not isinstance(kid, str) or not KEY_ID(kid):
         raise InvalidTokenError("kid")
@@ -129,7 +129,7 @@
 
 
 def parse_token(token: str, max_bytes: int) -> TokenClaims:
-    """A token's claims, not verified; raises InvalidTokenError with the reason."""
+    """Returns a token's claims without verifying the signature; raises InvalidTokenError with the reason."""
     if len(token) > max_bytes:
         raise InvalidTokenError("size")
     segments = token.split(".")
@@ -158,7 +158,7 @@
 def validity_problem(
     expires_us: int, not_before_us: int, now: int, clock_skew_us: int, max_lifetime_us: int
 ) -> str:
-    """Why a token is not valid at this moment, or an empty string."""
+    """Returns why a token is not valid at `now`, or an empty string."""
     if now >= expires_us + clock_skew_us:
         return "expired"
     if now < not_before_us - clock_skew_us:
--- a/hoistplank/authorization/key_lifecycle.py
+++ b/hoistplank/authorization/key_lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of an issuer's keys, as one table: state and event to state. No I/O, no clock.
+"""The lifecycle of an issuer's keys, as a state machine. No I/O, no clock.
 
     made --publish--> published --sign--> signing --(another signs)--> verifying --retire--> retired
 
-`published`: in the key set, so that everyone who checks tokens has it before the first one is signed.
-`verifying`: signs no more, its tokens stand until they expire. A key set may hold only one `signing` key.
+`published`: in the key set, so that every verifier has the key before the first token is signed with it.
+`verifying`: signs no more; its tokens are valid until they expire. A key set holds at most one `signing` key.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class KeyState(enum.StrEnum):
-    """As key sets spell it in a key's `state`."""
+    """The state of a key, as in the member `state` of key sets."""
 
     MADE = "made"
     PUBLISHED = "published"
@@ -25,7 +25,7 @@
 
 
 class KeyEvent(enum.StrEnum):
-    """What happens to a key; YIELD to the signing key when another takes its place."""
+    """An event on a key. YIELD happens to the signing key when another key starts to sign."""
 
     PUBLISH = "publish"
     SIGN = "sign"
@@ -33,29 +33,29 @@
     RETIRE = "retire"
 
 
-# What is not here can't be done.
+# Transitions that are not listed are not allowed.
 TRANSITIONS = {
     (KeyState.MADE, KeyEvent.PUBLISH): KeyState.PUBLISHED,
     (KeyState.PUBLISHED, KeyEvent.SIGN): KeyState.SIGNING,
-    # Back to the last key, where the new one was a mistake.
+    # Returns to the previous key if the new one was a mistake.
     (KeyState.VERIFYING, KeyEvent.SIGN): KeyState.SIGNING,
     (KeyState.SIGNING, KeyEvent.YIELD): KeyState.VERIFYING,
     (KeyState.MADE, KeyEvent.RETIRE): KeyState.RETIRED,
     (KeyState.PUBLISHED, KeyEvent.RETIRE): KeyState.RETIRED,
     (KeyState.VERIFYING, KeyEvent.RETIRE): KeyState.RETIRED,
 }
-# Danger: one that checks tokens later than the signer changes keys would refuse good ones: a published key's
-# signature stands from its publication, whatever is believed of who signs.
+# A verifier accepts a key's signatures from its publication on, whichever key it believes to sign: one that
+# learns of a key change later than the signer would otherwise reject good tokens.
 ACCEPTED_STATES = frozenset((KeyState.PUBLISHED, KeyState.SIGNING, KeyState.VERIFYING))
 
 
 class KeyTransitionError(AuthorizationError):
-    """A change that a key's state does not allow; its text says why."""
+    """A transition that a key's state does not allow; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyEntry:
-    """A key in a ring: `since_us` is when it came into its state."""
+    """A key of a key ring; `since_us` is the time at which it entered its state."""
 
     kid: str
     state: KeyState
@@ -63,7 +63,7 @@
 
 
 def transition(ring: tuple[KeyEntry, ...], kid: str, event: KeyEvent, now: int) -> tuple[KeyEntry, ...]:
-    """The ring after an operator's event on one key; raises KeyTransitionError."""
+    """Returns the ring after an operator's event on one key; raises KeyTransitionError."""
     entry = next((entry for entry in ring if entry.kid == kid), None)
     if entry is None:
         raise KeyTransitionError(f"no key is called '{kid}'")
@@ -83,22 +83,24 @@
 
 
 def _hint(state: KeyState, event: KeyEvent) -> str:
-    """What can be done with a key instead."""
+    """Returns a hint about the events that the key's state allows."""
     if state is KeyState.SIGNING and event is KeyEvent.RETIRE:
         return "let another key sign first"
-    possible = sorted(way for was, way in TRANSITIONS if was is state and way is not KeyEvent.YIELD)
+    possible = sorted(
+        allowed for source, allowed in TRANSITIONS if source is state and allowed is not KeyEvent.YIELD
+    )
     return f"it can {' or '.join(possible)}" if possible else "nothing more can be done with it"
 
 
 def add_key(ring: tuple[KeyEntry, ...], kid: str, now: int) -> tuple[KeyEntry, ...]:
-    """The ring with a new key; raises KeyTransitionError where the name is taken."""
+    """Returns the ring with a new key; raises KeyTransitionError if the name is taken."""
     if any(entry.kid == kid for entry in ring):
         raise KeyTransitionError(f"a key is already called '{kid}'")
     return (*ring, KeyEntry(kid, KeyState.MADE, now))
 
 
 def signing_key(ring: tuple[KeyEntry, ...]) -> str:
-    """The name of the key that signs; raises KeyTransitionError where there is none."""
+    """Returns the ID of the signing key; raises KeyTransitionError if there is none."""
     for entry in ring:
         if entry.state is KeyState.SIGNING:
             return entry.kid
--- a/hoistplank/authorization/key_ring.py
+++ b/hoistplank/authorization/key_ring.py
@@ -1,4 +1,4 @@
-"""An operator's own keys in a folder: `ring.json` is the public key set, `KID.pem` a private key (mode
+"""The folder of an operator's signing keys: `ring.json` is the public key set, `KID.pem` a private key (mode
 0600)."""
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 
 KEY_SET_FILE = "ring.json"
 PUBLIC_MODE = 0o644
-MAX_SHOWN_KEY_ID = 60  # characters of a wrong name in a message
+MAX_SHOWN_KEY_ID = 60  # characters of an invalid key ID in a message
 
 
 class KeyRing:
-    """The keys of one folder. Whoever changes it holds `credential_files.locked` of the folder."""
+    """The keys of one folder. Callers that change it must hold the folder's lock
+    (`credential_files.locked`)."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.key_set_path = folder, folder / KEY_SET_FILE
 
     def entries(self) -> tuple[KeyEntry, ...]:
-        """All keys with their states: those of the key set, then those not published. Raises
+        """Returns all keys with their states: those of the key set, then those not published. Raises
         CredentialFileError."""
         rows = self._load()
         published = [
@@ -46,18 +47,18 @@
         return (*published, *self._unpublished({row["kid"] for row in rows}))
 
     def make(self, kid: str, algorithm: str, now: int) -> None:
-        """A new private key in the folder; nobody knows of it until it is published. Raises
+        """Writes a new private key to the folder; it is in no key set until it is published. Raises
         KeyTransitionError, CredentialFileError."""
         if not KEY_ID(kid):
             raise KeyTransitionError(
-                f"'{kid[:MAX_SHOWN_KEY_ID]}' is no name of 1 to 64 letters, digits, '_' and '-'"
+                f"invalid key name '{kid[:MAX_SHOWN_KEY_ID]}', expected 1 to 64 letters, digits, '_' and '-'"
             )
         key_lifecycle.add_key(self.entries(), kid, now)
         self.folder.mkdir(parents=True, exist_ok=True, mode=PRIVATE_FOLDER_MODE)
         write_file(self._private_path(kid), private_keys.encode_pem(private_keys.generate(algorithm)))
 
     def apply(self, kid: str, event: KeyEvent, now: int) -> KeyState:
-        """An operator's event on a key, by the table of `key_lifecycle`; returns the new state. Raises
+        """Applies an operator's event to a key, as `key_lifecycle` allows, and returns the new state. Raises
         KeyTransitionError, CredentialFileError."""
         after = {entry.kid: entry for entry in key_lifecycle.transition(self.entries(), kid, event, now)}
         rows = {row["kid"]: row for row in self._load()}
@@ -68,14 +69,14 @@
         document = json.dumps({"keys": list(rows.values())}, indent=1)
         write_file(self.key_set_path, document.encode() + b"\n", PUBLIC_MODE)
         if after[kid].state is KeyState.RETIRED:
-            # What is retired never signs again: its private half is not kept for someone to find.
+            # A retired key never signs again, so its private key is deleted rather than left to be stolen.
             with contextlib.suppress(FileNotFoundError):
                 self._private_path(kid).unlink()
         return after[kid].state
 
     def sign_token(self, claims: dict[str, Any], kid: str = "") -> str:
-        """A token signed by the ring's signing key, or by the one named; raises KeyTransitionError where
-        there is none, CredentialFileError."""
+        """Returns a token signed with the ring's signing key, or with the key `kid`; raises
+        KeyTransitionError if there is none, CredentialFileError."""
         kid = kid or key_lifecycle.signing_key(self.entries())
         key, algorithm = self._private_key(kid)
         header = {"alg": algorithm, "kid": kid, "typ": "JWT"}
@@ -92,7 +93,7 @@
         return parse_rows(self.key_set_path, data)
 
     def _unpublished(self, published: set[str]) -> list[KeyEntry]:
-        """Private keys that the key set does not name yet."""
+        """Returns the private keys that are not in the key set yet."""
         return [
             KeyEntry(path.stem, KeyState.MADE, int(path.stat().st_mtime * 1e6))
             for path in sorted(self.folder.glob("*.pem"))
--- a/hoistplank/authorization/key_set_files.py
+++ b/hoistplank/authorization/key_set_files.py
@@ -1,5 +1,6 @@
-"""Key sets in files (RFC 7517): public keys, each with its state beside it as `state` and `since` (members
-that other readers let pass, RFC 7517 section 4). Read whole or refused."""
+"""Key sets in files (RFC 7517): public keys, each with its lifecycle state in the members `state` and
+`since`, which other readers ignore (RFC 7517 section 4). A file with any invalid key is rejected as a
+whole."""
 
 from __future__ import annotations
 
@@ -25,13 +26,13 @@
 MAX_SHOWN_STATE = 20  # characters of an unknown state in a message
 JsonWebKey = dict[str, Any]  # RFC 7517 section 4
 ALGORITHM_OF_KIND = {("OKP", "Ed25519"): "EdDSA", ("EC", "P-256"): "ES256"}
-# What `alg` may say: RFC 9864 renames EdDSA with this curve to Ed25519.
+# Accepted values of `alg`: RFC 9864 renames EdDSA with this curve to Ed25519.
 ALGORITHM_NAMES = {"EdDSA": ("EdDSA", "Ed25519"), "ES256": ("ES256",)}
 PUBLIC_MEMBERS = ("kty", "crv", "x", "y")
 
 
 def es256_verifier(public: ec.EllipticCurvePublicKey) -> Callable[[bytes, bytes], bool]:
-    """Checks signatures of ES256 (RFC 7518 section 3.4)."""
+    """Returns a function that verifies ES256 signatures (RFC 7518 section 3.4)."""
     method = ec.ECDSA(hashes.SHA256())
 
     def verify(signed: bytes, signature: bytes) -> bool:
@@ -46,7 +47,7 @@
 
 
 def eddsa_verifier(public: ed25519.Ed25519PublicKey) -> Callable[[bytes, bytes], bool]:
-    """Checks signatures of EdDSA with Ed25519 (RFC 8037)."""
+    """Returns a function that verifies EdDSA signatures with Ed25519 (RFC 8037)."""
 
     def verify(signed: bytes, signature: bytes) -> bool:
         try:
@@ -59,28 +60,28 @@
 
 
 def parse_rows(path: Path, data: bytes) -> list[JsonWebKey]:
-    """The list of a key set; raises CredentialFileError."""
+    """Returns the keys of a key set as JSON objects; raises CredentialFileError."""
     try:
         document = msgspec.json.decode(data, type=dict[str, Any])
     except (msgspec.MsgspecError, RecursionError):
-        raise CredentialFileError(f"{path}: is no whole JSON object") from None
+        raise CredentialFileError(f"{path}: is not a valid JSON object") from None
     rows = document.get("keys")
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
         raise CredentialFileError(f"{path}: has no list 'keys' (RFC 7517 section 5)")
     if len(rows) > MAX_KEYS:
-        raise CredentialFileError(f"{path}: has {len(rows)} keys, at most {MAX_KEYS} are taken")
+        raise CredentialFileError(f"{path}: has {len(rows)} keys, at most {MAX_KEYS} are allowed")
     return rows
 
 
 def parse_key_set(path: Path, data: bytes) -> KeySet:
-    """The keys of a set that may verify tokens, by their names; raises CredentialFileError."""
+    """Returns the keys of a set that may verify tokens, by key ID; raises CredentialFileError."""
     accepted: dict[str, VerificationKey] = {}
     names: set[str] = set()
     retired: set[str] = set()
     for index, row in enumerate(parse_rows(path, data)):
         key = _parse_key(path, row, index)
         if key.kid in names:
-            # Danger: which of two keys of one name verifies a token would hang on their order.
+            # With two keys of one name, their order would decide which one verifies a token.
             raise CredentialFileError(f"{path}: two keys are called '{key.kid}'")
         names.add(key.kid)
         state = _parse_state(path, key.kid, row)
--- a/hoistplank/authorization/key_sets.py
+++ b/hoistplank/authorization/key_sets.py
@@ -1,4 +1,4 @@
-"""Issuers of tokens and the public keys that verify them, by generation. No I/O, no clock."""
+"""Issuers of tokens with their verification keys, and the keys that are not known yet. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-MAX_UNKNOWN_KEYS = 1_024  # keys asked for in vain that are remembered
+MAX_UNKNOWN_KEYS = 1_024  # unknown keys that are remembered
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class VerificationKey:
-    """A public key of an issuer's set; `verify(signed, signature)` says whether the signature is its own.
-    The thumbprint is RFC 7638's."""
+    """A public key of an issuer's set; `verify(signed, signature)` returns True if the signature is valid.
+    The thumbprint follows RFC 7638."""
 
     kid: str
     algorithm: str
@@ -23,7 +23,7 @@
 
 
 class KeySet(NamedTuple):
-    """What an issuer's set holds: keys that verify tokens, and the names of those that were retired."""
+    """An issuer's keys that verify tokens, by key ID, and the IDs of its retired keys."""
 
     keys: Mapping[str, VerificationKey] = MappingProxyType({})
     retired: frozenset[str] = frozenset()
@@ -34,8 +34,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Issuer:
-    """Who signs tokens, for whom, and with which keys at this generation. `read_us`: when the last reading
-    of its key set began."""
+    """An issuer of tokens, the audience that its tokens must name, and its keys at this generation. `read_us`
+    is the time at which the last reading of its key set began."""
 
     name: str
     audience: str
@@ -45,15 +45,15 @@
 
     @property
     def keys(self) -> Mapping[str, VerificationKey]:
-        """The keys that verify tokens, by their names."""
+        """Keys that verify tokens, by key ID."""
         return self.key_set.keys
 
     def with_key_set(self, key_set: KeySet, read_us: int, audience: str = "") -> Issuer:
-        """The next generation. A key that is the same stays the same object, and so do the tokens that it
-        verified."""
+        """Returns the issuer with another key set. An unchanged key stays the same object, so tokens that it
+        verified stay in the token cache."""
         audience = audience or self.audience
-        # Danger: a token that was verified for another audience would stand on; with new keys all are judged
-        # anew.
+        # A changed audience replaces all key objects, so that cached tokens are checked again: otherwise a
+        # token that was verified for the earlier audience would still be accepted.
         before = self.keys if audience == self.audience else {}
         keys = {}
         for kid, key in key_set.keys.items():
@@ -64,16 +64,16 @@
         return Issuer(self.name, audience, KeySet(keys, key_set.retired), self.generation + changed, read_us)
 
     def with_read_time(self, read_us: int) -> Issuer:
-        """The same keys, read again and unchanged."""
+        """Returns the issuer with the same keys and a later read time."""
         return replace(self, read_us=read_us)
 
 
 class UnknownKeys:
-    """Keys that tokens name and that no set holds yet.
+    """Keys that tokens name and that no key set holds yet.
 
-    Danger: a token signed by the next key may come before the key set that publishes it was read here. Until
-    the set has been read once more, such a token is neither valid nor invalid: it is rejected for a moment,
-    and the set is read again. Only a key that is not there after that is unknown.
+    A token signed with a new key may arrive before this dispatcher has read the key set that publishes the
+    key. Until the set has been read once more, such a token is neither valid nor invalid: it is rejected with
+    a short Retry-After. Only a key that is still missing then is unknown for certain.
     """
 
     def __init__(self) -> None:
@@ -83,7 +83,7 @@
         return len(self._first_seen_us)
 
     def is_final(self, issuer: Issuer, kid: str, now: int) -> bool:
-        """Whether the set was read since the key was first asked for, or says itself that the key is
+        """Returns True if the key set was read since a token first named the key, or lists the key as
         retired."""
         if kid in issuer.key_set.retired:
             return True
@@ -93,6 +93,6 @@
         return issuer.read_us > first_seen_us
 
     def forget_known(self, issuer: Issuer) -> None:
-        """A set was read: what it holds is unknown no more."""
+        """Forgets the keys that an issuer's key set holds now."""
         for kid in issuer.keys:
             self._first_seen_us.pop((issuer.name, kid), None)
--- a/hoistplank/authorization/object_groups.py
+++ b/hoistplank/authorization/object_groups.py
@@ -1,4 +1,4 @@
-"""The purge group that requests named for an object. No I/O, no clock."""
+"""Purge groups of objects, as named by admitted requests. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 
 class ObjectGroups:
-    """Groups by object key, as the latest admitted request of each named them; MAX_OBJECTS at most."""
+    """Groups by object key, from the latest admitted request for each; at most MAX_OBJECTS, the oldest go
+    first."""
 
     def __init__(self) -> None:
         self._groups: OrderedDict[str, int] = OrderedDict()
 
     def record(self, object_key: str, group: int) -> None:
-        """An admitted request named this group for the object."""
+        """Records the group that an admitted request named for an object."""
         if self._groups.get(object_key) == group:
             return
         self._groups[object_key] = group
@@ -22,5 +23,5 @@
             self._groups.popitem(last=False)
 
     def get(self, object_key: str) -> int | None:
-        """The object's group, or None where no request named one lately."""
+        """Returns the object's group, or None if no recent request named one."""
         return self._groups.get(object_key)
--- a/hoistplank/authorization/operation_keys.py
+++ b/hoistplank/authorization/operation_keys.py
@@ -1,8 +1,8 @@
-"""Which tenant each idempotency key (operation key) belongs to while attempts with it may run. No I/O, no
+"""The tenant that each idempotency key (operation key) belongs to while attempts with it may run. No I/O, no
 clock.
 
-Danger: a booking under another tenant's key would be dropped by the origin as a repeat of that one's, or
-have that one's dropped.
+Without this, the origin would drop a booking that uses another tenant's key as a repeat of that tenant's
+booking, or the other way round.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from hoistplank.authorization.permissions import Tenant, TenantDirectory
 from hoistplank.authorization.rejection import FORBIDDEN, TOO_MANY_REQUESTS, UNAVAILABLE, Rejection
 
-MAX_KEYS = 65_536  # those of ten thousand bookings a second
+MAX_KEYS = 65_536  # enough for ten thousand bookings a second
 RETRY_WHEN_FULL_US = 300_000
 
 RESERVED_PREFIX = Rejection(FORBIDDEN, "operation key")
@@ -22,20 +22,20 @@
 
 
 class KeyHold(NamedTuple):
-    """A tenant that holds a key until a time."""
+    """The tenant that holds a key, and the time at which the hold ends."""
 
     tenant: str
     until_us: int
 
 
 class OperationKeys:
-    """The keys that are held now, by the end of their latest hold; MAX_KEYS at most."""
+    """The keys held at present, in the order of their latest hold; at most MAX_KEYS."""
 
     def __init__(self) -> None:
         self._holds: OrderedDict[str, KeyHold] = OrderedDict()
 
     def check(self, now: int, tenants: TenantDirectory, tenant: Tenant, key: str) -> Rejection | None:
-        """Why a tenant may not use a key now, or None. `key` is in small letters."""
+        """Returns why a tenant may not use a key now, or None. `key` is in lower case."""
         owner = tenants.key_owner(key)
         if owner and owner != tenant.name:
             return RESERVED_PREFIX
@@ -48,7 +48,7 @@
         return None
 
     def hold(self, key: str, tenant: Tenant, until_us: int) -> None:
-        """Gives a key to a tenant until no attempt with it can run or be remembered."""
+        """Reserves a key for a tenant until no attempt with it can run or be detected as a repeat."""
         self._holds[key] = KeyHold(tenant.name, until_us)
         self._holds.move_to_end(key)
 
--- a/hoistplank/authorization/permissions.py
+++ b/hoistplank/authorization/permissions.py
@@ -1,6 +1,6 @@
-"""Tenants and what they may do, compiled once from the operator's file. No I/O, no clock.
+"""Tenants and their permissions, compiled from the operator file. No I/O, no clock.
 
-`TenantDirectory` is swapped whole at a reload; a request in progress keeps the tenant that it was admitted
+A reload replaces the whole `TenantDirectory`; a request in progress keeps the tenant that it was admitted
 for.
 """
 
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant. `rights` and `groups` are bit sets; `class_names` None is all traffic classes; `rate` is
-    requests a second and `max_open` requests at once, 0 for no limit; `key_prefixes` are beginnings of
-    operation keys that are its own alone."""
+    """A tenant. `rights` and `groups` are bit sets; `class_names` None means all traffic classes; `rate` is
+    requests a second and `max_open` concurrent requests, 0 for no limit; `key_prefixes` are prefixes of
+    operation keys that only this tenant may use."""
 
     name: str
     rights: int
@@ -34,11 +34,11 @@
     key_prefixes: tuple[str, ...] = ()
 
     def owns(self, group: int) -> bool:
-        """Whether a purge group is this tenant's."""
+        """Returns True if the tenant owns a purge group."""
         return bool(self.groups >> group & 1)
 
     def denial_reason(self, right: int, class_name: str, group: int) -> str:
-        """Why this tenant may not do that, or an empty string."""
+        """Returns why the tenant may not use that right, class or group, or an empty string."""
         if not self.rights & right:
             return "right"
         if self.class_names is not None and class_name not in self.class_names:
@@ -47,14 +47,14 @@
 
 
 class NamedTenant(NamedTuple):
-    """A tenant, and the name by which it was found."""
+    """A tenant, and the certificate name by which it was found."""
 
     tenant: Tenant
     name: str
 
 
 class Ambiguity(enum.Enum):
-    """Why a certificate says nothing for its holder; the value is the reason that answers give."""
+    """Why a certificate identifies no tenant; the value is the reason in answers."""
 
     NO_TENANT = "no tenant"
     TWO_TENANTS = "two tenants"
@@ -62,8 +62,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NameBinding:
-    """A name that belongs to a tenant: of an issuer's subjects, or (issuer '') of certificates; may end in
-    '*'."""
+    """A name that belongs to a tenant: a subject of an issuer or, with issuer '', a certificate name; a
+    pattern that ends in '*' matches by prefix."""
 
     issuer: str
     pattern: str
@@ -71,9 +71,9 @@
 
 
 class NameIndex:
-    """Names to tenants: an exact one first, else the longest prefix that fits.
+    """Maps names to tenants: an exact match first, otherwise the longest matching prefix.
 
-    One step for each length of a prefix that is in use, whatever the number of tenants.
+    A lookup costs one step for each prefix length in use, whatever the number of tenants.
     """
 
     def __init__(self, bindings: Iterable[NameBinding]) -> None:
@@ -85,7 +85,7 @@
         self._lengths = sorted({len(prefix) for _, prefix in self._prefixes}, reverse=True)
 
     def tenant(self, issuer: str, name: str) -> str:
-        """The tenant's name, or an empty string."""
+        """Returns the name of the matching tenant, or an empty string."""
         exact = self._exact.get((issuer, name))
         if exact is not None:
             return exact
@@ -98,7 +98,7 @@
 
 
 class TenantDirectory:
-    """All tenants of one generation of the operator's file."""
+    """All tenants of one generation of the operator file."""
 
     def __init__(
         self, tenants: Iterable[Tenant], bindings: Iterable[NameBinding], generation: int = 1
@@ -106,20 +106,22 @@
         self.by_name = {tenant.name: tenant for tenant in tenants}
         self.names = NameIndex(bindings)
         self.generation = generation
-        # The owner of each prefix of operation keys, by its length; sound since no two tenants' overlap.
+        # The owner of each operation key prefix. The order of lookup does not matter:
+        # `sections.check_section` rejects prefixes of two tenants that overlap.
         self._key_owners = {
             prefix: tenant.name for tenant in self.by_name.values() for prefix in tenant.key_prefixes
         }
         self._key_prefix_lengths = sorted({len(prefix) for prefix in self._key_owners})
 
     def of_subject(self, issuer: str, subject: str) -> Tenant | None:
-        """The tenant of a token's subject."""
+        """Returns the tenant of a token's subject, or None."""
         return self.by_name.get(self.names.tenant(issuer, subject))
 
     def of_certificate(self, names: Iterable[str]) -> NamedTenant | Ambiguity:
-        """The one tenant of a certificate's names and the name that says so, or why there is none.
+        """Returns the one tenant of a certificate's names and the name that matched, or why there is none.
 
-        Danger: a certificate with names of two tenants would let its holder choose whose rights it uses.
+        A certificate with names of two tenants is rejected: it would let its holder choose whose rights to
+        use.
         """
         found = {owner: name for name in names if (owner := self.names.tenant("", name))}
         if len(found) != 1:
@@ -129,7 +131,7 @@
         return NamedTenant(tenant, name) if tenant is not None else Ambiguity.NO_TENANT
 
     def key_owner(self, operation_key: str) -> str:
-        """The tenant that alone may use operation keys with this beginning, or an empty string."""
+        """Returns the tenant that has reserved a prefix of this operation key, or an empty string."""
         lower = operation_key.lower()
         for length in self._key_prefix_lengths:
             owner = self._key_owners.get(lower[:length])
--- a/hoistplank/authorization/policy.py
+++ b/hoistplank/authorization/policy.py
@@ -1,15 +1,15 @@
-"""The settings of `(callers …)` that authentication goes by."""
+"""The settings of `(callers …)` that authentication uses."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-ANONYMOUS_TENANT = "anyone"  # the tenant of callers that show nothing, as the operator's file names it
+ANONYMOUS_TENANT = "anyone"  # name in the operator file of the tenant of callers without credentials
 
 
 @dataclass(frozen=True, slots=True)
 class AuthenticationPolicy:
-    """Figures of the operator's file; times in microseconds, rates a second."""
+    """Authentication settings of the operator file; times in microseconds, rates per second."""
 
     allow_anonymous: bool = False
     clock_skew_us: int = 30_000_000
--- a/hoistplank/authorization/policy_compiler.py
+++ b/hoistplank/authorization/policy_compiler.py
@@ -1,4 +1,4 @@
-"""Compiles the operator's sections into settings: the one place that knows both. No I/O, no clock."""
+"""Compiles the section `(callers …)` of the operator file into settings. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def compile_settings(section: Section, folder: Path, generation: int) -> AuthorizationSettings:
-    """The settings of `(callers …)`. Paths are taken from the folder."""
+    """Returns the settings of `(callers …)`. Relative paths are relative to the folder."""
     revoked = section["revoked"]
     return AuthorizationSettings(
         tenants=_tenants(section, generation),
--- a/hoistplank/authorization/private_keys.py
+++ b/hoistplank/authorization/private_keys.py
@@ -1,4 +1,4 @@
-"""Private keys in PEM files, of the two kinds that are in use: Ed25519 and P-256."""
+"""Private keys in PEM files, of the two supported kinds: Ed25519 and P-256."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 def generate(algorithm: str) -> PrivateKey:
-    """A new key for EdDSA or ES256."""
+    """Generates a key for EdDSA or ES256."""
     if algorithm == "EdDSA":
         return ed25519.Ed25519PrivateKey.generate()
     return ec.generate_private_key(ec.SECP256R1())
 
 
 def encode_pem(key: PrivateKey) -> bytes:
-    """A key as PKCS #8 in PEM, without a password."""
+    """Encodes a key as PKCS #8 in PEM, without a password."""
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
 
 
 def parse_pem(path: Path, data: bytes) -> PrivateKey:
-    """The key of a file's bytes; raises CredentialFileError."""
+    """Parses a private key from a file's bytes; raises CredentialFileError."""
     try:
         key = serialization.load_pem_private_key(data, None)
     except (ValueError, TypeError) as error:
@@ -38,4 +38,4 @@
         return key
     if isinstance(key, ec.EllipticCurvePrivateKey) and isinstance(key.curve, ec.SECP256R1):
         return key
-    raise CredentialFileError(f"{path}: its key is of another kind, expected Ed25519 or P-256")
+    raise CredentialFileError(f"{path}: unsupported kind of key, expected Ed25519 or P-256")
--- a/hoistplank/authorization/rejection.py
+++ b/hoistplank/authorization/rejection.py
@@ -1,4 +1,4 @@
-"""Why a caller's request is not admitted, as the answer to it will say."""
+"""The reason a caller's request is not admitted, as it is returned to the caller."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class Rejection(NamedTuple):
-    """An HTTP status, the short reason that the answer's `X-Refusal` field gives, and how long to stay away
-    (microseconds; 0: not said)."""
+    """The HTTP status, the short reason for the `X-Refusal` field, and the time before a retry (microseconds;
+    0: none given)."""
 
     status: int
     reason: str
--- a/hoistplank/authorization/revocation_files.py
+++ b/hoistplank/authorization/revocation_files.py
@@ -1,4 +1,4 @@
-"""The operators' file of revocations: a JSON object a line."""
+"""The operators' revocation file: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def parse_revocations(path: Path, data: bytes) -> list[Revocation]:
-    """The revocations of a file; raises CredentialFileError naming the line."""
+    """Parses the revocations of a file; raises CredentialFileError with the line number."""
     revocations = []
     for number, line in enumerate(data.splitlines(), 1):
         if not line.strip():
@@ -25,12 +25,12 @@
 
 
 def load_revocations(path: Path) -> list[Revocation]:
-    """Reads a file of revocations; raises CredentialFileError."""
+    """Reads a revocation file; raises CredentialFileError."""
     return parse_revocations(path, read_file(path))
 
 
 def append_revocation(path: Path, revocation: Revocation) -> None:
-    """Adds one revocation to a file, which need not be there yet; raises CredentialFileError."""
+    """Adds a revocation to a file, which is created if it does not exist; raises CredentialFileError."""
     with locked(path.parent):
         data = read_file(path) if path.exists() else b""
         if data and not data.endswith(b"\n"):
--- a/hoistplank/authorization/revocations.py
+++ b/hoistplank/authorization/revocations.py
@@ -1,4 +1,4 @@
-"""What was revoked: keys, subjects, single tokens, certificates. No I/O, no clock."""
+"""Revocations of keys, subjects, single tokens and certificates. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InvalidRevocationError(AuthorizationError):
-    """A revocation that can't be used; its text says why."""
+    """An invalid revocation; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,8 +24,8 @@
     """One key, subject, token or certificate that is no longer accepted.
 
     `issuer` is the token's issuer for key, subject and jti; for a certificate's serial (hex) its issuer (RFC
-    4514), or empty for that serial of any; empty for a certificate's name. Past `until_us` (0: never) it may
-    be forgotten, since what it revoked has expired by itself.
+    4514), or empty for that serial of any issuer; empty for a certificate's name. Past `until_us` (0: never)
+    it may be dropped, since the revoked credential has expired by then.
     """
 
     kind: str
@@ -35,16 +35,18 @@
 
     def __post_init__(self) -> None:
         if self.kind not in KINDS:
-            raise InvalidRevocationError(f"kind '{self.kind[:20]}' is none of {', '.join(KINDS)}")
+            raise InvalidRevocationError(
+                f"unknown kind '{self.kind[:20]}', expected one of {', '.join(KINDS)}"
+            )
         if not 1 <= len(self.value) <= MAX_VALUE_LENGTH or len(self.issuer) > MAX_ISSUER_LENGTH:
-            raise InvalidRevocationError("a value is to have 1 to 200 characters, an issuer 1,000 at most")
+            raise InvalidRevocationError("a value must have 1 to 200 characters, an issuer at most 1,000")
         if self.kind in (KEY, SUBJECT, TOKEN) and not self.issuer:
-            raise InvalidRevocationError(f"a {self.kind} is revoked with its issuer")
+            raise InvalidRevocationError(f"a revocation of kind '{self.kind}' must have an issuer")
         if self.kind == NAME and self.issuer:
-            raise InvalidRevocationError("a certificate's name is revoked without an issuer")
+            raise InvalidRevocationError("a revocation of a certificate's name must have no issuer")
         if self.kind == SERIAL and not SERIAL_DIGITS(self.value):
             raise InvalidRevocationError(
-                "a serial is written in up to 40 small hex digits, without leading zeros"
+                "a serial must be up to 40 lower-case hex digits, without leading zeros"
             )
 
 
@@ -61,26 +63,28 @@
         return len(self._all)
 
     def replace(self, source: str, revocations: list[Revocation], now: int) -> None:
-        """All that one source says from now on; what is past its time is left out. Raises
-        InvalidRevocationError where there are too many."""
+        """Replaces the revocations of one source, without those past their `until_us`. Raises
+        InvalidRevocationError if there are too many."""
         current = [row for row in revocations if not row.until_us or row.until_us > now]
         if len(current) > MAX_REVOCATIONS:
-            raise InvalidRevocationError(f"{len(current)} revocations, at most {MAX_REVOCATIONS}")
+            raise InvalidRevocationError(
+                f"found {len(current)} revocations, expected at most {MAX_REVOCATIONS}"
+            )
         self._put(source, frozenset((row.kind, row.issuer, row.value) for row in current))
 
     def add(self, source: str, revocation: Revocation) -> None:
-        """One more from a source. Raises InvalidRevocationError where there are too many."""
+        """Adds a revocation to a source. Raises InvalidRevocationError if there are too many."""
         held = self.entries(source)
         if len(held) >= MAX_REVOCATIONS:
-            raise InvalidRevocationError(f"over {MAX_REVOCATIONS} revocations from {source}")
+            raise InvalidRevocationError(f"more than {MAX_REVOCATIONS} revocations from {source}")
         self._put(source, held | {(revocation.kind, revocation.issuer, revocation.value)})
 
     def copy_source(self, source: str, other: RevocationSet) -> None:
-        """What another set holds from that source, in place of what this one does."""
+        """Replaces the revocations of a source by those of the same source in another set."""
         self._put(source, other.entries(source))
 
     def entries(self, source: str) -> frozenset[tuple[str, str, str]]:
-        """What one source revoked, as kind, issuer and value."""
+        """Returns the revocations of one source, as kind, issuer and value."""
         return self._by_source.get(source, frozenset())
 
     def _put(self, source: str, entries: frozenset[tuple[str, str, str]]) -> None:
@@ -90,7 +94,7 @@
             self.generation += 1
 
     def revoked_part_of_token(self, issuer: str, kid: str, subject: str, jti: str) -> str:
-        """Which of a token's parts is revoked, or an empty string."""
+        """Returns the kind of the token's part that is revoked, or an empty string."""
         held = self._all
         if not held:
             return ""
@@ -101,7 +105,7 @@
         return "jti" if jti and (TOKEN, issuer, jti) in held else ""
 
     def revoked_part_of_certificate(self, issuer: str, serial: str, names: tuple[str, ...]) -> str:
-        """Which of a certificate's parts is revoked, or an empty string."""
+        """Returns the kind of the certificate's part that is revoked, or an empty string."""
         held = self._all
         if not held:
             return ""
--- a/hoistplank/authorization/sections.py
+++ b/hoistplank/authorization/sections.py
@@ -1,4 +1,4 @@
-"""The forms of the operator's file that say who may call, and what must hold between them."""
+"""The schema of the form `(callers …)` of the operator file, and the checks across its forms."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 GROUPS = ValueType("a group from 0 to 255 or a span of them, as 0-31", _parse_groups)
-# A pattern is exact, or ends in one '*' that stands for any rest.
+# A pattern is an exact name, or a prefix followed by one '*'.
 PATTERN = matching(r"[^*\s]{1,200}\*?", "a name, or the start of one followed by '*'")
 PREFIX = matching(r"[0-9a-f]{1,16}", "1 to 16 small hex digits")
 CLASS_NAME = matching(r"[A-Za-z0-9_.-]{1,60}", "the name of a traffic class")
@@ -141,21 +141,21 @@
 
 
 class BoundName(NamedTuple):
-    """A name of an issuer's subjects, or (issuer '') of certificates."""
+    """A subject of an issuer or, with issuer '', a certificate name."""
 
     issuer: str
     name: str
 
 
 class KeyPrefix(NamedTuple):
-    """A beginning of operation keys and the tenant whose it is."""
+    """A prefix of operation keys and the tenant that reserved it."""
 
     prefix: str
     tenant: str
 
 
 def check_section(section: Section, diagnostics: list[Diagnostic]) -> None:
-    """What one form alone can't show: names given twice, and forms that need each other."""
+    """Reports what the schema can't: names that occur twice, and forms that require others."""
     issuers = _check_issuers(section, diagnostics)
     names = _check_tenant_names(section, diagnostics)
     owners: dict[BoundName, str] = {}
@@ -176,7 +176,7 @@
 
 
 def _check_issuers(section: Section, diagnostics: list[Diagnostic]) -> list[str]:
-    """The names of the issuers, each of which may stand once."""
+    """Returns the names of the issuers; reports duplicates."""
     names: list[str] = []
     for issuer in section["tokens"]["issuer"]:
         if issuer.title in names:
@@ -188,7 +188,7 @@
 
 
 def _check_tenant_names(section: Section, diagnostics: list[Diagnostic]) -> set[str]:
-    """The names of the tenants, each of which may stand once."""
+    """Returns the names of the tenants; reports duplicates."""
     names: set[str] = set()
     for tenant in section["tenant"]:
         if tenant.title in names:
@@ -201,7 +201,7 @@
 def _check_subjects(
     tenant: Section, issuers: list[str], owners: dict[BoundName, str], diagnostics: list[Diagnostic]
 ) -> None:
-    """Subjects are of an issuer that is there, and of one tenant."""
+    """Reports subjects of an issuer that is not configured, and subjects that belong to two tenants."""
     for subjects in tenant["subjects"]:
         if subjects.title not in issuers:
             known = ", ".join(f"'{name}'" for name in issuers) or "there is none"
@@ -219,7 +219,7 @@
 def _check_certificate_names(
     tenant: Section, owners: dict[BoundName, str], diagnostics: list[Diagnostic]
 ) -> None:
-    """Names in certificates say of which kind they are, and are of one tenant."""
+    """Reports certificate names without a known kind, and names that belong to two tenants."""
     for name in tenant["names"]:
         if not name.startswith(CERTIFICATE_NAME_KINDS):
             location = tenant.location_of("names")
@@ -229,7 +229,7 @@
 
 
 def _check_key_prefixes(tenant: Section, prefixes: list[KeyPrefix], diagnostics: list[Diagnostic]) -> None:
-    """No two tenants' beginnings of operation keys overlap; adds this tenant's to `prefixes`."""
+    """Reports operation key prefixes that overlap another tenant's; adds this tenant's to `prefixes`."""
     for prefix in tenant["operation-keys"]:
         for other, owner in prefixes:
             if owner != tenant.title and (other.startswith(prefix) or prefix.startswith(other)):
@@ -244,7 +244,7 @@
 
 
 def _check_client_ca(section: Section, diagnostics: list[Diagnostic]) -> None:
-    """Forms that need client certificates stand beside the authority that signs them."""
+    """Reports forms that need client certificates if no client CA is configured."""
     tls = section["tls"]
     if tls is not None and tls["client-ca"] is None:
         for name in ("crl", "require-certificate"):
@@ -264,7 +264,8 @@
 def _check_owner(
     owners: dict[BoundName, str], name: BoundName, tenant: Section, diagnostics: list[Diagnostic]
 ) -> None:
-    """Danger: a name of two tenants would give one the rights of the other, by the order of the file."""
+    """Reports a name that belongs to two tenants: by the order of the file, one would get the other's
+    rights."""
     owner = owners.setdefault(name, tenant.title)
     if owner != tenant.title:
         found = f"'{name.name}', which is the tenant '{owner}''s too"
--- a/hoistplank/authorization/service.py
+++ b/hoistplank/authorization/service.py
@@ -1,5 +1,5 @@
-"""Runs authorization in a dispatcher: admits requests, follows the files that it needs, and serves the TLS
-listener and the admin server beside the plain listener."""
+"""Runs authorization in a dispatcher: admits requests, watches the credential files, and runs the TLS
+listener and the admin server in addition to the plain listener."""
 
 from __future__ import annotations
 
@@ -39,13 +39,14 @@
 
 ListenerSettings = TlsSettings | AdminSettings
 
-ADMIN_SERVER = "control front"  # the source of revocations that operators make there, as messages name it
-# Of the files: soon enough for a token whose key is on its way (`authenticator.UNKNOWN_KEY_RETRY_US`).
+ADMIN_SERVER = "control front"  # name of the source of revocations that operators make on the admin server
+# The files are read again at least this often, so that a new key is known when a client retries a token that
+# was signed with it (`authenticator.UNKNOWN_KEY_RETRY_US`).
 MAX_POLL_INTERVAL_S = 0.25
 
 
 class Dispatcher(Protocol):
-    """What the service uses of the program that it is part of."""
+    """The part of the program that the service uses."""
 
     router_task: RouterTask
     frontend: Frontend
@@ -65,23 +66,24 @@
 def _listeners(
     before: AuthorizationSettings, after: AuthorizationSettings
 ) -> tuple[tuple[str, ListenerSettings | None, ListenerSettings | None], ...]:
-    """The forms whose listener can't come, go or move while the program runs, in two generations."""
+    """Returns the listener forms in two generations; a listener can't be added, removed or moved while the
+    program runs."""
     return ("tls", before.tls, after.tls), ("control", before.admin, after.admin)
 
 
 def _issuers(settings: AuthorizationSettings) -> dict[str, Issuer]:
-    """The issuers by name, without their keys."""
+    """Returns the issuers by name, without their keys."""
     return {issuer.name: Issuer(issuer.name, issuer.audience) for issuer in settings.issuers}
 
 
 class AuthorizationService:
-    """One for the program. Raises ConfigurationError where the files that the section names can't be
-    used."""
+    """The authorization service of a dispatcher. Raises ConfigurationError if the files that the section
+    names can't be used."""
 
     def __init__(self, section: Section, file: str, site: RouterSettings, clock: Clock | None = None) -> None:
         self.file, self.site, self.clock = file, site, clock or WallClock()
         self.generation = 1
-        # The files that it names stand beside it.
+        # Paths in the operator file are relative to its folder.
         self.settings = compile_settings(section, Path(file).parent, self.generation)
         self.dispatcher: Dispatcher | None = None
         self.tls_listener: TlsListener | None = None
@@ -101,9 +103,9 @@
     def admit(
         self, identity: Any, fields: dict[str, str], request: Request, peer: str
     ) -> RequestRefusal | None:
-        """Counts a request as open and gives it its caller, or returns why it is not admitted."""
+        """Counts a request as open and sets its caller, or returns why it is not admitted."""
         router_task, authorizer = self.router_task, self.authorizer
-        # A web server's word for where a caller is counts; that of one who only speaks TLS does not.
+        # REMOTE_ADDR is trusted from a web server, but not from a TLS client without a certificate.
         source = peer if peer.startswith(ANONYMOUS_PREFIX) else fields.get("REMOTE_ADDR") or peer
         outcome = authorizer.admit(
             router_task.clock.now(),
@@ -122,14 +124,14 @@
         return None
 
     def ended(self, request: Request) -> None:
-        """A request has ended, whether it was admitted or not."""
+        """Releases a request that has ended, if it was admitted."""
         if isinstance(request.caller, Caller):
             self.authorizer.release(request.caller)
 
-    # The parts that run.
+    # Tasks.
 
     def attach(self, dispatcher: Dispatcher) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """The parts to run beside the program's own; listens at once."""
+        """Returns the tasks to run in addition to the program's own, by name; starts to listen at once."""
         self.dispatcher, self.router_task = dispatcher, dispatcher.router_task
         self.loader.polling = True
         parts: list[tuple[str, Coroutine[Any, Any, None]]] = [("callers' files", self._watch_files())]
@@ -156,7 +158,7 @@
     def _log_state(self) -> None:
         authenticator = self.authorizer.authenticator
         log.info(
-            "callers",
+            "authorization settings in force",
             generation=self.generation,
             tenants=len(authenticator.tenants.by_name),
             keys={name: issuer.generation for name, issuer in authenticator.issuers.items()},
@@ -165,26 +167,28 @@
 
     @property
     def handshakes(self) -> HandshakeCounts:
-        """How handshakes of the TLS listener ended."""
+        """Outcomes of handshakes of the TLS listener."""
         return self.tls_listener.counts if self.tls_listener is not None else HandshakeCounts()
 
     def close(self) -> None:
-        """Closes connections whose handshake is not done."""
+        """Closes connections whose handshake is not complete."""
         if self.tls_listener is not None:
             self.tls_listener.close()
 
-    # A reload.
+    # Reload.
 
     def prepare_reload(self, section: Section) -> Callable[[], None]:
-        """All that another section names, read and checked; raises ConfigurationError; what is returned
-        takes it up at once."""
+        """Reads and checks everything that another section names; raises ConfigurationError. Returns a
+        function that puts it in force at once."""
         fresh_settings = compile_settings(section, Path(self.file).parent, self.generation)
         for form, before, after in _listeners(self.settings, fresh_settings):
-            # Danger: parts that serve a listener would find its figures gone.
+            # The running tasks of a listener need its settings, which must not disappear.
             if (before is None) != (after is None):
-                found = f"'({form} …)' that comes or goes while the program runs"
+                found = f"'({form} …)' added or removed while the program runs"
                 location = section.location_of(form)
-                raise ConfigurationError([Diagnostic(location, found, "it as it was at the start")])
+                raise ConfigurationError(
+                    [Diagnostic(location, found, "the form present or absent as at the start")]
+                )
         fresh = AuthorizationService(section, self.file, self.site, self.clock)
         return lambda: self._take_over(section, fresh)
 
@@ -212,7 +216,7 @@
         issuers = {}
         for name, issuer in read.issuers.items():
             known = current.issuers.get(name)
-            # A key that is the same stays the same object, and so do the tokens that it verified.
+            # An unchanged key stays the same object, so tokens that it verified stay in the token cache.
             issuers[name] = (
                 issuer if known is None else known.with_key_set(issuer.key_set, now, issuer.audience)
             )
@@ -224,7 +228,7 @@
     # Revocation.
 
     def disconnect_revoked(self) -> None:
-        """Connections whose certificate is no longer accepted end, once what is open on them is
+        """Closes connections whose certificate is no longer accepted, once their open requests are
         answered."""
         if self.dispatcher is None:
             return
@@ -238,22 +242,27 @@
             self.admin_server.disconnect_revoked()
 
     def revoke(self, revocation: Revocation) -> None:
-        """Takes up a revocation of the admin server at once. Raises InvalidRevocationError where there are
+        """Puts a revocation of the admin server in force at once. Raises InvalidRevocationError if there are
         too many."""
         in_force = self.authorizer.authenticator.revocations
         in_force.add(ADMIN_SERVER, revocation)
-        log.info("revoked", kind=revocation.kind, value=revocation.value, generation=in_force.generation)
+        log.info(
+            "revocation in force",
+            kind=revocation.kind,
+            value=revocation.value,
+            generation=in_force.generation,
+        )
         self.disconnect_revoked()
 
     async def persist(self, revocation: Revocation) -> str:
-        """Writes a revocation into the operators' file, for all that read it; returns why that failed, or
-        an empty string."""
+        """Appends a revocation to the revocation file, for all dispatchers that read it; returns the reason
+        of a failure, or an empty string."""
         file = self.settings.revocation_file
         if file is None:
-            return "no file is named: it is gone with this process"
+            return "no revocation file is configured: the revocation is lost when this process ends"
         try:
             await asyncio.to_thread(append_revocation, file.path, revocation)
         except CredentialFileError as error:
-            log.error("revocation not kept", wrong=str(error))  # noqa: TRY400 (the text says all)
-            return "the file can't be written: it is gone with this process"
+            log.error("revocation can't be written to file", wrong=str(error))  # noqa: TRY400 (the text suffices)
+            return "the revocation file can't be written: the revocation is lost when this process ends"
         return ""
--- a/hoistplank/authorization/settings.py
+++ b/hoistplank/authorization/settings.py
@@ -1,5 +1,5 @@
-"""The settings of `(callers …)` as records, with their locations for diagnostics of the files that they
-name."""
+"""The settings of `(callers …)`, with the locations in the operator file that diagnostics of referenced files
+need."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevocationFileSettings:
-    """The operators' file of revocations."""
+    """The operators' revocation file."""
 
     path: Path
     location: SourceLocation
@@ -34,8 +34,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """The TLS listener. `rejects_when_list_expired`: whether certificates are refused once a revocation list
-    is past its next update."""
+    """The TLS listener. `rejects_when_list_expired` is True if client certificates are rejected once a
+    revocation list is past its next update."""
 
     listen: Address
     files: TlsFiles
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthorizationSettings:
-    """All of one generation of the operator's file."""
+    """All authorization settings of one generation of the operator file."""
 
     tenants: TenantDirectory
     policy: AuthenticationPolicy
--- a/hoistplank/authorization/tls_connections.py
+++ b/hoistplank/authorization/tls_connections.py
@@ -1,4 +1,4 @@
-"""Connections with TLS whose client certificates are checked against what is revoked."""
+"""TLS connections whose client certificates are checked against the revocations."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 
 
 class TlsConnections:
-    """Makes connections of the state in force. `settings` None: there is no listener with TLS."""
+    """Creates connections with the TLS state in force. `settings` is None if there is no TLS listener."""
 
     def __init__(self, settings: TlsSettings | None, authorizer: Authorizer, clock: Clock) -> None:
         self.settings, self.authorizer, self.clock = settings, authorizer, clock
         self.state: TlsState | None = None
 
     def factory(self, on_verified: OnVerified, on_rejected: OnRejected) -> ConnectionFactory:
-        """Makes a connection that calls `on_verified` with who is there once its handshake has proven it
-        (None: no certificate was shown), or `on_rejected` where the certificate is not accepted."""
+        """Returns a factory of connections that call `on_verified` with the client's identity after the
+        handshake (None: no certificate was presented), or `on_rejected` if the certificate is not
+        accepted."""
         assert self.state is not None
 
         def handshake_done(der: bytes | None) -> None:
@@ -40,14 +41,15 @@
         return partial(TlsConnection, context=self.state.context, on_handshake=handshake_done)
 
     def _identity(self, der: bytes | None) -> CertificateIdentity | None:
-        """Raises CertificateRejectedError where a certificate is not accepted, though its chain is."""
+        """Returns the identity of a certificate whose chain was verified; raises CertificateRejectedError if
+        the certificate is not accepted."""
         if der is None:
             return None
         assert self.state is not None and self.settings is not None
         expires_us = self.state.revocation_lists.next_update_us
         expired = bool(expires_us) and self.clock.now() >= expires_us
         if expired and self.settings.rejects_when_list_expired:
-            # Danger: nobody says any more which certificates were revoked since.
+            # Certificates that were revoked after the list's next update would not be known.
             raise CertificateRejectedError("the revocation list has expired")
         identity = certificates.identity_of(der)
         rejection = self.authorizer.check_certificate(identity)
--- a/hoistplank/authorization/tls_listener.py
+++ b/hoistplank/authorization/tls_listener.py
@@ -1,4 +1,4 @@
-"""The TLS listener of clients: bounds how many handshakes run at once, and for how long."""
+"""The TLS listener for clients: limits the number and duration of concurrent handshakes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from hoistplank.transport.descriptor_budget import DescriptorBudget
 from hoistplank.transport.listener import Listener
 
-ANONYMOUS_PREFIX = "tls "  # before the address of a client that showed no certificate
+ANONYMOUS_PREFIX = "tls "  # precedes the address of a client without a certificate
 CHECK_INTERVAL_S = 0.05
 
 
 class HandshakeCounts(msgspec.Struct):
-    """How handshakes ended, since the start."""
+    """Outcomes of handshakes since the start. `abandoned`: closed for taking too long or to make place for
+    others."""
 
     completed: int = msgspec.field(name="done", default=0)
     failed: int = 0
@@ -31,8 +32,8 @@
 
 
 class TlsListener:
-    """Hands sessions to the frontend; `pending` are those whose handshake runs, oldest first, with the
-    loop's time at which it began."""
+    """Passes sessions to the frontend; `pending` holds those still in the handshake, oldest first, with the
+    event loop's time at which the handshake began."""
 
     def __init__(
         self, settings: TlsSettings, tls: TlsConnections, frontend: Frontend, descriptors: DescriptorBudget
@@ -43,11 +44,11 @@
         self._listener = Listener(settings.listen, descriptors, self._accept)
 
     def parts(self) -> list[tuple[str, Coroutine[Any, Any, None]]]:
-        """Its tasks, by name."""
+        """Returns the tasks to run, by name."""
         return [("tls listener", self._listener.run()), ("handshakes", self._limit_handshakes())]
 
     def close(self) -> None:
-        """Closes connections whose handshake is not done."""
+        """Closes connections whose handshake is not complete."""
         for session in list(self.pending):
             session.connection.close()
 
@@ -67,8 +68,8 @@
             self.pending.pop(session, None)
 
         while len(self.pending) >= self.settings.max_handshakes:
-            # Danger: half-open handshakes hold every place. The oldest yields: a usual one needs some ms of
-            # it.
+            # Half-open handshakes would otherwise occupy every place. The oldest is abandoned: a normal
+            # handshake needs only a few ms.
             self._abandon(next(iter(self.pending)))
         session = self.frontend.serve(sock, peer, self.tls.factory(verified, rejected))
         self.pending[session] = asyncio.get_running_loop().time()
@@ -79,7 +80,7 @@
         session.connection.close()
 
     async def _limit_handshakes(self) -> None:
-        """Ends those that take too long."""
+        """Abandons handshakes that exceed the time limit."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/hoistplank/authorization/token_cache.py
+++ b/hoistplank/authorization/token_cache.py
@@ -1,9 +1,8 @@
-"""The tokens whose signatures were checked. No I/O, no clock.
+"""Cache of tokens whose signatures were checked. No I/O, no clock.
 
-A signature is checked once; after that the token stands in a bounded table under its digest, with the very
-key that verified it. It ends with its expiry, with its key (retired, replaced under the same name, removed)
-and with a revocation, since all three are looked at again at each use: nothing has to be swept when keys
-change.
+A signature is checked once; after that a bounded table holds the token by its digest, with the key object
+that verified it. Expiry, a change of the key (retired, replaced under the same name, removed) and revocation
+are checked again at each use, so a key change requires no sweep of the cache.
 """
 
 from __future__ import annotations
@@ -21,18 +20,17 @@
 
 
 class Verdict(enum.Enum):
-    """What a check left of a token beside the verified token itself."""
+    """The cached result for a token that was not verified."""
 
     BAD_SIGNATURE = "bad signature"
 
 
 @dataclass(slots=True, eq=False)
 class VerifiedToken:
-    """What is left of a token whose signature was good.
+    """The data kept of a token whose signature is valid.
 
-    `outcome` is whose it was found to be, and stands while `epoch` is the authenticator's: tenants, policy,
-    keys and revocations as they were then. From `valid_from_us` until `valid_until_us` nothing but time can
-    change it.
+    `outcome` caches the caller or rejection. It is valid while `epoch` equals the authenticator's (tenants,
+    policy, keys and revocations are unchanged), from `valid_from_us` until `valid_until_us`.
     """
 
     issuer: str
@@ -47,7 +45,7 @@
     valid_until_us: int = 0
 
     def outcome_at(self, now: int, epoch: int) -> Caller | Rejection | None:
-        """The outcome where it still stands, else None."""
+        """Returns the outcome if it is still valid, otherwise None."""
         if self.epoch == epoch and self.valid_from_us <= now < self.valid_until_us:
             return self.outcome
         return None
@@ -57,7 +55,7 @@
 
 
 def verify(claims: TokenClaims, key: VerificationKey) -> CachedVerdict:
-    """Checks a token's signature."""
+    """Verifies a token's signature and returns the result for the cache."""
     if not key.verify(claims.signed, claims.signature):
         return Verdict.BAD_SIGNATURE
     return VerifiedToken(
@@ -66,7 +64,7 @@
 
 
 class TokenCache:
-    """Checked tokens by digest, `capacity` at most; the least recently used goes first."""
+    """Checked tokens by digest, at most `capacity`; the least recently used is evicted first."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -77,26 +75,26 @@
 
     @staticmethod
     def digest(token: str) -> bytes:
-        """The key under which a token is cached (SHA-256)."""
+        """Returns the cache key of a token (SHA-256)."""
         return hashlib.sha256(token.encode("latin-1", "replace")).digest()
 
     def get(self, digest: bytes) -> CachedVerdict | None:
-        """What the check said; None where this token was never checked."""
+        """Returns the result of an earlier check; None if the token is not cached."""
         verdict = self._verdicts.get(digest)
         if verdict is not None and len(self._verdicts) * 2 > self.capacity:
-            self._verdicts.move_to_end(digest)  # the order matters only where something may have to go
+            self._verdicts.move_to_end(digest)  # the order matters only when evictions are near
         return verdict
 
     def put(self, digest: bytes, verdict: CachedVerdict) -> None:
-        """Remembers a check."""
+        """Caches the result of a check."""
         self._verdicts[digest] = verdict
         if len(self._verdicts) > self.capacity:
-            # Danger: a flood of wrong tokens would push all good ones out, and each would be checked again.
-            # What is wrong stands in the older half only: it is evicted first.
+            # Invalid tokens are kept at the end that is evicted first: otherwise a flood of them would evict
+            # all valid ones, and each of those would be checked again.
             self._verdicts.popitem(last=False)
         if verdict is Verdict.BAD_SIGNATURE:
             self._verdicts.move_to_end(digest, last=False)
 
     def discard(self, digest: bytes) -> None:
-        """Forgets a token, if it is there."""
+        """Removes a token if it is cached."""
         self._verdicts.pop(digest, None)
--- a/tests/test_authorization_keys.py
+++ b/tests/test_authorization_keys.py
@@ -107,7 +107,10 @@
 @pytest.mark.parametrize(
     "change, told",
     [
-        (lambda d: (d / "server.key").chmod(0o644), "mode 0644 lets others at a private key, expected 0600"),
+        (
+            lambda d: (d / "server.key").chmod(0o644),
+            "mode 0644 gives others access to a private key, expected 0600",
+        ),
         (lambda d: (d / "server.key").write_text("-----BEGIN"), "holds no private key in PEM"),
         (lambda d: (d / "clients.crl").write_bytes(b""), "holds no revocation list"),
         (lambda d: (d / "ring.json").unlink(), "can't be read (No such file or directory)"),
